--- a/src/main/java/io/pepperfield/node/Controller.java
+++ b/src/main/java/io/pepperfield/node/Controller.java
@@ -170,7 +170,9 @@
                         users,
                         reports,
                         this::healthy,
-                        () -> overview.describe(leader, loop.now()));
+                        () ->
+                                overview.describe(
+                                        leader == null ? null : leader.overview(), loop.now()));
     }
 
     /**
--- a/src/main/java/io/pepperfield/node/Leader.java
+++ b/src/main/java/io/pepperfield/node/Leader.java
@@ -26,7 +26,7 @@
 /**
  * The leading controller, for as long as one leadership lasts: what runs where, and what is rented.
  */
-public final class Leader implements Fleet.Listener {
+public final class Leader implements Fleet.Listener, LeaderHeartbeats {
 
     private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
 
@@ -188,8 +188,8 @@
 
     // ---- reports
 
-    /** The orders that answer a worker's report, or null where it must not be answered with 200. */
-    List<Order> report(Report report, String through) {
+    @Override
+    public List<Order> report(Report report, String through) {
         double now = loop.now();
         fleet.holdStarts(!fresh(now));
         List<Order> orders = fleet.beat(report, now);
@@ -221,8 +221,9 @@
         return now - durable.confirmedAt().getAsDouble() < FRESH * reportS;
     }
 
-    /** The answer to what a partition owner has passed on. */
-    ForwardingMessages.Verdict forwardedReport(ForwardingMessages.Beat beat, String through) {
+    @Override
+    public ForwardingMessages.Verdict forwardedReport(
+            ForwardingMessages.Beat beat, String through) {
         Report report = wholeReport(beat);
         if (report == null) {
             return new ForwardingMessages.Verdict.WantsWhole();
@@ -248,13 +249,13 @@
         return ((ForwardingMessages.Beat.Whole) beat).report();
     }
 
-    /** A worker's answer to direct orders. */
-    void heard(Report report) {
+    @Override
+    public void heard(Report report) {
         fleet.heard(report, loop.now());
     }
 
-    /** What a partition owner remembers of a machine. */
-    void remembered(ForwardingMessages.Kept kept) {
+    @Override
+    public void remembered(ForwardingMessages.Kept kept) {
         fleet.remembered(kept.report(), loop.now() - kept.ageS());
     }
 
--- a/src/main/java/io/pepperfield/node/NodeOverview.java
+++ b/src/main/java/io/pepperfield/node/NodeOverview.java
@@ -40,7 +40,7 @@
     /**
      * @param leader this node's leadership, or null while another node leads
      */
-    JsonNode describe(Leader leader, double now) {
+    JsonNode describe(LeaderOverview leader, double now) {
         ObjectNode node =
                 Json.object()
                         .put("node", settings.node())
@@ -55,7 +55,7 @@
         if (leader != null) {
             ArrayNode controllers = node.putArray("controllers");
             settings.members().forEach(member -> describe(member, controllers.addObject(), now));
-            leader.overview().describe(node);
+            leader.describe(node);
         }
         return node;
     }
--- a/src/main/java/io/pepperfield/node/ReportHandler.java
+++ b/src/main/java/io/pepperfield/node/ReportHandler.java
@@ -48,7 +48,7 @@
     private Reachability reachability;
 
     /** Null while this node does not lead, or has not read its books yet. */
-    private Leader leader;
+    private LeaderHeartbeats leader;
 
     ReportHandler(
             Loop loop,
@@ -74,7 +74,7 @@
     }
 
     /** This node's leadership begins, or with null ends. */
-    void lead(Leader by) {
+    void lead(LeaderHeartbeats by) {
         leader = by;
         if (by != null) {
             reachability = new Reachability(reportS, settings.deployment().workers().leaseS());
