--- a/src/main/java/io/pepperfield/node/Controller.java
+++ b/src/main/java/io/pepperfield/node/Controller.java
@@ -17,7 +17,6 @@
 import io.pepperfield.jobs.UserRequests;
 import io.pepperfield.leadership.Leadership;
 import io.pepperfield.loop.Loop;
-import io.pepperfield.peer.ForwardingMessages;
 import io.pepperfield.peer.Members;
 import io.pepperfield.peer.PartitionOrders;
 import io.pepperfield.peer.Peers;
@@ -42,14 +41,6 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
 
-    /** Sets this node's part of the state service's rates. */
-    public interface Rates {
-        /**
-         * Sets requests per second, and changes per second for the leader's and for users' writes.
-         */
-        void share(double requests, double leadersWrites, double usersWrites);
-    }
-
     /** Where users ask about jobs. */
     static final String JOBS = "/api/jobs/";
 
@@ -111,7 +102,7 @@
             Workers workers,
             Peers peers,
             ReportForwarder forwarder,
-            Rates rates,
+            RateSharing.RateLimitSetter rates,
             Rollout rollout) {
         this.storedVersion = new StoredVersion(rollout, settings);
         this.loop = loop;
@@ -130,7 +121,6 @@
         this.reportS = times.reportS();
         this.members = new Members(settings.node(), LIVE * reportS);
         this.livenessLog = new LivenessLog(members);
-        peers.handler(new PeerMessages());
         this.replica = new Replica(this::changed);
         this.sync = new Sync(loop, state, replica, reportS / 2, questionSpacingS(settings));
         // Below a worker's patience of a lease by far, so that a take-over costs no task; above a
@@ -157,6 +147,14 @@
                         members,
                         renewal,
                         pauseDetector);
+        peers.handler(
+                new PeerMessageReceiver(
+                        storedVersion,
+                        pauseDetector,
+                        reports,
+                        workers,
+                        forwarder,
+                        this::cancelledElsewhere));
         this.writer = writer(state);
         this.admission =
                 settings.operators().enabled(Feature.ADMISSION)
@@ -214,34 +212,6 @@
                 cancelledHere::add);
     }
 
-    /** What the other controllers send to this one. */
-    private final class PeerMessages implements Peers.Handler {
-
-        @Override
-        public void forwarded(ForwardingMessages.Batch batch, Consumer<Reply> answer) {
-            if (storedVersion.serves()) {
-                reports.receiveForwarded(batch, answer);
-            } else {
-                answer.accept(Reply.error(503, StoredVersion.NOT_SERVING));
-            }
-        }
-
-        @Override
-        public void direct(long token, ForwardingMessages.Direct message) {
-            if (pauseDetector.stale() || !storedVersion.serves()) {
-                // Meant for then; by now another may lead, and the machine be told otherwise.
-                return;
-            }
-            workers.forward(
-                    message.address(), token, message.tenure(), message.orders(), forwarder::heard);
-        }
-
-        @Override
-        public void cancelled(List<String> ids) {
-            ids.forEach(Controller.this::cancelledElsewhere);
-        }
-    }
-
     /** The leadership that guards this node's durable writes. */
     private final class LeadersWrites implements Writer.Lead {
 
--- a/src/main/java/io/pepperfield/node/RateSharing.java
+++ b/src/main/java/io/pepperfield/node/RateSharing.java
@@ -9,7 +9,15 @@
  * for them, a single one left twice as many, and where that is too much together, the service's own
  * refusal is the limit.
  */
-final class RateSharing {
+public final class RateSharing {
+
+    /** Sets this node's part of the state service's rates. */
+    public interface RateLimitSetter {
+        /**
+         * Sets requests per second, and changes per second for the leader's and for users' writes.
+         */
+        void setRateLimits(double requests, double leadersWrites, double usersWrites);
+    }
 
     /** Of the state service's changes, for what comes from users to one node. */
     static final double USERS_PART = 0.25;
@@ -22,14 +30,14 @@
     /** A single controller may be allotted all that is for accepting jobs. */
     private final boolean divided;
 
-    private final Controller.Rates rates;
+    private final RateLimitSetter rates;
     private final Settings.State limits;
     private final int size;
 
     /** Controllers that users may have come to, as far as this one knows. */
     private int live;
 
-    RateSharing(Controller.Rates rates, Settings settings) {
+    RateSharing(RateLimitSetter rates, Settings settings) {
         this.rates = rates;
         this.limits = settings.deployment().state();
         this.divided = settings.operators().enabled(Feature.ADMISSION);
@@ -48,7 +56,7 @@
     /** Sets the rates for a node that leads, or does not. */
     void share(boolean leading) {
         double leadersWrites = leading ? limits.writeRps() * LEADERS_WRITES : 0;
-        rates.share(
+        rates.setRateLimits(
                 limits.rps() * requestsPart(leading),
                 leadersWrites,
                 limits.writeRps() * usersPart());
--- a/src/test/java/io/pepperfield/standin/SimUsers.java
+++ b/src/test/java/io/pepperfield/standin/SimUsers.java
@@ -13,12 +13,6 @@
 /** The users: they submit, follow and cancel jobs, and check what they are told. */
 final class SimUsers {
 
-    /** A job of which nothing is heard for so long once all is well counts as forgotten. */
-    private static final double FORGOTTEN_S = 75;
-
-    /** A job may wait so long although there is room for it. */
-    private static final double WAIT_S = 90;
-
     /** Ids from here on are never accepted. */
     private static final int NOBODYS = 900_000;
 
@@ -29,7 +23,7 @@
     private final SimMachines machines;
     final Map<String, SimJob> jobs;
     private final PipelineRules rules;
-    private final List<String> leftWaiting = new ArrayList<>();
+    private final SimUserExpectations expectations;
     private double stormUntil;
     private double looksUntil;
     private double cancelAtEndUntil;
@@ -54,6 +48,7 @@
         this.machines = machines;
         this.jobs = jobs;
         this.rules = rules;
+        this.expectations = new SimUserExpectations(world, broken, machines, jobs);
         machines.completed = this::ended;
     }
 
@@ -446,67 +441,20 @@
                 });
     }
 
-    // ---- what they expect once all is well
-
     /** To be called every second. */
     void check() {
-        double now = world.now();
-        for (SimJob job : jobs.values()) {
-            if (!job.accepted) {
-                continue;
-            }
-            if (now - Math.max(calmAt, job.answeredAt) > FORGOTTEN_S && !job.saidForgotten) {
-                says(
-                        "forgotten: no question about "
-                                + job.plan.id()
-                                + " answered since "
-                                + job.answeredAt);
-                job.saidForgotten = true;
-            }
-            boolean ready =
-                    job.plan.awaits().stream().allMatch(needed -> jobs.get(needed).complete());
-            boolean waits =
-                    now > calmAt
-                            && ready
-                            && !job.over()
-                            && !job.plan.mistaken()
-                            && !job.complete()
-                            && job.on.isEmpty()
-                            && machines.fits(job);
-            if (!waits) {
-                job.waitsSince = now;
-            } else if (now - job.waitsSince > WAIT_S) {
-                leftWaiting.add(
-                        job.plan.id() + " waits since " + job.waitsSince + " though there is room");
-                job.waitsSince = Double.POSITIVE_INFINITY;
-            }
-        }
+        expectations.check(calmAt);
     }
 
     /**
      * Jobs that are neither over nor running, and those that waited too long though there was room.
      */
     List<String> leftOver() {
-        List<String> left = new ArrayList<>(leftWaiting);
-        jobs.values().stream()
-                .filter(job -> job.accepted && !job.over() && job.on.isEmpty())
-                .forEach(job -> left.add(job.plan.id() + " is " + job.last + " at the end"));
-        return left;
+        return expectations.leftOver();
     }
 
     List<String> unfinished() {
-        return jobs.values().stream()
-                .filter(job -> !job.over())
-                .map(
-                        job ->
-                                job.plan.id()
-                                        + " "
-                                        + job.last
-                                        + " "
-                                        + job.completed.size()
-                                        + "/"
-                                        + job.plan.tasks())
-                .toList();
+        return expectations.unfinished();
     }
 
     /**
