--- a/src/test/java/io/pepperfield/standin/CloudStandIn.java
+++ b/src/test/java/io/pepperfield/standin/CloudStandIn.java
@@ -9,6 +9,7 @@
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.function.DoubleSupplier;
 
@@ -107,7 +108,7 @@
         if (names == null) {
             names = new ArrayList<>();
             for (int i = 0; i < body.path("howMany").asInt() && rented.size() < capacity; i++) {
-                String name = String.format("host-%06d", next++);
+                String name = String.format(Locale.ROOT, "host-%06d", next++);
                 rented.put(
                         name,
                         new Rented(
--- a/src/test/java/io/pepperfield/standin/JobPlan.java
+++ b/src/test/java/io/pepperfield/standin/JobPlan.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.http.Json;
 import java.util.List;
+import java.util.Locale;
 
 /**
  * A job as its user submits it, and what its tasks do.
@@ -60,7 +61,7 @@
     }
 
     static String id(int number) {
-        return String.format("run-%06d", number);
+        return String.format(Locale.ROOT, "run-%06d", number);
     }
 
     JobPlan cancelledAt(double at) {
--- a/src/test/java/io/pepperfield/standin/LoopbackRegion.java
+++ b/src/test/java/io/pepperfield/standin/LoopbackRegion.java
@@ -19,6 +19,7 @@
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
@@ -275,7 +276,7 @@
     /** A small array. */
     public static ObjectNode job(int number) {
         return Json.object()
-                .put("nameId", String.format("run-%06d", number))
+                .put("nameId", String.format(Locale.ROOT, "run-%06d", number))
                 .put("workload", "batch")
                 .put("owner", "red")
                 .put("shape", "sweep")
