--- a/src/test/java/io/pepperfield/standin/CloudStandIn.java
+++ b/src/test/java/io/pepperfield/standin/CloudStandIn.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
 
 /** The cloud by its published protocol: one type of machine, two zones, a lagging list. */
@@ -39,6 +40,9 @@
      */
     public final List<String> reused = new ArrayList<>();
 
+    /** Told of every new request for machines and of every machine given back. */
+    Consumer<Decision> decided = decision -> {};
+
     private int next;
     private boolean out;
 
@@ -84,6 +88,7 @@
                         .forEach(
                                 host -> {
                                     if (rented.remove(host.asText()) != null) {
+                                        decided.accept(Decision.release(host.asText()));
                                         machines.delete(host.asText());
                                     }
                                 });
@@ -123,6 +128,14 @@
                         body.path("reclaimable").asBoolean());
                 names.add(name);
             }
+            decided.accept(
+                    Decision.rental(
+                            request,
+                            body.path("howMany").asInt(),
+                            body.path("flavour").asText(),
+                            body.path("site").asText(),
+                            body.path("reclaimable").asBoolean(),
+                            names));
             if (names.isEmpty()) {
                 return Reply.error(503, "no capacity");
             }
--- /dev/null
+++ b/src/test/java/io/pepperfield/standin/DecisionDigest.java
@@ -0,0 +1,57 @@
+package io.pepperfield.standin;
+
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.ArrayList;
+import java.util.HexFormat;
+import java.util.List;
+
+/**
+ * A day's decisions in few lines: for each span of simulated time the number of decisions of each
+ * kind and a hash over them, and the same for the whole day. The first line that differs tells when
+ * two days part.
+ */
+public final class DecisionDigest {
+
+    private static final double SPAN_S = 20;
+
+    private DecisionDigest() {}
+
+    /** The lines of the digest. */
+    public static List<String> of(List<DecisionLog.Entry> entries) {
+        List<String> lines = new ArrayList<>();
+        int next = 0;
+        for (int span = 0; next < entries.size(); span++) {
+            int first = next;
+            while (next < entries.size() && entries.get(next).at() < (span + 1) * SPAN_S) {
+                next++;
+            }
+            String name = "from second " + Math.round(span * SPAN_S);
+            lines.add(line(name, entries.subList(first, next)));
+        }
+        lines.add(line("in all", entries));
+        return lines;
+    }
+
+    private static String line(String name, List<DecisionLog.Entry> entries) {
+        StringBuilder line = new StringBuilder(name).append(':');
+        for (Decision.Kind kind : Decision.Kind.values()) {
+            long count = entries.stream().filter(entry -> entry.decision().kind() == kind).count();
+            line.append(' ').append(kind.label()).append(' ').append(count).append(',');
+        }
+        return line.append(" SHA-256 ").append(hash(entries)).toString();
+    }
+
+    private static String hash(List<DecisionLog.Entry> entries) {
+        try {
+            MessageDigest digest = MessageDigest.getInstance("SHA-256");
+            for (DecisionLog.Entry entry : entries) {
+                digest.update((entry + "\n").getBytes(StandardCharsets.UTF_8));
+            }
+            return HexFormat.of().formatHex(digest.digest());
+        } catch (NoSuchAlgorithmException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/io/pepperfield/standin/DecisionLog.java
@@ -0,0 +1,42 @@
+package io.pepperfield.standin;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.Locale;
+import java.util.function.DoubleSupplier;
+
+/** The decisions of a simulated day in their order, with the simulated time of each. */
+public final class DecisionLog {
+
+    /** A decision and the simulated time, in seconds, at which it was received. */
+    public record Entry(double at, Decision decision) {
+
+        /** Its line in test data. */
+        @Override
+        public String toString() {
+            return String.format(Locale.ROOT, "%.6f %s", at, decision);
+        }
+    }
+
+    private final DoubleSupplier clock;
+    private final List<Entry> entries = new ArrayList<>();
+
+    DecisionLog(DoubleSupplier clock) {
+        this.clock = clock;
+    }
+
+    void add(Decision decision) {
+        entries.add(new Entry(clock.getAsDouble(), decision));
+    }
+
+    /** All decisions so far, the earliest first. */
+    public List<Entry> entries() {
+        return Collections.unmodifiableList(entries);
+    }
+
+    /** A line for each decision so far. */
+    public List<String> lines() {
+        return entries.stream().map(Entry::toString).toList();
+    }
+}
--- a/src/test/java/io/pepperfield/standin/Region.java
+++ b/src/test/java/io/pepperfield/standin/Region.java
@@ -45,6 +45,7 @@
     public final JobMix jobs;
     public final AdmissionLoad load;
     public final NetworkCuts cuts;
+    public final DecisionLog decisions;
     final StateStandIn state;
     final StateLink stateLink;
     final ReportCopies copies;
@@ -111,8 +112,10 @@
             int capacity,
             IntFunction<Set<Feature>> features) {
         world = new SimWorld(seed);
+        decisions = new DecisionLog(world::now);
         state = new StateStandIn(world::now, 10_000);
         state.broken = broken;
+        state.decided = decisions::add;
         state.limits =
                 new StateLimits(
                         next == RegionSettings.LIMITS_LARGE ? next : RegionSettings.LIMITS_NOW,
@@ -129,7 +132,9 @@
         troubles = new TroublePlayer(this, machines, users);
         copies = new ReportCopies(world, nodes);
         machines.reported = copies::reported;
+        machines.decided = decisions::add;
         cloud = new CloudStandIn(world::now, capacity, machines);
+        cloud.decided = decisions::add;
         world.listen("10.2.0.1:2379", host(stateLink::handle));
         world.listen(
                 "10.2.0.2:8443", host((from, call, answer) -> answer.accept(cloud.handle(call))));
--- a/src/test/java/io/pepperfield/standin/SimMachines.java
+++ b/src/test/java/io/pepperfield/standin/SimMachines.java
@@ -43,6 +43,9 @@
     /** Told of every report that leaves a machine. */
     Consumer<byte[]> reported = body -> {};
 
+    /** Told of every order that a worker carries out. */
+    Consumer<Decision> decided = decision -> {};
+
     /** Told of every job whose last task has ended. */
     Consumer<SimJob> completed = job -> {};
 
@@ -222,6 +225,11 @@
         return of(task).plan.mistaken();
     }
 
+    @Override
+    public void decided(Decision decision) {
+        decided.accept(decision);
+    }
+
     @Override
     public boolean isDone(String task) {
         return of(task).completed.contains(SimJob.number(task));
--- a/src/test/java/io/pepperfield/standin/StateStandIn.java
+++ b/src/test/java/io/pepperfield/standin/StateStandIn.java
@@ -42,6 +42,8 @@
         }
     }
 
+    private static final String FINAL_STATES = "pepperfield/end/";
+
     private final DoubleSupplier clock;
     private final int kept;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
@@ -83,6 +85,9 @@
      */
     List<String> broken = new ArrayList<>();
 
+    /** Told of every final state of a job that is stored. */
+    Consumer<Decision> decided = decision -> {};
+
     /** What must hold of every transaction while stored-state versions change; null: nothing. */
     RolloutRules rolloutRules;
 
@@ -284,6 +289,10 @@
             } else {
                 String key = op.path("set").asText();
                 check(key, op.get("data"));
+                if (key.startsWith(FINAL_STATES)) {
+                    String job = key.substring(FINAL_STATES.length());
+                    decided.accept(Decision.finalState(job, op.get("data").path("s").asText()));
+                }
                 bytesWritten += Json.write(op.get("data")).length;
                 entries.put(
                         key, new Entry(op.get("data"), generation, op.path("claim").longValue()));
--- a/src/test/java/io/pepperfield/standin/WorkerStandIn.java
+++ b/src/test/java/io/pepperfield/standin/WorkerStandIn.java
@@ -34,6 +34,9 @@
 
         /** Whether it fails at the end of its run time. */
         boolean fails(String task);
+
+        /** An order that the worker carries out. */
+        default void decided(Decision decision) {}
     }
 
     /** An attempt that the worker holds, with its state. */
@@ -294,6 +297,7 @@
                     }
                     Held begun = new Held(number, now);
                     held.put(task, begun);
+                    truth.decided(Decision.start(task, number, name));
                     if (Double.isNaN(truth.runS(task))) {
                         begun.status = "ended";
                         begun.cause = "no_such";
@@ -301,6 +305,7 @@
                 }
                 case "stop" -> {
                     if (h != null && h.number == number && !h.status.equals("ended")) {
+                        truth.decided(Decision.stop(task, number, name));
                         if (h.status.equals("running")) {
                             truth.ends(this, task, false);
                         }
