--- /dev/null
+++ b/src/test/java/io/pepperfield/admission/AdmissionForms.java
@@ -0,0 +1,73 @@
+package io.pepperfield.admission;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import io.pepperfield.admission.Allotment.ClassShare;
+import io.pepperfield.admission.DemandReport.ClassDemand;
+import io.pepperfield.forms.FormFile;
+import io.pepperfield.jobs.JobSpec;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.stream.Stream;
+
+/** What controllers and the leader say to each other about admission. */
+public final class AdmissionForms {
+
+    private static final WorkloadClass RECON = new WorkloadClass("red", "recon", false);
+    private static final WorkloadClass DEPENDENT = new WorkloadClass("red", "recon", true);
+
+    private AdmissionForms() {}
+
+    /** Adds them. */
+    public static void write(FormFile file) {
+        file.add("path", Admission.PATH);
+        file.addRewrittenByField(
+                "report",
+                AdmissionMessages.write(
+                        new DemandReport(
+                                "node-1",
+                                "a-process",
+                                7,
+                                41,
+                                3,
+                                new TreeMap<>(
+                                        Map.of(
+                                                RECON, new ClassDemand(12.34, 10, 2),
+                                                DEPENDENT, new ClassDemand(1, 1, 0))))),
+                AdmissionForms::rewriteReport);
+        List<QueueWait> waits =
+                Stream.of(JobSpec.Rank.values())
+                        .map(rank -> new QueueWait("red", rank, 90))
+                        .toList();
+        file.addRewrittenByField(
+                "allotment",
+                AdmissionMessages.write(
+                        new Allotment(
+                                "node-1",
+                                41,
+                                3,
+                                2.5,
+                                60,
+                                new TreeMap<>(
+                                        Map.of(
+                                                RECON, new ClassShare(30, true),
+                                                DEPENDENT, new ClassShare(5, false))),
+                                waits)),
+                AdmissionForms::rewriteAllotment);
+    }
+
+    private static String rewriteReport(JsonNode form) {
+        DemandReport report = AdmissionMessages.readReport(form);
+        return report == null ? null : text(AdmissionMessages.write(report));
+    }
+
+    private static String rewriteAllotment(JsonNode form) {
+        Allotment allotment = AdmissionMessages.readAllotment(form);
+        return allotment == null ? null : text(AdmissionMessages.write(allotment));
+    }
+
+    private static String text(byte[] form) {
+        return new String(form, StandardCharsets.UTF_8);
+    }
+}
--- /dev/null
+++ b/src/test/java/io/pepperfield/forms/CloudForms.java
@@ -0,0 +1,108 @@
+package io.pepperfield.forms;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import io.pepperfield.cloud.Cloud.Listed;
+import io.pepperfield.cloud.Cloud.Rented;
+import io.pepperfield.cloud.HttpCloud;
+import io.pepperfield.cloud.TypesRecord;
+import io.pepperfield.config.Settings.Address;
+import io.pepperfield.http.Json;
+import io.pepperfield.standin.SimulatedLoop;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+
+/** What is asked of the cloud, and what is read of its answers. */
+final class CloudForms {
+
+    private final FormFile file;
+    private final SimulatedLoop loop = new SimulatedLoop();
+    private final RecordingSender sender;
+    private final HttpCloud cloud;
+
+    private CloudForms(FormFile file) {
+        this.file = file;
+        sender = new RecordingSender(file);
+        cloud = new HttpCloud(loop, sender, new Address("10.2.0.2", 8443), 2);
+    }
+
+    static void write(FormFile file) {
+        CloudForms forms = new CloudForms(file);
+        file.addRead("machine types", FormFile.json("machine-types.json"), forms::types);
+        file.addRead("machines", FormFile.json("machines.json"), forms::list);
+        forms.rent();
+        forms.release();
+    }
+
+    private String types(JsonNode answer) {
+        sender.answer(200, Json.write(answer));
+        StringBuilder read = new StringBuilder();
+        cloud.types(types -> read.append(types == null ? "refused" : TypesRecord.write(types)));
+        loop.run(loop.now() + 10);
+        return read.toString();
+    }
+
+    /** The second page is empty. */
+    private String list(JsonNode answer) {
+        sender.answer(200, Json.write(answer));
+        StringBuilder read = new StringBuilder();
+        cloud.list(machines -> read.append(machines == null ? "refused" : told(machines)));
+        loop.run(loop.now() + 0.1);
+        sender.answer(200, "{\"hosts\":[],\"truncated\":false}");
+        loop.run(loop.now() + 10);
+        return read.toString();
+    }
+
+    private static String told(List<Listed> machines) {
+        return String.join(
+                ", ",
+                machines.stream()
+                        .map(
+                                m ->
+                                        String.join(
+                                                " ",
+                                                m.name(),
+                                                m.address(),
+                                                m.type(),
+                                                m.zone(),
+                                                m.spot() ? "spot" : "ordinary",
+                                                m.status(),
+                                                String.valueOf(m.ageS())))
+                        .toList());
+    }
+
+    private void rent() {
+        rent(200, "{\"hosts\":[\"host-000012\",\"host-000013\"]}");
+        rent(200, "{\"names\":[]}");
+        rent(503, "{\"error\":\"no capacity\"}");
+        rent(503, "{\"error\":\"busy\"}");
+    }
+
+    private void rent(int status, String answer) {
+        sender.answer(status, answer.getBytes(StandardCharsets.UTF_8));
+        cloud.rent(
+                "p41-1",
+                "lekker-big",
+                "west",
+                true,
+                2,
+                result -> file.add("answered " + status + " " + answer, told(result)));
+        loop.run(loop.now() + 10);
+    }
+
+    private static String told(Rented result) {
+        if (result instanceof Rented.Machines machines) {
+            return "rented " + machines.names();
+        }
+        return result instanceof Rented.Failed failed ? "failed: " + failed.why() : "no capacity";
+    }
+
+    private void release() {
+        for (int status : new int[] {200, 503}) {
+            sender.answer(status, "{}");
+            cloud.release(
+                    List.of("host-000012", "host-000013"),
+                    gone -> file.add("answered " + status, gone ? "gone" : "not known"));
+            loop.run(loop.now() + 10);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/io/pepperfield/forms/GoldenFormsTest.java
@@ -0,0 +1,121 @@
+package io.pepperfield.forms;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.fail;
+
+import io.pepperfield.admission.AdmissionForms;
+import io.pepperfield.peer.PeerForms;
+import io.pepperfield.recovery.ArchiveForms;
+import io.pepperfield.rollout.RolloutForms;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/**
+ * All forms that others see or that outlast a process (messages, stored values, keys, settings,
+ * deployment files, the command line) are byte for byte those of the golden files. With {@code
+ * -Dpepperfield.golden.write=true} the files are written anew, and the test fails.
+ */
+class GoldenFormsTest {
+
+    private static final Path GOLDEN = Path.of("src", "test", "resources", "golden");
+    private static final Path DEPLOY = Path.of("deploy");
+    private static final String WRITE = "pepperfield.golden.write";
+
+    /** Adds the forms of one kind. */
+    private interface Forms {
+        void write(FormFile file) throws Exception;
+    }
+
+    private static final Map<String, Forms> KINDS =
+            new TreeMap<>(
+                    Map.ofEntries(
+                            Map.entry("keys.txt", StoredForms::writeKeys),
+                            Map.entry("stored-values.txt", StoredForms::write),
+                            Map.entry("stored-versions.txt", RolloutForms::write),
+                            Map.entry("archive.txt", ArchiveForms::write),
+                            Map.entry("users.txt", UserForms::write),
+                            Map.entry("user-answers.txt", UserAnswerForms::write),
+                            Map.entry("workers.txt", WorkerForms::write),
+                            Map.entry("controllers.txt", PeerForms::write),
+                            Map.entry("admission.txt", AdmissionForms::write),
+                            Map.entry("cloud.txt", CloudForms::write),
+                            Map.entry("state-service.txt", StateServiceForms::write),
+                            Map.entry("http.txt", HttpForms::write),
+                            Map.entry("listener.txt", ListenerForms::write),
+                            Map.entry("platform-settings.txt", SettingsForms::writePlatform),
+                            Map.entry("operators-settings.txt", SettingsForms::writeOperators),
+                            Map.entry("command-line.txt", CommandLineForms::write)));
+
+    static Stream<String> kinds() {
+        return KINDS.keySet().stream();
+    }
+
+    @ParameterizedTest
+    @MethodSource("kinds")
+    void isAsRecorded(String name) throws Exception {
+        FormFile file = new FormFile();
+        KINDS.get(name).write(file);
+        compare(GOLDEN.resolve(name), file.text().getBytes(StandardCharsets.UTF_8));
+    }
+
+    @Test
+    void deployFilesAreAsRecorded() throws IOException {
+        for (String name : names(DEPLOY)) {
+            compare(
+                    GOLDEN.resolve("deploy").resolve(name),
+                    Files.readAllBytes(DEPLOY.resolve(name)));
+        }
+        assertEquals(names(GOLDEN.resolve("deploy")), names(DEPLOY));
+    }
+
+    @Test
+    void everyRecordedFileIsCompared() throws IOException {
+        TreeSet<String> expected = new TreeSet<>(KINDS.keySet());
+        expected.addAll(List.of("deploy", "input"));
+        assertEquals(List.copyOf(expected), names(GOLDEN));
+    }
+
+    private static List<String> names(Path directory) throws IOException {
+        try (Stream<Path> files = Files.list(directory)) {
+            return files.map(file -> file.getFileName().toString()).sorted().toList();
+        }
+    }
+
+    private static void compare(Path golden, byte[] now) throws IOException {
+        if (Boolean.getBoolean(WRITE)) {
+            Files.createDirectories(golden.getParent());
+            Files.write(golden, now);
+            return;
+        }
+        byte[] then = Files.readAllBytes(golden);
+        if (!Arrays.equals(then, now)) {
+            // First as text, so that the failure shows the line; the bytes decide.
+            assertEquals(text(then), text(now), golden.toString());
+        }
+        assertArrayEquals(then, now, golden.toString());
+    }
+
+    @AfterEach
+    void writingIsNoPass() {
+        if (Boolean.getBoolean(WRITE)) {
+            fail("golden files were written, and nothing compared: run again without -D" + WRITE);
+        }
+    }
+
+    private static String text(byte[] bytes) {
+        return new String(bytes, StandardCharsets.UTF_8);
+    }
+}
--- /dev/null
+++ b/src/test/java/io/pepperfield/forms/RecordingSender.java
@@ -0,0 +1,57 @@
+package io.pepperfield.forms;
+
+import io.pepperfield.http.Outcome;
+import io.pepperfield.http.Sender;
+import java.nio.charset.StandardCharsets;
+import java.util.function.Consumer;
+
+/** Adds each request to a golden file, and answers it with what the test has set. */
+public final class RecordingSender implements Sender {
+
+    private final FormFile file;
+    private Outcome answer = new Outcome.NoAnswer("");
+
+    /** Creates a sender that answers nothing yet. */
+    public RecordingSender(FormFile file) {
+        this.file = file;
+    }
+
+    /** Sets the answer to all requests from now on. */
+    public RecordingSender answer(int status, byte[] body) {
+        answer = new Outcome.Answered(status, body);
+        return this;
+    }
+
+    /** Sets an answer with this text as its body. */
+    public RecordingSender answer(int status, String body) {
+        return answer(status, body.getBytes(StandardCharsets.UTF_8));
+    }
+
+    @Override
+    public void send(
+            String host,
+            int port,
+            int connections,
+            String method,
+            String path,
+            byte[] body,
+            long deadlineMs,
+            Consumer<Outcome> done) {
+        String content = body == null ? "no body" : new String(body, StandardCharsets.UTF_8);
+        file.add(
+                "request",
+                method
+                        + " "
+                        + host
+                        + ":"
+                        + port
+                        + path
+                        + " "
+                        + content
+                        + ", "
+                        + deadlineMs
+                        + " ms, connections "
+                        + connections);
+        done.accept(answer);
+    }
+}
--- /dev/null
+++ b/src/test/java/io/pepperfield/forms/UserForms.java
@@ -0,0 +1,95 @@
+package io.pepperfield.forms;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pepperfield.http.Json;
+import io.pepperfield.http.Reply;
+import io.pepperfield.jobs.Catalog;
+import io.pepperfield.jobs.JobMessages;
+import io.pepperfield.jobs.RunRecord;
+import io.pepperfield.jobs.RunRecord.State;
+import io.pepperfield.jobs.Status;
+import io.pepperfield.standin.JobSpecBuilder;
+import io.pepperfield.store.Keys;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.stream.IntStream;
+
+/** What users send and are told about jobs. */
+final class UserForms {
+
+    private static final String ID = "run-000412";
+    private static final long NOW_MS = 1_764_648_000_000L;
+    private static final int LINES_IN_RECORD = 68;
+
+    private UserForms() {}
+
+    static void write(FormFile file) {
+        JsonNode submission = FormFile.json("submission.json");
+        file.addRead("submission", submission, UserForms::accepted);
+        for (String shape : List.of("sweep", "standing", "gang", "swarm")) {
+            file.add("shape " + shape, with(submission, "shape", shape));
+        }
+        for (String rank : List.of("production", "urgent", "standard", "best_effort", "low")) {
+            file.add("rank " + rank, with(submission, "rank", rank));
+        }
+        for (String id : List.of("run-000001", "run-12345", "RUN-000001", "run-0000001x")) {
+            file.add("id " + id, String.valueOf(JobMessages.validId(id)));
+        }
+        for (Status status : Status.values()) {
+            file.add("state", JobMessages.state(ID, status, 3, 2));
+            file.add("brief state", JobMessages.brief(ID, status));
+        }
+        writeAnswers(file);
+        file.add("answer without a body", Reply.empty(200));
+        file.add("error", Reply.error(404, "no such path"));
+        file.add("later", Reply.later("not now"));
+        file.add("later", Reply.later("not now", 7));
+    }
+
+    private static String accepted(JsonNode body) throws JobMessages.Malformed {
+        return new String(
+                Json.write(
+                        JobMessages.durable(JobMessages.submission(body, NOW_MS, LINES_IN_RECORD))),
+                StandardCharsets.UTF_8);
+    }
+
+    private static String with(JsonNode submission, String field, String value) {
+        ObjectNode body = ((ObjectNode) submission.deepCopy()).put(field, value);
+        try {
+            return accepted(body);
+        } catch (JobMessages.Malformed e) {
+            return "refused: " + e.getMessage();
+        }
+    }
+
+    /** Of a job that waits for more others than are named, runs, fails in part, and is done. */
+    private static void writeAnswers(FormFile file) {
+        Catalog catalog = new Catalog(() -> 0);
+        List<String> prerequisites =
+                IntStream.range(0, 18).mapToObj(i -> String.format("run-%06d", i)).toList();
+        JsonNode job =
+                JobMessages.durable(
+                        new JobSpecBuilder().id(ID).tasks(4).awaits(prerequisites).build());
+        catalog.changed(Keys.JOB + ID, job);
+        file.add("waits for others", catalog.get(ID).answer());
+        prerequisites.forEach(
+                id -> {
+                    catalog.changed(
+                            Keys.JOB + id,
+                            JobMessages.durable(new JobSpecBuilder().id(id).build()));
+                    catalog.changed(Keys.END + id, JobMessages.durableDone(NOW_MS));
+                });
+        file.add("is ready", catalog.get(ID).answer());
+        catalog.changed(
+                Keys.run(ID, 0),
+                RunRecord.write(
+                        List.of(
+                                new RunRecord(0, 1, State.LIVE, "host-000012", 1),
+                                new RunRecord(1, 1, State.DONE, "", 0),
+                                new RunRecord(2, 3, State.FAILED, "", 0))));
+        file.add("runs", catalog.get(ID).answer());
+        catalog.changed(Keys.END + ID, JobMessages.durableEnd(Status.CANCELLED));
+        file.add("is cancelled", catalog.get(ID).answer());
+    }
+}
--- /dev/null
+++ b/src/test/java/io/pepperfield/forms/WorkerForms.java
@@ -0,0 +1,120 @@
+package io.pepperfield.forms;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pepperfield.fleet.HttpWorkers;
+import io.pepperfield.fleet.Order;
+import io.pepperfield.fleet.Report;
+import io.pepperfield.fleet.TaskRef;
+import io.pepperfield.fleet.Workers;
+import io.pepperfield.standin.SimulatedLoop;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+
+/** What workers and controllers say to each other. */
+public final class WorkerForms {
+
+    private static final String ADDRESS = "10.1.0.14:9000";
+    private static final long TOKEN = 41;
+    private static final long TENURE = 3;
+
+    private WorkerForms() {}
+
+    static void write(FormFile file) {
+        JsonNode report = FormFile.json("report.json");
+        file.addRead("report", report, WorkerForms::read);
+        for (String status : List.of("pulling", "running", "saving", "ended", "waiting")) {
+            file.add("status " + status, read(withTask(report, "status", status)));
+        }
+        for (String cause :
+                List.of("done", "stopped", "error", "no_room", "busy", "no_such", "unheard-of")) {
+            file.add("cause " + cause, read(withTask(report, "cause", cause)));
+        }
+        file.add("answer", Order.reply(TOKEN, orders()));
+        file.add("answer without orders", Order.reply(TOKEN, List.of()));
+        file.add("message", Order.message(TOKEN, TENURE, orders()));
+        writeRequests(file);
+    }
+
+    /** One order of each kind. */
+    public static List<Order> orders() {
+        TaskRef task = new TaskRef("run-000412", 3);
+        return List.of(
+                new Order.Run(task, 1), new Order.Stop(task, 2, 4.5), new Order.Clear(task, 3));
+    }
+
+    /** What is read of a report; names of enum constants may change, their order may not. */
+    public static String read(Report report) {
+        if (report == null) {
+            return "refused";
+        }
+        StringBuilder tasks = new StringBuilder();
+        for (Report.Line line : report.lines()) {
+            tasks.append(", task ")
+                    .append(line.ref())
+                    .append(" attempt ")
+                    .append(line.attempt())
+                    .append(" state ")
+                    .append(line.state().ordinal())
+                    .append(" cause ")
+                    .append(line.cause().ordinal());
+        }
+        return String.join(" ", report.machine(), report.address(), report.type(), report.zone())
+                + (report.spot() ? " spot " : " ordinary ")
+                + report.tenure()
+                + " "
+                + report.serial()
+                + " "
+                + report.token()
+                + " notice "
+                + report.noticeS()
+                + tasks;
+    }
+
+    private static String read(JsonNode message) {
+        return read(Report.read(message));
+    }
+
+    private static JsonNode withTask(JsonNode report, String field, String value) {
+        JsonNode changed = report.deepCopy();
+        ((ObjectNode) changed.path("shards").path(0)).put(field, value);
+        return changed;
+    }
+
+    private static void writeRequests(FormFile file) {
+        SimulatedLoop loop = new SimulatedLoop();
+        RecordingSender sender = new RecordingSender(file);
+        HttpWorkers workers = new HttpWorkers(loop, sender, 2.5);
+        byte[] report = FormFile.input("report.json");
+        for (int status : new int[] {200, 409, 400}) {
+            sender.answer(status, report);
+            workers.orders(
+                    ADDRESS,
+                    TOKEN,
+                    TENURE,
+                    orders(),
+                    result -> file.add("orders answered " + status, told(result)));
+            workers.forward(
+                    ADDRESS,
+                    TOKEN,
+                    TENURE,
+                    Order.reply(TOKEN, orders()).path("orders"),
+                    heard -> file.add("forwarded orders answered " + status, heard));
+            workers.probe(ADDRESS, answer -> file.add("probe answered " + status, read(answer)));
+            loop.run(loop.now() + 1);
+        }
+    }
+
+    private static String told(Workers.Result result) {
+        if (result instanceof Workers.Result.Heard heard) {
+            return (heard.executed() ? "executed, " : "not executed, ") + read(heard.report());
+        }
+        return result instanceof Workers.Result.NotSent ? "not sent" : "no answer";
+    }
+
+    /** A report as a worker sends it. */
+    public static byte[] report() {
+        String text = new String(FormFile.input("report.json"), StandardCharsets.UTF_8);
+        return text.strip().getBytes(StandardCharsets.UTF_8);
+    }
+}
--- /dev/null
+++ b/src/test/java/io/pepperfield/recovery/ArchiveForms.java
@@ -0,0 +1,49 @@
+package io.pepperfield.recovery;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import io.pepperfield.forms.FormFile;
+import io.pepperfield.http.Json;
+import io.pepperfield.store.StateService.Item;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+
+/** The entries of an archive of all keys. */
+public final class ArchiveForms {
+
+    private ArchiveForms() {}
+
+    /** Adds them. */
+    public static void write(FormFile file) {
+        byte[] page =
+                ArchiveItems.write(
+                        List.of(
+                                new Item("pepperfield/leader", Json.object().put("node", "a"), 41),
+                                new Item("pepperfield/types", null, 42)));
+        file.add("name of a page", StateExport.pageName(12));
+        file.add("name of the changes", StateExport.CHANGES);
+        file.add("name of the manifest", ArchiveManifest.NAME);
+        file.addRewritten("page", page, ArchiveForms::rewriteItems);
+        file.addRead("key", Json.read(page).path(0), form -> rewriteItems(Json.array().add(form)));
+        ArchiveManifest manifest =
+                new ArchiveManifest(
+                        42,
+                        List.of("node-0", "node-1"),
+                        List.of(
+                                new ArchiveManifest.Entry(
+                                        StateExport.pageName(1),
+                                        page.length,
+                                        StateExport.sha256(page))));
+        file.addRewrittenByField(
+                "manifest",
+                manifest.write(),
+                form -> text(ArchiveManifest.read(Json.write(form)).write()));
+    }
+
+    private static String rewriteItems(JsonNode form) throws ArchiveFault {
+        return text(ArchiveItems.write(ArchiveItems.read("page", Json.write(form))));
+    }
+
+    private static String text(byte[] form) {
+        return new String(form, StandardCharsets.UTF_8);
+    }
+}
