--- a/src/test/java/io/pepperfield/standin/Region.java
+++ b/src/test/java/io/pepperfield/standin/Region.java
@@ -493,17 +493,11 @@
         List<String> altered = new ArrayList<>();
         users.jobs.values().stream()
                 .filter(job -> job.accepted)
-                .filter(job -> !job.plan.awaits().equals(awaits(job.plan.id())))
+                .filter(job -> !job.plan.awaits().equals(state.awaits(job.plan.id())))
                 .forEach(job -> altered.add(job.plan.id()));
         return altered;
     }
 
-    private List<String> awaits(String job) {
-        List<String> ids = new ArrayList<>();
-        state.get("pepperfield/job/" + job).path("aw").forEach(id -> ids.add(id.asText()));
-        return ids;
-    }
-
     /** How many transactions were refused for their size since the limits last changed. */
     public int refusedForSize() {
         return state.limits.malformed;
--- a/src/test/java/io/pepperfield/standin/StateStandIn.java
+++ b/src/test/java/io/pepperfield/standin/StateStandIn.java
@@ -338,4 +338,11 @@
         }
         return Reply.json(200, body.put("truncated", false));
     }
+
+    /** The jobs that a stored job waits for. */
+    List<String> awaits(String job) {
+        List<String> ids = new ArrayList<>();
+        get("pepperfield/job/" + job).path("aw").forEach(id -> ids.add(id.asText()));
+        return ids;
+    }
 }
