--- a/src/main/java/io/pepperfield/admission/Admission.java
+++ b/src/main/java/io/pepperfield/admission/Admission.java
@@ -2,10 +2,10 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.config.Settings;
-import io.pepperfield.http.Call;
+import io.pepperfield.http.HttpOutcome;
+import io.pepperfield.http.HttpReply;
+import io.pepperfield.http.InboundRequest;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Outcome;
-import io.pepperfield.http.Reply;
 import io.pepperfield.jobs.SubmissionPolicy;
 import io.pepperfield.leadership.Leadership;
 import io.pepperfield.loop.Loop;
@@ -26,21 +26,21 @@
     private static final int NOT_FOUND = 404;
 
     /** A leader without the feature is asked again after so many allotments' time. */
-    private static final double UNKNOWN_THERE = 4;
+    private static final double UNSUPPORTED_RETRY_DURATIONS = 4;
 
     private final Loop loop;
     private final Settings settings;
     private final Peers peers;
-    private final Leadership lead;
+    private final Leadership leadership;
     private final AdmissionLimits limits;
     private final SubmissionAdmission submissions;
-    private final String process = UUID.randomUUID().toString();
+    private final String processIncarnation = UUID.randomUUID().toString();
     private AllotmentIssuer issuer;
-    private QueueWaitPredictor queues;
+    private QueueWaitPredictor queueWaitPredictor;
     private long sequence;
-    private double tickAt = Double.NEGATIVE_INFINITY;
-    private double askAt = Double.NEGATIVE_INFINITY;
-    private boolean asking;
+    private double nextTickAt = Double.NEGATIVE_INFINITY;
+    private double nextRequestAt = Double.NEGATIVE_INFINITY;
+    private boolean requestInFlight;
 
     /**
      * Creates the admission of one controller, which has its fixed share from now on.
@@ -52,7 +52,7 @@
         this.loop = loop;
         this.settings = settings;
         this.peers = peers;
-        this.lead = lead;
+        this.leadership = lead;
         this.limits = AdmissionLimits.of(settings);
         this.submissions =
                 new SubmissionAdmission(
@@ -60,8 +60,8 @@
                         limits,
                         settings.node(),
                         contactAt,
-                        settings.deployment().workers().reportS());
-        peers.serve(PATH, this::answer);
+                        settings.deployment().workerTimings().heartbeatIntervalS());
+        peers.addEndpoint(PATH, this::handleDemandReport);
     }
 
     /** Decides about submissions. */
@@ -72,30 +72,30 @@
     /** This node leads from now on, with that token. */
     public void elected(long token) {
         issuer = new AllotmentIssuer(limits, settings.node(), token, loop.now());
-        queues = new QueueWaitPredictor(loop.now());
+        queueWaitPredictor = new QueueWaitPredictor(loop.now());
     }
 
     /** The leader's token was minted anew. */
-    public void renewedToken(long token) {
+    public void fencingTokenRenewed(long token) {
         if (issuer != null) {
-            issuer.token(token);
+            issuer.fencingToken(token);
         }
     }
 
     /** This node does not lead any more. */
     public void deposed() {
         issuer = null;
-        queues = null;
+        queueWaitPredictor = null;
     }
 
     /** The queues of this node's leadership, or null while another node leads. */
-    public QueueWaitPredictor queues() {
-        return queues;
+    public QueueWaitPredictor queueWaitPredictor() {
+        return queueWaitPredictor;
     }
 
     /** Whether the next tick divides, or asks for an allotment. */
     public boolean isDue() {
-        return loop.now() >= tickAt;
+        return loop.now() >= nextTickAt;
     }
 
     /** To be called often. */
@@ -104,61 +104,68 @@
             return;
         }
         double now = loop.now();
-        tickAt = now + limits.intervalS();
+        nextTickAt = now + limits.requestIntervalS();
         submissions.tick();
-        if (issuer != null && lead.confirmed()) {
-            issuer.waits(queues.waitsFrom(limits.waitingLimitS() / 2));
-            Allotment own = issuer.issue(submissions.report(process, ++sequence), now);
-            submissions.use(own, now, lead.leaderToken());
+        if (issuer != null && leadership.holdsValidLease()) {
+            issuer.queueWaits(queueWaitPredictor.waitsOfAtLeast(limits.maxPredictedWaitS() / 2));
+            Allotment own =
+                    issuer.issue(submissions.demandReport(processIncarnation, ++sequence), now);
+            submissions.useAllotment(own, now, leadership.highestFencingToken());
         } else {
-            ask(now);
+            requestAllotment(now);
         }
     }
 
-    private void ask(double now) {
+    private void requestAllotment(double now) {
         Settings.Member leader =
                 settings.members().stream()
-                        .filter(member -> member.node().equals(lead.leader()))
+                        .filter(member -> member.node().equals(leadership.leaderNode()))
                         .findFirst()
                         .orElse(null);
-        if (leader == null || asking || now < askAt) {
+        if (leader == null || requestInFlight || now < nextRequestAt) {
             return;
         }
-        asking = true;
-        byte[] report = AdmissionMessages.write(submissions.report(process, ++sequence));
-        peers.ask(leader, PATH, report, limits.durationS(), outcome -> answered(now, outcome));
+        requestInFlight = true;
+        byte[] report =
+                AdmissionMessages.write(submissions.demandReport(processIncarnation, ++sequence));
+        peers.send(
+                leader,
+                PATH,
+                report,
+                limits.allotmentDurationS(),
+                outcome -> onAllotmentOutcome(now, outcome));
     }
 
-    private void answered(double sentAt, Outcome outcome) {
-        asking = false;
-        if (!(outcome instanceof Outcome.Answered answer)) {
+    private void onAllotmentOutcome(double sentAt, HttpOutcome outcome) {
+        requestInFlight = false;
+        if (!(outcome instanceof HttpOutcome.Answered answer)) {
             return;
         }
         if (answer.status() == NOT_FOUND) {
             // A release without the feature leads, or one where it is off.
-            askAt = loop.now() + UNKNOWN_THERE * limits.durationS();
+            nextRequestAt = loop.now() + UNSUPPORTED_RETRY_DURATIONS * limits.allotmentDurationS();
             return;
         }
         Allotment allotment =
                 answer.status() == 200 ? AdmissionMessages.readAllotment(answer.json()) : null;
         if (allotment != null) {
-            submissions.use(allotment, sentAt, lead.leaderToken());
+            submissions.useAllotment(allotment, sentAt, leadership.highestFencingToken());
         }
     }
 
     /** Answers another controller's report. */
-    private void answer(Call call, Consumer<Reply> answer) {
+    private void handleDemandReport(InboundRequest call, Consumer<HttpReply> answer) {
         DemandReport report = AdmissionMessages.readReport(Json.read(call.body()));
         if (report == null) {
-            answer.accept(Reply.error(400, "not a report of demand"));
-        } else if (issuer == null || !lead.confirmed()) {
-            answer.accept(Reply.later("not leading"));
+            answer.accept(HttpReply.error(400, "not a report of demand"));
+        } else if (issuer == null || !leadership.holdsValidLease()) {
+            answer.accept(HttpReply.unavailable("not leading"));
         } else {
             Allotment allotment = issuer.issue(report, loop.now());
             answer.accept(
                     allotment == null
-                            ? Reply.error(409, "a report of an earlier process, or a copy")
-                            : new Reply(200, AdmissionMessages.write(allotment), 0));
+                            ? HttpReply.error(409, "a report of an earlier process, or a copy")
+                            : new HttpReply(200, AdmissionMessages.write(allotment), 0));
         }
     }
 
@@ -169,7 +176,7 @@
     }
 
     /** Admissions per minute that this controller may use now. */
-    public int perMinute() {
-        return submissions.perMinute();
+    public int admissionsPerMinute() {
+        return submissions.admissionsPerMinute();
     }
 }
--- a/src/main/java/io/pepperfield/admission/AdmissionLimits.java
+++ b/src/main/java/io/pepperfield/admission/AdmissionLimits.java
@@ -11,44 +11,49 @@
  *
  * @param fixedPerMinute what each controller may admit without anybody's word
  * @param dividedPerMinute what the leader hands out beyond the fixed shares of all controllers
- * @param durationS how long an allotment lasts, counted by its holder from the sending of its
- *     request
- * @param intervalS time between two requests of a controller
+ * @param allotmentDurationS how long an allotment lasts, counted by its holder from the sending of
+ *     its request
+ * @param requestIntervalS time between two requests of a controller
  * @param weights the weight of each team
- * @param waitingLimitS predicted waiting beyond which further work is refused
- * @param band how far a team may be from its entitlement before it is marked
+ * @param maxPredictedWaitS predicted waiting beyond which further work is refused
+ * @param fairnessBand how far a team may be from its entitlement before it is marked
  */
 record AdmissionLimits(
         int fixedPerMinute,
         int dividedPerMinute,
-        double durationS,
-        double intervalS,
+        double allotmentDurationS,
+        double requestIntervalS,
         Map<String, Double> weights,
-        double waitingLimitS,
-        double band) {
+        double maxPredictedWaitS,
+        double fairnessBand) {
 
     static final double SECONDS_PER_MINUTE = 60;
 
     /** Of a report period: long enough for a lost message or two, short enough after a failure. */
-    private static final double DURATION = 1.0;
+    private static final double ALLOTMENT_HEARTBEAT_INTERVALS = 1.0;
 
-    private static final double INTERVAL = 0.25;
+    private static final double REQUEST_HEARTBEAT_INTERVALS = 0.25;
 
     static AdmissionLimits of(Settings settings) {
         AdmissionSettings fairness = settings.operators().admission();
         Settings.Deployment deployment = settings.deployment();
         double perMinute =
-                deployment.state().writeRps() * fairness.acceptanceShare() * SECONDS_PER_MINUTE;
-        int fixed = (int) Math.floor(perMinute * fairness.reserveShare() / deployment.size());
-        double reportS = deployment.workers().reportS();
+                deployment.storeLimits().writesPerS()
+                        * fairness.acceptanceShare()
+                        * SECONDS_PER_MINUTE;
+        int fixed =
+                (int)
+                        Math.floor(
+                                perMinute * fairness.reserveShare() / deployment.controllerCount());
+        double reportS = deployment.workerTimings().heartbeatIntervalS();
         return new AdmissionLimits(
                 fixed,
-                (int) Math.floor(perMinute) - fixed * deployment.size(),
-                DURATION * reportS,
-                INTERVAL * reportS,
+                (int) Math.floor(perMinute) - fixed * deployment.controllerCount(),
+                ALLOTMENT_HEARTBEAT_INTERVALS * reportS,
+                REQUEST_HEARTBEAT_INTERVALS * reportS,
                 weights(deployment.teams(), fairness.weights()),
-                fairness.waitingLimitS(),
-                fairness.band());
+                fairness.maxPredictedWaitS(),
+                fairness.fairnessBand());
     }
 
     /**
@@ -59,7 +64,7 @@
             Map<String, Settings.Team> teams, Map<String, Double> given) {
         double least =
                 teams.values().stream()
-                        .mapToDouble(Settings.Team::cpus)
+                        .mapToDouble(Settings.Team::guaranteedCpus)
                         .filter(cpus -> cpus > 0)
                         .min()
                         .orElse(1);
@@ -68,7 +73,11 @@
                 (name, team) ->
                         weights.put(
                                 name,
-                                given.getOrDefault(name, team.cpus() > 0 ? team.cpus() : least)));
+                                given.getOrDefault(
+                                        name,
+                                        team.guaranteedCpus() > 0
+                                                ? team.guaranteedCpus()
+                                                : least)));
         return weights;
     }
 
--- a/src/main/java/io/pepperfield/admission/AdmissionMessages.java
+++ b/src/main/java/io/pepperfield/admission/AdmissionMessages.java
@@ -19,7 +19,7 @@
  */
 final class AdmissionMessages {
 
-    private static final double MOST_PER_MINUTE = 1e9;
+    private static final double MAX_PER_MINUTE = 1e9;
 
     private AdmissionMessages() {}
 
@@ -27,15 +27,15 @@
         ObjectNode node =
                 Json.object()
                         .put("node", report.node())
-                        .put("process", report.process())
+                        .put("process", report.processIncarnation())
                         .put("seq", report.sequence())
-                        .put("heldEpoch", report.heldToken())
+                        .put("heldEpoch", report.heldFencingToken())
                         .put("heldSerial", report.heldSerial());
         ArrayNode classes = node.putArray("classes");
         report.classes()
                 .forEach(
                         (of, asked) ->
-                                name(classes.addArray(), of)
+                                addClass(classes.addArray(), of)
                                         .add(Math.round(asked.perMinute() * 100) / 100.0)
                                         .add(asked.admitted())
                                         .add(asked.refused()));
@@ -55,7 +55,7 @@
         SortedMap<WorkloadClass, ClassDemand> classes = new TreeMap<>();
         for (JsonNode line : message.path("classes")) {
             double perMinute = line.path(3).asDouble(-1);
-            if (!isClass(line) || !(perMinute >= 0 && perMinute <= MOST_PER_MINUTE)) {
+            if (!isClass(line) || !(perMinute >= 0 && perMinute <= MAX_PER_MINUTE)) {
                 return null;
             }
             classes.put(
@@ -75,7 +75,7 @@
         ObjectNode node =
                 Json.object()
                         .put("node", allotment.node())
-                        .put("epoch", allotment.token())
+                        .put("epoch", allotment.fencingToken())
                         .put("serial", allotment.serial())
                         .put("durationMs", Math.round(allotment.durationS() * 1000))
                         .put("extraPerMinute", allotment.extraPerMinute());
@@ -84,12 +84,12 @@
                 .classes()
                 .forEach(
                         (of, share) ->
-                                name(classes.addArray(), of)
+                                addClass(classes.addArray(), of)
                                         .add(share.perMinute())
                                         .add(share.limited()));
         ArrayNode waits = node.putArray("waits");
         allotment
-                .waits()
+                .queueWaits()
                 .forEach(
                         wait ->
                                 waits.addArray()
@@ -120,7 +120,7 @@
         }
         List<QueueWait> waits = new ArrayList<>();
         for (JsonNode line : message.path("waits")) {
-            JobSpec.Rank rank = rank(line.path(1).asText());
+            JobSpec.Priority rank = parsePriority(line.path(1).asText());
             if (rank != null) {
                 waits.add(new QueueWait(line.path(0).asText(), rank, line.path(2).asDouble()));
             }
@@ -135,8 +135,8 @@
                 waits);
     }
 
-    private static JobSpec.Rank rank(String name) {
-        for (JobSpec.Rank rank : JobSpec.Rank.values()) {
+    private static JobSpec.Priority parsePriority(String name) {
+        for (JobSpec.Priority rank : JobSpec.Priority.values()) {
             if (rank.name().equals(name)) {
                 return rank;
             }
@@ -144,8 +144,8 @@
         return null;
     }
 
-    private static ArrayNode name(ArrayNode line, WorkloadClass of) {
-        return line.add(of.team()).add(of.workload()).add(of.dependent());
+    private static ArrayNode addClass(ArrayNode line, WorkloadClass of) {
+        return line.add(of.team()).add(of.workload()).add(of.hasDependencies());
     }
 
     private static boolean isClass(JsonNode line) {
--- a/src/main/java/io/pepperfield/admission/AdmissionOverview.java
+++ b/src/main/java/io/pepperfield/admission/AdmissionOverview.java
@@ -11,7 +11,7 @@
 final class AdmissionOverview {
 
     private final AdmissionLimits limits;
-    private final SubmissionAdmission own;
+    private final SubmissionAdmission submissions;
     private final AllotmentIssuer issuer;
     private final double now;
 
@@ -21,15 +21,16 @@
     AdmissionOverview(
             AdmissionLimits limits, SubmissionAdmission own, AllotmentIssuer issuer, double now) {
         this.limits = limits;
-        this.own = own;
+        this.submissions = own;
         this.issuer = issuer;
         this.now = now;
     }
 
     void describe(ObjectNode node) {
-        node.put("fixed", limits.fixedPerMinute()).put("mayAdmit", own.perMinute());
-        if (Double.isFinite(own.endsInS())) {
-            node.put("allotmentEndsInS", tenths(own.endsInS()));
+        node.put("fixed", limits.fixedPerMinute())
+                .put("mayAdmit", submissions.admissionsPerMinute());
+        if (Double.isFinite(submissions.allotmentEndsInS())) {
+            node.put("allotmentEndsInS", tenths(submissions.allotmentEndsInS()));
         }
         if (issuer == null) {
             return;
@@ -41,11 +42,13 @@
     }
 
     private void describeControllers(ArrayNode lines) {
-        for (String controller : issuer.nodes()) {
+        for (String controller : issuer.reportingControllers()) {
             lines.addObject()
                     .put("node", controller)
-                    .put("allotted", issuer.ledger().committed(controller, now))
-                    .put("endsInS", tenths(issuer.ledger().endsAt(controller) - now));
+                    .put("allotted", issuer.outstandingAllotments().committed(controller, now))
+                    .put(
+                            "endsInS",
+                            tenths(issuer.outstandingAllotments().endsAt(controller) - now));
         }
     }
 
@@ -58,22 +61,22 @@
             lines.addObject()
                     .put("team", of.team())
                     .put("class", of.workload())
-                    .put("dependent", of.dependent())
+                    .put("dependent", of.hasDependencies())
                     .put("entitled", tenths(entitled.get(of)))
                     .put("demand", tenths(figures.perMinute()))
                     .put("admitted", figures.admitted())
                     .put("refused", figures.refused())
-                    .put("withinBand", figures.admitted() >= due * (1 - limits.band()));
+                    .put("withinBand", figures.admitted() >= due * (1 - limits.fairnessBand()));
         }
     }
 
     private void describeQueues(ArrayNode lines) {
-        for (QueueWait wait : issuer.waits()) {
+        for (QueueWait wait : issuer.queueWaits()) {
             lines.addObject()
                     .put("team", wait.team())
                     .put("rank", wait.rank().name().toLowerCase(Locale.ROOT))
                     .put("predictedWaitS", tenths(wait.waitS()))
-                    .put("beyondLimit", wait.waitS() > limits.waitingLimitS());
+                    .put("beyondLimit", wait.waitS() > limits.maxPredictedWaitS());
         }
     }
 
--- a/src/main/java/io/pepperfield/admission/Allotment.java
+++ b/src/main/java/io/pepperfield/admission/Allotment.java
@@ -7,22 +7,22 @@
  * What the leader lets one controller admit for a while: a lease on a part of the rate.
  *
  * @param node the controller that it is for
- * @param token the leader's token
+ * @param fencingToken the leader's token
  * @param serial grows with each allotment of a leader
  * @param durationS how long it lasts; its holder counts from the sending of the request that it
  *     answers, and so ends before the leader takes it for ended
  * @param extraPerMinute admissions per minute beyond the holder's fixed share
  * @param classes each class's part of the fixed share and of that together
- * @param waits the queues whose predicted waiting is worth knowing
+ * @param queueWaits the queues whose predicted waiting is worth knowing
  */
 record Allotment(
         String node,
-        long token,
+        long fencingToken,
         long serial,
         double durationS,
         int extraPerMinute,
         SortedMap<WorkloadClass, ClassShare> classes,
-        List<QueueWait> waits) {
+        List<QueueWait> queueWaits) {
 
     /**
      * One class's part.
@@ -33,6 +33,7 @@
 
     /** Whether another allotment is the later one. */
     boolean isBefore(Allotment other) {
-        return token < other.token || token == other.token && serial < other.serial;
+        return fencingToken < other.fencingToken
+                || fencingToken == other.fencingToken && serial < other.serial;
     }
 }
--- a/src/main/java/io/pepperfield/admission/AllotmentIssuer.java
+++ b/src/main/java/io/pepperfield/admission/AllotmentIssuer.java
@@ -2,7 +2,7 @@
 
 import io.pepperfield.admission.Allotment.ClassShare;
 import io.pepperfield.admission.DemandReport.ClassDemand;
-import io.pepperfield.peer.Members;
+import io.pepperfield.peer.Membership;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -19,26 +19,26 @@
      * Of the rate, what no class is given, for classes that nobody has reported yet: they have a
      * share before the leader knows them.
      */
-    static final double NEWCOMERS_SHARE = 0.05;
+    static final double NEW_CLASSES_SHARE = 0.05;
 
     /** Below this part of its demand a class's share does not meet it. */
-    private static final double MET = 0.99;
+    private static final double MET_DEMAND_RATIO = 0.99;
 
     /** Beyond any rate, to see what each class would get if all asked for more than there is. */
-    private static final double UNBOUNDED = 1e12;
+    private static final double UNBOUNDED_DEMAND = 1e12;
 
     /** A report and when it came. */
-    private record Known(DemandReport report, double at) {}
+    private record ReceivedReport(DemandReport report, double receivedAt) {}
 
     private final AdmissionLimits limits;
-    private final long firstToken;
-    private final Members members;
-    private final AllotmentLedger ledger;
-    private final Map<String, Known> reports = new HashMap<>();
+    private final long firstFencingToken;
+    private final Membership members;
+    private final OutstandingAllotments outstandingAllotments;
+    private final Map<String, ReceivedReport> reports = new HashMap<>();
     private final Map<String, LargestRemainder<WorkloadClass>> rounding = new HashMap<>();
-    private long token;
+    private long fencingToken;
     private long serial;
-    private List<QueueWait> waits = List.of();
+    private List<QueueWait> queueWaits = List.of();
 
     /**
      * @param token this leadership's token
@@ -46,53 +46,56 @@
      */
     AllotmentIssuer(AdmissionLimits limits, String self, long token, double electedAt) {
         this.limits = limits;
-        this.firstToken = token;
-        this.token = token;
-        this.members = new Members(self, limits.durationS());
-        this.ledger = new AllotmentLedger(limits.dividedPerMinute(), limits.durationS(), electedAt);
+        this.firstFencingToken = token;
+        this.fencingToken = token;
+        this.members = new Membership(self, limits.allotmentDurationS());
+        this.outstandingAllotments =
+                new OutstandingAllotments(
+                        limits.dividedPerMinute(), limits.allotmentDurationS(), electedAt);
     }
 
     /** The leader's token was minted anew; the leadership is the same. */
-    void token(long renewed) {
-        token = renewed;
+    void fencingToken(long renewed) {
+        fencingToken = renewed;
     }
 
     /** The queues whose waiting the controllers are to know. */
-    void waits(List<QueueWait> predicted) {
-        waits = predicted;
+    void queueWaits(List<QueueWait> predicted) {
+        queueWaits = predicted;
     }
 
     /** The answer to a controller's report; null where the report is a late copy. */
     Allotment issue(DemandReport report, double now) {
-        if (!members.heard(report.node(), report.process(), report.sequence(), now)) {
+        if (!members.recordMessage(
+                report.node(), report.processIncarnation(), report.sequence(), now)) {
             return null;
         }
-        if (report.heldToken() >= firstToken) {
-            ledger.acknowledged(report.node(), report.heldSerial());
+        if (report.heldFencingToken() >= firstFencingToken) {
+            outstandingAllotments.acknowledge(report.node(), report.heldSerial());
         }
-        reports.values().removeIf(known -> now - known.at > limits.durationS());
-        reports.put(report.node(), new Known(report, now));
+        reports.values().removeIf(known -> now - known.receivedAt > limits.allotmentDurationS());
+        reports.put(report.node(), new ReceivedReport(report, now));
         return allot(report, now);
     }
 
     private Allotment allot(DemandReport report, double now) {
         Division division = new Division();
-        int wanted = division.extra(report);
-        int extra = Math.min(wanted, ledger.available(report.node(), now));
-        ledger.issue(report.node(), ++serial, extra, now);
+        int wanted = division.extraPerMinute(report);
+        int extra = Math.min(wanted, outstandingAllotments.available(report.node(), now));
+        outstandingAllotments.issue(report.node(), ++serial, extra, now);
         return new Allotment(
                 report.node(),
-                token,
+                fencingToken,
                 serial,
-                limits.durationS(),
+                limits.allotmentDurationS(),
                 extra,
                 division.classes(report, extra),
-                waits);
+                queueWaits);
     }
 
     /** Whether a share leaves demand unmet. */
-    static boolean unmet(double share, double demand) {
-        return share < MET * demand;
+    static boolean isUnmet(double share, double demand) {
+        return share < MET_DEMAND_RATIO * demand;
     }
 
     /** The division of the whole rate by the demand that is known now. */
@@ -109,10 +112,10 @@
          */
         private double usable() {
             double fixed = 0;
-            for (Known known : reports.values()) {
+            for (ReceivedReport known : reports.values()) {
                 fixed += Math.min(limits.fixedPerMinute(), demandOf(known.report));
             }
-            return (limits.dividedPerMinute() + fixed) * (1 - NEWCOMERS_SHARE);
+            return (limits.dividedPerMinute() + fixed) * (1 - NEW_CLASSES_SHARE);
         }
 
         private double totalExcess() {
@@ -120,22 +123,22 @@
         }
 
         /** What a controller is due of one class: the class's share by where its demand is. */
-        private double due(WorkloadClass of, ClassDemand at) {
+        private double entitlement(WorkloadClass of, ClassDemand at) {
             double all = demand.get(of);
             return all > 0 ? shares.get(of) * at.perMinute() / all : 0;
         }
 
-        private double due(DemandReport report) {
+        private double entitlement(DemandReport report) {
             double sum = 0;
             for (Map.Entry<WorkloadClass, ClassDemand> entry : report.classes().entrySet()) {
-                sum += due(entry.getKey(), entry.getValue());
+                sum += entitlement(entry.getKey(), entry.getValue());
             }
             return sum;
         }
 
         /** What a controller is due beyond its fixed share. */
         private double excess(DemandReport report) {
-            return Math.max(0, due(report) - limits.fixedPerMinute());
+            return Math.max(0, entitlement(report) - limits.fixedPerMinute());
         }
 
         /** Part of the excess that can be given; the fixed shares of some may lie idle. */
@@ -144,35 +147,37 @@
         }
 
         /** A controller's part beyond its fixed share; what nobody is due is given evenly. */
-        int extra(DemandReport report) {
+        int extraPerMinute(DemandReport report) {
             double evenly = limits.dividedPerMinute() - scale() * excess;
             return (int) Math.floor(scale() * excess(report) + evenly / reports.size());
         }
 
         SortedMap<WorkloadClass, ClassShare> classes(DemandReport report, int extra) {
-            double most = (limits.fixedPerMinute() + extra) * (1 - NEWCOMERS_SHARE);
-            double due = due(report);
+            double most = (limits.fixedPerMinute() + extra) * (1 - NEW_CLASSES_SHARE);
+            double due = entitlement(report);
             double factor = due > most ? most / due : 1;
             SortedMap<WorkloadClass, Double> exact = new TreeMap<>();
             report.classes()
-                    .forEach((known, asked) -> exact.put(known, factor * due(known, asked)));
+                    .forEach(
+                            (known, asked) -> exact.put(known, factor * entitlement(known, asked)));
             SortedMap<WorkloadClass, ClassShare> rounded = new TreeMap<>();
             rounding.computeIfAbsent(report.node(), node -> new LargestRemainder<>())
                     .round(exact)
                     .forEach(
                             (known, perMinute) ->
-                                    rounded.put(known, new ClassShare(perMinute, limited(known))));
+                                    rounded.put(
+                                            known, new ClassShare(perMinute, isLimited(known))));
             return rounded;
         }
 
-        private boolean limited(WorkloadClass of) {
-            return unmet(shares.get(of), demand.get(of));
+        private boolean isLimited(WorkloadClass of) {
+            return isUnmet(shares.get(of), demand.get(of));
         }
     }
 
     private SortedMap<WorkloadClass, Double> totalDemand() {
         SortedMap<WorkloadClass, Double> demand = new TreeMap<>();
-        for (Known known : reports.values()) {
+        for (ReceivedReport known : reports.values()) {
             known.report
                     .classes()
                     .forEach((of, asked) -> demand.merge(of, asked.perMinute(), Double::sum));
@@ -189,7 +194,7 @@
     /** The demand and the counts of each class on all controllers together. */
     SortedMap<WorkloadClass, ClassDemand> classes() {
         SortedMap<WorkloadClass, ClassDemand> sums = new TreeMap<>();
-        for (Known known : reports.values()) {
+        for (ReceivedReport known : reports.values()) {
             known.report
                     .classes()
                     .forEach((of, asked) -> sums.merge(of, asked, AllotmentIssuer::sum));
@@ -207,21 +212,21 @@
     /** What each class is entitled to if all classes known now ask for more than there is. */
     SortedMap<WorkloadClass, Double> entitlements() {
         SortedMap<WorkloadClass, Double> unbounded = new TreeMap<>();
-        totalDemand().keySet().forEach(of -> unbounded.put(of, UNBOUNDED));
+        totalDemand().keySet().forEach(of -> unbounded.put(of, UNBOUNDED_DEMAND));
         int all = limits.dividedPerMinute() + reports.size() * limits.fixedPerMinute();
         return FairDivision.divide(all, unbounded, limits::weight);
     }
 
-    List<QueueWait> waits() {
-        return waits;
+    List<QueueWait> queueWaits() {
+        return queueWaits;
     }
 
-    AllotmentLedger ledger() {
-        return ledger;
+    OutstandingAllotments outstandingAllotments() {
+        return outstandingAllotments;
     }
 
     /** The controllers whose reports are counted. */
-    List<String> nodes() {
+    List<String> reportingControllers() {
         return reports.keySet().stream().sorted().toList();
     }
 }
--- a/src/main/java/io/pepperfield/admission/DemandReport.java
+++ b/src/main/java/io/pepperfield/admission/DemandReport.java
@@ -6,16 +6,16 @@
  * What a controller asks the leader for.
  *
  * @param node the controller
- * @param process its process; another one after each start
+ * @param processIncarnation its process; another one after each start
  * @param sequence grows with each report of a process
- * @param heldToken the token of the allotment that it uses, 0 without one
+ * @param heldFencingToken the token of the allotment that it uses, 0 without one
  * @param heldSerial the serial of that allotment
  */
 record DemandReport(
         String node,
-        String process,
+        String processIncarnation,
         long sequence,
-        long heldToken,
+        long heldFencingToken,
         long heldSerial,
         SortedMap<WorkloadClass, ClassDemand> classes) {
 
--- a/src/main/java/io/pepperfield/admission/LargestRemainder.java
+++ b/src/main/java/io/pepperfield/admission/LargestRemainder.java
@@ -16,7 +16,7 @@
 final class LargestRemainder<K extends Comparable<K>> {
 
     /** Sums of fractions such as a third three times must not fall short of a whole number. */
-    private static final double SLACK = 1e-6;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private Map<K, Double> carried = new HashMap<>();
 
@@ -51,6 +51,6 @@
     }
 
     private static int floor(double value) {
-        return (int) Math.floor(value + SLACK);
+        return (int) Math.floor(value + ROUNDING_TOLERANCE);
     }
 }
--- a/src/main/java/io/pepperfield/admission/MinuteCounter.java
+++ b/src/main/java/io/pepperfield/admission/MinuteCounter.java
@@ -8,7 +8,7 @@
     private final int[] slots = new int[6];
     private long slot;
 
-    void add(double now) {
+    void increment(double now) {
         advance(now);
         slots[(int) (slot % slots.length)]++;
     }
--- a/src/main/java/io/pepperfield/admission/AllotmentLedger.java
+++ b/src/main/java/io/pepperfield/admission/OutstandingAllotments.java
@@ -13,7 +13,7 @@
  * ended by the leader's clock; a holder uses one at a time, so it counts with its largest. A leader
  * cannot know what the one before it gave away and begins with nothing until all of that has ended.
  */
-final class AllotmentLedger {
+final class OutstandingAllotments {
 
     /** Steady clocks differ by at most 0.05%; the holder's margin is far larger. */
     private static final double CLOCK_DRIFT = 1.001;
@@ -23,21 +23,21 @@
 
     private final int dividedPerMinute;
     private final double durationS;
-    private final double beginsAt;
+    private final double issuingStartsAt;
     private final Map<String, List<Issued>> issued = new HashMap<>();
 
     /**
      * @param electedAt when this leader learnt that it leads: no earlier one answers from then on
      */
-    AllotmentLedger(int dividedPerMinute, double durationS, double electedAt) {
+    OutstandingAllotments(int dividedPerMinute, double durationS, double electedAt) {
         this.dividedPerMinute = dividedPerMinute;
         this.durationS = durationS;
-        this.beginsAt = electedAt + durationS * CLOCK_DRIFT;
+        this.issuingStartsAt = electedAt + durationS * CLOCK_DRIFT;
     }
 
     /** The most that may be given to that controller now. */
     int available(String node, double now) {
-        if (now < beginsAt) {
+        if (now < issuingStartsAt) {
             return 0;
         }
         int others = 0;
@@ -72,7 +72,7 @@
     }
 
     /** The controller uses the allotment of that serial, and never one before it again. */
-    void acknowledged(String node, long serial) {
+    void acknowledge(String node, long serial) {
         issued.getOrDefault(node, new ArrayList<>())
                 .removeIf(allotment -> allotment.serial < serial);
     }
--- a/src/main/java/io/pepperfield/admission/QueueWait.java
+++ b/src/main/java/io/pepperfield/admission/QueueWait.java
@@ -3,4 +3,4 @@
 import io.pepperfield.jobs.JobSpec;
 
 /** How long new work of a team and rank is predicted to wait before it begins, in seconds. */
-public record QueueWait(String team, JobSpec.Rank rank, double waitS) {}
+public record QueueWait(String team, JobSpec.Priority rank, double waitS) {}
--- a/src/main/java/io/pepperfield/admission/QueueWaitPredictor.java
+++ b/src/main/java/io/pepperfield/admission/QueueWaitPredictor.java
@@ -16,20 +16,20 @@
 public final class QueueWaitPredictor {
 
     /** Of the starts measured before, in the running mean of their rate. */
-    private static final double KEPT = 0.9;
+    private static final double RATE_SMOOTHING = 0.9;
 
     /** A queue's wait may be predicted at most as so many times what its oldest task has waited. */
-    private static final double TIMES_OLDEST = 4;
+    private static final double MAX_OLDEST_WAIT_MULTIPLE = 4;
 
     /** The tasks that wait of one team and rank. */
     private static final class Queue {
-        int tasks;
-        double oldestS;
-        int started;
+        int waitingTasks;
+        double oldestWaitS;
+        int starts;
         double startsPerS;
     }
 
-    private final Map<String, Map<JobSpec.Rank, Queue>> teams = new HashMap<>();
+    private final Map<String, Map<JobSpec.Priority, Queue>> queuesByTeam = new HashMap<>();
     private double updatedAt;
 
     /** Begins without a queue; {@code now} is a loop time. */
@@ -38,71 +38,72 @@
     }
 
     /** A task of that team and rank has begun to run. */
-    public void started(String team, JobSpec.Rank rank) {
-        queue(team, rank).started++;
+    public void recordStart(String team, JobSpec.Priority rank) {
+        queue(team, rank).starts++;
     }
 
     /** Forgets which tasks wait, so that they can be counted anew. */
-    public void recount() {
-        teams.values().forEach(ranks -> ranks.values().forEach(QueueWaitPredictor::clear));
+    public void beginRecount() {
+        queuesByTeam.values().forEach(ranks -> ranks.values().forEach(QueueWaitPredictor::clear));
     }
 
     private static void clear(Queue queue) {
-        queue.tasks = 0;
-        queue.oldestS = 0;
+        queue.waitingTasks = 0;
+        queue.oldestWaitS = 0;
     }
 
     /** So many tasks of a job wait, the first of them for so many seconds. */
-    public void waiting(String team, JobSpec.Rank rank, int tasks, double waitedS) {
+    public void addWaiting(String team, JobSpec.Priority rank, int tasks, double waitedS) {
         Queue queue = queue(team, rank);
-        queue.tasks += tasks;
-        queue.oldestS = Math.max(queue.oldestS, waitedS);
+        queue.waitingTasks += tasks;
+        queue.oldestWaitS = Math.max(queue.oldestWaitS, waitedS);
     }
 
     /** All that waits has been counted; the rates of starts are measured up to now. */
-    public void counted(double now) {
+    public void finishRecount(double now) {
         double seconds = now - updatedAt;
         if (seconds <= 0) {
             return;
         }
         updatedAt = now;
-        double kept = Math.pow(KEPT, seconds);
-        for (Map<JobSpec.Rank, Queue> ranks : teams.values()) {
+        double kept = Math.pow(RATE_SMOOTHING, seconds);
+        for (Map<JobSpec.Priority, Queue> ranks : queuesByTeam.values()) {
             for (Queue queue : ranks.values()) {
-                queue.startsPerS = kept * queue.startsPerS + (1 - kept) * queue.started / seconds;
-                queue.started = 0;
+                queue.startsPerS = kept * queue.startsPerS + (1 - kept) * queue.starts / seconds;
+                queue.starts = 0;
             }
         }
     }
 
     /** The queues whose predicted waiting is at least that long. */
-    public List<QueueWait> waitsFrom(double leastS) {
+    public List<QueueWait> waitsOfAtLeast(double leastS) {
         List<QueueWait> waits = new ArrayList<>();
-        teams.forEach((team, ranks) -> addWaits(team, ranks, leastS, waits));
+        queuesByTeam.forEach((team, ranks) -> addWaits(team, ranks, leastS, waits));
         return waits;
     }
 
     /** What ranks higher begins first: a rank waits for its own queue and for those above. */
     private static void addWaits(
-            String team, Map<JobSpec.Rank, Queue> ranks, double leastS, List<QueueWait> waits) {
+            String team, Map<JobSpec.Priority, Queue> ranks, double leastS, List<QueueWait> waits) {
         int tasks = 0;
         double startsPerS = 0;
         double oldestS = 0;
-        for (Map.Entry<JobSpec.Rank, Queue> entry : ranks.entrySet()) {
+        for (Map.Entry<JobSpec.Priority, Queue> entry : ranks.entrySet()) {
             Queue queue = entry.getValue();
-            tasks += queue.tasks;
+            tasks += queue.waitingTasks;
             startsPerS += queue.startsPerS;
-            oldestS = Math.max(oldestS, queue.oldestS);
+            oldestS = Math.max(oldestS, queue.oldestWaitS);
             double drainS = startsPerS > 0 ? tasks / startsPerS : Double.MAX_VALUE;
-            double waitS = Math.min(drainS, TIMES_OLDEST * oldestS);
+            double waitS = Math.min(drainS, MAX_OLDEST_WAIT_MULTIPLE * oldestS);
             if (tasks > 0 && waitS >= leastS) {
                 waits.add(new QueueWait(team, entry.getKey(), waitS));
             }
         }
     }
 
-    private Queue queue(String team, JobSpec.Rank rank) {
-        return teams.computeIfAbsent(team, t -> new EnumMap<>(JobSpec.Rank.class))
+    private Queue queue(String team, JobSpec.Priority rank) {
+        return queuesByTeam
+                .computeIfAbsent(team, t -> new EnumMap<>(JobSpec.Priority.class))
                 .computeIfAbsent(rank, r -> new Queue());
     }
 }
--- a/src/main/java/io/pepperfield/admission/RefusedSubmissions.java
+++ b/src/main/java/io/pepperfield/admission/RefusedSubmissions.java
@@ -13,25 +13,25 @@
 final class RefusedSubmissions {
 
     /** What is kept of a job. */
-    enum Age {
-        NEVER,
+    enum Generation {
+        NONE,
         CURRENT,
         PREVIOUS
     }
 
-    private static final double UNKNOWN = Double.NaN;
+    private static final double NO_RETRY_TIME = Double.NaN;
 
-    private final int mostOfGeneration;
-    private Long2DoubleOpenHashMap current = generation();
-    private Long2DoubleOpenHashMap previous = generation();
+    private final int maxPerGeneration;
+    private Long2DoubleOpenHashMap current = newGeneration();
+    private Long2DoubleOpenHashMap previous = newGeneration();
 
     RefusedSubmissions(int mostOfGeneration) {
-        this.mostOfGeneration = mostOfGeneration;
+        this.maxPerGeneration = mostOfGeneration;
     }
 
-    private static Long2DoubleOpenHashMap generation() {
+    private static Long2DoubleOpenHashMap newGeneration() {
         Long2DoubleOpenHashMap map = new Long2DoubleOpenHashMap();
-        map.defaultReturnValue(UNKNOWN);
+        map.defaultReturnValue(NO_RETRY_TIME);
         return map;
     }
 
@@ -44,22 +44,22 @@
         return HashCommon.mix(hash);
     }
 
-    Age age(long fingerprint) {
+    Generation generationOf(long fingerprint) {
         if (current.containsKey(fingerprint)) {
-            return Age.CURRENT;
+            return Generation.CURRENT;
         }
-        return previous.containsKey(fingerprint) ? Age.PREVIOUS : Age.NEVER;
+        return previous.containsKey(fingerprint) ? Generation.PREVIOUS : Generation.NONE;
     }
 
     /** When it was told to come back, or not a number. */
-    double dueAt(long fingerprint) {
+    double retryAt(long fingerprint) {
         double due = current.get(fingerprint);
         return Double.isNaN(due) ? previous.get(fingerprint) : due;
     }
 
     /** Keeps the time; false where there is no room for one more. */
     boolean remember(long fingerprint, double dueAt) {
-        if (current.size() >= mostOfGeneration && !current.containsKey(fingerprint)) {
+        if (current.size() >= maxPerGeneration && !current.containsKey(fingerprint)) {
             return false;
         }
         previous.remove(fingerprint);
@@ -75,7 +75,7 @@
     /** Begins another generation; what was not seen since the last but one is forgotten. */
     void rotate() {
         previous = current;
-        current = generation();
+        current = newGeneration();
     }
 
     int size() {
--- a/src/main/java/io/pepperfield/admission/RetrySchedule.java
+++ b/src/main/java/io/pepperfield/admission/RetrySchedule.java
@@ -6,17 +6,19 @@
  */
 final class RetrySchedule {
 
-    private double lastGivenAt;
+    private double lastReservedAt;
 
     /** The next free time, at that rate. */
-    double next(double now, double ratePerS) {
-        return ratePerS > 0 ? Math.max(now, lastGivenAt) + 1 / ratePerS : Double.POSITIVE_INFINITY;
+    double nextFreeAt(double now, double ratePerS) {
+        return ratePerS > 0
+                ? Math.max(now, lastReservedAt) + 1 / ratePerS
+                : Double.POSITIVE_INFINITY;
     }
 
     /** The next free time is taken. */
-    void give(double now, double ratePerS) {
+    void reserveNext(double now, double ratePerS) {
         if (ratePerS > 0) {
-            lastGivenAt = next(now, ratePerS);
+            lastReservedAt = nextFreeAt(now, ratePerS);
         }
     }
 }
--- a/src/main/java/io/pepperfield/admission/SubmissionAdmission.java
+++ b/src/main/java/io/pepperfield/admission/SubmissionAdmission.java
@@ -2,7 +2,7 @@
 
 import io.pepperfield.admission.Allotment.ClassShare;
 import io.pepperfield.admission.DemandReport.ClassDemand;
-import io.pepperfield.admission.RefusedSubmissions.Age;
+import io.pepperfield.admission.RefusedSubmissions.Generation;
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.jobs.SubmissionPolicy;
 import io.pepperfield.loop.Loop;
@@ -27,27 +27,27 @@
     private static final Logger LOG = LoggerFactory.getLogger(SubmissionAdmission.class);
 
     /** Users heed a time to come back up to so many seconds. */
-    private static final int MOST_RETRY_AFTER_S = 30;
+    private static final int MAX_RETRY_AFTER_S = 30;
 
     /** What a bucket may save up, in seconds of its rate. */
     private static final double BURST_S = 1;
 
     /** And at least so much, or what arrives in steps longer than a token's time would be lost. */
-    private static final double LEAST_BURST = 2;
+    private static final double MIN_BURST = 2;
 
     /** Of what may be saved up, the part that limited classes leave alone. */
-    private static final double KEPT_FOR_OTHERS = 0.25;
+    private static final double BURST_RESERVE_SHARE = 0.25;
 
     /** A generation of refused jobs: longer than the longest time that a user is told. */
-    private static final double GENERATION_S = MOST_RETRY_AFTER_S + 5;
+    private static final double GENERATION_S = MAX_RETRY_AFTER_S + 5;
 
     /** About a megabyte in all: the heap of a controller is bounded. */
-    private static final int MOST_REFUSED = 16_384;
+    private static final int MAX_REFUSED_PER_GENERATION = 16_384;
 
     /** Classes of a team beyond these share one, or made-up names would fill the books. */
-    private static final int MOST_CLASSES_OF_TEAM = 16;
+    private static final int MAX_CLASSES_PER_TEAM = 16;
 
-    private static final String OTHERS = "";
+    private static final String OVERFLOW_WORKLOAD = "";
 
     /** The holder's margin on an allotment's end, as on a grant's. */
     private static final double HOLDER_MARGIN = 0.9;
@@ -56,36 +56,37 @@
      * Each interval with a refusal by the state service decreases the rate by a factor, down to a
      * part of it; it recovers with time.
      */
-    private static final double LEAST_BACKOFF = 0.25;
+    private static final double MIN_RATE_FACTOR = 0.25;
 
-    private static final double DECREASE = 0.7;
-    private static final double RECOVERY_S = 10;
+    private static final double RATE_DECREASE_FACTOR = 0.7;
+    private static final double RATE_RECOVERY_S = 10;
 
     private final Loop loop;
     private final AdmissionLimits limits;
     private final String node;
-    private final DoubleSupplier contactAt;
-    private final double contactLostS;
+    private final DoubleSupplier lastConfirmedAt;
+    private final double storeUnreachableAfterS;
     private final Map<WorkloadClass, ClassAdmission> classes = new HashMap<>();
-    private final Map<String, Integer> classesOfTeam = new HashMap<>();
-    private final Map<TeamRank, QueueWait> waits = new HashMap<>();
-    private final RefusedSubmissions refused = new RefusedSubmissions(MOST_REFUSED);
+    private final Map<String, Integer> classCountByTeam = new HashMap<>();
+    private final Map<TeamRank, QueueWait> queueWaits = new HashMap<>();
+    private final RefusedSubmissions refusedSubmissions =
+            new RefusedSubmissions(MAX_REFUSED_PER_GENERATION);
     private final RetrySchedule burstRetries = new RetrySchedule();
-    private final TokenBucket total;
+    private final TokenBucket totalBucket;
 
     /** Why allotments have been ignored, each said once; there are few reasons. */
-    private final Set<String> ignored = new HashSet<>();
+    private final Set<String> loggedIgnoreReasons = new HashSet<>();
 
     private Allotment allotment;
     private double allotmentEndsAt = Double.NEGATIVE_INFINITY;
-    private int soon;
+    private int shortRetryOffsetS;
     private double rotatedAt;
     private double tickedAt;
-    private double backoff = 1;
+    private double rateFactor = 1;
     private double throttledAt = Double.NEGATIVE_INFINITY;
 
     /** Whose queue a new job joins. */
-    private record TeamRank(String team, JobSpec.Rank rank) {}
+    private record TeamRank(String team, JobSpec.Priority rank) {}
 
     /**
      * @param contactAt when the state service last answered
@@ -100,10 +101,10 @@
         this.loop = loop;
         this.limits = limits;
         this.node = node;
-        this.contactAt = contactAt;
-        this.contactLostS = contactLostS;
+        this.lastConfirmedAt = contactAt;
+        this.storeUnreachableAfterS = contactLostS;
         double now = loop.now();
-        this.total = new TokenBucket(now);
+        this.totalBucket = new TokenBucket(now);
         this.rotatedAt = now;
         this.tickedAt = now;
         useFixedShare(now);
@@ -112,65 +113,68 @@
     @Override
     public Decision decide(JobSpec job) {
         double now = loop.now();
-        expire(now);
+        expireAllotment(now);
         long fingerprint = RefusedSubmissions.fingerprint(job.id());
-        Age before = refused.age(fingerprint);
+        Generation before = refusedSubmissions.generationOf(fingerprint);
         ClassAdmission of = classAdmission(WorkloadClass.of(job), now);
-        QueueWait queue = waits.get(new TeamRank(job.team(), job.rank()));
-        if (queue != null && queue.waitS() > limits.waitingLimitS()) {
+        QueueWait queue = queueWaits.get(new TeamRank(job.team(), job.priority()));
+        if (queue != null && queue.waitS() > limits.maxPredictedWaitS()) {
             // Not counted as demand: a share of the rate would lie idle for it.
-            of.refused.add(now);
-            return queueTooLong(queue);
+            of.refusals.increment(now);
+            return refuseLongQueue(queue);
         }
-        of.asked(before);
-        if (now - contactAt.getAsDouble() > contactLostS) {
+        of.recordRequest(before);
+        if (now - lastConfirmedAt.getAsDouble() > storeUnreachableAfterS) {
             // What was saved up meanwhile would be spent by everybody's retries in one moment.
-            empty(now);
+            emptyBuckets(now);
         }
-        boolean returns = before != Age.NEVER && refused.dueAt(fingerprint) <= now;
-        if (take(of, returns, now)) {
-            of.settled(before);
-            refused.forget(fingerprint);
-            of.admitted.add(now);
+        boolean returns =
+                before != Generation.NONE && refusedSubmissions.retryAt(fingerprint) <= now;
+        if (tryAdmit(of, returns, now)) {
+            of.recordAdmitted(before);
+            refusedSubmissions.forget(fingerprint);
+            of.admissions.increment(now);
             return ADMITTED;
         }
-        of.refused.add(now);
-        return comeBack(of, fingerprint, before, now);
+        of.refusals.increment(now);
+        return refuseOverShare(of, fingerprint, before, now);
     }
 
     /**
      * Takes a token of all, and of its own of a class that is limited; who comes back when told may
      * take one of its class that is still to come.
      */
-    private boolean take(ClassAdmission of, boolean returns, double now) {
+    private boolean tryAdmit(ClassAdmission of, boolean returns, double now) {
         // What nobody else uses would be lost a moment later.
-        if (!of.limited || total.isFull(now)) {
-            return total.takeIf(now, 0);
+        if (!of.limited || totalBucket.isFull(now)) {
+            return totalBucket.tryTake(now, 0);
         }
         // What is saved up is for the others' bursts: a flood would always have used it up.
-        double kept = Math.min(total.capacity() - 1, KEPT_FOR_OTHERS * total.capacity());
+        double kept =
+                Math.min(totalBucket.capacity() - 1, BURST_RESERVE_SHARE * totalBucket.capacity());
         double debt = returns ? of.bucket.capacity() : 0;
-        if (!of.bucket.has(now, debt) || !total.takeIf(now, -kept)) {
+        if (!of.bucket.hasToken(now, debt) || !totalBucket.tryTake(now, -kept)) {
             return false;
         }
-        of.bucket.takeIf(now, debt);
+        of.bucket.tryTake(now, debt);
         return true;
     }
 
-    private Decision queueTooLong(QueueWait queue) {
-        double tooLong = Math.ceil(queue.waitS() - limits.waitingLimitS());
+    private Decision refuseLongQueue(QueueWait queue) {
+        double tooLong = Math.ceil(queue.waitS() - limits.maxPredictedWaitS());
         return new Decision.Refused(
                 "the queue of team " + queue.team() + " is longer than the waiting limit",
-                (int) Math.max(1, Math.min(MOST_RETRY_AFTER_S, tooLong)));
+                (int) Math.max(1, Math.min(MAX_RETRY_AFTER_S, tooLong)));
     }
 
-    private Decision comeBack(ClassAdmission of, long fingerprint, Age before, double now) {
-        boolean lasting = of.limited && allotted();
-        double due = lasting ? ticket(of, fingerprint, now) : Double.POSITIVE_INFINITY;
-        if (refused.remember(fingerprint, due)) {
-            of.remembered(before);
+    private Decision refuseOverShare(
+            ClassAdmission of, long fingerprint, Generation before, double now) {
+        boolean lasting = of.limited && hasAllotment();
+        double due = lasting ? retryTime(of, fingerprint, now) : Double.POSITIVE_INFINITY;
+        if (refusedSubmissions.remember(fingerprint, due)) {
+            of.recordRefused(before);
         }
-        double afterS = lasting ? Math.min(MOST_RETRY_AFTER_S, due - now) : soonS();
+        double afterS = lasting ? Math.min(MAX_RETRY_AFTER_S, due - now) : shortRetryAfterS();
         return new Decision.Refused(
                 "more is submitted than the share of its class and team",
                 (int) Math.max(1, Math.ceil(afterS)));
@@ -180,22 +184,22 @@
      * When a job of a class that keeps to its share may come back: at the time that it has been
      * told before, or after those that have been told one.
      */
-    private double ticket(ClassAdmission of, long fingerprint, double now) {
-        double due = refused.dueAt(fingerprint);
+    private double retryTime(ClassAdmission of, long fingerprint, double now) {
+        double due = refusedSubmissions.retryAt(fingerprint);
         if (due > now && Double.isFinite(due)) {
             return due;
         }
         // A burst is over as soon as all of it could have been admitted, however small the share of
         // each class is until then: its jobs come back one after the other at the whole rate.
-        boolean burst = refused.size() <= MOST_RETRY_AFTER_S * total.ratePerS();
-        RetrySchedule schedule = burst ? burstRetries : of.retries;
-        double ratePerS = burst ? total.ratePerS() : of.bucket.ratePerS();
-        due = schedule.next(now, ratePerS);
-        if (due - now > MOST_RETRY_AFTER_S) {
+        boolean burst = refusedSubmissions.size() <= MAX_RETRY_AFTER_S * totalBucket.ratePerS();
+        RetrySchedule schedule = burst ? burstRetries : of.retrySchedule;
+        double ratePerS = burst ? totalBucket.ratePerS() : of.bucket.ratePerS();
+        due = schedule.nextFreeAt(now, ratePerS);
+        if (due - now > MAX_RETRY_AFTER_S) {
             // So late nobody heeds: asked again then, it gets a time that can be kept.
             return Double.POSITIVE_INFINITY;
         }
-        schedule.give(now, ratePerS);
+        schedule.reserveNext(now, ratePerS);
         return now + Math.ceil(due - now);
     }
 
@@ -203,24 +207,25 @@
      * Without a leader's word, or for a class whose demand is about to be met, what is refused now
      * fits once the next allotment is there; spread over that time.
      */
-    private double soonS() {
-        soon = (soon + 1) % (int) Math.ceil(limits.durationS() + 1);
-        return 1 + soon;
+    private double shortRetryAfterS() {
+        shortRetryOffsetS =
+                (shortRetryOffsetS + 1) % (int) Math.ceil(limits.allotmentDurationS() + 1);
+        return 1 + shortRetryOffsetS;
     }
 
     /** A job was to be created and the state service refused it as beyond its rate. */
     @Override
-    public void throttled() {
+    public void storeThrottled() {
         double now = loop.now();
-        if (now - throttledAt >= limits.intervalS()) {
-            backoff = Math.max(LEAST_BACKOFF, backoff(now) * DECREASE);
+        if (now - throttledAt >= limits.requestIntervalS()) {
+            rateFactor = Math.max(MIN_RATE_FACTOR, rateFactor(now) * RATE_DECREASE_FACTOR);
             throttledAt = now;
             applyRates(now);
         }
     }
 
-    private double backoff(double now) {
-        return Math.min(1, backoff + Math.max(0, now - throttledAt) / RECOVERY_S);
+    private double rateFactor(double now) {
+        return Math.min(1, rateFactor + Math.max(0, now - throttledAt) / RATE_RECOVERY_S);
     }
 
     // ---- allotments
@@ -231,28 +236,29 @@
      * @param sentAt when the request that it answers was sent
      * @param leaderToken the highest leader's token that is known here
      */
-    void use(Allotment offered, double sentAt, long leaderToken) {
+    void useAllotment(Allotment offered, double sentAt, long leaderToken) {
         double now = loop.now();
         double endsAt = sentAt + offered.durationS() * HOLDER_MARGIN;
-        String why = whyIgnored(offered, endsAt, leaderToken, now);
+        String why = ignoreReason(offered, endsAt, leaderToken, now);
         if (why != null) {
-            if (ignored.add(why)) {
+            if (loggedIgnoreReasons.add(why)) {
                 LOG.warn("an allotment {} is ignored; not said again", why);
             }
             return;
         }
         allotment = offered;
         allotmentEndsAt = endsAt;
-        waits.clear();
-        offered.waits().forEach(wait -> waits.put(new TeamRank(wait.team(), wait.rank()), wait));
+        queueWaits.clear();
+        offered.queueWaits()
+                .forEach(wait -> queueWaits.put(new TeamRank(wait.team(), wait.rank()), wait));
         applyRates(now);
     }
 
-    private String whyIgnored(Allotment offered, double endsAt, long leaderToken, double now) {
+    private String ignoreReason(Allotment offered, double endsAt, long leaderToken, double now) {
         if (!offered.node().equals(node)) {
             return "for another controller";
         }
-        if (offered.token() < leaderToken) {
+        if (offered.fencingToken() < leaderToken) {
             return "of an earlier leader";
         }
         if (allotment != null && !allotment.isBefore(offered)) {
@@ -262,7 +268,7 @@
     }
 
     /** An allotment that has ended leaves the fixed share. */
-    private void expire(double now) {
+    private void expireAllotment(double now) {
         if (Double.isFinite(allotmentEndsAt) && now >= allotmentEndsAt) {
             useFixedShare(now);
         }
@@ -270,19 +276,19 @@
 
     private void useFixedShare(double now) {
         allotmentEndsAt = Double.NEGATIVE_INFINITY;
-        waits.clear();
+        queueWaits.clear();
         applyRates(now);
     }
 
-    private boolean allotted() {
+    private boolean hasAllotment() {
         return Double.isFinite(allotmentEndsAt);
     }
 
     private void applyRates(double now) {
         SortedMap<WorkloadClass, ClassShare> shares =
-                allotted() ? allotment.classes() : sharesOfFixed();
+                hasAllotment() ? allotment.classes() : divideFixedShare();
         shares.keySet().forEach(known -> classAdmission(known, now));
-        double factor = backoff(now) / AdmissionLimits.SECONDS_PER_MINUTE;
+        double factor = rateFactor(now) / AdmissionLimits.SECONDS_PER_MINUTE;
         for (Map.Entry<WorkloadClass, ClassAdmission> entry : classes.entrySet()) {
             ClassShare share = shares.get(entry.getKey());
             ClassAdmission of = entry.getValue();
@@ -290,18 +296,18 @@
             int classPerMinute = share == null ? 0 : share.perMinute();
             setRate(of.bucket, classPerMinute * factor, now);
         }
-        setRate(total, usablePerMinute() * factor, now);
+        setRate(totalBucket, usablePerMinute() * factor, now);
     }
 
     private static void setRate(TokenBucket bucket, double ratePerS, double now) {
-        bucket.rate(ratePerS, Math.max(LEAST_BURST, ratePerS * BURST_S), now);
+        bucket.setRate(ratePerS, Math.max(MIN_BURST, ratePerS * BURST_S), now);
     }
 
     /** Without the leader's word the fixed share is divided by what is asked for here alone. */
-    private SortedMap<WorkloadClass, ClassShare> sharesOfFixed() {
+    private SortedMap<WorkloadClass, ClassShare> divideFixedShare() {
         SortedMap<WorkloadClass, Double> demand = new TreeMap<>();
         classes.forEach((known, of) -> demand.put(known, of.demandPerMinute()));
-        double rate = limits.fixedPerMinute() * (1 - AllotmentIssuer.NEWCOMERS_SHARE);
+        double rate = limits.fixedPerMinute() * (1 - AllotmentIssuer.NEW_CLASSES_SHARE);
         SortedMap<WorkloadClass, Double> divided =
                 FairDivision.divide(rate, demand, limits::weight);
         SortedMap<WorkloadClass, ClassShare> shares = new TreeMap<>();
@@ -311,13 +317,13 @@
                                 known,
                                 new ClassShare(
                                         (int) Math.floor(share),
-                                        AllotmentIssuer.unmet(share, demand.get(known)))));
+                                        AllotmentIssuer.isUnmet(share, demand.get(known)))));
         return shares;
     }
 
-    private void empty(double now) {
-        total.empty(now);
-        classes.values().forEach(of -> of.bucket.empty(now));
+    private void emptyBuckets(double now) {
+        totalBucket.discardTokens(now);
+        classes.values().forEach(of -> of.bucket.discardTokens(now));
     }
 
     // ---- demand
@@ -325,23 +331,23 @@
     /** To be called once an interval. */
     void tick() {
         double now = loop.now();
-        expire(now);
-        double seconds = Math.max(limits.intervalS() / 2, now - tickedAt);
+        expireAllotment(now);
+        double seconds = Math.max(limits.requestIntervalS() / 2, now - tickedAt);
         tickedAt = now;
-        classes.values().forEach(of -> of.interval(seconds));
+        classes.values().forEach(of -> of.endInterval(seconds));
         if (now - rotatedAt >= GENERATION_S) {
             rotatedAt = now;
-            refused.rotate();
-            classes.values().forEach(ClassAdmission::rotate);
-            forgetIdle(now);
+            refusedSubmissions.rotate();
+            classes.values().forEach(ClassAdmission::rotateGeneration);
+            removeIdleClasses(now);
         }
         applyRates(now);
     }
 
-    private void forgetIdle(double now) {
-        classes.values().removeIf(of -> of.idle(now));
-        classesOfTeam.clear();
-        classes.keySet().forEach(known -> classesOfTeam.merge(known.team(), 1, Integer::sum));
+    private void removeIdleClasses(double now) {
+        classes.values().removeIf(of -> of.isIdle(now));
+        classCountByTeam.clear();
+        classes.keySet().forEach(known -> classCountByTeam.merge(known.team(), 1, Integer::sum));
     }
 
     private ClassAdmission classAdmission(WorkloadClass asked, double now) {
@@ -350,49 +356,49 @@
             return of;
         }
         WorkloadClass counted = asked;
-        if (classesOfTeam.getOrDefault(asked.team(), 0) >= MOST_CLASSES_OF_TEAM) {
-            counted = new WorkloadClass(asked.team(), OTHERS, asked.dependent());
+        if (classCountByTeam.getOrDefault(asked.team(), 0) >= MAX_CLASSES_PER_TEAM) {
+            counted = new WorkloadClass(asked.team(), OVERFLOW_WORKLOAD, asked.hasDependencies());
         }
         return classes.computeIfAbsent(
                 counted,
                 unknown -> {
-                    classesOfTeam.merge(unknown.team(), 1, Integer::sum);
+                    classCountByTeam.merge(unknown.team(), 1, Integer::sum);
                     return new ClassAdmission(now);
                 });
     }
 
     /** What the leader is told. */
-    DemandReport report(String process, long sequence) {
+    DemandReport demandReport(String process, long sequence) {
         double now = loop.now();
         SortedMap<WorkloadClass, ClassDemand> demands = new TreeMap<>();
         classes.forEach(
                 (known, of) -> {
-                    if (!of.idle(now)) {
+                    if (!of.isIdle(now)) {
                         demands.put(
                                 known,
                                 new ClassDemand(
                                         of.demandPerMinute(),
-                                        of.admitted.total(now),
-                                        of.refused.total(now)));
+                                        of.admissions.total(now),
+                                        of.refusals.total(now)));
                     }
                 });
-        long token = allotted() ? allotment.token() : 0;
+        long token = hasAllotment() ? allotment.fencingToken() : 0;
         return new DemandReport(
-                node, process, sequence, token, allotted() ? allotment.serial() : 0, demands);
+                node, process, sequence, token, hasAllotment() ? allotment.serial() : 0, demands);
     }
 
     /** Admissions per minute that this controller may use now. */
-    int perMinute() {
-        expire(loop.now());
+    int admissionsPerMinute() {
+        expireAllotment(loop.now());
         return usablePerMinute();
     }
 
     private int usablePerMinute() {
-        return limits.fixedPerMinute() + (allotted() ? allotment.extraPerMinute() : 0);
+        return limits.fixedPerMinute() + (hasAllotment() ? allotment.extraPerMinute() : 0);
     }
 
     /** Seconds until the allotment in use ends; not finite without one. */
-    double endsInS() {
+    double allotmentEndsInS() {
         return allotmentEndsAt - loop.now();
     }
 }
--- a/src/main/java/io/pepperfield/admission/TokenBucket.java
+++ b/src/main/java/io/pepperfield/admission/TokenBucket.java
@@ -16,7 +16,7 @@
     }
 
     /** Sets the rate from now on, and how many tokens may be saved up. */
-    void rate(double perSecond, double mostTokens, double now) {
+    void setRate(double perSecond, double mostTokens, double now) {
         refill(now);
         ratePerS = perSecond;
         capacity = mostTokens;
@@ -27,7 +27,7 @@
      * Whether a token is there; with {@code debt} so many may be taken before they are, and with a
      * negative one so many are left.
      */
-    boolean has(double now, double debt) {
+    boolean hasToken(double now, double debt) {
         refill(now);
         return tokens + debt >= 1;
     }
@@ -38,9 +38,9 @@
         return tokens >= capacity && capacity >= 1;
     }
 
-    /** Takes a token where {@link #has} says that there is one. */
-    boolean takeIf(double now, double debt) {
-        if (!has(now, debt)) {
+    /** Takes a token where {@link #hasToken} says that there is one. */
+    boolean tryTake(double now, double debt) {
+        if (!hasToken(now, debt)) {
             return false;
         }
         tokens -= 1;
@@ -48,7 +48,7 @@
     }
 
     /** Tokens saved up for a state service that was out would be spent all at once. */
-    void empty(double now) {
+    void discardTokens(double now) {
         refill(now);
         tokens = Math.min(tokens, 0);
     }
--- a/src/main/java/io/pepperfield/node/JobPredictions.java
+++ b/src/main/java/io/pepperfield/autoscaling/JobPredictions.java
@@ -1,10 +1,11 @@
-package io.pepperfield.node;
+package io.pepperfield.autoscaling;
 
+import io.pepperfield.cluster.ClusterState;
 import io.pepperfield.fleet.Attempt;
 import io.pepperfield.jobs.Job;
 import io.pepperfield.jobs.JobSpec;
-import io.pepperfield.predict.ClassTimes;
-import io.pepperfield.predict.Predictor;
+import io.pepperfield.predict.RunTimePredictor;
+import io.pepperfield.predict.WorkloadRunTimes;
 import it.unimi.dsi.fastutil.doubles.DoubleArrayList;
 import java.util.List;
 import java.util.OptionalDouble;
@@ -13,51 +14,52 @@
 final class JobPredictions {
 
     private final ClusterState cluster;
-    private final ClassTimes classTimes = new ClassTimes();
+    private final WorkloadRunTimes workloadRunTimes = new WorkloadRunTimes();
 
     JobPredictions(ClusterState cluster) {
         this.cluster = cluster;
     }
 
     /** A task of the job has completed after running for so long. */
-    void finished(Job job, double ranS) {
-        job.times.finished(ranS, OptionalDouble.empty());
-        classTimes.finished(job.spec.workload(), ranS);
+    void taskFinished(Job job, double ranS) {
+        job.runTimes.finished(ranS, OptionalDouble.empty());
+        workloadRunTimes.record(job.spec.workload(), ranS);
     }
 
     /** How long a task of the class runs, by those of late or else by its owner's estimate. */
-    double expected(JobSpec spec) {
-        return classTimes.expected(spec.workload(), spec.expectedS());
+    double expectedRunTime(JobSpec spec) {
+        return workloadRunTimes.expectedRunTime(spec.workload(), spec.expectedRunTimeS());
     }
 
     /**
      * What it needs and is not over: one that this leader does not have is done, or its end is
      * about to be known.
      */
-    List<String> needed(Job job) {
-        return job.spec.awaits().stream()
+    List<String> unfinishedDependencies(Job job) {
+        return job.spec.dependencies().stream()
                 .filter(
                         id ->
                                 cluster.jobs().containsKey(id)
-                                        && cluster.jobs().get(id).end() == null)
+                                        && cluster.jobs().get(id).finalStatus() == null)
                 .toList();
     }
 
     /** How long a task of a job runs of which nothing has begun. */
-    double expected(Job job) {
-        return job.spec.service() ? Double.POSITIVE_INFINITY : expected(job.spec);
+    double expectedRunTime(Job job) {
+        return job.spec.isService() ? Double.POSITIVE_INFINITY : expectedRunTime(job.spec);
     }
 
     /** Until its last task ends, as if room for all that wait were there. */
-    double remaining(Job job, double now) {
-        double runTime = job.times.count() == 0 ? expected(job) : runTime(job, now);
-        if (job.isAwaiting() || job.waitingCount() > 0) {
+    double remainingTime(Job job, double now) {
+        double runTime =
+                job.runTimes.count() == 0 ? expectedRunTime(job) : predictRunTime(job, now);
+        if (job.isAwaitingDependencies() || job.pendingTaskCount() > 0) {
             return runTime;
         }
-        return cluster.ledger().live(job).stream()
+        return cluster.liveAttempts().attemptsOf(job).stream()
                 .mapToDouble(
                         attempt ->
-                                Predictor.remaining(
+                                RunTimePredictor.remainingTime(
                                         runTime,
                                         attempt.running() ? now - attempt.runningSince() : 0))
                 .max()
@@ -65,18 +67,18 @@
     }
 
     /** WIRE's prediction for a task of the job; a replica has no end in sight. */
-    double runTime(Job job, double now) {
-        if (job.spec.service()) {
+    double predictRunTime(Job job, double now) {
+        if (job.spec.isService()) {
             return Double.POSITIVE_INFINITY;
         }
         DoubleArrayList running = new DoubleArrayList();
-        if (job.times.count() == 0) {
-            for (Attempt attempt : cluster.ledger().live(job)) {
+        if (job.runTimes.count() == 0) {
+            for (Attempt attempt : cluster.liveAttempts().attemptsOf(job)) {
                 if (attempt.running()) {
                     running.add(now - attempt.runningSince());
                 }
             }
         }
-        return Predictor.runTime(job.times, running, true, OptionalDouble.empty());
+        return RunTimePredictor.predictRunTime(job.runTimes, running, true, OptionalDouble.empty());
     }
 }
--- a/src/main/java/io/pepperfield/node/PoolResizer.java
+++ b/src/main/java/io/pepperfield/autoscaling/PoolScaler.java
@@ -1,8 +1,9 @@
-package io.pepperfield.node;
+package io.pepperfield.autoscaling;
 
+import io.pepperfield.capacity.InstancePool;
+import io.pepperfield.cluster.ClusterState;
 import io.pepperfield.fleet.Attempt;
 import io.pepperfield.fleet.Machine;
-import io.pepperfield.steering.Pool;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -11,14 +12,14 @@
 import java.util.Set;
 
 /** Rents the machines that a pool lacks, and returns those that it has too many. */
-final class PoolResizer {
+final class PoolScaler {
 
     private final ClusterState cluster;
-    private final double unitS;
+    private final double billingUnitS;
 
-    PoolResizer(ClusterState cluster) {
+    PoolScaler(ClusterState cluster) {
         this.cluster = cluster;
-        this.unitS = cluster.settings().operators().chargeS();
+        this.billingUnitS = cluster.settings().operators().billingUnitS();
     }
 
     /**
@@ -27,7 +28,7 @@
      *
      * @param first what is short in single zones, which is part of the count
      */
-    void rent(Pool pool, int count, Map<String, Integer> first) {
+    void scaleOut(InstancePool pool, int count, Map<String, Integer> first) {
         Map<String, Integer> perZone = new HashMap<>();
         for (Machine machine : cluster.fleet().machines()) {
             if (machine.pool().equals(pool)) {
@@ -35,8 +36,8 @@
             }
         }
         List<String> open =
-                cluster.types().get(pool.type()).zones().stream()
-                        .filter(z -> cluster.renting().open(pool, z))
+                cluster.machineTypes().get(pool.type()).zones().stream()
+                        .filter(z -> cluster.instanceLifecycle().mayHaveCapacity(pool, z))
                         .sorted()
                         .toList();
         if (open.isEmpty()) {
@@ -46,7 +47,10 @@
         // there is no other.
         List<String> prompt =
                 open.stream()
-                        .filter(z -> !cluster.boots().late(cluster.types().get(pool.type()), z))
+                        .filter(
+                                z ->
+                                        !cluster.bootTracker()
+                                                .late(cluster.machineTypes().get(pool.type()), z))
                         .toList();
         List<String> zones = prompt.isEmpty() ? open : prompt;
         Map<String, Integer> shares = new LinkedHashMap<>(first);
@@ -59,7 +63,7 @@
             perZone.merge(zone, 1, Integer::sum);
             shares.merge(zone, 1, Integer::sum);
         }
-        shares.forEach((zone, n) -> cluster.renting().rent(pool, zone, n));
+        shares.forEach((zone, n) -> cluster.instanceLifecycle().rent(pool, zone, n));
     }
 
     /**
@@ -67,20 +71,24 @@
      * cheap to restart. Not from zones that are short at the same time: what is rented there would
      * be returned and rented for ever.
      */
-    void shrink(Pool pool, int surplus, Set<String> shortZones, double intervalS, double now) {
+    void scaleIn(
+            InstancePool pool, int surplus, Set<String> shortZones, double intervalS, double now) {
         /** A machine that could be returned, and what work its return would cost. */
         record Candidate(Machine machine, double cost) {}
-        double most = cluster.settings().operators().restartShare() * unitS;
+        double most = cluster.settings().operators().restartCostShare() * billingUnitS;
         cluster.fleet().machines().stream()
                 .filter(
                         m ->
-                                m.up()
+                                m.ready()
                                         && !m.releasing()
                                         && !m.draining()
                                         && m.pool().equals(pool)
                                         && !m.holdsReplica()
                                         && !shortZones.contains(m.zone()))
-                .filter(m -> unitS - (now - m.rentedAt()) <= Math.min(intervalS, cluster.reportS()))
+                .filter(
+                        m ->
+                                billingUnitS - (now - m.rentedAt())
+                                        <= Math.min(intervalS, cluster.heartbeatIntervalS()))
                 .map(m -> new Candidate(m, restartCost(m, now)))
                 .filter(c -> c.cost <= most)
                 .sorted(
@@ -88,14 +96,14 @@
                                 .thenComparing(c -> c.machine.name))
                 .limit(surplus)
                 .toList()
-                .forEach(c -> cluster.renting().release(c.machine, "surplus"));
+                .forEach(c -> cluster.instanceLifecycle().release(c.machine, "surplus"));
     }
 
     private static double restartCost(Machine machine, double now) {
         double cost = 0;
         for (Attempt attempt : machine.attempts()) {
             if (attempt.live()) {
-                cost = Math.max(cost, ClusterState.lostS(attempt, now));
+                cost = Math.max(cost, ClusterState.lostWorkS(attempt, now));
             }
         }
         return cost;
--- a/src/main/java/io/pepperfield/steering/DemandWindow.java
+++ b/src/main/java/io/pepperfield/capacity/DemandWindow.java
@@ -1,4 +1,4 @@
-package io.pepperfield.steering;
+package io.pepperfield.capacity;
 
 import java.util.ArrayDeque;
 import java.util.Arrays;
--- a/src/main/java/io/pepperfield/steering/Pool.java
+++ b/src/main/java/io/pepperfield/capacity/InstancePool.java
@@ -1,10 +1,10 @@
-package io.pepperfield.steering;
+package io.pepperfield.capacity;
 
 /** Machines of one type and kind; the count of WIRE runs for each. */
-public record Pool(String type, boolean spot) implements Comparable<Pool> {
+public record InstancePool(String type, boolean spot) implements Comparable<InstancePool> {
 
     @Override
-    public int compareTo(Pool other) {
+    public int compareTo(InstancePool other) {
         int byType = type.compareTo(other.type);
         return byType != 0 ? byType : Boolean.compare(spot, other.spot);
     }
--- a/src/main/java/io/pepperfield/steering/ZoneShortage.java
+++ b/src/main/java/io/pepperfield/capacity/ZoneShortage.java
@@ -1,7 +1,7 @@
-package io.pepperfield.steering;
+package io.pepperfield.capacity;
 
+import io.pepperfield.capacity.MachineCountEstimator.UpcomingTasks;
 import io.pepperfield.jobs.JobSpec;
-import io.pepperfield.steering.Resize.Upcoming;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -19,73 +19,75 @@
      * A machine that stands or is coming, with the room that nothing alive is expected to hold when
      * the next interval begins.
      */
-    public record Standing(Pool pool, String zone, double cpus, double gpus, double memGb) {}
+    public record AvailableMachine(
+            InstancePool pool, String zone, double cpus, double gpus, double memGb) {}
 
     /**
      * Waiting tasks that may go to no other zone; null for a gang that has still to find the one
      * zone for all of it.
      */
-    public record Bound(JobSpec job, String zone, double remainingS, int tasks) {
+    public record ZoneBoundWork(JobSpec job, String zone, double remainingS, int taskCount) {
 
         /**
          * Of tasks that are shorter than the unit several follow each other; a gang's stand side by
          * side.
          */
-        private int eachSlot(double unitS) {
-            return job.gang() || remainingS >= unitS
+        private int tasksPerSlot(double unitS) {
+            return job.isGang() || remainingS >= unitS
                     ? 1
-                    : remainingS > 0 ? (int) (unitS / remainingS) : tasks;
+                    : remainingS > 0 ? (int) (unitS / remainingS) : taskCount;
         }
 
-        private Upcoming upcoming(double share, int left, double unitS) {
-            return new Upcoming(
-                    job.gang() ? Math.max(remainingS, unitS) : remainingS,
+        private UpcomingTasks toUpcomingTasks(double share, int left, double unitS) {
+            return new UpcomingTasks(
+                    job.isGang() ? Math.max(remainingS, unitS) : remainingS,
                     Math.min(1, share),
                     left);
         }
     }
 
     /** A pool that gives machines in that zone. */
-    public record Source(Steering.Offer offer, String zone) {}
+    public record ZoneOffer(CapacityPlanner.PoolOffer offer, String zone) {}
 
     /** Room that is used up as bound work is put on it. */
-    private static final class Spare {
-        final Standing at;
+    private static final class RemainingCapacity {
+        final AvailableMachine machine;
         double cpus;
         double gpus;
         double memGb;
 
-        Spare(Standing at) {
-            this.at = at;
+        RemainingCapacity(AvailableMachine at) {
+            this.machine = at;
             this.cpus = at.cpus();
             this.gpus = at.gpus();
             this.memGb = at.memGb();
         }
 
         /** How many tasks of the job would find room side by side, up to that many. */
-        int room(JobSpec job, String zone, int most) {
-            if (!at.zone().equals(zone) || !job.allows(at.pool().type(), zone, at.pool().spot())) {
+        int fittingTasks(JobSpec job, String zone, int most) {
+            if (!machine.zone().equals(zone)
+                    || !job.allowsMachine(machine.pool().type(), zone, machine.pool().spot())) {
                 return 0;
             }
             return Math.min(
-                    Math.min(most, slots(cpus, job.cpus())),
-                    Math.min(slots(gpus, job.gpus()), slots(memGb, job.memGb())));
+                    Math.min(most, fittingCount(cpus, job.cpus())),
+                    Math.min(fittingCount(gpus, job.gpus()), fittingCount(memGb, job.memGb())));
         }
 
-        void take(JobSpec job, int some) {
+        void allocate(JobSpec job, int some) {
             cpus -= some * job.cpus();
             gpus -= some * job.gpus();
             memGb -= some * job.memGb();
         }
 
-        private static int slots(double free, double each) {
+        private static int fittingCount(double free, double each) {
             return each > 0
-                    ? (int) Math.max(0, Math.floor(free / each + SLACK))
+                    ? (int) Math.max(0, Math.floor(free / each + ROUNDING_TOLERANCE))
                     : Integer.MAX_VALUE;
         }
     }
 
-    private static final double SLACK = 1e-6;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private ZoneShortage() {}
 
@@ -97,39 +99,41 @@
      * @param live its tasks that may be alive, by zone
      * @param zones where machines that it allows are on offer
      */
-    public static Bound bound(
+    public static ZoneBoundWork zoneBoundWork(
             JobSpec job,
             double remainingS,
             int waiting,
             Map<String, Integer> live,
             Set<String> zones) {
         if (job.zone() != null) {
-            return new Bound(job, job.zone(), remainingS, waiting);
+            return new ZoneBoundWork(job, job.zone(), remainingS, waiting);
         }
-        if (job.oneZone() && job.gang() && live.isEmpty()) {
-            return new Bound(job, null, remainingS, waiting);
+        if (job.sameZone() && job.isGang() && live.isEmpty()) {
+            return new ZoneBoundWork(job, null, remainingS, waiting);
         }
-        if (job.oneZone()) {
+        if (job.sameZone()) {
             return live.entrySet().stream()
                     .filter(zone -> zone.getValue() > 0)
                     .findFirst()
-                    .map(zone -> new Bound(job, zone.getKey(), remainingS, waiting))
+                    .map(zone -> new ZoneBoundWork(job, zone.getKey(), remainingS, waiting))
                     .orElse(null);
         }
-        if (!job.spread()) {
+        if (!job.spreadOverZones()) {
             return null;
         }
         List<String> left =
                 zones.stream()
-                        .filter(zone -> live.getOrDefault(zone, 0) < job.mostPerZone())
+                        .filter(zone -> live.getOrDefault(zone, 0) < job.maxTasksPerZone())
                         .toList();
         return left.size() != 1 || zones.size() == 1
                 ? null
-                : new Bound(
+                : new ZoneBoundWork(
                         job,
                         left.get(0),
                         remainingS,
-                        Math.min(waiting, job.mostPerZone() - live.getOrDefault(left.get(0), 0)));
+                        Math.min(
+                                waiting,
+                                job.maxTasksPerZone() - live.getOrDefault(left.get(0), 0)));
     }
 
     /**
@@ -138,43 +142,50 @@
      *
      * @param sources what can be had; a zone of a pool that has refused is none
      */
-    public static Map<Pool, Map<String, Integer>> of(
-            List<Bound> work,
-            List<Standing> standing,
-            List<Source> sources,
+    public static Map<InstancePool, Map<String, Integer>> missingMachines(
+            List<ZoneBoundWork> work,
+            List<AvailableMachine> standing,
+            List<ZoneOffer> sources,
             double unitS,
             double partlyShare) {
-        List<Spare> spares = standing.stream().map(Spare::new).toList();
-        Map<Source, List<Upcoming>> loads = new LinkedHashMap<>();
-        for (Bound bound : work) {
-            String zone = bound.zone() != null ? bound.zone() : fullest(bound, spares, sources);
-            int each = bound.eachSlot(unitS);
-            int left = bound.tasks();
-            for (Spare spare : spares) {
-                int slots = spare.room(bound.job(), zone, (left + each - 1) / each);
-                spare.take(bound.job(), slots);
+        List<RemainingCapacity> spares = standing.stream().map(RemainingCapacity::new).toList();
+        Map<ZoneOffer, List<UpcomingTasks>> loads = new LinkedHashMap<>();
+        for (ZoneBoundWork bound : work) {
+            String zone =
+                    bound.zone() != null ? bound.zone() : zoneLackingLeast(bound, spares, sources);
+            int each = bound.tasksPerSlot(unitS);
+            int left = bound.taskCount();
+            for (RemainingCapacity spare : spares) {
+                int slots = spare.fittingTasks(bound.job(), zone, (left + each - 1) / each);
+                spare.allocate(bound.job(), slots);
                 left -= (int) Math.min(left, (long) each * slots);
             }
-            Source source = left > 0 ? choose(sources, bound.job(), zone) : null;
+            ZoneOffer source = left > 0 ? chooseOffer(sources, bound.job(), zone) : null;
             if (source != null) {
                 loads.computeIfAbsent(source, s -> new ArrayList<>())
-                        .add(bound.upcoming(source.offer().share(bound.job()), left, unitS));
+                        .add(
+                                bound.toUpcomingTasks(
+                                        source.offer().machineShare(bound.job()), left, unitS));
             }
         }
-        Map<Pool, Map<String, Integer>> shortages = new TreeMap<>();
+        Map<InstancePool, Map<String, Integer>> shortages = new TreeMap<>();
         loads.forEach(
                 (source, load) ->
                         shortages
                                 .computeIfAbsent(source.offer().pool(), p -> new TreeMap<>())
-                                .put(source.zone(), Resize.machines(load, unitS, partlyShare)));
+                                .put(
+                                        source.zone(),
+                                        MachineCountEstimator.requiredMachines(
+                                                load, unitS, partlyShare)));
         return shortages;
     }
 
     /** The zone that lacks least for a gang, among those where it has room or room can be had. */
-    private static String fullest(Bound gang, List<Spare> spares, List<Source> sources) {
+    private static String zoneLackingLeast(
+            ZoneBoundWork gang, List<RemainingCapacity> spares, List<ZoneOffer> sources) {
         Map<String, Integer> rooms = new TreeMap<>();
-        for (Source source : sources) {
-            if (choose(sources, gang.job(), source.zone()) != null) {
+        for (ZoneOffer source : sources) {
+            if (chooseOffer(sources, gang.job(), source.zone()) != null) {
                 rooms.put(source.zone(), 0);
             }
         }
@@ -182,12 +193,13 @@
         spares.forEach(
                 spare ->
                         standing.merge(
-                                spare.at.zone(),
-                                spare.room(gang.job(), spare.at.zone(), gang.tasks()),
+                                spare.machine.zone(),
+                                spare.fittingTasks(
+                                        gang.job(), spare.machine.zone(), gang.taskCount()),
                                 Integer::sum));
         standing.forEach(
                 (zone, room) -> {
-                    if (room >= gang.tasks() || rooms.containsKey(zone)) {
+                    if (room >= gang.taskCount() || rooms.containsKey(zone)) {
                         rooms.put(zone, room);
                     }
                 });
@@ -197,20 +209,20 @@
                 .orElse(null);
     }
 
-    private static Source choose(List<Source> sources, JobSpec job, String zone) {
-        Source best = null;
-        for (Source source : sources) {
-            Pool pool = source.offer().pool();
-            double share = source.offer().share(job);
+    private static ZoneOffer chooseOffer(List<ZoneOffer> sources, JobSpec job, String zone) {
+        ZoneOffer best = null;
+        for (ZoneOffer source : sources) {
+            InstancePool pool = source.offer().pool();
+            double share = source.offer().machineShare(job);
             if (source.zone().equals(zone)
-                    && job.allows(pool.type(), zone, pool.spot())
+                    && job.allowsMachine(pool.type(), zone, pool.spot())
                     && share <= 1
                     && (best == null
-                            || Steering.cheaper(
+                            || CapacityPlanner.isCheaper(
                                     source.offer(),
                                     best.offer(),
                                     share,
-                                    best.offer().share(job)))) {
+                                    best.offer().machineShare(job)))) {
                 best = source;
             }
         }
--- a/src/main/java/io/pepperfield/cli/Cancel.java
+++ b/src/main/java/io/pepperfield/cli/CancelCommand.java
@@ -7,15 +7,15 @@
 
 /** The {@code cancel} command: asks a controller to cancel one job. */
 @Command(name = "cancel", mixinStandardHelpOptions = true, description = "Cancels a job.")
-final class Cancel implements Callable<Integer> {
+final class CancelCommand implements Callable<Integer> {
 
-    @Mixin private Remote remote;
+    @Mixin private ControllerClient remote;
 
     @Parameters(paramLabel = "JOB", description = "The job's id, such as run-000412.")
     private String job;
 
     @Override
     public Integer call() {
-        return remote.callJob("POST", job, "/cancel", new byte[0]);
+        return remote.requestForJob("POST", job, "/cancel", new byte[0]);
     }
 }
--- a/src/main/java/io/pepperfield/cli/Check.java
+++ b/src/main/java/io/pepperfield/cli/CheckCommand.java
@@ -13,7 +13,7 @@
         name = "check",
         mixinStandardHelpOptions = true,
         description = "Checks settings files and says what they hold.")
-final class Check implements Callable<Integer> {
+final class CheckCommand implements Callable<Integer> {
 
     @Mixin private SettingsFiles files;
 
--- a/src/main/java/io/pepperfield/cli/Rehearse.java
+++ b/src/main/java/io/pepperfield/cli/ClassDataTraining.java
@@ -3,12 +3,12 @@
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
-import io.pepperfield.config.Operators;
+import io.pepperfield.config.OperatorSettings;
 import io.pepperfield.config.Settings;
 import io.pepperfield.config.SettingsReader;
+import io.pepperfield.controller.ControllerServer;
 import io.pepperfield.http.HttpClient;
-import io.pepperfield.http.Outcome;
-import io.pepperfield.node.Service;
+import io.pepperfield.http.HttpOutcome;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
@@ -21,7 +21,7 @@
  * exit holds it.
  */
 @Command(name = "rehearse", hidden = true)
-final class Rehearse implements Callable<Integer> {
+final class ClassDataTraining implements Callable<Integer> {
 
     private static final String SETTINGS =
             """
@@ -54,8 +54,8 @@
 
     @Override
     public Integer call() throws Exception {
-        Settings settings = SettingsReader.parse("rehearsal", SETTINGS, Operators.DEFAULTS);
-        Service service = new Service(settings);
+        Settings settings = SettingsReader.parse("rehearsal", SETTINGS, OperatorSettings.DEFAULTS);
+        ControllerServer service = new ControllerServer(settings);
         int port = service.start();
         Thread owner = new Thread(service::run);
         owner.start();
@@ -63,7 +63,7 @@
         HttpClient client = new HttpClient(network, 1 << 20);
         for (String path :
                 new String[] {"/up", "/api/nodes", "/api/jobs/run-000001", "/agent/beat"}) {
-            CompletableFuture<Outcome> done = new CompletableFuture<>();
+            CompletableFuture<HttpOutcome> done = new CompletableFuture<>();
             byte[] body =
                     path.startsWith("/agent")
                             ? "{\"host\":\"a\",\"shards\":[1.5,true]}"
@@ -89,7 +89,12 @@
 
     private static void loadOwnClasses() throws Exception {
         Path jar =
-                Path.of(Rehearse.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+                Path.of(
+                        ClassDataTraining.class
+                                .getProtectionDomain()
+                                .getCodeSource()
+                                .getLocation()
+                                .toURI());
         try (JarFile file = new JarFile(jar.toFile())) {
             for (String name :
                     file.stream()
--- a/src/main/java/io/pepperfield/cli/Remote.java
+++ b/src/main/java/io/pepperfield/cli/ControllerClient.java
@@ -7,7 +7,7 @@
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import io.pepperfield.http.HttpClient;
-import io.pepperfield.http.Outcome;
+import io.pepperfield.http.HttpOutcome;
 import io.pepperfield.jobs.JobMessages;
 import java.io.IOException;
 import java.util.List;
@@ -20,7 +20,7 @@
 import picocli.CommandLine.Spec;
 
 /** The public interface from outside: the first controller that answers is asked. */
-final class Remote {
+final class ControllerClient {
 
     private static final long DEADLINE_MS = 5000;
     private static final int UNAVAILABLE = 503;
@@ -37,54 +37,55 @@
     private CommandSpec command;
 
     /** Asks about one job; what is no job's id is a mistake on the command line. */
-    int callJob(String method, String job, String action, byte[] body) {
+    int requestForJob(String method, String job, String action, byte[] body) {
         if (!JobMessages.validId(job)) {
             throw new ParameterException(
                     command.commandLine(), job + ": want an id such as run-000412");
         }
-        return call(method, "/api/jobs/" + job + action, body);
+        return request(method, "/api/jobs/" + job + action, body);
     }
 
     /** Prints the first controller's answer; 0 for a 2xx, 1 otherwise. */
-    int call(String method, String path, byte[] body) {
-        return call(method, path, body, answer -> true);
+    int request(String method, String path, byte[] body) {
+        return request(method, path, body, answer -> true);
     }
 
-    /** As {@link #call}, but asks on where a controller says that it cannot decide. */
-    int callLeader(String method, String path, byte[] body) {
-        return call(method, path, body, answer -> answer.status() != UNAVAILABLE);
+    /** As {@link #request}, but asks on where a controller says that it cannot decide. */
+    int requestFromLeader(String method, String path, byte[] body) {
+        return request(method, path, body, answer -> answer.status() != UNAVAILABLE);
     }
 
-    private int call(String method, String path, byte[] body, Predicate<Outcome.Answered> decides) {
+    private int request(
+            String method, String path, byte[] body, Predicate<HttpOutcome.Answered> decides) {
         for (String server : servers) {
-            if (server.lastIndexOf(':') < 1 || port(server) < 0) {
+            if (server.lastIndexOf(':') < 1 || parsePort(server) < 0) {
                 throw new ParameterException(command.commandLine(), server + ": want HOST:PORT");
             }
         }
         EventLoopGroup network = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
             HttpClient client = new HttpClient(network, 16 * 1024 * 1024);
-            Outcome.Answered undecided = null;
+            HttpOutcome.Answered undecided = null;
             for (String server : servers) {
-                CompletableFuture<Outcome> outcome = new CompletableFuture<>();
+                CompletableFuture<HttpOutcome> outcome = new CompletableFuture<>();
                 client.send(
                         server.substring(0, server.lastIndexOf(':')),
-                        port(server),
+                        parsePort(server),
                         1,
                         method,
                         path,
                         body,
                         DEADLINE_MS,
                         outcome::complete);
-                if (outcome.join() instanceof Outcome.Answered answer) {
+                if (outcome.join() instanceof HttpOutcome.Answered answer) {
                     if (decides.test(answer)) {
-                        return print(answer);
+                        return printAnswer(answer);
                     }
                     undecided = answer;
                 }
             }
             if (undecided != null) {
-                return print(undecided);
+                return printAnswer(undecided);
             }
             System.err.println(
                     "pepperfield: " + servers.get(servers.size() - 1) + " does not answer");
@@ -94,7 +95,7 @@
         }
     }
 
-    private static int port(String server) {
+    private static int parsePort(String server) {
         try {
             int port = Integer.parseInt(server.substring(server.lastIndexOf(':') + 1));
             return port <= 65535 ? port : -1;
@@ -103,7 +104,7 @@
         }
     }
 
-    private static int print(Outcome.Answered answer) {
+    private static int printAnswer(HttpOutcome.Answered answer) {
         JsonNode json = answer.json();
         boolean fine = answer.status() / 100 == 2;
         if (!fine) {
--- a/src/main/java/io/pepperfield/cli/Show.java
+++ b/src/main/java/io/pepperfield/cli/JobStatusCommand.java
@@ -7,15 +7,15 @@
 
 /** The {@code status} command: prints the state of one job. */
 @Command(name = "status", mixinStandardHelpOptions = true, description = "Shows a job's state.")
-final class Show implements Callable<Integer> {
+final class JobStatusCommand implements Callable<Integer> {
 
-    @Mixin private Remote remote;
+    @Mixin private ControllerClient remote;
 
     @Parameters(paramLabel = "JOB", description = "The job's id, such as run-000412.")
     private String job;
 
     @Override
     public Integer call() {
-        return remote.callJob("GET", job, "", null);
+        return remote.requestForJob("GET", job, "", null);
     }
 }
--- a/src/main/java/io/pepperfield/cli/Main.java
+++ b/src/main/java/io/pepperfield/cli/Main.java
@@ -10,15 +10,15 @@
         version = "pepperfield 0.2.0",
         description = "A cluster scheduler that rents machines by predicted load.",
         subcommands = {
-            Serve.class,
-            Check.class,
-            Submit.class,
-            Show.class,
-            Cancel.class,
-            Nodes.class,
+            ServeCommand.class,
+            CheckCommand.class,
+            SubmitCommand.class,
+            JobStatusCommand.class,
+            CancelCommand.class,
+            NodesCommand.class,
             RolloutCommand.class,
             StateCommand.class,
-            Rehearse.class
+            ClassDataTraining.class
         })
 public final class Main extends CommandGroup {
 
--- a/src/main/java/io/pepperfield/cli/Nodes.java
+++ b/src/main/java/io/pepperfield/cli/NodesCommand.java
@@ -10,12 +10,12 @@
         mixinStandardHelpOptions = true,
         description =
                 "Shows what a controller knows: the leader, and on the leader machines, teams and what waits for what.")
-final class Nodes implements Callable<Integer> {
+final class NodesCommand implements Callable<Integer> {
 
-    @Mixin private Remote remote;
+    @Mixin private ControllerClient remote;
 
     @Override
     public Integer call() {
-        return remote.call("GET", "/api/nodes", null);
+        return remote.request("GET", "/api/nodes", null);
     }
 }
--- a/src/main/java/io/pepperfield/cli/RolloutCommand.java
+++ b/src/main/java/io/pepperfield/cli/RolloutCommand.java
@@ -30,22 +30,22 @@
             description = "Shows the version, every controller's release and who is waited for.")
     static final class StatusCommand implements Callable<Integer> {
 
-        @Mixin private Remote remote;
+        @Mixin private ControllerClient remote;
 
         @Override
         public Integer call() {
-            return remote.call("GET", Rollout.PATH, null);
+            return remote.request("GET", Rollout.PATH, null);
         }
     }
 
     /** A change of the version, which only the leader makes. */
-    private abstract static class Change implements Callable<Integer> {
+    private abstract static class VersionChangeCommand implements Callable<Integer> {
 
-        @Mixin private Remote remote;
+        @Mixin private ControllerClient remote;
 
         private final String path;
 
-        Change(String name) {
+        VersionChangeCommand(String name) {
             path = Rollout.PATH + "/" + name;
         }
 
@@ -56,7 +56,7 @@
 
         @Override
         public Integer call() {
-            return remote.callLeader("POST", path, Json.write(body()));
+            return remote.requestFromLeader("POST", path, Json.write(body()));
         }
     }
 
@@ -65,7 +65,7 @@
             name = "activate",
             mixinStandardHelpOptions = true,
             description = "Writes the next version from now on; may be repeated.")
-    static final class ActivateCommand extends Change {
+    static final class ActivateCommand extends VersionChangeCommand {
 
         @Option(
                 names = "--to",
@@ -106,7 +106,7 @@
             name = "finalize",
             mixinStandardHelpOptions = true,
             description = "Makes the active version final: there is no way back afterwards.")
-    static final class FinalizeCommand extends Change {
+    static final class FinalizeCommand extends VersionChangeCommand {
 
         FinalizeCommand() {
             super("finalize");
@@ -118,7 +118,7 @@
             name = "rollback",
             mixinStandardHelpOptions = true,
             description = "Goes back to the version before; may be repeated to see what is left.")
-    static final class RollbackCommand extends Change {
+    static final class RollbackCommand extends VersionChangeCommand {
 
         RollbackCommand() {
             super("rollback");
--- a/src/main/java/io/pepperfield/cli/Serve.java
+++ b/src/main/java/io/pepperfield/cli/ServeCommand.java
@@ -2,7 +2,7 @@
 
 import io.pepperfield.config.Settings;
 import io.pepperfield.config.SettingsException;
-import io.pepperfield.node.Service;
+import io.pepperfield.controller.ControllerServer;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
@@ -12,7 +12,7 @@
         name = "serve",
         mixinStandardHelpOptions = true,
         description = "Runs a controller until it is killed.")
-final class Serve implements Callable<Integer> {
+final class ServeCommand implements Callable<Integer> {
 
     @Mixin private SettingsFiles files;
 
@@ -25,7 +25,7 @@
             System.err.println("pepperfield: " + e.getMessage());
             return 1;
         }
-        Service service = new Service(settings);
+        ControllerServer service = new ControllerServer(settings);
         try {
             service.start();
         } catch (Exception e) {
@@ -33,9 +33,9 @@
             // mend, not a crash.
             System.err.println(
                     "pepperfield: cannot listen on "
-                            + settings.bind()
+                            + settings.bindAddress()
                             + " and "
-                            + settings.peerListen()
+                            + settings.peerAddress()
                             + ": "
                             + e.getMessage());
             return 1;
--- a/src/main/java/io/pepperfield/cli/SettingsFiles.java
+++ b/src/main/java/io/pepperfield/cli/SettingsFiles.java
@@ -1,7 +1,7 @@
 package io.pepperfield.cli;
 
-import io.pepperfield.config.Operators;
-import io.pepperfield.config.OperatorsReader;
+import io.pepperfield.config.OperatorSettings;
+import io.pepperfield.config.OperatorSettingsReader;
 import io.pepperfield.config.Settings;
 import io.pepperfield.config.SettingsException;
 import io.pepperfield.config.SettingsReader;
@@ -26,6 +26,9 @@
 
     Settings read() throws SettingsException {
         return SettingsReader.read(
-                config, operators == null ? Operators.DEFAULTS : OperatorsReader.read(operators));
+                config,
+                operators == null
+                        ? OperatorSettings.DEFAULTS
+                        : OperatorSettingsReader.read(operators));
     }
 }
--- a/src/main/java/io/pepperfield/cli/StateCommand.java
+++ b/src/main/java/io/pepperfield/cli/StateCommand.java
@@ -6,10 +6,10 @@
 import io.pepperfield.config.Settings;
 import io.pepperfield.config.SettingsException;
 import io.pepperfield.http.HttpClient;
-import io.pepperfield.recovery.ArchiveFault;
-import io.pepperfield.recovery.HttpStateSource;
+import io.pepperfield.recovery.ArchiveException;
+import io.pepperfield.recovery.ArchiveWriter;
+import io.pepperfield.recovery.HttpSnapshotSource;
 import io.pepperfield.recovery.StateArchive;
-import io.pepperfield.recovery.StateExport;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -28,9 +28,9 @@
         subcommands = {StateCommand.ExportCommand.class, StateCommand.InspectCommand.class})
 final class StateCommand extends CommandGroup {
 
-    private static final int MOST_ANSWER_BYTES = 64 * 1024 * 1024;
+    private static final int MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
 
-    private static int failed(String why) {
+    private static int reportFailure(String why) {
         System.err.println("pepperfield: " + why);
         return 1;
     }
@@ -52,16 +52,16 @@
             EventLoopGroup network = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
             try {
                 Settings settings = files.read();
-                HttpStateSource source =
-                        new HttpStateSource(
-                                new HttpClient(network, MOST_ANSWER_BYTES),
-                                settings.state(),
-                                settings.deployment().state().rps());
-                long revision = new StateExport(source, controllers(settings)).write(file);
+                HttpSnapshotSource source =
+                        new HttpSnapshotSource(
+                                new HttpClient(network, MAX_RESPONSE_BYTES),
+                                settings.storeAddress(),
+                                settings.deployment().storeLimits().requestsPerS());
+                long revision = new ArchiveWriter(source, controllers(settings)).write(file);
                 System.out.println(file + ": revision " + revision);
                 return 0;
             } catch (SettingsException | IOException e) {
-                return failed(e.getMessage());
+                return reportFailure(e.getMessage());
             } finally {
                 network.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
             }
@@ -91,10 +91,11 @@
                 StateArchive archive = StateArchive.inspect(file);
                 System.out.println("revision " + archive.revision());
                 System.out.println("controllers " + String.join(", ", archive.controllers()));
-                archive.keys().forEach((kind, count) -> System.out.println(kind + " " + count));
+                archive.keyCounts()
+                        .forEach((kind, count) -> System.out.println(kind + " " + count));
                 return 0;
-            } catch (ArchiveFault e) {
-                return failed(file + ": " + e.getMessage());
+            } catch (ArchiveException e) {
+                return reportFailure(file + ": " + e.getMessage());
             }
         }
     }
--- a/src/main/java/io/pepperfield/cli/Submit.java
+++ b/src/main/java/io/pepperfield/cli/SubmitCommand.java
@@ -13,9 +13,9 @@
         name = "submit",
         mixinStandardHelpOptions = true,
         description = "Submits a job described in a JSON file (- for standard input).")
-final class Submit implements Callable<Integer> {
+final class SubmitCommand implements Callable<Integer> {
 
-    @Mixin private Remote remote;
+    @Mixin private ControllerClient remote;
 
     @Parameters(paramLabel = "FILE", description = "The job.")
     private String file;
@@ -29,6 +29,6 @@
             System.err.println("pepperfield: " + file + " cannot be read");
             return 1;
         }
-        return remote.call("POST", "/api/jobs", body);
+        return remote.request("POST", "/api/jobs", body);
     }
 }
--- a/src/main/java/io/pepperfield/cloud/HttpCloud.java
+++ b/src/main/java/io/pepperfield/cloud/HttpCloudProvider.java
@@ -5,9 +5,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.config.Settings;
 import io.pepperfield.fleet.MachineType;
+import io.pepperfield.http.HttpOutcome;
+import io.pepperfield.http.HttpSender;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Outcome;
-import io.pepperfield.http.Sender;
 import io.pepperfield.loop.Loop;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -15,44 +15,45 @@
 import java.util.function.Consumer;
 
 /** The cloud over its published protocol; the only place that knows its field names. */
-public final class HttpCloud implements Cloud {
+public final class HttpCloudProvider implements CloudProvider {
 
-    private static final double DEADLINE_S = 5;
-    private static final int PAGE = 500;
+    private static final double TIMEOUT_S = 5;
+    private static final int PAGE_SIZE = 500;
 
     private final Loop loop;
-    private final Sender client;
+    private final HttpSender client;
     private final Settings.Address address;
-    private final double spacingS;
-    private final ArrayDeque<Runnable> urgent = new ArrayDeque<>();
-    private final ArrayDeque<Runnable> patient = new ArrayDeque<>();
-    private double nextAt;
-    private boolean pumping;
+    private final double requestSpacingS;
+    private final ArrayDeque<Runnable> urgentRequests = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> backgroundRequests = new ArrayDeque<>();
+    private double nextRequestAt;
+    private boolean sendScheduled;
 
     /** Creates a client that keeps below {@code rps} requests per second. */
-    public HttpCloud(Loop loop, Sender client, Settings.Address address, double rps) {
+    public HttpCloudProvider(Loop loop, HttpSender client, Settings.Address address, double rps) {
         this.loop = loop;
         this.client = client;
         this.address = address;
         // A fifth below the rate: the clocks drift, and other nodes ask for the types now and then.
-        this.spacingS = 1.25 / rps;
+        this.requestSpacingS = 1.25 / rps;
     }
 
     @Override
-    public void types(Consumer<List<MachineType>> done) {
-        send(
-                patient,
+    public void listMachineTypes(Consumer<List<MachineType>> done) {
+        enqueue(
+                backgroundRequests,
                 "GET",
                 "/machine_types",
                 null,
                 outcome ->
                         done.accept(
-                                outcome instanceof Outcome.Answered answer && answer.status() == 200
-                                        ? readTypes(answer.json())
+                                outcome instanceof HttpOutcome.Answered answer
+                                                && answer.status() == 200
+                                        ? parseMachineTypes(answer.json())
                                         : null));
     }
 
-    private static List<MachineType> readTypes(JsonNode body) {
+    private static List<MachineType> parseMachineTypes(JsonNode body) {
         if (!body.path("flavours").isArray()) {
             return null;
         }
@@ -77,13 +78,13 @@
     }
 
     @Override
-    public void rent(
+    public void rentInstances(
             String request,
             String type,
             String zone,
             boolean spot,
             int count,
-            Consumer<Rented> done) {
+            Consumer<RentalOutcome> done) {
         byte[] body =
                 Json.write(
                         Json.object()
@@ -92,60 +93,61 @@
                                 .put("site", zone)
                                 .put("reclaimable", spot)
                                 .put("howMany", count));
-        send(
-                urgent,
+        enqueue(
+                urgentRequests,
                 "POST",
                 "/rentals",
                 body,
                 outcome -> {
-                    if (!(outcome instanceof Outcome.Answered answer)) {
-                        done.accept(new Rented.Failed("no answer"));
+                    if (!(outcome instanceof HttpOutcome.Answered answer)) {
+                        done.accept(new RentalOutcome.Failed("no answer"));
                         return;
                     }
                     JsonNode json = answer.json();
                     if (answer.status() == 200 && json.path("hosts").isArray()) {
                         List<String> names = new ArrayList<>();
                         json.path("hosts").forEach(n -> names.add(n.asText()));
-                        done.accept(new Rented.Machines(names));
+                        done.accept(new RentalOutcome.Granted(names));
                     } else if (answer.status() == 503
                             && json.path("error").asText().equals("no capacity")) {
-                        done.accept(new Rented.NoCapacity());
+                        done.accept(new RentalOutcome.NoCapacity());
                     } else {
-                        done.accept(new Rented.Failed("status " + answer.status()));
+                        done.accept(new RentalOutcome.Failed("status " + answer.status()));
                     }
                 });
     }
 
     @Override
-    public void release(List<String> names, Consumer<Boolean> done) {
+    public void releaseInstances(List<String> names, Consumer<Boolean> done) {
         ObjectNode body = Json.object();
         ArrayNode hosts = body.putArray("hosts");
         names.forEach(hosts::add);
-        send(
-                urgent,
+        enqueue(
+                urgentRequests,
                 "POST",
                 "/rentals/release",
                 Json.write(body),
                 outcome ->
                         done.accept(
-                                outcome instanceof Outcome.Answered answer
+                                outcome instanceof HttpOutcome.Answered answer
                                         && answer.status() == 200));
     }
 
     @Override
-    public void list(Consumer<List<Listed>> done) {
-        page("", new ArrayList<>(), done);
+    public void listInstances(Consumer<List<ListedInstance>> done) {
+        listPage("", new ArrayList<>(), done);
     }
 
-    private void page(String after, List<Listed> all, Consumer<List<Listed>> done) {
-        String path = "/rentals?limit=" + PAGE + (after.isEmpty() ? "" : "&since=" + after);
-        send(
-                patient,
+    private void listPage(
+            String after, List<ListedInstance> all, Consumer<List<ListedInstance>> done) {
+        String path = "/rentals?limit=" + PAGE_SIZE + (after.isEmpty() ? "" : "&since=" + after);
+        enqueue(
+                backgroundRequests,
                 "GET",
                 path,
                 null,
                 outcome -> {
-                    if (!(outcome instanceof Outcome.Answered answer)
+                    if (!(outcome instanceof HttpOutcome.Answered answer)
                             || answer.status() != 200
                             || !answer.json().path("hosts").isArray()) {
                         done.accept(null);
@@ -154,7 +156,7 @@
                     JsonNode body = answer.json();
                     for (JsonNode n : body.path("hosts")) {
                         all.add(
-                                new Listed(
+                                new ListedInstance(
                                         n.path("nameId").asText(),
                                         n.path("addr").asText(),
                                         n.path("flavour").asText(),
@@ -164,19 +166,19 @@
                                         n.path("ageS").asDouble()));
                     }
                     if (body.path("truncated").asBoolean() && body.path("hosts").size() > 0) {
-                        page(all.get(all.size() - 1).name(), all, done);
+                        listPage(all.get(all.size() - 1).name(), all, done);
                     } else {
                         done.accept(all);
                     }
                 });
     }
 
-    private void send(
+    private void enqueue(
             ArrayDeque<Runnable> queue,
             String method,
             String path,
             byte[] body,
-            Consumer<Outcome> done) {
+            Consumer<HttpOutcome> done) {
         queue.add(
                 () ->
                         client.send(
@@ -186,26 +188,26 @@
                                 method,
                                 path,
                                 body,
-                                Math.round(DEADLINE_S * 1000),
+                                Math.round(TIMEOUT_S * 1000),
                                 outcome -> loop.post(() -> done.accept(outcome))));
-        if (!pumping) {
-            pump();
+        if (!sendScheduled) {
+            sendQueued();
         }
     }
 
-    private void pump() {
-        pumping = false;
-        while (!urgent.isEmpty() || !patient.isEmpty()) {
+    private void sendQueued() {
+        sendScheduled = false;
+        while (!urgentRequests.isEmpty() || !backgroundRequests.isEmpty()) {
             double now = loop.now();
             // A burst of one second's worth is saved up at most; the service allows two.
-            nextAt = Math.max(nextAt, now - 1);
-            if (nextAt > now) {
-                pumping = true;
-                loop.after(nextAt - now, this::pump);
+            nextRequestAt = Math.max(nextRequestAt, now - 1);
+            if (nextRequestAt > now) {
+                sendScheduled = true;
+                loop.after(nextRequestAt - now, this::sendQueued);
                 return;
             }
-            nextAt += spacingS;
-            (urgent.isEmpty() ? patient : urgent).poll().run();
+            nextRequestAt += requestSpacingS;
+            (urgentRequests.isEmpty() ? backgroundRequests : urgentRequests).poll().run();
         }
     }
 }
--- a/src/main/java/io/pepperfield/cloud/Renting.java
+++ b/src/main/java/io/pepperfield/cloud/InstanceLifecycle.java
@@ -2,13 +2,13 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pepperfield.capacity.InstancePool;
 import io.pepperfield.fleet.Fleet;
 import io.pepperfield.fleet.Machine;
 import io.pepperfield.http.Json;
 import io.pepperfield.loop.Loop;
-import io.pepperfield.steering.Pool;
+import io.pepperfield.store.FencedWriter;
 import io.pepperfield.store.Keys;
-import io.pepperfield.store.Writer;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -26,65 +26,65 @@
  * the leader's token, so that no two requests ever share one; a request without an answer is
  * repeated by its name, by a later leader too.
  */
-public final class Renting {
+public final class InstanceLifecycle {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Renting.class);
-    private static final int MOST_AT_ONCE = 50;
-    private static final int MOST_RELEASED = 100;
+    private static final Logger LOG = LoggerFactory.getLogger(InstanceLifecycle.class);
+    private static final int MAX_INSTANCES_PER_RENTAL = 50;
+    private static final int MAX_INSTANCES_PER_RELEASE = 100;
 
     /** Batches up to this size are logged by name. */
-    private static final int NAMED = 3;
+    private static final int MAX_NAMES_LOGGED = 3;
 
     /**
      * One rental request: its idempotency key, what it asks for, and the machines it has brought.
      */
-    private static final class Hire {
-        final String name;
-        final Pool pool;
+    private static final class RentalRequest {
+        final String requestId;
+        final InstancePool pool;
         final String zone;
         final int count;
-        final long atMs;
-        final Set<String> hosts = new LinkedHashSet<>();
+        final long requestedAtMs;
+        final Set<String> instanceNames = new LinkedHashSet<>();
 
         /** Answered or given up: the record says which machines it brought. */
         boolean answered;
 
-        Hire(String name, Pool pool, String zone, int count, long atMs) {
-            this.name = name;
+        RentalRequest(String name, InstancePool pool, String zone, int count, long atMs) {
+            this.requestId = name;
             this.pool = pool;
             this.zone = zone;
             this.count = count;
-            this.atMs = atMs;
+            this.requestedAtMs = atMs;
         }
 
-        JsonNode write() {
+        JsonNode encode() {
             ObjectNode node =
                     Json.object()
                             .put("t", pool.type())
                             .put("p", pool.spot())
                             .put("z", zone)
                             .put("n", count)
-                            .put("at", atMs)
+                            .put("at", requestedAtMs)
                             .put("a", answered);
             var all = node.putArray("h");
-            hosts.forEach(all::add);
+            instanceNames.forEach(all::add);
             return node;
         }
     }
 
     private final Loop loop;
-    private final Cloud cloud;
-    private final Writer writer;
+    private final CloudProvider cloud;
+    private final FencedWriter writer;
     private final Fleet fleet;
-    private final long token;
+    private final long fencingToken;
     private final double retryS;
-    private final double refusalS;
-    private final BooleanSupplier confirmed;
-    private final Map<String, Hire> hires = new LinkedHashMap<>();
-    private final Map<String, Double> refusedUntil = new HashMap<>();
+    private final double noCapacityValidityS;
+    private final BooleanSupplier leadershipConfirmed;
+    private final Map<String, RentalRequest> rentalRequests = new LinkedHashMap<>();
+    private final Map<String, Double> noCapacityUntil = new HashMap<>();
 
     /** Machines to be returned, with the reason. */
-    private final Map<String, String> toRelease = new LinkedHashMap<>();
+    private final Map<String, String> pendingReleases = new LinkedHashMap<>();
 
     private boolean releasing;
     private int sequence;
@@ -96,10 +96,10 @@
      * @param confirmed whether the grant cannot have ended: a leader that has stood still must not
      *     return machines that the next one uses
      */
-    public Renting(
+    public InstanceLifecycle(
             Loop loop,
-            Cloud cloud,
-            Writer writer,
+            CloudProvider cloud,
+            FencedWriter writer,
             Fleet fleet,
             long token,
             double retryS,
@@ -109,10 +109,10 @@
         this.cloud = cloud;
         this.writer = writer;
         this.fleet = fleet;
-        this.token = token;
+        this.fencingToken = token;
         this.retryS = retryS;
-        this.refusalS = refusalS;
-        this.confirmed = confirmed;
+        this.noCapacityValidityS = refusalS;
+        this.leadershipConfirmed = confirmed;
     }
 
     /** The leadership has ended: nothing is sent from here any more. */
@@ -122,50 +122,51 @@
 
     /** Takes over an earlier leader's rental from its durable record. */
     public void restore(String name, JsonNode data) {
-        Hire hire =
-                new Hire(
+        RentalRequest hire =
+                new RentalRequest(
                         name,
-                        new Pool(data.path("t").asText(), data.path("p").asBoolean()),
+                        new InstancePool(data.path("t").asText(), data.path("p").asBoolean()),
                         data.path("z").asText(),
                         data.path("n").asInt(),
                         data.path("at").asLong());
         hire.answered = data.path("a").asBoolean();
-        data.path("h").forEach(host -> hire.hosts.add(host.asText()));
-        if (hire.answered && hire.hosts.isEmpty()) {
+        data.path("h").forEach(host -> hire.instanceNames.add(host.asText()));
+        if (hire.answered && hire.instanceNames.isEmpty()) {
             return;
         }
-        hires.put(name, hire);
+        rentalRequests.put(name, hire);
         if (hire.answered) {
-            hire.hosts.forEach(host -> expect(hire, host));
+            hire.instanceNames.forEach(host -> expectMachine(hire, host));
         } else {
-            request(hire);
+            sendRentalRequest(hire);
         }
     }
 
-    private void expect(Hire hire, String host) {
-        double ageS = Math.max(0, (loop.wallMs() - hire.atMs) / 1000.0);
-        fleet.expect(
+    private void expectMachine(RentalRequest hire, String host) {
+        double ageS = Math.max(0, (loop.wallMs() - hire.requestedAtMs) / 1000.0);
+        fleet.expectMachine(
                 host, hire.pool.type(), hire.zone, hire.pool.spot(), loop.now() - ageS, loop.now());
     }
 
     /**
      * Whether no refusal for lack of capacity forbids to rent from that pool and zone at present.
      */
-    public boolean open(Pool pool, String zone) {
-        return refusedUntil.getOrDefault(pool + "@" + zone, Double.NEGATIVE_INFINITY) <= loop.now();
+    public boolean mayHaveCapacity(InstancePool pool, String zone) {
+        return noCapacityUntil.getOrDefault(pool + "@" + zone, Double.NEGATIVE_INFINITY)
+                <= loop.now();
     }
 
     /** Machines asked for and not yet named by the cloud. */
-    public int underWay(Pool pool) {
-        return hires.values().stream()
+    public int requestedCount(InstancePool pool) {
+        return rentalRequests.values().stream()
                 .filter(h -> !h.answered && h.pool.equals(pool))
                 .mapToInt(h -> h.count)
                 .sum();
     }
 
     /** The same in one zone. */
-    public int underWay(Pool pool, String zone) {
-        return hires.values().stream()
+    public int requestedCount(InstancePool pool, String zone) {
+        return rentalRequests.values().stream()
                 .filter(h -> !h.answered && h.pool.equals(pool) && h.zone.equals(zone))
                 .mapToInt(h -> h.count)
                 .sum();
@@ -175,35 +176,35 @@
      * Rents that many machines: each request becomes durable before it is sent. Called by the
      * sizer.
      */
-    public void rent(Pool pool, String zone, int count) {
-        for (int left = count; left > 0; left -= MOST_AT_ONCE) {
-            Hire hire =
-                    new Hire(
-                            "p" + token + "-" + ++sequence,
+    public void rent(InstancePool pool, String zone, int count) {
+        for (int left = count; left > 0; left -= MAX_INSTANCES_PER_RENTAL) {
+            RentalRequest hire =
+                    new RentalRequest(
+                            "p" + fencingToken + "-" + ++sequence,
                             pool,
                             zone,
-                            Math.min(left, MOST_AT_ONCE),
+                            Math.min(left, MAX_INSTANCES_PER_RENTAL),
                             loop.wallMs());
-            hires.put(hire.name, hire);
-            writer.mark(
-                    Keys.HIRE + hire.name,
-                    Writer.Priority.INTENT,
-                    hire::write,
-                    () -> request(hire),
+            rentalRequests.put(hire.requestId, hire);
+            writer.enqueue(
+                    Keys.RENTAL_PREFIX + hire.requestId,
+                    FencedWriter.Priority.INTENT,
+                    hire::encode,
+                    () -> sendRentalRequest(hire),
                     null);
         }
     }
 
-    private void request(Hire hire) {
+    private void sendRentalRequest(RentalRequest hire) {
         if (stopped) {
             return;
         }
-        if (!confirmed.getAsBoolean()) {
-            loop.after(retryS, () -> request(hire));
+        if (!leadershipConfirmed.getAsBoolean()) {
+            loop.after(retryS, () -> sendRentalRequest(hire));
             return;
         }
-        cloud.rent(
-                hire.name,
+        cloud.rentInstances(
+                hire.requestId,
                 hire.pool.type(),
                 hire.zone,
                 hire.pool.spot(),
@@ -212,22 +213,22 @@
                     if (stopped) {
                         return;
                     }
-                    if (result instanceof Cloud.Rented.Failed failed) {
-                        LOG.debug("{} is asked for again: {}", hire.name, failed.why());
-                        loop.after(retryS, () -> request(hire));
+                    if (result instanceof CloudProvider.RentalOutcome.Failed failed) {
+                        LOG.debug("{} is asked for again: {}", hire.requestId, failed.reason());
+                        loop.after(retryS, () -> sendRentalRequest(hire));
                         return;
                     }
                     hire.answered = true;
                     int got = 0;
-                    if (result instanceof Cloud.Rented.Machines machines) {
-                        got = machines.names().size();
-                        hire.hosts.addAll(machines.names());
+                    if (result instanceof CloudProvider.RentalOutcome.Granted machines) {
+                        got = machines.instanceNames().size();
+                        hire.instanceNames.addAll(machines.instanceNames());
                         // From now on, as it may have waited for its turn at the cloud: it has not
                         // booted for longer.
-                        machines.names()
+                        machines.instanceNames()
                                 .forEach(
                                         host ->
-                                                fleet.expect(
+                                                fleet.expectMachine(
                                                         host,
                                                         hire.pool.type(),
                                                         hire.zone,
@@ -236,17 +237,18 @@
                                                         loop.now()));
                     }
                     if (got < hire.count) {
-                        refusedUntil.put(hire.pool + "@" + hire.zone, loop.now() + refusalS);
+                        noCapacityUntil.put(
+                                hire.pool + "@" + hire.zone, loop.now() + noCapacityValidityS);
                     }
                     LOG.info("rented {} of {} {} in {}", got, hire.count, hire.pool, hire.zone);
-                    writer.mark(
-                            Keys.HIRE + hire.name,
-                            Writer.Priority.PATIENT,
-                            hire::write,
+                    writer.enqueue(
+                            Keys.RENTAL_PREFIX + hire.requestId,
+                            FencedWriter.Priority.BACKGROUND,
+                            hire::encode,
                             null,
                             null);
-                    if (hire.hosts.isEmpty()) {
-                        hires.remove(hire.name);
+                    if (hire.instanceNames.isEmpty()) {
+                        rentalRequests.remove(hire.requestId);
                     }
                 });
     }
@@ -258,40 +260,44 @@
     public void release(Machine machine, String why) {
         if (!machine.releasing()) {
             LOG.debug("returning {}: {}", machine.describe(), why);
-            fleet.releasing(machine);
-            toRelease.put(machine.name, why);
-            send();
+            fleet.markReleasing(machine);
+            pendingReleases.put(machine.name, why);
+            sendReleases();
         }
     }
 
     /** How many are waiting for the cloud's word. */
     public int releasing() {
-        return toRelease.size();
+        return pendingReleases.size();
     }
 
-    private void send() {
-        if (releasing || stopped || toRelease.isEmpty()) {
+    private void sendReleases() {
+        if (releasing || stopped || pendingReleases.isEmpty()) {
             return;
         }
         releasing = true;
         // Those that are asked for in the same batch of commands go in one request.
         loop.post(
                 () -> {
-                    if (!confirmed.getAsBoolean()) {
+                    if (!leadershipConfirmed.getAsBoolean()) {
                         releasing = false;
-                        loop.after(retryS, this::send);
+                        loop.after(retryS, this::sendReleases);
                         return;
                     }
-                    List<String> names = toRelease.keySet().stream().limit(MOST_RELEASED).toList();
+                    List<String> names =
+                            pendingReleases.keySet().stream()
+                                    .limit(MAX_INSTANCES_PER_RELEASE)
+                                    .toList();
                     // One line for a batch: machines are lost and returned by the hundred.
                     Map<String, Integer> reasons = new TreeMap<>();
-                    names.forEach(name -> reasons.merge(toRelease.get(name), 1, Integer::sum));
+                    names.forEach(
+                            name -> reasons.merge(pendingReleases.get(name), 1, Integer::sum));
                     LOG.info(
                             "returning {} machines {}{}",
                             names.size(),
                             reasons,
-                            names.size() <= NAMED ? " " + names : "");
-                    cloud.release(
+                            names.size() <= MAX_NAMES_LOGGED ? " " + names : "");
+                    cloud.releaseInstances(
                             names,
                             done -> {
                                 releasing = false;
@@ -299,24 +305,28 @@
                                     return;
                                 }
                                 if (!done) {
-                                    loop.after(retryS, this::send);
+                                    loop.after(retryS, this::sendReleases);
                                     return;
                                 }
-                                names.forEach(toRelease::remove);
-                                names.forEach(this::gone);
-                                send();
+                                names.forEach(pendingReleases::remove);
+                                names.forEach(this::releaseConfirmed);
+                                sendReleases();
                             });
                 });
     }
 
-    private void gone(String name) {
-        fleet.gone(name);
-        for (Hire hire : new ArrayList<>(hires.values())) {
-            if (hire.hosts.remove(name)) {
-                writer.mark(
-                        Keys.HIRE + hire.name, Writer.Priority.PATIENT, hire::write, null, null);
-                if (hire.hosts.isEmpty() && hire.answered) {
-                    hires.remove(hire.name);
+    private void releaseConfirmed(String name) {
+        fleet.confirmReleased(name);
+        for (RentalRequest hire : new ArrayList<>(rentalRequests.values())) {
+            if (hire.instanceNames.remove(name)) {
+                writer.enqueue(
+                        Keys.RENTAL_PREFIX + hire.requestId,
+                        FencedWriter.Priority.BACKGROUND,
+                        hire::encode,
+                        null,
+                        null);
+                if (hire.instanceNames.isEmpty() && hire.answered) {
+                    rentalRequests.remove(hire.requestId);
                 }
             }
         }
--- a/src/main/java/io/pepperfield/cloud/TypesRecord.java
+++ b/src/main/java/io/pepperfield/cloud/MachineTypesRecord.java
@@ -13,12 +13,12 @@
  * while the cloud's interface is down can still tell what can never run, and need not turn every
  * submission away.
  */
-public final class TypesRecord {
+public final class MachineTypesRecord {
 
-    private TypesRecord() {}
+    private MachineTypesRecord() {}
 
     /** Encodes the types in the form kept in the state service. */
-    public static JsonNode write(Iterable<MachineType> types) {
+    public static JsonNode encode(Iterable<MachineType> types) {
         ArrayNode all = Json.array();
         for (MachineType t : types) {
             ObjectNode node =
@@ -38,8 +38,8 @@
         return all;
     }
 
-    /** Decodes what {@link #write} has encoded. */
-    public static List<MachineType> read(JsonNode data) {
+    /** Decodes what {@link #encode} has encoded. */
+    public static List<MachineType> decode(JsonNode data) {
         List<MachineType> types = new ArrayList<>();
         for (JsonNode n : data) {
             List<String> zones = new ArrayList<>();
--- a/src/main/java/io/pepperfield/node/ClusterState.java
+++ b/src/main/java/io/pepperfield/cluster/ClusterState.java
@@ -1,17 +1,17 @@
-package io.pepperfield.node;
+package io.pepperfield.cluster;
 
-import io.pepperfield.cloud.Renting;
-import io.pepperfield.config.Aims;
+import io.pepperfield.cloud.InstanceLifecycle;
+import io.pepperfield.config.Objectives;
 import io.pepperfield.config.Settings;
 import io.pepperfield.fleet.Attempt;
 import io.pepperfield.fleet.Fleet;
-import io.pepperfield.fleet.Ledger;
+import io.pepperfield.fleet.LiveAttempts;
 import io.pepperfield.fleet.Machine;
 import io.pepperfield.fleet.MachineType;
 import io.pepperfield.jobs.Job;
 import io.pepperfield.loop.Loop;
-import io.pepperfield.placement.Room;
-import io.pepperfield.placement.Share;
+import io.pepperfield.placement.FreeCapacity;
+import io.pepperfield.placement.QuotaUsage;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -20,66 +20,69 @@
 /**
  * What the parts of one leadership share: the jobs, the machines, and what may be alive on them.
  */
-record ClusterState(
+public record ClusterState(
         Loop loop,
         Settings settings,
-        Aims aims,
-        MachineTypes types,
+        Objectives objectives,
+        MachineTypes machineTypes,
         Fleet fleet,
-        Ledger ledger,
+        LiveAttempts liveAttempts,
         Map<String, Job> jobs,
-        Renting renting,
-        BootTracker boots,
-        Latencies passes) {
+        InstanceLifecycle instanceLifecycle,
+        BootTracker bootTracker,
+        LatencyHistograms passDurations) {
 
-    double reportS() {
-        return settings.deployment().workers().reportS();
+    /** Seconds between two heartbeats of a worker. */
+    public double heartbeatIntervalS() {
+        return settings.deployment().workerTimings().heartbeatIntervalS();
     }
 
-    double leaseS() {
-        return settings.deployment().workers().leaseS();
+    /** Seconds that a worker's lease lasts from the sending of an answered heartbeat. */
+    public double leaseS() {
+        return settings.deployment().workerTimings().leaseS();
     }
 
     /**
      * A report is due within 1.25 periods; a probe is sent after 1.5 and has half a period for its
      * answer.
      */
-    double silentS() {
-        return 2.25 * reportS();
+    public double heartbeatTimeoutS() {
+        return 2.25 * heartbeatIntervalS();
     }
 
-    Map<String, Share> shares() {
-        Map<String, Share> shares = new HashMap<>();
+    /** What each team uses of its guarantee and limit, by team. */
+    public Map<String, QuotaUsage> quotaUsages() {
+        Map<String, QuotaUsage> shares = new HashMap<>();
         settings.deployment()
                 .teams()
                 .forEach(
                         (name, team) ->
                                 shares.put(
                                         name,
-                                        new Share(
+                                        new QuotaUsage(
                                                 team,
-                                                ledger.cpus(name),
-                                                ledger.gpus(name),
-                                                ledger.lastingCpus(name),
-                                                ledger.lastingGpus(name))));
+                                                liveAttempts.usedCpus(name),
+                                                liveAttempts.usedGpus(name),
+                                                liveAttempts.replicaCpus(name),
+                                                liveAttempts.replicaGpus(name))));
         return shares;
     }
 
     /**
      * The machines that may take tasks now; with {@code full} also those that have no room left.
      */
-    List<Room> rooms(double now, boolean full) {
-        List<Room> rooms = new ArrayList<>();
+    public List<FreeCapacity> freeCapacities(double now, boolean full) {
+        List<FreeCapacity> rooms = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
-            MachineType type = types.get(machine.type());
+            MachineType type = machineTypes.get(machine.type());
             // What is late, deaf or not yet known to hear this leader gets no work: it could not be
             // told so.
             if (type != null
-                    && machine.takesWork(now)
-                    && machine.lostFor(now) < 1.5 * reportS()
+                    && machine.isSchedulable(now)
+                    && machine.unreachableFor(now) < 1.5 * heartbeatIntervalS()
                     && (full || machine.freeCpus(type) > 0)) {
                 rooms.add(
-                        new Room(
+                        new FreeCapacity(
                                 machine.name,
                                 machine.type(),
                                 machine.zone(),
@@ -88,7 +91,7 @@
                                 machine.freeCpus(type),
                                 machine.freeGpus(type),
                                 machine.freeMemGb(type),
-                                machine.beside(type)));
+                                machine.capacityBesideReplicas(type)));
             }
         }
         return rooms;
@@ -98,11 +101,13 @@
      * Seconds run since its last checkpoint or its start, which stopping it at once would throw
      * away.
      */
-    static double lostS(Attempt attempt, double now) {
+    public static double lostWorkS(Attempt attempt, double now) {
         if (!attempt.running()) {
             return 0;
         }
         double ran = now - attempt.runningSince();
-        return attempt.job.spec.saves() ? ran % attempt.job.spec.checkpointEveryS() : ran;
+        return attempt.job.spec.takesCheckpoints()
+                ? ran % attempt.job.spec.checkpointIntervalS()
+                : ran;
     }
 }
--- a/src/main/java/io/pepperfield/node/Latencies.java
+++ b/src/main/java/io/pepperfield/cluster/LatencyHistograms.java
@@ -1,4 +1,4 @@
-package io.pepperfield.node;
+package io.pepperfield.cluster;
 
 import java.util.Map;
 import java.util.TreeMap;
@@ -6,21 +6,23 @@
 import org.HdrHistogram.Histogram;
 
 /** How long requests took, by kind, since the last summary. */
-final class Latencies {
+public final class LatencyHistograms {
 
-    private static final long MOST_MICROS = 60_000_000;
+    private static final long MAX_RECORDED_MICROS = 60_000_000;
 
-    private final Map<String, Histogram> kinds = new TreeMap<>();
+    private final Map<String, Histogram> histograms = new TreeMap<>();
 
-    void record(String kind, double seconds) {
-        kinds.computeIfAbsent(kind, k -> new Histogram(MOST_MICROS, 2))
-                .recordValue(Math.min(MOST_MICROS, Math.max(0, Math.round(seconds * 1e6))));
+    /** Counts one duration in seconds under its kind. */
+    public void record(String kind, double seconds) {
+        histograms
+                .computeIfAbsent(kind, k -> new Histogram(MAX_RECORDED_MICROS, 2))
+                .recordValue(Math.min(MAX_RECORDED_MICROS, Math.max(0, Math.round(seconds * 1e6))));
     }
 
     /** One line with count, median, 99th percentile and longest in milliseconds; starts anew. */
-    String summary() {
+    public String summarizeAndReset() {
         String line =
-                kinds.entrySet().stream()
+                histograms.entrySet().stream()
                         .filter(e -> e.getValue().getTotalCount() > 0)
                         .map(
                                 e -> {
@@ -34,7 +36,7 @@
                                             h.getMaxValue() / 1e3);
                                 })
                         .collect(Collectors.joining(", "));
-        kinds.values().forEach(Histogram::reset);
+        histograms.values().forEach(Histogram::reset);
         return line;
     }
 }
--- a/src/main/java/io/pepperfield/config/Feature.java
+++ b/src/main/java/io/pepperfield/config/Feature.java
@@ -8,14 +8,14 @@
     /** Fair admission under overload, see {@code docs/operations/admission.md}. */
     ADMISSION("admission");
 
-    private final String element;
+    private final String elementName;
 
     Feature(String element) {
-        this.element = element;
+        this.elementName = element;
     }
 
     /** The name of its element in the operators' file. */
-    String element() {
-        return element;
+    String elementName() {
+        return elementName;
     }
 }
--- a/src/main/java/io/pepperfield/config/Aims.java
+++ b/src/main/java/io/pepperfield/config/Objectives.java
@@ -10,29 +10,31 @@
  * What is expected of each class of jobs, sorted out once: it is asked for with each task in each
  * step.
  */
-public final class Aims {
+public final class Objectives {
 
-    private final Map<String, Double> waits = new HashMap<>();
-    private final Map<String, DoubleArrayList> finishes = new HashMap<>();
+    private final Map<String, Double> maxWaitByWorkload = new HashMap<>();
+    private final Map<String, DoubleArrayList> finishTimesByWorkload = new HashMap<>();
 
     /** Sorts the platform's objectives by kind and class of jobs. */
-    public Aims(List<Objective> objectives) {
+    public Objectives(List<Objective> objectives) {
         for (Objective o : objectives) {
             if (o.kind().equals("wait")) {
-                waits.merge(o.workload(), o.withinS(), Math::min);
+                maxWaitByWorkload.merge(o.workload(), o.withinS(), Math::min);
             } else if (o.kind().equals("finished")) {
-                finishes.computeIfAbsent(o.workload(), w -> new DoubleArrayList()).add(o.withinS());
+                finishTimesByWorkload
+                        .computeIfAbsent(o.workload(), w -> new DoubleArrayList())
+                        .add(o.withinS());
             }
         }
-        finishes.values().forEach(list -> list.sort(null));
+        finishTimesByWorkload.values().forEach(list -> list.sort(null));
     }
 
     /**
      * The next time after its submission by which a job of the class should be complete, or
      * infinity.
      */
-    public double finish(String workload, double afterS) {
-        DoubleArrayList list = finishes.get(workload);
+    public double nextFinishTime(String workload, double afterS) {
+        DoubleArrayList list = finishTimesByWorkload.get(workload);
         for (int i = 0; list != null && i < list.size(); i++) {
             if (list.getDouble(i) > afterS) {
                 return list.getDouble(i);
@@ -42,7 +44,7 @@
     }
 
     /** The shortest wait that any objective asks for a class, or infinity where none is stated. */
-    public double wait(String workload) {
-        return waits.getOrDefault(workload, Double.POSITIVE_INFINITY);
+    public double maxWait(String workload) {
+        return maxWaitByWorkload.getOrDefault(workload, Double.POSITIVE_INFINITY);
     }
 }
--- a/src/main/java/io/pepperfield/config/OperatorsReader.java
+++ b/src/main/java/io/pepperfield/config/OperatorSettingsReader.java
@@ -26,7 +26,7 @@
  * platform's TOML an unknown element is a fault, since here it can only be a slip of the person who
  * wrote it.
  */
-public final class OperatorsReader {
+public final class OperatorSettingsReader {
 
     /** The elements of the file, each with its name and the bounds of its value. */
     private enum Field {
@@ -42,26 +42,26 @@
         ADMISSION_WAITING_LIMIT_S("admission-waiting-limit-s", 1, 86400);
 
         final String element;
-        final double least;
-        final double most;
+        final double min;
+        final double max;
 
         Field(String element, double least, double most) {
             this.element = element;
-            this.least = least;
-            this.most = most;
+            this.min = least;
+            this.max = most;
         }
     }
 
     private static final String TEAM_WEIGHT = "team-weight";
-    private static final double LEAST_WEIGHT = 0.001;
-    private static final double MOST_WEIGHT = 1_000_000;
+    private static final double MIN_WEIGHT = 0.001;
+    private static final double MAX_WEIGHT = 1_000_000;
     private static final String ON = "on";
     private static final String OFF = "off";
 
-    private OperatorsReader() {}
+    private OperatorSettingsReader() {}
 
     /** Reads and checks a file; the exception names all its faults. */
-    public static Operators read(Path file) throws SettingsException {
+    public static OperatorSettings read(Path file) throws SettingsException {
         try {
             return parse(file.toString(), Files.readAllBytes(file));
         } catch (IOException e) {
@@ -72,8 +72,8 @@
     }
 
     /** Reads and checks the contents of a file; {@code name} only appears in the messages. */
-    public static Operators parse(String name, byte[] xml) throws SettingsException {
-        Element root = document(name, xml);
+    public static OperatorSettings parse(String name, byte[] xml) throws SettingsException {
+        Element root = parseDocument(name, xml);
         List<String> faults = new ArrayList<>();
         Map<Field, Double> values = new HashMap<>();
         Map<Feature, Boolean> features = new EnumMap<>(Feature.class);
@@ -84,23 +84,25 @@
         for (Node child = root.getFirstChild(); child != null; child = child.getNextSibling()) {
             if (child instanceof Element element) {
                 if (element.getTagName().equals(TEAM_WEIGHT)) {
-                    takeWeight(element, weights, faults);
-                } else if (!takeFeature(element, features, faults)) {
-                    take(element, values, faults);
+                    readTeamWeight(element, weights, faults);
+                } else if (!readFeature(element, features, faults)) {
+                    readField(element, values, faults);
                 }
             }
         }
         if (!faults.isEmpty()) {
             throw new SettingsException(name, faults);
         }
-        Operators defaults = Operators.DEFAULTS;
-        return new Operators(
-                values.getOrDefault(Field.CHARGE_S, defaults.chargeS()),
-                values.getOrDefault(Field.RESTART_SHARE, defaults.restartShare()),
-                values.getOrDefault(Field.PARTLY_SHARE, defaults.partlyShare()),
-                values.getOrDefault(Field.HEADROOM, defaults.headroom()),
-                values.getOrDefault(Field.STEADY, defaults.steady()),
-                values.getOrDefault(Field.SILENT_AT_ONCE, (double) defaults.silentAtOnce())
+        OperatorSettings defaults = OperatorSettings.DEFAULTS;
+        return new OperatorSettings(
+                values.getOrDefault(Field.CHARGE_S, defaults.billingUnitS()),
+                values.getOrDefault(Field.RESTART_SHARE, defaults.restartCostShare()),
+                values.getOrDefault(Field.PARTLY_SHARE, defaults.partialMachineShare()),
+                values.getOrDefault(Field.HEADROOM, defaults.headroomQuantile()),
+                values.getOrDefault(Field.STEADY, defaults.steadyQuantile()),
+                values.getOrDefault(
+                                Field.SILENT_AT_ONCE,
+                                (double) defaults.maxConcurrentSilentReleases())
                         .intValue(),
                 features.keySet().stream()
                         .filter(features::get)
@@ -114,25 +116,25 @@
         return new AdmissionSettings(
                 values.getOrDefault(Field.ADMISSION_SHARE, defaults.acceptanceShare()),
                 values.getOrDefault(Field.ADMISSION_RESERVE, defaults.reserveShare()),
-                values.getOrDefault(Field.ADMISSION_BAND, defaults.band()),
-                values.getOrDefault(Field.ADMISSION_WAITING_LIMIT_S, defaults.waitingLimitS()),
+                values.getOrDefault(Field.ADMISSION_BAND, defaults.fairnessBand()),
+                values.getOrDefault(Field.ADMISSION_WAITING_LIMIT_S, defaults.maxPredictedWaitS()),
                 Map.copyOf(weights));
     }
 
     /** Takes the weight of a team; whether there is such a team the platform's file says. */
-    private static void takeWeight(
+    private static void readTeamWeight(
             Element element, Map<String, Double> weights, List<String> faults) {
         String team = element.getAttribute("team");
         double weight = number(element.getTextContent().strip());
         if (team.isEmpty()) {
             faults.add("<" + TEAM_WEIGHT + ">: want the attribute team");
-        } else if (!(weight >= LEAST_WEIGHT && weight <= MOST_WEIGHT)) {
+        } else if (!(weight >= MIN_WEIGHT && weight <= MAX_WEIGHT)) {
             faults.add(
                     outOfRange(
                             TEAM_WEIGHT + " team=\"" + team + "\"",
                             element.getTextContent().strip(),
-                            LEAST_WEIGHT,
-                            MOST_WEIGHT));
+                            MIN_WEIGHT,
+                            MAX_WEIGHT));
         } else if (weights.put(team, weight) != null) {
             faults.add("<" + TEAM_WEIGHT + " team=\"" + team + "\"> is there twice");
         }
@@ -151,12 +153,12 @@
     }
 
     /** Takes a feature's switch; false where the element is none. */
-    private static boolean takeFeature(
+    private static boolean readFeature(
             Element element, Map<Feature, Boolean> features, List<String> faults) {
         String tag = element.getTagName();
         String text = element.getTextContent().strip();
         for (Feature feature : Feature.values()) {
-            if (!feature.element().equals(tag)) {
+            if (!feature.elementName().equals(tag)) {
                 continue;
             }
             if (!text.equals(ON) && !text.equals(OFF)) {
@@ -169,7 +171,7 @@
         return false;
     }
 
-    private static void take(Element element, Map<Field, Double> values, List<String> faults) {
+    private static void readField(Element element, Map<Field, Double> values, List<String> faults) {
         String tag = element.getTagName();
         String text = element.getTextContent().strip();
         for (Field field : Field.values()) {
@@ -177,8 +179,8 @@
                 continue;
             }
             double value = number(text);
-            if (!(value >= field.least && value <= field.most)) {
-                faults.add(outOfRange(tag, text, field.least, field.most));
+            if (!(value >= field.min && value <= field.max)) {
+                faults.add(outOfRange(tag, text, field.min, field.max));
             } else if (values.put(field, value) != null) {
                 faults.add("<" + tag + "> is there twice");
             }
@@ -187,14 +189,14 @@
         faults.add("<" + tag + "> is not a setting");
     }
 
-    private static Element document(String name, byte[] xml) throws SettingsException {
+    private static Element parseDocument(String name, byte[] xml) throws SettingsException {
         try {
             DocumentBuilderFactory factory = DocumentBuilderFactory.newInstance();
             // A settings file has no business naming other files or growing by entities.
             factory.setFeature("http://apache.org/xml/features/disallow-doctype-decl", true);
             factory.setFeature(XMLConstants.FEATURE_SECURE_PROCESSING, true);
             DocumentBuilder builder = factory.newDocumentBuilder();
-            builder.setErrorHandler(new Strict());
+            builder.setErrorHandler(new ThrowingErrorHandler());
             return builder.parse(new ByteArrayInputStream(xml)).getDocumentElement();
         } catch (SAXParseException e) {
             throw new SettingsException(
@@ -206,7 +208,7 @@
     }
 
     /** The parser's own handler prints to standard error before it throws; this one only throws. */
-    private static final class Strict implements ErrorHandler {
+    private static final class ThrowingErrorHandler implements ErrorHandler {
         @Override
         public void warning(SAXParseException exception) {}
 
--- a/src/main/java/io/pepperfield/config/Shortage.java
+++ b/src/main/java/io/pepperfield/config/QuotaShortage.java
@@ -8,37 +8,37 @@
  * What the platform's quotas cannot carry. A controller starts all the same: a small share of the
  * work is better than none.
  */
-public final class Shortage {
+public final class QuotaShortage {
 
     /** What a process holds besides its heap: code, classes, threads, buffers. */
-    private static final double BESIDES_HEAP_MB = 96;
+    private static final double NON_HEAP_MB = 96;
 
     /**
      * Connections to the state service, the cloud and the other controllers, health checks, and a
      * few users.
      */
-    private static final int FEWEST_SOCKETS = 64;
+    private static final int MIN_SOCKETS = 64;
 
-    private Shortage() {}
+    private QuotaShortage() {}
 
     /** A line for each quota that is too small, or none. */
-    public static List<String> of(Settings.Quota quota, double heapLimitMb) {
+    public static List<String> warnings(Settings.ProcessQuota quota, double heapLimitMb) {
         List<String> lines = new ArrayList<>();
-        if (quota.memMb() < heapLimitMb + BESIDES_HEAP_MB) {
+        if (quota.memoryMb() < heapLimitMb + NON_HEAP_MB) {
             lines.add(
                     String.format(
                             Locale.ROOT,
                             "deployment.quota.mem_mb = %.0f, and the process may come to hold %.0f",
-                            quota.memMb(),
-                            heapLimitMb + BESIDES_HEAP_MB));
+                            quota.memoryMb(),
+                            heapLimitMb + NON_HEAP_MB));
         }
-        if (quota.sockets() < FEWEST_SOCKETS) {
+        if (quota.maxSockets() < MIN_SOCKETS) {
             lines.add(
                     String.format(
                             Locale.ROOT,
                             "deployment.quota.sockets = %d, and %d are needed before any worker reports",
-                            quota.sockets(),
-                            FEWEST_SOCKETS));
+                            quota.maxSockets(),
+                            MIN_SOCKETS));
         }
         return lines;
     }
--- a/src/main/java/io/pepperfield/config/Settings.java
+++ b/src/main/java/io/pepperfield/config/Settings.java
@@ -9,13 +9,13 @@
 public record Settings(
         String node,
         String zone,
-        Address bind,
-        Address peerListen,
+        Address bindAddress,
+        Address peerAddress,
         List<Member> members,
-        Address cloud,
-        Address state,
+        Address cloudAddress,
+        Address storeAddress,
         Deployment deployment,
-        Operators operators) {
+        OperatorSettings operators) {
 
     /** A host and its TCP port. */
     public record Address(String host, int port) {
@@ -30,18 +30,23 @@
 
     /** The cluster's common settings, the same on every controller. */
     public record Deployment(
-            int size,
+            int controllerCount,
             List<String> zones,
             double clockErrorMs,
             Map<String, Team> teams,
             List<Objective> objectives,
-            Workers workers,
-            State state,
-            Cloud cloud,
-            Quota quota) {}
+            WorkerTimings workerTimings,
+            StoreLimits storeLimits,
+            CloudLimits cloudLimits,
+            ProcessQuota processQuota) {}
 
     /** A guarantee of 0 is none; a limit that the platform does not set is infinite. */
-    public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
+    public record Team(
+            String name,
+            double guaranteedCpus,
+            double cpuLimit,
+            double guaranteedGpus,
+            double gpuLimit) {}
 
     /** What is expected of a class of jobs; figures that an objective does not carry are 0. */
     public record Objective(
@@ -51,14 +56,16 @@
      * Intervals of the workers' protocol in seconds: between reports, until a worker without an
      * answer gives up its tasks, and until a cancelled job's tasks must have ended.
      */
-    public record Workers(double reportS, double leaseS, double cancelS) {}
+    public record WorkerTimings(
+            double heartbeatIntervalS, double leaseS, double cancellationDeadlineS) {}
 
     /** What the state service allows; where it will allow less from some moment on, that. */
-    public record State(double rps, double writeRps, double valueKb, int txnOps) {}
+    public record StoreLimits(
+            double requestsPerS, double writesPerS, double maxValueKib, int maxTransactionOps) {}
 
     /** The cloud's limits: requests per second, and the delay of its list in seconds. */
-    public record Cloud(double rps, double listLagS) {}
+    public record CloudLimits(double requestsPerS, double listDelayS) {}
 
     /** What one controller may use: its share of a core, megabytes of memory, open sockets. */
-    public record Quota(double coreShare, double memMb, int sockets) {}
+    public record ProcessQuota(double coreShare, double memoryMb, int maxSockets) {}
 }
--- a/src/main/java/io/pepperfield/config/SettingsReader.java
+++ b/src/main/java/io/pepperfield/config/SettingsReader.java
@@ -28,7 +28,7 @@
     private SettingsReader() {}
 
     /** Reads and checks a file; the exception names all its faults. */
-    public static Settings read(Path file, Operators operators) throws SettingsException {
+    public static Settings read(Path file, OperatorSettings operators) throws SettingsException {
         String text;
         try {
             text = Files.readString(file);
@@ -41,7 +41,7 @@
     }
 
     /** Reads and checks the contents of a file; {@code name} only appears in the messages. */
-    public static Settings parse(String name, String text, Operators operators)
+    public static Settings parse(String name, String text, OperatorSettings operators)
             throws SettingsException {
         JsonNode root;
         try {
@@ -64,13 +64,13 @@
         return settings;
     }
 
-    private Settings settings(JsonNode root, Operators operators) {
+    private Settings settings(JsonNode root, OperatorSettings operators) {
         String node = text(root, "", "node");
         String zone = text(root, "", "zone");
         Address bind = address(root, "", "bind");
         Address peer = address(root, "", "peer_listen");
         List<Member> members =
-                each(
+                tables(
                         root,
                         "",
                         "members",
@@ -99,7 +99,7 @@
         Map<String, Team> teams = teams(d);
         checkWeights(operators, teams);
         List<Objective> objectives =
-                each(
+                tables(
                         d,
                         "deployment.",
                         "objectives",
@@ -111,12 +111,12 @@
                                         optional(o, "deployment.objectives.", "share", 0, 1),
                                         optional(o, "deployment.objectives.", "times", 0, 1e9)));
         JsonNode w = table(d, "deployment.", "workers");
-        Settings.Workers workers =
-                new Settings.Workers(
+        Settings.WorkerTimings workers =
+                new Settings.WorkerTimings(
                         number(w, "deployment.workers.", "report_s", 0.05, 3600),
                         number(w, "deployment.workers.", "lease_s", 0.2, 36000),
                         number(w, "deployment.workers.", "cancel_s", 0.2, 36000));
-        if (workers.leaseS() < workers.reportS()) {
+        if (workers.leaseS() < workers.heartbeatIntervalS()) {
             faults.add(
                     "deployment.workers.lease_s = "
                             + workers.leaseS()
@@ -129,20 +129,20 @@
                 s.path("next").isMissingNode()
                         ? MissingNode.getInstance()
                         : table(s, "deployment.state.", "next");
-        Settings.State limits =
-                new Settings.State(
-                        lower(s, next, "rps", 1, 1e9),
-                        lower(s, next, "write_rps", 1, 1e9),
-                        lower(s, next, "value_kb", 1, 1e6),
-                        (int) lower(s, next, "txn_ops", 2, 1e6));
+        Settings.StoreLimits limits =
+                new Settings.StoreLimits(
+                        lowerLimit(s, next, "rps", 1, 1e9),
+                        lowerLimit(s, next, "write_rps", 1, 1e9),
+                        lowerLimit(s, next, "value_kb", 1, 1e6),
+                        (int) lowerLimit(s, next, "txn_ops", 2, 1e6));
         JsonNode c = table(d, "deployment.", "cloud");
-        Settings.Cloud rents =
-                new Settings.Cloud(
+        Settings.CloudLimits rents =
+                new Settings.CloudLimits(
                         number(c, "deployment.cloud.", "rps", 0.01, 1e9),
                         number(c, "deployment.cloud.", "list_lag_s", 0, 36000));
         JsonNode q = table(d, "deployment.", "quota");
-        Settings.Quota quota =
-                new Settings.Quota(
+        Settings.ProcessQuota quota =
+                new Settings.ProcessQuota(
                         number(q, "deployment.quota.", "core_share", 0.001, 1e6),
                         number(q, "deployment.quota.", "mem_mb", 16, 1e9),
                         (int) number(q, "deployment.quota.", "sockets", 16, 1e9));
@@ -164,7 +164,7 @@
     private Map<String, Team> teams(JsonNode deployment) {
         Map<String, Team> teams = new LinkedHashMap<>();
         for (Team team :
-                each(
+                tables(
                         deployment,
                         "deployment.",
                         "teams",
@@ -183,7 +183,7 @@
     }
 
     /** A weight for a team that does not exist can only be a slip. */
-    private void checkWeights(Operators operators, Map<String, Team> teams) {
+    private void checkWeights(OperatorSettings operators, Map<String, Team> teams) {
         for (String weighted : operators.admission().weights().keySet()) {
             if (!teams.containsKey(weighted)) {
                 faults.add(
@@ -209,7 +209,8 @@
         return value;
     }
 
-    private <T> List<T> each(JsonNode in, String prefix, String field, Function<JsonNode, T> read) {
+    private <T> List<T> tables(
+            JsonNode in, String prefix, String field, Function<JsonNode, T> read) {
         List<T> all = new ArrayList<>();
         JsonNode value = in.path(field);
         if (!value.isMissingNode() && !value.isArray()) {
@@ -272,7 +273,8 @@
     }
 
     /** The lower of what the state service allows now and what it will allow. */
-    private double lower(JsonNode state, JsonNode next, String field, double least, double most) {
+    private double lowerLimit(
+            JsonNode state, JsonNode next, String field, double least, double most) {
         double now = number(state, "deployment.state.", field, least, most);
         return next.path(field).isMissingNode()
                 ? now
@@ -292,16 +294,16 @@
                                         : " = "
                                                 + value
                                                 + ": want a number from "
-                                                + plain(least)
+                                                + formatNumber(least)
                                                 + " to "
-                                                + plain(most)));
+                                                + formatNumber(most)));
             }
             return least;
         }
         return number;
     }
 
-    private static String plain(double number) {
+    private static String formatNumber(double number) {
         return number == Math.rint(number) ? String.valueOf((long) number) : String.valueOf(number);
     }
 }
--- a/src/main/java/io/pepperfield/node/Service.java
+++ b/src/main/java/io/pepperfield/controller/ControllerServer.java
@@ -1,46 +1,46 @@
-package io.pepperfield.node;
+package io.pepperfield.controller;
 
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
-import io.pepperfield.cloud.HttpCloud;
+import io.pepperfield.cloud.HttpCloudProvider;
 import io.pepperfield.config.Feature;
+import io.pepperfield.config.QuotaShortage;
 import io.pepperfield.config.Settings;
-import io.pepperfield.config.Shortage;
-import io.pepperfield.fleet.HttpWorkers;
-import io.pepperfield.http.Call;
+import io.pepperfield.fleet.HttpWorkerClient;
 import io.pepperfield.http.HttpClient;
+import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.HttpServer;
+import io.pepperfield.http.InboundRequest;
 import io.pepperfield.http.PendingQueryLimit;
-import io.pepperfield.http.Reply;
+import io.pepperfield.peer.HeartbeatForwarder;
 import io.pepperfield.peer.Peers;
-import io.pepperfield.peer.ReportForwarder;
 import io.pepperfield.rollout.Release;
 import io.pepperfield.rollout.Rollout;
-import io.pepperfield.store.HttpStateService;
+import io.pepperfield.store.HttpKeyValueStore;
 import java.util.List;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** One controller process: a network thread, the event loop, and the slices wired to both. */
-public final class Service {
+public final class ControllerServer {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Service.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ControllerServer.class);
 
     /** A follow holds all changes at once; beyond this the keys are read in pages instead. */
-    private static final int MOST_ANSWER_BYTES = 4 * 1024 * 1024;
+    private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
     private final Settings settings;
     private final Release release;
     private final EventLoop eventLoop = new EventLoop();
     private final EventLoopGroup network =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private HttpServer users;
-    private HttpServer others;
+    private HttpServer userServer;
+    private HttpServer peerServer;
 
     /** Creates a controller's process; it listens from {@link #start} on. */
-    public Service(Settings settings) {
+    public ControllerServer(Settings settings) {
         this(settings, null);
     }
 
@@ -49,13 +49,13 @@
      *
      * @param release what it reads and writes if the rollout is switched on; null for this release
      */
-    public Service(Settings settings, Release release) {
+    public ControllerServer(Settings settings, Release release) {
         this.settings = settings;
         this.release = release;
     }
 
-    private Rollout rollout(HttpStateService state) {
-        if (!settings.operators().enabled(Feature.ROLLOUT)) {
+    private Rollout rollout(HttpKeyValueStore state) {
+        if (!settings.operators().isEnabled(Feature.ROLLOUT)) {
             return null;
         }
         return new Rollout(eventLoop, settings, state, release == null ? Release.CURRENT : release);
@@ -64,79 +64,83 @@
     /** Listens; gives the port for users and workers. */
     public int start() throws InterruptedException {
         List<String> shortage =
-                Shortage.of(
-                        settings.deployment().quota(),
+                QuotaShortage.warnings(
+                        settings.deployment().processQuota(),
                         Runtime.getRuntime().maxMemory() / 1048576.0);
         if (!shortage.isEmpty()) {
             LOG.warn(
                     "starting, but short of what the deployment may need: {}",
                     String.join("; ", shortage));
         }
-        HttpClient client = new HttpClient(network, MOST_ANSWER_BYTES);
-        HttpStateService state = new HttpStateService(eventLoop, client, settings.state());
+        HttpClient client = new HttpClient(network, MAX_RESPONSE_BYTES);
+        HttpKeyValueStore state = new HttpKeyValueStore(eventLoop, client, settings.storeAddress());
         Rollout rollout = rollout(state);
-        HttpCloud cloud =
-                new HttpCloud(
-                        eventLoop, client, settings.cloud(), settings.deployment().cloud().rps());
-        HttpWorkers workers =
-                new HttpWorkers(
+        HttpCloudProvider cloud =
+                new HttpCloudProvider(
+                        eventLoop,
+                        client,
+                        settings.cloudAddress(),
+                        settings.deployment().cloudLimits().requestsPerS());
+        HttpWorkerClient workers =
+                new HttpWorkerClient(
                         eventLoop,
                         new HttpClient(
                                 network,
-                                MOST_ANSWER_BYTES,
-                                settings.deployment().quota().sockets() * 15 / 100),
-                        settings.deployment().workers().reportS());
+                                MAX_RESPONSE_BYTES,
+                                settings.deployment().processQuota().maxSockets() * 15 / 100),
+                        settings.deployment().workerTimings().heartbeatIntervalS());
         Peers peers = new Peers(eventLoop, settings, client);
-        ReportForwarder forwarder = new ReportForwarder(eventLoop, client, settings);
+        HeartbeatForwarder forwarder = new HeartbeatForwarder(eventLoop, client, settings);
         Controller controller =
                 new Controller(
                         eventLoop,
                         settings,
-                        rollout == null ? state : rollout.state(),
+                        rollout == null ? state : rollout.keyValueStore(),
                         cloud,
                         workers,
                         peers,
                         forwarder,
-                        state::share,
+                        state::setRates,
                         rollout);
-        eventLoop.handlers(controller::flush, controller::failed);
-        int sockets = settings.deployment().quota().sockets();
-        users =
+        eventLoop.setHandlers(controller::flush, controller::commandFailed);
+        int sockets = settings.deployment().processQuota().maxSockets();
+        userServer =
                 new HttpServer(
                                 network,
                                 sockets * 7 / 10,
                                 new PendingQueryLimit(
-                                        Controller.JOBS,
-                                        Controller.questionsAtOnce(settings),
+                                        Controller.JOBS_PATH,
+                                        Controller.maxConcurrentQueries(settings),
                                         (call, answer) ->
                                                 eventLoop.post(
                                                         () -> handle(controller, call, answer))))
-                        .limit(Controller.BEAT, sockets * 6 / 10);
-        others =
+                        .limitConnections(Controller.HEARTBEAT_PATH, sockets * 6 / 10);
+        peerServer =
                 new HttpServer(
                         network,
                         sockets / 10,
-                        4 * HttpServer.MOST_BYTES,
+                        4 * HttpServer.MAX_REQUEST_BYTES,
                         (call, answer) -> eventLoop.post(() -> peers.handle(call, answer)));
-        int port = users.start(settings.bind().host(), settings.bind().port());
-        others.start(settings.peerListen().host(), settings.peerListen().port());
+        int port = userServer.start(settings.bindAddress().host(), settings.bindAddress().port());
+        peerServer.start(settings.peerAddress().host(), settings.peerAddress().port());
         eventLoop.post(controller::start);
         LOG.info(
                 "{} in {} listens on {}:{}",
                 settings.node(),
                 settings.zone(),
-                settings.bind().host(),
+                settings.bindAddress().host(),
                 port);
         return port;
     }
 
-    private static void handle(Controller controller, Call call, Consumer<Reply> answer) {
+    private static void handle(
+            Controller controller, InboundRequest call, Consumer<HttpReply> answer) {
         try {
             controller.handle(call, answer);
         } catch (RuntimeException e) {
             // Without an answer the client would wait in vain, and its place among the questions be
             // lost.
-            answer.accept(Reply.error(500, "an internal error"));
+            answer.accept(HttpReply.error(500, "an internal error"));
             throw e;
         }
     }
@@ -148,8 +152,8 @@
 
     /** Closes the servers, stops the owner and shuts the network down. */
     public void stop() {
-        users.close();
-        others.close();
+        userServer.close();
+        peerServer.close();
         eventLoop.stop();
         network.shutdownGracefully();
     }
--- a/src/main/java/io/pepperfield/node/EventLoop.java
+++ b/src/main/java/io/pepperfield/controller/EventLoop.java
@@ -1,4 +1,4 @@
-package io.pepperfield.node;
+package io.pepperfield.controller;
 
 import io.pepperfield.loop.Loop;
 import java.util.ArrayList;
@@ -16,20 +16,23 @@
 public final class EventLoop implements Loop {
 
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
-    private static final int MOST_IN_BATCH = 256;
+    private static final int MAX_BATCH_SIZE = 256;
 
     /** A command to run at a time in nanoseconds; {@code order} decides among equal times. */
-    private record Timer(long at, long order, Runnable command) implements Comparable<Timer> {
+    private record Timer(long dueNanos, long sequence, Runnable command)
+            implements Comparable<Timer> {
         @Override
         public int compareTo(Timer other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+            return dueNanos != other.dueNanos
+                    ? Long.compare(dueNanos, other.dueNanos)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
-    private final LinkedBlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<Runnable> commands = new LinkedBlockingQueue<>();
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private final long zero = System.nanoTime();
-    private long order;
+    private final long startNanos = System.nanoTime();
+    private long nextTimerSequence;
     private Runnable afterBatch = () -> {};
     private Runnable afterFailure = () -> {};
     private volatile boolean stopped;
@@ -37,14 +40,14 @@
     /**
      * @param afterFailure what to do when a command threw and the books may be half-written
      */
-    public void handlers(Runnable afterBatch, Runnable afterFailure) {
+    public void setHandlers(Runnable afterBatch, Runnable afterFailure) {
         this.afterBatch = afterBatch;
         this.afterFailure = afterFailure;
     }
 
     @Override
     public double now() {
-        return (System.nanoTime() - zero) / 1e9;
+        return (System.nanoTime() - startNanos) / 1e9;
     }
 
     @Override
@@ -54,7 +57,7 @@
 
     @Override
     public void post(Runnable command) {
-        queue.add(command);
+        commands.add(command);
     }
 
     /** Called on its own thread only; other threads post. */
@@ -62,15 +65,15 @@
     public void after(double seconds, Runnable command) {
         timers.add(
                 new Timer(
-                        System.nanoTime() - zero + (long) (Math.max(0, seconds) * 1e9),
-                        order++,
+                        System.nanoTime() - startNanos + (long) (Math.max(0, seconds) * 1e9),
+                        nextTimerSequence++,
                         command));
     }
 
     /** Ends {@link #run} after the current batch; may be called on any thread. */
     public void stop() {
         stopped = true;
-        queue.add(() -> {});
+        commands.add(() -> {});
     }
 
     /** Works until stopped. */
@@ -81,26 +84,27 @@
                 long wait =
                         timers.isEmpty()
                                 ? Long.MAX_VALUE
-                                : timers.peek().at - (System.nanoTime() - zero);
-                Runnable first = wait > 0 ? queue.poll(wait, TimeUnit.NANOSECONDS) : queue.poll();
+                                : timers.peek().dueNanos - (System.nanoTime() - startNanos);
+                Runnable first =
+                        wait > 0 ? commands.poll(wait, TimeUnit.NANOSECONDS) : commands.poll();
                 if (first != null) {
                     batch.add(first);
-                    queue.drainTo(batch, MOST_IN_BATCH);
+                    commands.drainTo(batch, MAX_BATCH_SIZE);
                 }
             } catch (InterruptedException e) {
                 return;
             }
-            long now = System.nanoTime() - zero;
-            while (!timers.isEmpty() && timers.peek().at <= now) {
+            long now = System.nanoTime() - startNanos;
+            while (!timers.isEmpty() && timers.peek().dueNanos <= now) {
                 batch.add(timers.poll().command);
             }
-            batch.forEach(this::guarded);
+            batch.forEach(this::runGuarded);
             batch.clear();
-            guarded(afterBatch);
+            runGuarded(afterBatch);
         }
     }
 
-    private void guarded(Runnable command) {
+    private void runGuarded(Runnable command) {
         try {
             command.run();
         } catch (RuntimeException e) {
--- a/src/main/java/io/pepperfield/node/StoredVersion.java
+++ b/src/main/java/io/pepperfield/controller/StoredStateCompatibility.java
@@ -1,9 +1,9 @@
-package io.pepperfield.node;
+package io.pepperfield.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.config.Settings;
-import io.pepperfield.http.Call;
-import io.pepperfield.http.Reply;
+import io.pepperfield.http.HttpReply;
+import io.pepperfield.http.InboundRequest;
 import io.pepperfield.rollout.Rollout;
 import io.pepperfield.rollout.StoredVersions;
 import io.pepperfield.store.Keys;
@@ -17,33 +17,34 @@
  * without one. If it cannot, it does nothing but say so: what it knows of jobs and machines may
  * lack what others have written.
  */
-final class StoredVersion {
+final class StoredStateCompatibility {
 
     /** What is said to whoever asks a controller that does not serve. */
     static final String NOT_SERVING = "this controller cannot read all that is stored";
 
-    private static final Logger LOG = LoggerFactory.getLogger(StoredVersion.class);
+    private static final Logger LOG = LoggerFactory.getLogger(StoredStateCompatibility.class);
 
     private final Rollout rollout;
     private final TransactionLimits limits;
 
     /** The rollout is switched off here, and records of a newer form exist. */
-    private boolean unknown;
+    private boolean newerVersionInUse;
 
     /**
      * @param rollout null where operators have not switched it on
      */
-    StoredVersion(Rollout rollout, Settings settings) {
+    StoredStateCompatibility(Rollout rollout, Settings settings) {
         this.rollout = rollout;
         this.limits =
                 rollout == null
-                        ? TransactionLimits.all(settings.deployment().state().txnOps())
-                        : rollout.limits();
+                        ? TransactionLimits.all(
+                                settings.deployment().storeLimits().maxTransactionOps())
+                        : rollout.transactionLimits();
     }
 
     /** Whether this controller may take part in the cluster. */
-    boolean serves() {
-        return rollout == null ? !unknown : rollout.gate().serves();
+    boolean mayServe() {
+        return rollout == null ? !newerVersionInUse : rollout.gate().mayServe();
     }
 
     /** What one of the leader's transactions may hold. */
@@ -52,23 +53,23 @@
     }
 
     /** Tasks in a run record of a new job, where the first form has so many. */
-    int linesInRecord(int first) {
-        return rollout == null ? first : rollout.linesInRecord(first);
+    int tasksPerRunRecord(int first) {
+        return rollout == null ? first : rollout.tasksPerRecord(first);
     }
 
-    /** The replica's news of a key below {@link Keys#ROLLOUT}. */
-    void changed(String key, JsonNode data, long stamp) {
+    /** The replica's news of a key below {@link Keys#ROLLOUT_PREFIX}. */
+    void replicaChanged(String key, JsonNode data, long stamp) {
         if (rollout != null) {
             rollout.changed(key, data, stamp);
         } else if (key.equals(Keys.ROLLOUT_VERSION)) {
             boolean newer =
                     data != null
                             && data.path("highest").asInt(Integer.MAX_VALUE) > StoredVersions.FIRST;
-            if (newer && !unknown) {
+            if (newer && !newerVersionInUse) {
                 LOG.error(
                         "serving nobody: a newer stored-state version is in use, and rollout is off");
             }
-            unknown = newer;
+            newerVersionInUse = newer;
         }
     }
 
@@ -80,11 +81,11 @@
     }
 
     /** Whether the request is an operator's about the rollout. */
-    boolean handles(Call call) {
+    boolean handles(InboundRequest call) {
         return rollout != null && call.path().startsWith(Rollout.PATH);
     }
 
-    void handle(Call call, Consumer<Reply> answer) {
+    void handle(InboundRequest call, Consumer<HttpReply> answer) {
         rollout.handle(call, answer);
     }
 }
--- a/src/main/java/io/pepperfield/node/PreemptedRoom.java
+++ b/src/main/java/io/pepperfield/dispatch/PreemptedCapacity.java
@@ -1,4 +1,4 @@
-package io.pepperfield.node;
+package io.pepperfield.dispatch;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -9,22 +9,22 @@
  * other; a swarm of small ones of the lowest rank would take each piece of the room as it comes
  * free, only to be stopped next, again and again.
  */
-final class PreemptedRoom {
+final class PreemptedCapacity {
 
     /** Until when (loop time) each machine is kept from the lowest rank. */
-    private final Map<String, Double> keptUntil = new HashMap<>();
+    private final Map<String, Double> reservedUntil = new HashMap<>();
 
     /** A task is being stopped there; the machine's room is kept until then. */
-    void stopped(String machine, double until) {
-        keptUntil.merge(machine, until, Math::max);
+    void reserve(String machine, double until) {
+        reservedUntil.merge(machine, until, Math::max);
     }
 
     void expire(double now) {
-        keptUntil.values().removeIf(until -> until < now);
+        reservedUntil.values().removeIf(until -> until < now);
     }
 
     /** The machines that work of the lowest rank must leave alone. */
-    Set<String> machines() {
-        return keptUntil.keySet();
+    Set<String> machineNames() {
+        return reservedUntil.keySet();
     }
 }
--- a/src/main/java/io/pepperfield/fleet/Attempt.java
+++ b/src/main/java/io/pepperfield/fleet/Attempt.java
@@ -24,8 +24,8 @@
     public final int task;
     public final int number;
     public final Machine machine;
-    public final long tenure;
-    public final TaskRef ref;
+    public final long incarnation;
+    public final TaskRef taskRef;
     public final double intendedAt;
 
     Phase phase;
@@ -34,7 +34,7 @@
      * The highest token under which a run order may have left by the direct way, where it may be
      * carried out late.
      */
-    long directToken;
+    long directOrderToken;
 
     /**
      * From a durable record of an earlier leader, which may have cleared it: it is not ordered
@@ -45,13 +45,13 @@
     double runningSince = Double.NaN;
 
     /** This leader has seen it begin, so that the time it runs is known. */
-    boolean startSeen;
+    boolean startObserved;
 
-    boolean stopWanted;
-    double drainS;
+    boolean stopRequested;
+    double gracePeriodS;
 
     /** What ended it is durable or of no consequence: nothing is lost by clearing it. */
-    boolean settled;
+    boolean acknowledged;
 
     Attempt(
             Job job,
@@ -66,11 +66,11 @@
         this.task = task;
         this.number = number;
         this.machine = machine;
-        this.tenure = tenure;
+        this.incarnation = tenure;
         this.phase = phase;
-        this.directToken = directToken;
+        this.directOrderToken = directToken;
         this.intendedAt = intendedAt;
-        this.ref = new TaskRef(job.spec.id(), task);
+        this.taskRef = new TaskRef(job.spec.id(), task);
     }
 
     /** How far it has come. */
@@ -89,13 +89,13 @@
     }
 
     /** Whether it is to be stopped; the order is repeated until the attempt is proven gone. */
-    public boolean stopWanted() {
-        return stopWanted;
+    public boolean stopRequested() {
+        return stopRequested;
     }
 
     /** Seconds that its process is given to end by itself when it is stopped. */
-    public double drainS() {
-        return drainS;
+    public double gracePeriodS() {
+        return gracePeriodS;
     }
 
     /** Loop time since which it runs, NaN before. */
@@ -104,7 +104,7 @@
     }
 
     /** What ended it is durable now: it may be cleared once no late order can bring it back. */
-    public void settle() {
-        settled = true;
+    public void acknowledge() {
+        acknowledged = true;
     }
 }
