--- a/src/main/java/io/pepperfield/fleet/Fleet.java
+++ b/src/main/java/io/pepperfield/fleet/Fleet.java
@@ -1,6 +1,6 @@
 package io.pepperfield.fleet;
 
-import io.pepperfield.fleet.Report.Cause;
+import io.pepperfield.fleet.Heartbeat.Cause;
 import io.pepperfield.jobs.Job;
 import io.pepperfield.jobs.Status;
 import java.util.Collection;
@@ -15,8 +15,8 @@
 
 /**
  * The leader's machines and the attempts on them. Pure state: reports and times go in, orders and
- * events come out. {@link AttemptProofs} decides which attempts are gone, {@link OrderPlanner} what
- * a report is answered with.
+ * events come out. {@link TerminationEvidence} decides which attempts are gone, {@link
+ * OrderPlanner} what a report is answered with.
  */
 public final class Fleet {
 
@@ -25,34 +25,34 @@
     /** What the leader does about events in the fleet. */
     public interface Listener {
         /** The attempt runs now, for the first time as far as this leader knows. */
-        void started(Attempt attempt);
+        void attemptStarted(Attempt attempt);
 
         /**
          * Completed; the attempt stays in the machine's reports until it is settled and cleared.
          * The time that it ran is 0 where its start was not seen: a part of it would make every
          * later prediction too short.
          */
-        void completed(Attempt attempt, double ranS);
+        void attemptCompleted(Attempt attempt, double ranS);
 
         /** Proven gone without being completed; its task may be started again. */
-        void gone(Attempt attempt, Cause cause);
+        void attemptGone(Attempt attempt, Cause cause);
 
         /**
          * Nothing has been known of this machine, or it was up before and its worker has begun a
          * new session.
          */
-        void appeared(Machine machine);
+        void machineAppeared(Machine machine);
     }
 
     private final Listener listener;
-    private final double standInS;
-    private final LeaderTokens tokens;
-    private final AttemptProofs proofs;
-    private final OrderPlanner planner;
+    private final double directResponseValidityS;
+    private final LeaderFencingTokens tokens;
+    private final TerminationEvidence terminationEvidence;
+    private final OrderPlanner orderPlanner;
     private final Map<String, Machine> machines = new LinkedHashMap<>();
 
     /** Released with the cloud's word: a late report of one must not bring it back. */
-    private final Set<String> released = new HashSet<>();
+    private final Set<String> releasedMachines = new HashSet<>();
 
     /**
      * @param standInS for how long after a machine's last report its answers to direct messages
@@ -60,14 +60,14 @@
      */
     public Fleet(Listener listener, long electedToken, double standInS) {
         this.listener = listener;
-        this.standInS = standInS;
-        this.tokens = new LeaderTokens(electedToken);
-        this.proofs = new AttemptProofs(tokens, listener);
-        this.planner = new OrderPlanner(tokens);
+        this.directResponseValidityS = standInS;
+        this.tokens = new LeaderFencingTokens(electedToken);
+        this.terminationEvidence = new TerminationEvidence(tokens, listener);
+        this.orderPlanner = new OrderPlanner(tokens);
     }
 
     /** The leadership's token was minted anew. */
-    public void token(long renewed) {
+    public void renewFencingToken(long renewed) {
         tokens.renew(renewed);
     }
 
@@ -75,8 +75,8 @@
      * While true no answer to a report offers a start: the leader has not heard from the state
      * service for so long that others may have cancelled the job meanwhile.
      */
-    public void holdStarts(boolean hold) {
-        planner.holdStarts(hold);
+    public void suspendStarts(boolean hold) {
+        orderPlanner.suspendStarts(hold);
     }
 
     /**
@@ -84,13 +84,13 @@
      * report: a run order that left directly under the token of today may be on its way, and only a
      * newer token settles it.
      */
-    public List<Attempt> unsettledCancelled(Machine machine) {
+    public List<Attempt> cancelledAttemptsThatMayStart(Machine machine) {
         return machine.attempts.values().stream()
                 .filter(
                         attempt ->
-                                attempt.job.end() == Status.CANCELLED
+                                attempt.job.finalStatus() == Status.CANCELLED
                                         && attempt.phase == Attempt.Phase.ORDERED
-                                        && attempt.directToken >= tokens.current())
+                                        && attempt.directOrderToken >= tokens.currentToken())
                 .toList();
     }
 
@@ -98,8 +98,8 @@
      * Something waits for the machines to see a newer token, after which no order under the old one
      * is carried out.
      */
-    public boolean newerTokenWanted() {
-        return tokens.newerWanted();
+    public boolean needsNewerFencingToken() {
+        return tokens.newerRequested();
     }
 
     /** All that may exist, in the order in which they became known. */
@@ -114,16 +114,16 @@
 
     /** Whether the cloud has confirmed that the machine is gone. */
     public boolean wasReleased(String name) {
-        return released.contains(name);
+        return releasedMachines.contains(name);
     }
 
     /** A machine that should exist, by a rental, the cloud's list or a durable record. */
-    public Machine expect(
+    public Machine expectMachine(
             String name, String type, String zone, boolean spot, double rentedAt, double now) {
         Machine machine = machines.computeIfAbsent(name, n -> new Machine(n, now));
         machine.expected = true;
         if (!type.isEmpty() && machine.type().isEmpty()) {
-            machine.kind(type, spot);
+            machine.setInstanceClass(type, spot);
             machine.zone = zone;
             machine.rentedAt = Math.min(rentedAt, now);
         }
@@ -134,9 +134,9 @@
      * Takes an attempt from a durable record of an earlier leader: possibly alive, its orders
      * possibly under way.
      */
-    public Attempt restore(
+    public Attempt restoreAttempt(
             Job job, int task, int number, String machineName, long tenure, double now) {
-        Machine machine = expect(machineName, "", "", false, now, now);
+        Machine machine = expectMachine(machineName, "", "", false, now, now);
         Attempt attempt =
                 new Attempt(
                         job,
@@ -145,44 +145,51 @@
                         machine,
                         tenure,
                         Attempt.Phase.ORDERED,
-                        tokens.elected() - 1,
+                        tokens.electionToken() - 1,
                         now);
         attempt.restored = true;
-        machine.attempts.put(attempt.ref, attempt);
-        machine.count(attempt, 1);
+        machine.attempts.put(attempt.taskRef, attempt);
+        machine.adjustUsage(attempt, 1);
         return attempt;
     }
 
     /**
      * An attempt whose intent is about to be written; nothing may be ordered before it is durable.
      */
-    public Attempt intend(Job job, int task, int number, Machine machine, double now) {
+    public Attempt intendAttempt(Job job, int task, int number, Machine machine, double now) {
         Attempt attempt =
                 new Attempt(
-                        job, task, number, machine, machine.tenure, Attempt.Phase.INTENDED, 0, now);
-        Attempt old = machine.attempts.put(attempt.ref, attempt);
+                        job,
+                        task,
+                        number,
+                        machine,
+                        machine.incarnation,
+                        Attempt.Phase.INTENDED,
+                        0,
+                        now);
+        Attempt old = machine.attempts.put(attempt.taskRef, attempt);
         if (old != null) {
             // A worker refuses a task that it still holds, and to forget the old attempt would lose
             // its late orders.
             throw new IllegalStateException(
-                    attempt.ref + " is intended on " + machine.name + ", which still holds it");
+                    attempt.taskRef + " is intended on " + machine.name + ", which still holds it");
         }
-        machine.count(attempt, 1);
+        machine.adjustUsage(attempt, 1);
         machine.images.remove(job.spec.image());
         machine.images.add(job.spec.image());
         return attempt;
     }
 
     /** The intent is durable. True if the run order may leave now. */
-    public boolean ordered(Attempt attempt) {
+    public boolean intentIsDurable(Attempt attempt) {
         if (attempt.phase != Attempt.Phase.INTENDED) {
             return false;
         }
-        if (attempt.stopWanted
-                || attempt.machine.tenure != attempt.tenure
+        if (attempt.stopRequested
+                || attempt.machine.incarnation != attempt.incarnation
                 || attempt.machine.releasing) {
             // Nothing has left for it, so it is certain never to have been alive.
-            proofs.end(attempt, Cause.STOPPED);
+            terminationEvidence.endAttempt(attempt, Cause.STOPPED);
             return false;
         }
         attempt.phase = Attempt.Phase.ORDERED;
@@ -193,17 +200,18 @@
      * To be called before run orders leave by the direct way: from here on they may be carried out
      * late.
      */
-    public void sendingDirect(List<Attempt> attempts) {
-        attempts.forEach(a -> a.directToken = Math.max(a.directToken, tokens.current()));
+    public void directOrdersLeaving(List<Attempt> attempts) {
+        attempts.forEach(
+                a -> a.directOrderToken = Math.max(a.directOrderToken, tokens.currentToken()));
     }
 
     /** Wants the attempt stopped; an intent that has not left yet ends once its write does. */
-    public void stop(Attempt attempt, double drainS) {
-        if (attempt.live() && (!attempt.stopWanted || drainS < attempt.drainS)) {
-            attempt.stopWanted = true;
-            attempt.drainS = drainS;
+    public void requestStop(Attempt attempt, double drainS) {
+        if (attempt.live() && (!attempt.stopRequested || drainS < attempt.gracePeriodS)) {
+            attempt.stopRequested = true;
+            attempt.gracePeriodS = drainS;
             if (attempt.phase == Attempt.Phase.ORDERED) {
-                tokens.wantNewer();
+                tokens.requestNewer();
             }
         }
     }
@@ -212,26 +220,26 @@
      * A worker's report by its own message: state is taken if it is news; its answer are the
      * orders, or null for none.
      */
-    public List<Order> beat(Report report, double now) {
+    public List<Order> handleHeartbeat(Heartbeat report, double now) {
         Machine known = machines.get(report.machine());
-        if (known != null && known.knowsBeat(report)) {
+        if (known != null && known.isDuplicateHeartbeat(report)) {
             // A late copy: its sender has given it up, and it says nothing about whether the
             // machine is still there.
             return null;
         }
-        boolean anew = known != null && known.up() && report.tenure() > known.tenure;
-        long seenBefore = known == null ? 0 : known.seenToken;
-        Machine machine = take(report, true, now);
+        boolean anew = known != null && known.ready() && report.incarnation() > known.incarnation;
+        long seenBefore = known == null ? 0 : known.highestTokenSeen;
+        Machine machine = applyHeartbeat(report, true, now);
         if (machine == null) {
             return null;
         }
-        machine.beatTenure = report.tenure();
-        machine.beatSerial = report.serial();
-        machine.reportedAt = now;
-        machine.lastBeat = report;
-        machine.answers.reported(report, anew, seenBefore, now);
-        List<Order> orders = planner.answer(machine, report);
-        machine.answers.answered(tokens.current());
+        machine.heartbeatIncarnation = report.incarnation();
+        machine.heartbeatSequence = report.sequence();
+        machine.lastHeartbeatAt = now;
+        machine.lastHeartbeat = report;
+        machine.replyDelivery.heartbeatReceived(report, anew, seenBefore, now);
+        List<Order> orders = orderPlanner.plan(machine, report);
+        machine.replyDelivery.replySent(tokens.currentToken());
         return orders;
     }
 
@@ -239,15 +247,15 @@
      * What a partition owner remembers of a machine whose next report is still to come. It is as
      * old as it is: it proves no absence, and nothing is answered to it.
      */
-    public void remembered(Report report, double at) {
+    public void handleCachedHeartbeat(Heartbeat report, double at) {
         Machine known = machines.get(report.machine());
-        if (known != null && known.up()) {
+        if (known != null && known.ready()) {
             return;
         }
-        Machine machine = take(report, false, at);
-        if (machine != null && !machine.up()) {
-            machine.reportedAt = at;
-            listener.appeared(machine);
+        Machine machine = applyHeartbeat(report, false, at);
+        if (machine != null && !machine.ready()) {
+            machine.lastHeartbeatAt = at;
+            listener.machineAppeared(machine);
         }
     }
 
@@ -255,95 +263,99 @@
      * A report that differs from the one named only in its serial and token, or null where that is
      * not the last one here.
      */
-    public Report repeated(String name, long tenure, long base, long serial, long token) {
+    public Heartbeat expandRepeatedHeartbeat(
+            String name, long tenure, long base, long serial, long token) {
         Machine machine = machines.get(name);
-        Report last = machine == null ? null : machine.lastBeat;
-        if (last == null || last.tenure() != tenure || last.serial() != base) {
+        Heartbeat last = machine == null ? null : machine.lastHeartbeat;
+        if (last == null || last.incarnation() != tenure || last.sequence() != base) {
             return null;
         }
-        return last.repeatedAs(serial, token);
+        return last.withSequenceAndToken(serial, token);
     }
 
     /**
      * A report that came as the answer to direct orders; it renews nothing and proves no absence.
      */
-    public void heard(Report report, double now) {
+    public void handleDirectResponse(Heartbeat report, double now) {
         if (machines.containsKey(report.machine())) {
-            Machine machine = take(report, false, now);
+            Machine machine = applyHeartbeat(report, false, now);
             if (machine != null) {
                 // A worker whose reports reach nobody loses its tasks with its lease, however well
                 // it answers: with nothing but
                 // direct answers from it for long it would be given work again and again, each time
                 // in vain.
-                machine.answeredAt =
-                        machine.up() ? Math.min(now, machine.reportedAt + standInS) : now;
-                machine.answers.responded();
+                machine.lastResponseAt =
+                        machine.ready()
+                                ? Math.min(now, machine.lastHeartbeatAt + directResponseValidityS)
+                                : now;
+                machine.replyDelivery.directMessageAnswered();
             }
         }
     }
 
-    private Machine take(Report report, boolean beat, double now) {
-        if (released.contains(report.machine())) {
+    private Machine applyHeartbeat(Heartbeat report, boolean beat, double now) {
+        if (releasedMachines.contains(report.machine())) {
             return null;
         }
         Machine machine = machines.computeIfAbsent(report.machine(), n -> new Machine(n, now));
-        machine.kind(report.type(), report.spot());
+        machine.setInstanceClass(report.type(), report.spot());
         machine.zone = report.zone();
         machine.address = report.address();
-        if (machine.knows(report)) {
+        if (machine.alreadyApplied(report)) {
             return machine;
         }
-        boolean appeared = !machine.up() || report.tenure() > machine.tenure;
-        machine.tenure = report.tenure();
-        machine.serial = report.serial();
+        boolean appeared = !machine.ready() || report.incarnation() > machine.incarnation;
+        machine.incarnation = report.incarnation();
+        machine.sequence = report.sequence();
         // A worker keeps the highest token it has seen. One that has forgotten it is another
         // process on a machine that came
         // back at once: it would carry out old orders, so that nothing missing from its reports is
         // proven gone for good.
-        machine.reborn |= report.token() < machine.seenToken;
-        machine.seenToken = Math.max(machine.seenToken, report.token());
-        machine.heardLeader |= report.token() >= tokens.elected();
-        machine.takenAt = report.noticeS() == null ? Double.NaN : now + report.noticeS();
-        proofs.take(machine, report, beat, now);
+        machine.restarted |= report.fencingToken() < machine.highestTokenSeen;
+        machine.highestTokenSeen = Math.max(machine.highestTokenSeen, report.fencingToken());
+        machine.hasSeenLeaderToken |= report.fencingToken() >= tokens.electionToken();
+        machine.reclaimAt =
+                report.reclaimNoticeS() == null ? Double.NaN : now + report.reclaimNoticeS();
+        terminationEvidence.reconcile(machine, report, beat, now);
         if (appeared && beat) {
-            listener.appeared(machine);
+            listener.machineAppeared(machine);
         }
         return machine;
     }
 
     /** The cloud is asked to take the machine back: it gets no more work. */
-    public void releasing(Machine machine) {
+    public void markReleasing(Machine machine) {
         machine.releasing = true;
     }
 
     /** Proof 3: the cloud has answered that the machine is gone with everything on it. */
-    public void gone(String name) {
-        released.add(name);
+    public void confirmReleased(String name) {
+        releasedMachines.add(name);
         Machine machine = machines.remove(name);
         if (machine == null) {
             return;
         }
-        if (machine.live > 0) {
-            LOG.debug("{} is gone with {} attempts", machine.describe(), machine.live);
+        if (machine.liveAttemptCount > 0) {
+            LOG.debug("{} is gone with {} attempts", machine.describe(), machine.liveAttemptCount);
         }
-        proofs.endAll(machine);
+        terminationEvidence.endAllAttempts(machine);
     }
 
     /** How many machines have this many seconds of silence or more, among those that were up. */
-    public Map<String, Integer> census(double now, double silentS) {
+    public Map<String, Integer> countByState(double now, double silentS) {
         Map<String, Integer> census = new HashMap<>();
         for (Machine machine : machines.values()) {
-            String state = state(machine, now, silentS);
+            String state = stateName(machine, now, silentS);
             census.merge(state, 1, Integer::sum);
         }
         return census;
     }
 
-    private static String state(Machine machine, double now, double silentS) {
+    private static String stateName(Machine machine, double now, double silentS) {
         if (machine.releasing) {
             return "releasing";
         }
-        if (!machine.up()) {
+        if (!machine.ready()) {
             return "awaited";
         }
         return machine.silentFor(now) > silentS ? "silent" : "up";
--- a/src/main/java/io/pepperfield/fleet/Report.java
+++ b/src/main/java/io/pepperfield/fleet/Heartbeat.java
@@ -5,17 +5,17 @@
 import java.util.List;
 
 /** A worker's report; {@code noticeS} is null unless the cloud is about to take the machine. */
-public record Report(
+public record Heartbeat(
         String machine,
         String address,
         String type,
         String zone,
         boolean spot,
-        long tenure,
-        long serial,
-        long token,
-        Double noticeS,
-        List<Line> lines) {
+        long incarnation,
+        long sequence,
+        long fencingToken,
+        Double reclaimNoticeS,
+        List<AttemptStatus> attempts) {
 
     /** The state of an attempt on its worker. */
     public enum State {
@@ -38,28 +38,37 @@
     }
 
     /** What a report says about one attempt. */
-    public record Line(TaskRef ref, int attempt, State state, Cause cause) {}
+    public record AttemptStatus(TaskRef taskRef, int attemptNumber, State state, Cause cause) {}
 
     /** The report that differs from this one only in its serial and token. */
-    Report repeatedAs(long newSerial, long newToken) {
-        return new Report(
-                machine, address, type, zone, spot, tenure, newSerial, newToken, noticeS, lines);
+    Heartbeat withSequenceAndToken(long newSerial, long newToken) {
+        return new Heartbeat(
+                machine,
+                address,
+                type,
+                zone,
+                spot,
+                incarnation,
+                newSerial,
+                newToken,
+                reclaimNoticeS,
+                attempts);
     }
 
     /** Null where the message is no report: refused whole, since half of one proves nothing. */
-    public static Report read(JsonNode message) {
+    public static Heartbeat parse(JsonNode message) {
         if (!message.path("host").isTextual()
                 || !message.path("addr").isTextual()
                 || !message.path("flavour").isTextual()
                 || !message.path("site").isTextual()
                 || !message.path("reclaimable").isBoolean()
-                || !count(message.path("tenure"))
-                || !count(message.path("serial"))
-                || !count(message.path("epoch"))
+                || !isCount(message.path("tenure"))
+                || !isCount(message.path("serial"))
+                || !isCount(message.path("epoch"))
                 || !message.path("shards").isArray()) {
             return null;
         }
-        List<Line> lines = new ArrayList<>();
+        List<AttemptStatus> lines = new ArrayList<>();
         for (JsonNode shard : message.path("shards")) {
             TaskRef ref = TaskRef.parse(shard.path("shard").asText());
             State state =
@@ -72,18 +81,18 @@
                         // not counted as running.
                         default -> State.PULLING;
                     };
-            if (ref == null || !shard.path("status").isTextual() || !count(shard.path("try"))) {
+            if (ref == null || !shard.path("status").isTextual() || !isCount(shard.path("try"))) {
                 return null;
             }
             lines.add(
-                    new Line(
+                    new AttemptStatus(
                             ref,
                             shard.path("try").intValue(),
                             state,
-                            cause(shard.path("cause").asText(""))));
+                            parseCause(shard.path("cause").asText(""))));
         }
         JsonNode notice = message.path("warningS");
-        return new Report(
+        return new Heartbeat(
                 message.path("host").textValue(),
                 message.path("addr").textValue(),
                 message.path("flavour").textValue(),
@@ -96,11 +105,11 @@
                 lines);
     }
 
-    private static boolean count(JsonNode value) {
+    private static boolean isCount(JsonNode value) {
         return value.isIntegralNumber() && value.canConvertToLong() && value.longValue() >= 0;
     }
 
-    private static Cause cause(String word) {
+    private static Cause parseCause(String word) {
         return switch (word) {
             case "" -> Cause.NONE;
             case "done" -> Cause.DONE;
--- a/src/main/java/io/pepperfield/fleet/HttpWorkers.java
+++ b/src/main/java/io/pepperfield/fleet/HttpWorkerClient.java
@@ -2,45 +2,45 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pepperfield.http.HttpOutcome;
+import io.pepperfield.http.HttpSender;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Outcome;
-import io.pepperfield.http.Sender;
 import io.pepperfield.loop.Loop;
 import java.util.List;
 import java.util.function.Consumer;
 
 /** Direct orders over the workers' published protocol. */
-public final class HttpWorkers implements Workers {
+public final class HttpWorkerClient implements WorkerClient {
 
     private final Loop loop;
-    private final Sender client;
-    private final long deadlineMs;
+    private final HttpSender client;
+    private final long timeoutMs;
 
     /**
      * Creates a client whose requests fail after one report interval of {@code reportS} seconds.
      */
-    public HttpWorkers(Loop loop, Sender client, double reportS) {
+    public HttpWorkerClient(Loop loop, HttpSender client, double reportS) {
         this.loop = loop;
         this.client = client;
         // A worker that has not answered by then is asked through its next report anyway.
-        this.deadlineMs = Math.round(reportS * 1000);
+        this.timeoutMs = Math.round(reportS * 1000);
     }
 
     @Override
-    public void orders(
+    public void sendOrders(
             String address, long token, long tenure, List<Order> orders, Consumer<Result> done) {
         send(
                 address,
                 1,
                 "POST",
                 "/orders",
-                Json.write(Order.message(token, tenure, orders)),
-                deadlineMs,
-                outcome -> done.accept(result(outcome)));
+                Json.write(Order.directMessageBody(token, tenure, orders)),
+                timeoutMs,
+                outcome -> done.accept(toResult(outcome)));
     }
 
     @Override
-    public void forward(
+    public void forwardOrders(
             String address, long token, long tenure, JsonNode orders, Consumer<byte[]> heard) {
         ObjectNode body = Json.object().put("epoch", token).put("tenure", tenure);
         body.set("orders", orders);
@@ -50,19 +50,19 @@
                 "POST",
                 "/orders",
                 Json.write(body),
-                deadlineMs,
+                timeoutMs,
                 outcome -> {
                     // What is no report must not get into a message with others'.
-                    if (outcome instanceof Outcome.Answered answer
+                    if (outcome instanceof HttpOutcome.Answered answer
                             && (answer.status() == 200 || answer.status() == 409)
-                            && Report.read(answer.json()) != null) {
+                            && Heartbeat.parse(answer.json()) != null) {
                         heard.accept(answer.body());
                     }
                 });
     }
 
     @Override
-    public void probe(String address, Consumer<Report> done) {
+    public void probe(String address, Consumer<Heartbeat> done) {
         // On a second connection: the first may be waiting for orders that a hanging machine has
         // not taken up.
         send(
@@ -71,11 +71,12 @@
                 "GET",
                 "/status",
                 null,
-                deadlineMs / 2,
+                timeoutMs / 2,
                 outcome ->
                         done.accept(
-                                outcome instanceof Outcome.Answered answer && answer.status() == 200
-                                        ? Report.read(answer.json())
+                                outcome instanceof HttpOutcome.Answered answer
+                                                && answer.status() == 200
+                                        ? Heartbeat.parse(answer.json())
                                         : null));
     }
 
@@ -86,13 +87,13 @@
             String path,
             byte[] body,
             long withinMs,
-            Consumer<Outcome> done) {
+            Consumer<HttpOutcome> done) {
         int colon = address.lastIndexOf(':');
         int port;
         try {
             port = Integer.parseInt(address.substring(colon + 1));
         } catch (NumberFormatException e) {
-            loop.post(() -> done.accept(new Outcome.NotSent("no address")));
+            loop.post(() -> done.accept(new HttpOutcome.NotSent("no address")));
             return;
         }
         client.send(
@@ -106,17 +107,17 @@
                 outcome -> loop.post(() -> done.accept(outcome)));
     }
 
-    private static Result result(Outcome outcome) {
-        if (outcome instanceof Outcome.NotSent) {
+    private static Result toResult(HttpOutcome outcome) {
+        if (outcome instanceof HttpOutcome.NotSent) {
             return new Result.NotSent();
         }
-        if (outcome instanceof Outcome.Answered answer
+        if (outcome instanceof HttpOutcome.Answered answer
                 && (answer.status() == 200 || answer.status() == 409)) {
-            Report report = Report.read(answer.json());
+            Heartbeat report = Heartbeat.parse(answer.json());
             if (report != null) {
-                return new Result.Heard(answer.status() == 200, report);
+                return new Result.Responded(answer.status() == 200, report);
             }
         }
-        return new Result.NoAnswer();
+        return new Result.NoResponse();
     }
 }
--- a/src/main/java/io/pepperfield/fleet/Ledger.java
+++ b/src/main/java/io/pepperfield/fleet/LiveAttempts.java
@@ -14,20 +14,20 @@
  * All attempts that may be alive, by job, with what each team's take of its limit. Kept as attempts
  * come and go, so that a step of the leader costs what it changes and not what there is.
  */
-public final class Ledger {
+public final class LiveAttempts {
 
     /** What the live attempts of one team take in all, and its replicas among them. */
-    private static final class Use {
+    private static final class TeamUsage {
         int attempts;
         double cpus;
         double gpus;
         int replicas;
-        double lastingCpus;
-        double lastingGpus;
+        double replicaCpus;
+        double replicaGpus;
     }
 
     private final Map<Job, Int2ObjectMap<Attempt>> byJob = new LinkedHashMap<>();
-    private final Map<String, Use> byTeam = new HashMap<>();
+    private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
     private int size;
 
     /** Adds an attempt that may be alive; throws where another one of the same task is recorded. */
@@ -38,10 +38,10 @@
         if (old != null) {
             // One task alive twice is what must never be; the books are not to be trusted any
             // further.
-            throw new IllegalStateException(attempt.ref + " is already in the books");
+            throw new IllegalStateException(attempt.taskRef + " is already in the books");
         }
         size++;
-        count(attempt, 1);
+        adjustUsage(attempt, 1);
     }
 
     /** Proven gone or completed; an attempt that is not in the books changes nothing. */
@@ -55,21 +55,21 @@
             byJob.remove(attempt.job);
         }
         size--;
-        count(attempt, -1);
+        adjustUsage(attempt, -1);
     }
 
-    private void count(Attempt attempt, int sign) {
-        Use use = byTeam.computeIfAbsent(attempt.job.spec.team(), t -> new Use());
+    private void adjustUsage(Attempt attempt, int sign) {
+        TeamUsage use = usageByTeam.computeIfAbsent(attempt.job.spec.team(), t -> new TeamUsage());
         use.attempts += sign;
         // An empty team starts again from nought, so that rounding never adds up.
         use.cpus = use.attempts == 0 ? 0 : use.cpus + sign * attempt.job.spec.cpus();
         use.gpus = use.attempts == 0 ? 0 : use.gpus + sign * attempt.job.spec.gpus();
-        if (attempt.job.spec.service()) {
+        if (attempt.job.spec.isService()) {
             use.replicas += sign;
-            use.lastingCpus =
-                    use.replicas == 0 ? 0 : use.lastingCpus + sign * attempt.job.spec.cpus();
-            use.lastingGpus =
-                    use.replicas == 0 ? 0 : use.lastingGpus + sign * attempt.job.spec.gpus();
+            use.replicaCpus =
+                    use.replicas == 0 ? 0 : use.replicaCpus + sign * attempt.job.spec.cpus();
+            use.replicaGpus =
+                    use.replicas == 0 ? 0 : use.replicaGpus + sign * attempt.job.spec.gpus();
         }
     }
 
@@ -84,13 +84,13 @@
     }
 
     /** The job's attempts, as a copy: ending one changes the books. */
-    public List<Attempt> of(Job job) {
+    public List<Attempt> snapshot(Job job) {
         Int2ObjectMap<Attempt> tasks = byJob.get(job);
         return tasks == null ? List.of() : List.copyOf(tasks.values());
     }
 
     /** Whether any attempt of the job may be alive. */
-    public boolean has(Job job) {
+    public boolean hasAny(Job job) {
         return byJob.containsKey(job);
     }
 
@@ -100,39 +100,39 @@
     }
 
     /** The attempts of a job that may be alive, as a view. */
-    public Collection<Attempt> live(Job job) {
+    public Collection<Attempt> attemptsOf(Job job) {
         Int2ObjectMap<Attempt> tasks = byJob.get(job);
         return tasks == null ? List.of() : tasks.values();
     }
 
     /** How many of the job's tasks may be alive in each zone. */
-    public Map<String, Integer> zones(Job job) {
+    public Map<String, Integer> countByZone(Job job) {
         Map<String, Integer> zones = new HashMap<>();
-        live(job).forEach(attempt -> zones.merge(attempt.machine.zone(), 1, Integer::sum));
+        attemptsOf(job).forEach(attempt -> zones.merge(attempt.machine.zone(), 1, Integer::sum));
         return zones;
     }
 
     /** CPUs that a team's live attempts take. */
-    public double cpus(String team) {
-        Use use = byTeam.get(team);
+    public double usedCpus(String team) {
+        TeamUsage use = usageByTeam.get(team);
         return use == null ? 0 : use.cpus;
     }
 
     /** Accelerators that a team's live attempts take. */
-    public double gpus(String team) {
-        Use use = byTeam.get(team);
+    public double usedGpus(String team) {
+        TeamUsage use = usageByTeam.get(team);
         return use == null ? 0 : use.gpus;
     }
 
     /** What the team's replicas take: they end only when their users say so. */
-    public double lastingCpus(String team) {
-        Use use = byTeam.get(team);
-        return use == null ? 0 : use.lastingCpus;
+    public double replicaCpus(String team) {
+        TeamUsage use = usageByTeam.get(team);
+        return use == null ? 0 : use.replicaCpus;
     }
 
     /** Accelerators that a team's replicas take, which do not end by themselves. */
-    public double lastingGpus(String team) {
-        Use use = byTeam.get(team);
-        return use == null ? 0 : use.lastingGpus;
+    public double replicaGpus(String team) {
+        TeamUsage use = usageByTeam.get(team);
+        return use == null ? 0 : use.replicaGpus;
     }
 }
--- a/src/main/java/io/pepperfield/fleet/Machine.java
+++ b/src/main/java/io/pepperfield/fleet/Machine.java
@@ -1,9 +1,9 @@
 package io.pepperfield.fleet;
 
+import io.pepperfield.capacity.InstancePool;
 import io.pepperfield.jobs.Job;
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.placement.Capacity;
-import io.pepperfield.steering.Pool;
 import java.util.Collection;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -14,38 +14,38 @@
 /** One rented machine as the leader knows it. */
 public final class Machine {
 
-    private static final int MOST_ERRORS = 2;
+    private static final int MIN_FAILED_JOBS = 2;
 
     public final String name;
     String address = "";
     String zone = "";
-    private String through = "";
+    private String reportingController = "";
 
     /** Has shown the token of this leadership. */
-    boolean heardLeader;
+    boolean hasSeenLeaderToken;
 
-    private Pool pool = new Pool("", false);
-    long tenure;
-    long serial = -1;
-    long beatTenure;
-    long beatSerial = -1;
-    long seenToken;
+    private InstancePool pool = new InstancePool("", false);
+    long incarnation;
+    long sequence = -1;
+    long heartbeatIncarnation;
+    long heartbeatSequence = -1;
+    long highestTokenSeen;
 
     /** Loop time of the last report taken, NaN before the first under this leader. */
-    double reportedAt = Double.NaN;
+    double lastHeartbeatAt = Double.NaN;
 
     /** Loop time of its last answer to something sent to it. */
-    double answeredAt = Double.NEGATIVE_INFINITY;
+    double lastResponseAt = Double.NEGATIVE_INFINITY;
 
-    double probedAt = Double.NEGATIVE_INFINITY;
+    double lastProbeAt = Double.NEGATIVE_INFINITY;
 
     /** Loop time since which this leader waits for a report. */
-    double awaitedSince;
+    double knownSince;
 
     /** Loop time of its rental, as well as it is known. */
     double rentedAt;
 
-    double takenAt = Double.NaN;
+    double reclaimAt = Double.NaN;
 
     /**
      * Expected by a rental, the cloud's list or a durable intent: not known from a report alone.
@@ -53,38 +53,38 @@
     boolean expected;
 
     /** Whether answers to its reports reach it. */
-    final AnswerTracking answers = new AnswerTracking();
+    final ReplyDeliveryMonitor replyDelivery = new ReplyDeliveryMonitor();
 
     /** Its worker has forgotten what it had seen: only its return settles what was alive on it. */
-    boolean reborn;
+    boolean restarted;
 
     /** The last report taken as a message of its own; what a short one repeats. */
-    Report lastBeat;
+    Heartbeat lastHeartbeat;
 
     boolean releasing;
     boolean draining;
-    double avoidUntil;
+    double quarantinedUntil;
 
     /** Jobs of which a task failed here since one of any job was completed. */
     final Set<Job> failedJobs = new HashSet<>();
 
     final Map<TaskRef, Attempt> attempts = new LinkedHashMap<>();
     final Set<String> images = new LinkedHashSet<>();
-    int live;
-    private int replicas;
-    private double cpus;
-    private double gpus;
-    private double memGb;
+    int liveAttemptCount;
+    private int replicaCount;
+    private double usedCpus;
+    private double usedGpus;
+    private double usedMemGb;
 
     /** What replicas take, which end only when their users say so. */
-    private double lastingCpus;
+    private double replicaCpus;
 
-    private double lastingGpus;
-    private double lastingMemGb;
+    private double replicaGpus;
+    private double replicaMemGb;
 
     Machine(String name, double now) {
         this.name = name;
-        this.awaitedSince = now;
+        this.knownSince = now;
         this.rentedAt = now;
     }
 
@@ -94,23 +94,23 @@
     }
 
     /** The controller that its last report came through; empty where it was this one. */
-    public String through() {
-        return through;
+    public String reportingController() {
+        return reportingController;
     }
 
     /** Sets the controller that its last report came through; empty for this one. */
-    public void reportsThrough(String node) {
-        through = node;
+    public void setReportingController(String node) {
+        reportingController = node;
     }
 
     /** Its machine type and kind. */
-    public Pool pool() {
+    public InstancePool pool() {
         return pool;
     }
 
-    void kind(String type, boolean spot) {
+    void setInstanceClass(String type, boolean spot) {
         if (!pool.type().equals(type) || pool.spot() != spot) {
-            pool = new Pool(type, spot);
+            pool = new InstancePool(type, spot);
         }
     }
 
@@ -125,13 +125,13 @@
     }
 
     /** Has reported to this leader, so that its books are known. */
-    public boolean up() {
-        return !Double.isNaN(reportedAt);
+    public boolean ready() {
+        return !Double.isNaN(lastHeartbeatAt);
     }
 
     /** Since when this leader knows of it. */
-    public double awaitedSince() {
-        return awaitedSince;
+    public double knownSince() {
+        return knownSince;
     }
 
     /** Loop time of its rental in seconds, as well as it is known. */
@@ -140,29 +140,33 @@
     }
 
     /** Whether what is known of it is at least as new as the report. */
-    boolean knows(Report report) {
-        return report.tenure() < tenure || report.tenure() == tenure && report.serial() <= serial;
+    boolean alreadyApplied(Heartbeat report) {
+        return report.incarnation() < incarnation
+                || report.incarnation() == incarnation && report.sequence() <= sequence;
     }
 
     /** Whether this report, or a newer one, has come as a message of its own. */
-    boolean knowsBeat(Report report) {
-        return report.tenure() < beatTenure
-                || report.tenure() == beatTenure && report.serial() <= beatSerial;
+    boolean isDuplicateHeartbeat(Heartbeat report) {
+        return report.incarnation() < heartbeatIncarnation
+                || report.incarnation() == heartbeatIncarnation
+                        && report.sequence() <= heartbeatSequence;
     }
 
     /** Seconds since it last reported or answered, or since it was first awaited. */
     public double silentFor(double now) {
-        return now - Math.max(answeredAt, up() ? reportedAt : awaitedSince);
+        return now - Math.max(lastResponseAt, ready() ? lastHeartbeatAt : knownSince);
     }
 
     /** How long nothing has been heard from it, or nothing has shown that it hears. */
-    public double lostFor(double now) {
-        return deaf() ? Math.max(silentFor(now), answers.deafFor(now)) : silentFor(now);
+    public double unreachableFor(double now) {
+        return hasReceiveFailure()
+                ? Math.max(silentFor(now), replyDelivery.receiveFailureFor(now))
+                : silentFor(now);
     }
 
     /** Its reports arrive, but what they show says that neither answers nor orders reach it. */
-    public boolean deaf() {
-        return answers.deaf();
+    public boolean hasReceiveFailure() {
+        return replyDelivery.hasReceiveFailure();
     }
 
     /**
@@ -170,14 +174,14 @@
      * come late: one that nothing else speaks of must first have shown the token of this
      * leadership.
      */
-    public boolean takesWork(double now) {
-        return up()
-                && (expected || heardLeader)
-                && !deaf()
-                && !reborn
+    public boolean isSchedulable(double now) {
+        return ready()
+                && (expected || hasSeenLeaderToken)
+                && !hasReceiveFailure()
+                && !restarted
                 && !releasing
                 && !draining()
-                && avoidUntil <= now;
+                && quarantinedUntil <= now;
     }
 
     /** Whether it is being returned to the cloud. */
@@ -190,29 +194,29 @@
      * back.
      */
     public boolean draining() {
-        return draining || !Double.isNaN(takenAt);
+        return draining || !Double.isNaN(reclaimAt);
     }
 
     /** Loop time at which the cloud takes it, NaN without a notice. */
-    public double takenAt() {
-        return takenAt;
+    public double reclaimAt() {
+        return reclaimAt;
     }
 
     /** Loop time in seconds until which it takes no tasks. */
-    public double avoidUntil() {
-        return avoidUntil;
+    public double quarantinedUntil() {
+        return quarantinedUntil;
     }
 
     /** True once in each such time: it is to be asked whether it is there. */
-    public boolean dueForProbe(double now, double everyS) {
-        boolean due = now - probedAt >= everyS && !address.isEmpty();
-        probedAt = due ? now : probedAt;
+    public boolean claimDueProbe(double now, double everyS) {
+        boolean due = now - lastProbeAt >= everyS && !address.isEmpty();
+        lastProbeAt = due ? now : lastProbeAt;
         return due;
     }
 
     /** Takes no tasks until then. */
-    public void avoid(double until) {
-        avoidUntil = Math.max(avoidUntil, until);
+    public void quarantine(double until) {
+        quarantinedUntil = Math.max(quarantinedUntil, until);
     }
 
     /**
@@ -220,13 +224,14 @@
      * of the machine.
      */
     public boolean faulty() {
-        return failedJobs.size() >= MOST_ERRORS
-                && failedJobs.stream().filter(job -> job.doneCount() > 0).count() >= MOST_ERRORS;
+        return failedJobs.size() >= MIN_FAILED_JOBS
+                && failedJobs.stream().filter(job -> job.doneTaskCount() > 0).count()
+                        >= MIN_FAILED_JOBS;
     }
 
     /** Whether its worker restarted without its memory of what it ran. */
-    public boolean reborn() {
-        return reborn;
+    public boolean restarted() {
+        return restarted;
     }
 
     /** The host and port of its worker; empty until known. */
@@ -235,8 +240,8 @@
     }
 
     /** The number of its worker's session; a restarted worker has another one. */
-    public long tenure() {
-        return tenure;
+    public long incarnation() {
+        return incarnation;
     }
 
     /** The images that its worker has in its cache. */
@@ -251,37 +256,37 @@
 
     /** Whether no attempt on it may be alive. */
     public boolean idle() {
-        return live == 0;
+        return liveAttemptCount == 0;
     }
 
     /** The number of attempts on it that may be alive. */
-    public int liveCount() {
-        return live;
+    public int liveAttemptCount() {
+        return liveAttemptCount;
     }
 
     /** Whether a service's replica may be alive on it. */
     public boolean holdsReplica() {
-        return replicas > 0;
+        return replicaCount > 0;
     }
 
     /** Counts an attempt that may be alive here, or with -1 one that is not any more. */
-    void count(Attempt attempt, int sign) {
+    void adjustUsage(Attempt attempt, int sign) {
         JobSpec spec = attempt.job.spec;
-        live += sign;
-        replicas += spec.service() ? sign : 0;
+        liveAttemptCount += sign;
+        replicaCount += spec.isService() ? sign : 0;
         // An empty machine starts again from nought, so that rounding never adds up.
-        cpus = live == 0 ? 0 : cpus + sign * spec.cpus();
-        gpus = live == 0 ? 0 : gpus + sign * spec.gpus();
-        memGb = live == 0 ? 0 : memGb + sign * spec.memGb();
-        if (spec.service()) {
-            lastingCpus = replicas == 0 ? 0 : lastingCpus + sign * spec.cpus();
-            lastingGpus = replicas == 0 ? 0 : lastingGpus + sign * spec.gpus();
-            lastingMemGb = replicas == 0 ? 0 : lastingMemGb + sign * spec.memGb();
+        usedCpus = liveAttemptCount == 0 ? 0 : usedCpus + sign * spec.cpus();
+        usedGpus = liveAttemptCount == 0 ? 0 : usedGpus + sign * spec.gpus();
+        usedMemGb = liveAttemptCount == 0 ? 0 : usedMemGb + sign * spec.memGb();
+        if (spec.isService()) {
+            replicaCpus = replicaCount == 0 ? 0 : replicaCpus + sign * spec.cpus();
+            replicaGpus = replicaCount == 0 ? 0 : replicaGpus + sign * spec.gpus();
+            replicaMemGb = replicaCount == 0 ? 0 : replicaMemGb + sign * spec.memGb();
         }
     }
 
     /** Whether its worker has the image in its cache. */
-    public boolean has(String image) {
+    public boolean hasImage(String image) {
         return images.contains(image);
     }
 
@@ -297,22 +302,22 @@
 
     /** Room left beside all attempts that may be alive. */
     public double freeCpus(MachineType of) {
-        return of.cpus() - cpus;
+        return of.cpus() - usedCpus;
     }
 
     /** Accelerators left beside all attempts that may be alive. */
     public double freeGpus(MachineType of) {
-        return of.gpus() - gpus;
+        return of.gpus() - usedGpus;
     }
 
     /** Memory in gigabytes left beside all attempts that may be alive. */
     public double freeMemGb(MachineType of) {
-        return of.memGb() - memGb;
+        return of.memGb() - usedMemGb;
     }
 
     /** Room that it will have at most, however long one waits: beside its replicas. */
-    public Capacity beside(MachineType of) {
+    public Capacity capacityBesideReplicas(MachineType of) {
         return new Capacity(
-                of.cpus() - lastingCpus, of.gpus() - lastingGpus, of.memGb() - lastingMemGb);
+                of.cpus() - replicaCpus, of.gpus() - replicaGpus, of.memGb() - replicaMemGb);
     }
 }
--- a/src/main/java/io/pepperfield/fleet/MachineType.java
+++ b/src/main/java/io/pepperfield/fleet/MachineType.java
@@ -21,7 +21,7 @@
     }
 
     /** Whether the other type differs in its prices at most. */
-    public boolean sameButForPrices(MachineType other) {
+    public boolean equalsIgnoringPrices(MachineType other) {
         return equals(other.withPrices(price, spotPrice));
     }
 
--- a/src/main/java/io/pepperfield/fleet/Order.java
+++ b/src/main/java/io/pepperfield/fleet/Order.java
@@ -10,22 +10,22 @@
 public sealed interface Order {
 
     /** The task that the order is about. */
-    TaskRef ref();
+    TaskRef taskRef();
 
     /** The number of the attempt that the order is about. */
-    int attempt();
+    int attemptNumber();
 
     /** Starts an attempt. */
-    record Run(TaskRef ref, int attempt) implements Order {}
+    record Run(TaskRef taskRef, int attemptNumber) implements Order {}
 
     /** Stops an attempt, whose process has {@code drainS} seconds to end by itself. */
-    record Stop(TaskRef ref, int attempt, double drainS) implements Order {}
+    record Stop(TaskRef taskRef, int attemptNumber, double gracePeriodS) implements Order {}
 
     /** Lets the worker forget an attempt that has ended. */
-    record Clear(TaskRef ref, int attempt) implements Order {}
+    record Clear(TaskRef taskRef, int attemptNumber) implements Order {}
 
     /** Whether among the orders of an answer is one to stop something. */
-    static boolean anyStop(JsonNode orders) {
+    static boolean containsStop(JsonNode orders) {
         for (JsonNode order : orders) {
             if (order.path("verb").asText().equals("stop")) {
                 return true;
@@ -35,7 +35,7 @@
     }
 
     /** The body of an answer to a report. */
-    public static ObjectNode reply(long token, List<Order> orders) {
+    public static ObjectNode replyBody(long token, List<Order> orders) {
         ObjectNode body = Json.object().put("epoch", token);
         ArrayNode all = body.putArray("orders");
         for (Order order : orders) {
@@ -43,16 +43,16 @@
             node.put(
                     "verb",
                     order instanceof Run ? "run" : order instanceof Stop ? "stop" : "clear");
-            node.put("shard", order.ref().toString()).put("try", order.attempt());
+            node.put("shard", order.taskRef().toString()).put("try", order.attemptNumber());
             if (order instanceof Stop stop) {
-                node.put("drainS", stop.drainS());
+                node.put("drainS", stop.gracePeriodS());
             }
         }
         return body;
     }
 
     /** The body of a direct message, which holds for one session of the worker only. */
-    public static JsonNode message(long token, long tenure, List<Order> orders) {
-        return reply(token, orders).put("tenure", tenure);
+    public static JsonNode directMessageBody(long token, long tenure, List<Order> orders) {
+        return replyBody(token, orders).put("tenure", tenure);
     }
 }
--- a/src/main/java/io/pepperfield/fleet/OrderPlanner.java
+++ b/src/main/java/io/pepperfield/fleet/OrderPlanner.java
@@ -8,56 +8,57 @@
 /** The orders that answer a machine's report: what is to run, to stop and to be forgotten there. */
 final class OrderPlanner {
 
-    private final LeaderTokens tokens;
-    private boolean startsHeld;
+    private final LeaderFencingTokens tokens;
+    private boolean startsSuspended;
 
-    OrderPlanner(LeaderTokens tokens) {
+    OrderPlanner(LeaderFencingTokens tokens) {
         this.tokens = tokens;
     }
 
-    void holdStarts(boolean hold) {
-        startsHeld = hold;
+    void suspendStarts(boolean hold) {
+        startsSuspended = hold;
     }
 
     /** None where the report is of an earlier session. */
-    List<Order> answer(Machine machine, Report report) {
+    List<Order> plan(Machine machine, Heartbeat report) {
         List<Order> orders = new ArrayList<>();
-        if (report.tenure() != machine.tenure) {
+        if (report.incarnation() != machine.incarnation) {
             return orders;
         }
         Set<TaskRef> known = new HashSet<>();
         for (Attempt attempt : machine.attempts.values()) {
-            if (attempt.phase != Attempt.Phase.INTENDED && attempt.tenure == machine.tenure) {
-                known.add(attempt.ref);
-                addKnown(machine, attempt, orders);
+            if (attempt.phase != Attempt.Phase.INTENDED
+                    && attempt.incarnation == machine.incarnation) {
+                known.add(attempt.taskRef);
+                addOrderForKnown(machine, attempt, orders);
             }
         }
-        for (Report.Line line : report.lines()) {
-            if (!expected(machine, line, known)) {
-                addUnknown(machine, line, orders);
+        for (Heartbeat.AttemptStatus line : report.attempts()) {
+            if (!isExpected(machine, line, known)) {
+                addOrderForUnknown(machine, line, orders);
             }
         }
         return orders;
     }
 
-    private void addKnown(Machine machine, Attempt attempt, List<Order> orders) {
-        boolean lateOrderPossible = machine.seenToken <= attempt.directToken;
+    private void addOrderForKnown(Machine machine, Attempt attempt, List<Order> orders) {
+        boolean lateOrderPossible = machine.highestTokenSeen <= attempt.directOrderToken;
         if (!attempt.live()) {
             // A clear makes the worker forget; a direct run under a token it still accepts would
             // start it once more.
-            if (attempt.settled && !lateOrderPossible) {
-                orders.add(new Order.Clear(attempt.ref, attempt.number));
-            } else if (attempt.settled) {
-                tokens.wantNewer();
+            if (attempt.acknowledged && !lateOrderPossible) {
+                orders.add(new Order.Clear(attempt.taskRef, attempt.number));
+            } else if (attempt.acknowledged) {
+                tokens.requestNewer();
             }
-        } else if (attempt.stopWanted) {
-            orders.add(new Order.Stop(attempt.ref, attempt.number, attempt.drainS));
+        } else if (attempt.stopRequested) {
+            orders.add(new Order.Stop(attempt.taskRef, attempt.number, attempt.gracePeriodS));
             if (attempt.phase == Attempt.Phase.ORDERED && lateOrderPossible) {
-                tokens.wantNewer();
+                tokens.requestNewer();
             }
         } else if (mayStart(machine, attempt)) {
-            orders.add(new Order.Run(attempt.ref, attempt.number));
-            machine.answers.offered(attempt);
+            orders.add(new Order.Run(attempt.taskRef, attempt.number));
+            machine.replyDelivery.offered(attempt);
         }
     }
 
@@ -65,23 +66,25 @@
         return attempt.phase == Attempt.Phase.ORDERED
                 && !attempt.restored
                 && !machine.releasing
-                && !startsHeld;
+                && !startsSuspended;
     }
 
-    private static boolean expected(Machine machine, Report.Line line, Set<TaskRef> known) {
-        Attempt attempt = machine.attempts.get(line.ref());
-        if (attempt == null || attempt.number != line.attempt()) {
+    private static boolean isExpected(
+            Machine machine, Heartbeat.AttemptStatus line, Set<TaskRef> known) {
+        Attempt attempt = machine.attempts.get(line.taskRef());
+        if (attempt == null || attempt.number != line.attemptNumber()) {
             return false;
         }
-        return known.contains(line.ref()) || attempt.phase == Attempt.Phase.INTENDED;
+        return known.contains(line.taskRef()) || attempt.phase == Attempt.Phase.INTENDED;
     }
 
     /** An attempt that no durable record knows any more, by a leader before this one. */
-    private void addUnknown(Machine machine, Report.Line line, List<Order> orders) {
-        if (line.state() != Report.State.ENDED) {
-            orders.add(new Order.Stop(line.ref(), line.attempt(), 0));
-        } else if (machine.seenToken >= tokens.elected()) {
-            orders.add(new Order.Clear(line.ref(), line.attempt()));
+    private void addOrderForUnknown(
+            Machine machine, Heartbeat.AttemptStatus line, List<Order> orders) {
+        if (line.state() != Heartbeat.State.ENDED) {
+            orders.add(new Order.Stop(line.taskRef(), line.attemptNumber(), 0));
+        } else if (machine.highestTokenSeen >= tokens.electionToken()) {
+            orders.add(new Order.Clear(line.taskRef(), line.attemptNumber()));
         }
     }
 }
--- a/src/main/java/io/pepperfield/fleet/AnswerTracking.java
+++ b/src/main/java/io/pepperfield/fleet/ReplyDeliveryMonitor.java
@@ -7,25 +7,25 @@
  * Whether answers to its reports reach one machine. That reports arrive says nothing of it: the
  * next one should show the token of the answer and the run orders in it.
  */
-final class AnswerTracking {
+final class ReplyDeliveryMonitor {
 
     private final List<Attempt> offered = new ArrayList<>();
-    private long answeredToken;
+    private long lastRepliedToken;
 
     /** Loop time since which nothing shows that answers and orders arrive, NaN while they do. */
-    private double deafSince = Double.NaN;
+    private double receiveFailureSince = Double.NaN;
 
-    boolean deaf() {
-        return !Double.isNaN(deafSince);
+    boolean hasReceiveFailure() {
+        return !Double.isNaN(receiveFailureSince);
     }
 
-    double deafFor(double now) {
-        return now - deafSince;
+    double receiveFailureFor(double now) {
+        return now - receiveFailureSince;
     }
 
     /** The machine has answered something that was sent to it. */
-    void responded() {
-        deafSince = Double.NaN;
+    void directMessageAnswered() {
+        receiveFailureSince = Double.NaN;
     }
 
     /** The answer to its last report carries this run order. */
@@ -34,8 +34,8 @@
     }
 
     /** Its last report has been answered with this token. */
-    void answered(long token) {
-        answeredToken = token;
+    void replySent(long token) {
+        lastRepliedToken = token;
     }
 
     /**
@@ -45,18 +45,18 @@
      * @param newSession the report begins a new session of a machine that was up
      * @param tokenBefore the highest token it had shown before
      */
-    void reported(Report report, boolean newSession, long tokenBefore, double now) {
-        boolean heeded = report.token() > tokenBefore;
-        boolean missed = newSession || report.token() < answeredToken;
+    void heartbeatReceived(Heartbeat report, boolean newSession, long tokenBefore, double now) {
+        boolean heeded = report.fencingToken() > tokenBefore;
+        boolean missed = newSession || report.fencingToken() < lastRepliedToken;
         for (Attempt attempt : offered) {
             heeded |= attempt.phase != Attempt.Phase.ORDERED;
-            missed |= attempt.phase == Attempt.Phase.ORDERED && !attempt.stopWanted;
+            missed |= attempt.phase == Attempt.Phase.ORDERED && !attempt.stopRequested;
         }
         offered.clear();
         if (heeded && !newSession) {
-            deafSince = Double.NaN;
-        } else if (missed && !deaf()) {
-            deafSince = now;
+            receiveFailureSince = Double.NaN;
+        } else if (missed && !hasReceiveFailure()) {
+            receiveFailureSince = now;
         }
     }
 }
--- a/src/main/java/io/pepperfield/node/LeaseRenewal.java
+++ b/src/main/java/io/pepperfield/health/LeaseRenewal.java
@@ -1,9 +1,9 @@
-package io.pepperfield.node;
+package io.pepperfield.health;
 
 import io.pepperfield.config.Settings;
+import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.Order;
-import io.pepperfield.fleet.Report;
-import io.pepperfield.jobs.Catalog;
+import io.pepperfield.jobs.JobIndex;
 import io.pepperfield.jobs.Status;
 import java.util.ArrayList;
 import java.util.List;
@@ -20,29 +20,30 @@
  * whose knowledge the answer rests: neither a refusal nor a renewed grant nor a peer's word that
  * the service is lost to all moves it.
  */
-final class LeaseRenewal {
+public final class LeaseRenewal {
 
-    private final Settings.Workers times;
-    private final Catalog catalog;
-    private final DoubleSupplier confirmedAt;
+    private final Settings.WorkerTimings times;
+    private final JobIndex jobIndex;
+    private final DoubleSupplier lastConfirmedAt;
 
     /**
      * @param confirmedAt sending time of this node's last question that was answered with all
      *     changes up to then
      */
-    LeaseRenewal(Settings.Workers times, Catalog catalog, DoubleSupplier confirmedAt) {
+    public LeaseRenewal(
+            Settings.WorkerTimings times, JobIndex catalog, DoubleSupplier confirmedAt) {
         this.times = times;
-        this.catalog = catalog;
-        this.confirmedAt = confirmedAt;
+        this.jobIndex = catalog;
+        this.lastConfirmedAt = confirmedAt;
     }
 
     /**
      * Whether a lease may be renewed now that all cancellations up to then are settled; with the
      * drift of two clocks and a margin.
      */
-    boolean allowed(double settledUpTo, double now) {
-        double margin = times.cancelS() / 500 + times.reportS() / 8;
-        return now <= settledUpTo + times.cancelS() - times.leaseS() - margin;
+    public boolean mayRenew(double settledUpTo, double now) {
+        double margin = times.cancellationDeadlineS() / 500 + times.heartbeatIntervalS() / 8;
+        return now <= settledUpTo + times.cancellationDeadlineS() - times.leaseS() - margin;
     }
 
     /**
@@ -53,17 +54,19 @@
      * this node's knowledge. Of the former kind the machine may hear no longer than from when the
      * job was last known to be open.
      */
-    double settledByOwnKnowledge(Report report) {
+    public double localCancellationWatermark(Heartbeat report) {
         return Math.min(
-                confirmedAt.getAsDouble(),
-                catalog.openAsOf(
+                lastConfirmedAt.getAsDouble(),
+                jobIndex.noneCancelledAsOf(
                         report.machine(),
                         attempt ->
-                                report.lines().stream()
+                                report.attempts().stream()
                                         .anyMatch(
                                                 line ->
-                                                        line.ref().toString().equals(attempt.task())
-                                                                && line.attempt()
+                                                        line.taskRef()
+                                                                        .toString()
+                                                                        .equals(attempt.task())
+                                                                && line.attemptNumber()
                                                                         == attempt.number())));
     }
 
@@ -71,14 +74,14 @@
      * Stops for what the report shows of jobs that are known to be cancelled: right under any
      * token, since nobody wants them any more.
      */
-    List<Order> stops(Report report) {
+    public List<Order> stopsForCancelled(Heartbeat report) {
         List<Order> stops = new ArrayList<>();
-        for (Report.Line line : report.lines()) {
-            Catalog.Record record = catalog.get(line.ref().job());
-            if (line.state() != Report.State.ENDED
+        for (Heartbeat.AttemptStatus line : report.attempts()) {
+            JobIndex.JobRecord record = jobIndex.get(line.taskRef().job());
+            if (line.state() != Heartbeat.State.ENDED
                     && record != null
-                    && record.end() == Status.CANCELLED) {
-                stops.add(new Order.Stop(line.ref(), line.attempt(), 0));
+                    && record.finalStatus() == Status.CANCELLED) {
+                stops.add(new Order.Stop(line.taskRef(), line.attemptNumber(), 0));
             }
         }
         return stops;
--- a/src/main/java/io/pepperfield/node/LivenessLog.java
+++ b/src/main/java/io/pepperfield/health/MembershipLog.java
@@ -1,36 +1,37 @@
-package io.pepperfield.node;
+package io.pepperfield.health;
 
-import io.pepperfield.peer.Members;
+import io.pepperfield.peer.Membership;
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Writes to the leader's log which controllers have fallen silent and which take part again. */
-final class LivenessLog {
+public final class MembershipLog {
 
-    private static final Logger LOG = LoggerFactory.getLogger(LivenessLog.class);
+    private static final Logger LOG = LoggerFactory.getLogger(MembershipLog.class);
 
-    private final Members members;
+    private final Membership membership;
     private Set<String> logged = Set.of();
 
-    LivenessLog(Members members) {
-        this.members = members;
+    /** Creates a log of that membership; nothing has been logged yet. */
+    public MembershipLog(Membership members) {
+        this.membership = members;
     }
 
     /** The leadership has ended; the next one names all live controllers anew. */
-    void reset() {
+    public void reset() {
         logged = Set.of();
     }
 
     /** Logs what has changed since the last call. */
-    void update(double now) {
-        Set<String> live = members.live(now);
+    public void update(double now) {
+        Set<String> live = membership.liveMembers(now);
         for (String node : logged) {
             if (!live.contains(node)) {
                 LOG.info(
                         "{} has been silent for {} s: its workers go to {}",
                         node,
-                        Math.round(members.silentFor(node, now)),
+                        Math.round(membership.silentForS(node, now)),
                         live);
             }
         }
--- a/src/main/java/io/pepperfield/node/PauseDetector.java
+++ b/src/main/java/io/pepperfield/health/PauseDetector.java
@@ -1,4 +1,4 @@
-package io.pepperfield.node;
+package io.pepperfield.health;
 
 import io.pepperfield.loop.Loop;
 import java.util.function.DoubleSupplier;
@@ -10,7 +10,7 @@
  * before, when it may have led or owned a partition that others have taken over: neither answers
  * nor orders may rest on it until somebody has answered something that it asked after resuming.
  */
-final class PauseDetector {
+public final class PauseDetector {
 
     private static final Logger LOG = LoggerFactory.getLogger(PauseDetector.class);
 
@@ -29,7 +29,7 @@
      * @param lastAnswerAt sending time of the last question that the state service or the leader
      *     has answered
      */
-    PauseDetector(Loop loop, double grantS, DoubleSupplier lastAnswerAt) {
+    public PauseDetector(Loop loop, double grantS, DoubleSupplier lastAnswerAt) {
         this.loop = loop;
         this.grantS = grantS;
         this.lastAnswerAt = lastAnswerAt;
@@ -39,7 +39,7 @@
     /**
      * To be asked with each batch of commands: whether nothing this process knows may be acted on.
      */
-    boolean stale() {
+    public boolean checkStale() {
         double now = loop.now();
         if (now - activeAt > grantS) {
             LOG.info("stood still for {} s", Math.round(now - activeAt));
--- a/src/main/java/io/pepperfield/node/LeaderHeartbeats.java
+++ b/src/main/java/io/pepperfield/heartbeat/LeaderHeartbeats.java
@@ -1,12 +1,12 @@
-package io.pepperfield.node;
+package io.pepperfield.heartbeat;
 
+import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.Order;
-import io.pepperfield.fleet.Report;
-import io.pepperfield.peer.ForwardingMessages;
+import io.pepperfield.peer.PeerMessages;
 import java.util.List;
 
 /** What the leader does with heartbeats, whichever controller a worker has sent them to. */
-interface LeaderHeartbeats {
+public interface LeaderHeartbeats {
 
     /**
      * Takes a worker's report.
@@ -14,14 +14,15 @@
      * @param through the controller that forwarded it, or empty where the worker sent it here
      * @return the orders that answer it, or null where it must not be answered with 200
      */
-    List<Order> report(Report report, String through);
+    List<Order> acceptHeartbeat(Heartbeat report, String through);
 
     /** Takes a report that another controller has passed on, and gives the answer for it. */
-    ForwardingMessages.Verdict forwardedReport(ForwardingMessages.Beat beat, String through);
+    PeerMessages.LeaderVerdict acceptForwardedHeartbeat(
+            PeerMessages.ForwardedHeartbeat beat, String through);
 
     /** Takes a worker's answer to direct orders. */
-    void heard(Report report);
+    void directOrderReplyReceived(Heartbeat report);
 
     /** Takes what another controller remembers of a machine. */
-    void remembered(ForwardingMessages.Kept kept);
+    void restoreCachedHeartbeat(PeerMessages.CachedHeartbeat kept);
 }
--- a/src/main/java/io/pepperfield/node/Warnings.java
+++ b/src/main/java/io/pepperfield/heartbeat/LogOnce.java
@@ -1,4 +1,4 @@
-package io.pepperfield.node;
+package io.pepperfield.heartbeat;
 
 import java.util.HashSet;
 import java.util.Set;
@@ -8,16 +8,16 @@
 /**
  * Says of each sender and fault once what is wrong with its messages: a broken one sends thousands.
  */
-final class Warnings {
+final class LogOnce {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Warnings.class);
-    private static final int MOST = 10_000;
+    private static final Logger LOG = LoggerFactory.getLogger(LogOnce.class);
+    private static final int MAX_ENTRIES = 10_000;
 
-    private final Set<String> said = new HashSet<>();
+    private final Set<String> logged = new HashSet<>();
 
     /** True where it had not been said before. */
-    boolean once(String sender, String fault) {
-        if (said.size() >= MOST || !said.add(sender + ": " + fault)) {
+    boolean warn(String sender, String fault) {
+        if (logged.size() >= MAX_ENTRIES || !logged.add(sender + ": " + fault)) {
             return false;
         }
         LOG.warn("{}: {}; not said again", sender, fault);
--- a/src/main/java/io/pepperfield/http/Connection.java
+++ b/src/main/java/io/pepperfield/http/ClientConnection.java
@@ -16,14 +16,14 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /** One connection of a pool and the exchange it carries. */
-final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
+final class ClientConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
     private final ConnectionPool pool;
     private final Channel channel;
     private Exchange exchange;
     private boolean retired;
 
-    Connection(ConnectionPool pool, Channel channel) {
+    ClientConnection(ConnectionPool pool, Channel channel) {
         this.pool = pool;
         this.channel = channel;
     }
@@ -34,11 +34,11 @@
 
     void send(Exchange next) {
         exchange = next;
-        next.sentOver(this);
-        channel.writeAndFlush(request(next));
+        next.assignConnection(this);
+        channel.writeAndFlush(toHttpRequest(next));
     }
 
-    private FullHttpRequest request(Exchange of) {
+    private FullHttpRequest toHttpRequest(Exchange of) {
         byte[] body = of.body();
         ByteBuf content = body == null ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(body);
         FullHttpRequest request =
@@ -73,11 +73,11 @@
             ctx.close();
             return;
         }
-        answered.finish(
-                new Outcome.Answered(
+        answered.complete(
+                new HttpOutcome.Answered(
                         response.status().code(), ByteBufUtil.getBytes(response.content())));
         if (HttpUtil.isKeepAlive(response)) {
-            pool.free(this);
+            pool.release(this);
         } else {
             ctx.close();
         }
@@ -90,7 +90,7 @@
         }
         Exchange unanswered = exchange;
         exchange = null;
-        pool.lost(this, unanswered);
+        pool.connectionLost(this, unanswered);
     }
 
     @Override
--- a/src/main/java/io/pepperfield/http/ConnectionLimit.java
+++ b/src/main/java/io/pepperfield/http/ConnectionLimit.java
@@ -9,40 +9,40 @@
  */
 final class ConnectionLimit {
 
-    private final int most;
+    private final int maxConnections;
 
     /** All connections that carry nothing at the moment, the longest idle first. */
-    private final Set<Connection> idle = new LinkedHashSet<>();
+    private final Set<ClientConnection> markIdle = new LinkedHashSet<>();
 
-    private int open;
+    private int openConnections;
 
     ConnectionLimit(int most) {
-        this.most = most;
+        this.maxConnections = most;
     }
 
     /** Makes sure that one more connection stays within the limit, if that can be. */
-    boolean makeRoom() {
-        if (open >= most && !idle.isEmpty()) {
-            Connection eldest = idle.iterator().next();
+    boolean tryMakeRoom() {
+        if (openConnections >= maxConnections && !markIdle.isEmpty()) {
+            ClientConnection eldest = markIdle.iterator().next();
             eldest.pool().retire(eldest);
         }
-        return open < most;
+        return openConnections < maxConnections;
     }
 
-    void opened() {
-        open++;
+    void connectionOpened() {
+        openConnections++;
     }
 
-    void closed() {
-        open--;
+    void connectionClosed() {
+        openConnections--;
     }
 
-    void idle(Connection connection) {
-        idle.add(connection);
+    void markIdle(ClientConnection connection) {
+        markIdle.add(connection);
     }
 
     /** The connection carries something again, or is closed. */
-    void busy(Connection connection) {
-        idle.remove(connection);
+    void markBusy(ClientConnection connection) {
+        markIdle.remove(connection);
     }
 }
--- a/src/main/java/io/pepperfield/http/ConnectionPool.java
+++ b/src/main/java/io/pepperfield/http/ConnectionPool.java
@@ -19,14 +19,14 @@
 
     private final EventLoop loop;
     private final ConnectionLimit limit;
-    private final int mostAnswerBytes;
+    private final int maxResponseBytes;
     private final String host;
     private final int port;
-    private final Consumer<ConnectionPool> unused;
-    private final ArrayDeque<Connection> idle = new ArrayDeque<>();
-    private final ArrayDeque<Exchange> waiting = new ArrayDeque<>();
-    private int connections;
-    private int connecting;
+    private final Consumer<ConnectionPool> onUnused;
+    private final ArrayDeque<ClientConnection> idleConnections = new ArrayDeque<>();
+    private final ArrayDeque<Exchange> waitingExchanges = new ArrayDeque<>();
+    private int openConnections;
+    private int pendingConnects;
 
     /**
      * @param unused told of this pool when neither connections nor exchanges are left
@@ -40,10 +40,10 @@
             Consumer<ConnectionPool> unused) {
         this.loop = loop;
         this.limit = limit;
-        this.mostAnswerBytes = mostAnswerBytes;
+        this.maxResponseBytes = mostAnswerBytes;
         this.host = host;
         this.port = port;
-        this.unused = unused;
+        this.onUnused = unused;
     }
 
     String address() {
@@ -52,29 +52,29 @@
 
     /** Sends the exchange over an idle connection, or once one of at most so many is free. */
     void submit(Exchange exchange, int most) {
-        Connection connection = idle.pollLast();
+        ClientConnection connection = idleConnections.pollLast();
         if (connection != null) {
-            limit.busy(connection);
+            limit.markBusy(connection);
             connection.send(exchange);
             return;
         }
-        waiting.add(exchange);
-        if (connections >= most || connecting >= waiting.size()) {
+        waitingExchanges.add(exchange);
+        if (openConnections >= most || pendingConnects >= waitingExchanges.size()) {
             return;
         }
-        if (limit.makeRoom()) {
+        if (limit.tryMakeRoom()) {
             connect();
-        } else if (connections == 0) {
+        } else if (openConnections == 0) {
             // The sockets that are left belong to users, peers, cloud and state service.
-            waiting.remove(exchange);
+            waitingExchanges.remove(exchange);
             exchange.fail("no socket left");
             discardIfUnused();
         }
     }
 
     private void connect() {
-        opened();
-        connecting++;
+        connectionOpened();
+        pendingConnects++;
         Initializer initializer = new Initializer();
         new Bootstrap()
                 .group(loop)
@@ -89,51 +89,51 @@
     /** Sets up a new channel, whose connection it then holds. */
     private final class Initializer extends ChannelInitializer<SocketChannel> {
 
-        private Connection connection;
+        private ClientConnection connection;
 
         @Override
         protected void initChannel(SocketChannel channel) {
-            connection = new Connection(ConnectionPool.this, channel);
+            connection = new ClientConnection(ConnectionPool.this, channel);
             channel.pipeline()
                     .addLast(
                             new HttpClientCodec(),
-                            new HttpObjectAggregator(mostAnswerBytes),
+                            new HttpObjectAggregator(maxResponseBytes),
                             connection);
         }
     }
 
     private void connected(ChannelFuture future, Initializer initializer) {
-        connecting--;
+        pendingConnects--;
         if (future.isSuccess()) {
-            free(initializer.connection);
+            release(initializer.connection);
             return;
         }
-        closed();
+        connectionClosed();
         // The others in the queue waited for this very connection; to let them hang would cost a
         // deadline each.
-        ArrayDeque<Exchange> failed = new ArrayDeque<>(waiting);
-        waiting.clear();
+        ArrayDeque<Exchange> failed = new ArrayDeque<>(waitingExchanges);
+        waitingExchanges.clear();
         String why = "connect: " + future.cause().getClass().getSimpleName();
         failed.forEach(exchange -> exchange.fail(why));
         discardIfUnused();
     }
 
     /** The connection carries nothing: it takes what waits next, or is idle. */
-    void free(Connection connection) {
+    void release(ClientConnection connection) {
         Exchange next;
         do {
-            next = waiting.poll();
-        } while (next != null && next.finished());
+            next = waitingExchanges.poll();
+        } while (next != null && next.completed());
         if (next == null) {
-            idle.add(connection);
-            limit.idle(connection);
+            idleConnections.add(connection);
+            limit.markIdle(connection);
         } else {
             connection.send(next);
         }
     }
 
     /** Closes a connection that carries nothing; its room is free from now on. */
-    void retire(Connection connection) {
+    void retire(ClientConnection connection) {
         remove(connection);
         connection.retire();
         discardIfUnused();
@@ -144,38 +144,38 @@
      *
      * @param unanswered what it carried, or null
      */
-    void lost(Connection connection, Exchange unanswered) {
+    void connectionLost(ClientConnection connection, Exchange unanswered) {
         remove(connection);
         if (unanswered != null) {
             unanswered.fail("connection lost");
         }
-        waiting.removeIf(Exchange::finished);
-        if (!waiting.isEmpty() && connecting == 0) {
+        waitingExchanges.removeIf(Exchange::completed);
+        if (!waitingExchanges.isEmpty() && pendingConnects == 0) {
             connect();
         }
         discardIfUnused();
     }
 
-    private void remove(Connection connection) {
-        idle.remove(connection);
-        limit.busy(connection);
-        closed();
+    private void remove(ClientConnection connection) {
+        idleConnections.remove(connection);
+        limit.markBusy(connection);
+        connectionClosed();
     }
 
-    private void opened() {
-        connections++;
-        limit.opened();
+    private void connectionOpened() {
+        openConnections++;
+        limit.connectionOpened();
     }
 
-    private void closed() {
-        connections--;
-        limit.closed();
+    private void connectionClosed() {
+        openConnections--;
+        limit.connectionClosed();
     }
 
     /** Machines come and go by the hundred; their pools must not stay behind. */
     private void discardIfUnused() {
-        if (connections == 0 && waiting.isEmpty()) {
-            unused.accept(this);
+        if (openConnections == 0 && waitingExchanges.isEmpty()) {
+            onUnused.accept(this);
         }
     }
 }
--- a/src/main/java/io/pepperfield/http/Exchange.java
+++ b/src/main/java/io/pepperfield/http/Exchange.java
@@ -9,16 +9,16 @@
     private final String method;
     private final String path;
     private final byte[] body;
-    private final Consumer<Outcome> done;
-    private ScheduledFuture<?> timer;
-    private Connection connection;
-    private boolean finished;
+    private final Consumer<HttpOutcome> onOutcome;
+    private ScheduledFuture<?> deadlineTimer;
+    private ClientConnection connection;
+    private boolean completed;
 
-    Exchange(String method, String path, byte[] body, Consumer<Outcome> done) {
+    Exchange(String method, String path, byte[] body, Consumer<HttpOutcome> done) {
         this.method = method;
         this.path = path;
         this.body = body;
-        this.done = done;
+        this.onOutcome = done;
     }
 
     String method() {
@@ -34,31 +34,31 @@
         return body;
     }
 
-    boolean finished() {
-        return finished;
+    boolean completed() {
+        return completed;
     }
 
     /** The timer of its deadline, which covers waiting for a connection. */
-    void timer(ScheduledFuture<?> scheduled) {
-        timer = scheduled;
+    void deadlineTimer(ScheduledFuture<?> scheduled) {
+        deadlineTimer = scheduled;
     }
 
     /** From here on the other side may act on it. */
-    void sentOver(Connection carrier) {
+    void assignConnection(ClientConnection carrier) {
         connection = carrier;
     }
 
-    void finish(Outcome outcome) {
-        if (!finished) {
-            finished = true;
-            timer.cancel(false);
-            done.accept(outcome);
+    void complete(HttpOutcome outcome) {
+        if (!completed) {
+            completed = true;
+            deadlineTimer.cancel(false);
+            onOutcome.accept(outcome);
         }
     }
 
     void fail(String why) {
         boolean sent = connection != null;
-        finish(sent ? new Outcome.NoAnswer(why) : new Outcome.NotSent(why));
+        complete(sent ? new HttpOutcome.NoAnswer(why) : new HttpOutcome.NotSent(why));
     }
 
     /** The deadline has passed: a late answer must not be taken for the next one's. */
--- a/src/main/java/io/pepperfield/http/HttpClient.java
+++ b/src/main/java/io/pepperfield/http/HttpClient.java
@@ -12,10 +12,10 @@
  * a machine without power gives no error; a connection that missed one is closed, so that a late
  * answer cannot be taken for the next.
  */
-public final class HttpClient implements Sender {
+public final class HttpClient implements HttpSender {
 
     private final EventLoop loop;
-    private final int mostAnswerBytes;
+    private final int maxResponseBytes;
     private final ConnectionLimit limit;
     private final Map<String, ConnectionPool> pools = new HashMap<>();
 
@@ -30,7 +30,7 @@
      */
     public HttpClient(EventLoopGroup loops, int mostAnswerBytes, int mostConnections) {
         this.loop = loops.next();
-        this.mostAnswerBytes = mostAnswerBytes;
+        this.maxResponseBytes = mostAnswerBytes;
         this.limit = new ConnectionLimit(mostConnections);
     }
 
@@ -43,20 +43,20 @@
             String path,
             byte[] body,
             long deadlineMs,
-            Consumer<Outcome> done) {
+            Consumer<HttpOutcome> done) {
         Exchange exchange = new Exchange(method, path, body, done);
         loop.execute(() -> submit(exchange, host, port, connections, deadlineMs));
     }
 
     private void submit(
             Exchange exchange, String host, int port, int connections, long deadlineMs) {
-        exchange.timer(loop.schedule(exchange::expire, deadlineMs, TimeUnit.MILLISECONDS));
+        exchange.deadlineTimer(loop.schedule(exchange::expire, deadlineMs, TimeUnit.MILLISECONDS));
         pools.computeIfAbsent(host + ":" + port, address -> pool(address, host, port))
                 .submit(exchange, connections);
     }
 
     private ConnectionPool pool(String address, String host, int port) {
         return new ConnectionPool(
-                loop, limit, mostAnswerBytes, host, port, unused -> pools.remove(address, unused));
+                loop, limit, maxResponseBytes, host, port, unused -> pools.remove(address, unused));
     }
 }
--- a/src/main/java/io/pepperfield/http/Outcome.java
+++ b/src/main/java/io/pepperfield/http/HttpOutcome.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /** How an outgoing request ended. */
-public sealed interface Outcome {
+public sealed interface HttpOutcome {
 
     /** An answer with its status arrived in time. */
-    record Answered(int status, byte[] body) implements Outcome {
+    record Answered(int status, byte[] body) implements HttpOutcome {
         /** The body as JSON; missing where it is not valid. */
         public JsonNode json() {
             return Json.read(body);
@@ -14,8 +14,8 @@
     }
 
     /** No byte of it left: it was certainly not carried out. */
-    record NotSent(String why) implements Outcome {}
+    record NotSent(String reason) implements HttpOutcome {}
 
     /** It left and nothing came back: it may have been carried out, or may be at any later time. */
-    record NoAnswer(String why) implements Outcome {}
+    record NoAnswer(String reason) implements HttpOutcome {}
 }
--- /dev/null
+++ b/src/main/java/io/pepperfield/http/HttpReply.java
@@ -0,0 +1,47 @@
+package io.pepperfield.http;
+
+import com.fasterxml.jackson.databind.JsonNode;
+
+/**
+ * One answer; {@code retryAfterS} above 0 tells the client when to come back, {@code close} ends
+ * the connection with it.
+ */
+public record HttpReply(int status, byte[] body, int retryAfterS, boolean closeConnection) {
+
+    private static final byte[] EMPTY_BODY = new byte[0];
+
+    /** Creates an answer that leaves the connection open. */
+    public HttpReply(int status, byte[] body, int retryAfterS) {
+        this(status, body, retryAfterS, false);
+    }
+
+    /** The same answer, after which the client has to look for another node. */
+    public HttpReply closingConnection() {
+        return new HttpReply(status, body, retryAfterS, true);
+    }
+
+    /** An answer with a JSON body. */
+    public static HttpReply json(int status, JsonNode body) {
+        return new HttpReply(status, Json.write(body), 0);
+    }
+
+    /** An answer without a body. */
+    public static HttpReply empty(int status) {
+        return new HttpReply(status, EMPTY_BODY, 0);
+    }
+
+    /** An answer whose JSON body holds an error message. */
+    public static HttpReply error(int status, String why) {
+        return json(status, Json.object().put("error", why));
+    }
+
+    /** The service cannot take this now: said at once, with the time to come back. */
+    public static HttpReply unavailable(String why) {
+        return unavailable(why, 1);
+    }
+
+    /** An answer with status 503 that asks the client to retry after {@code afterS} seconds. */
+    public static HttpReply unavailable(String why, int afterS) {
+        return new HttpReply(503, Json.write(Json.object().put("error", why)), afterS);
+    }
+}
--- a/src/main/java/io/pepperfield/http/Sender.java
+++ b/src/main/java/io/pepperfield/http/HttpSender.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 
 /** Sends one request to an address; the deadline covers waiting for a connection. */
-public interface Sender {
+public interface HttpSender {
 
     /** At most {@code connections} are open to that address; the callback may run on any thread. */
     void send(
@@ -14,5 +14,5 @@
             String path,
             byte[] body,
             long deadlineMs,
-            Consumer<Outcome> done);
+            Consumer<HttpOutcome> done);
 }
--- a/src/main/java/io/pepperfield/http/HttpServer.java
+++ b/src/main/java/io/pepperfield/http/HttpServer.java
@@ -39,31 +39,31 @@
  */
 public final class HttpServer {
 
-    public static final int MOST_BYTES = 64 * 1024;
+    public static final int MAX_REQUEST_BYTES = 64 * 1024;
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
-    private static final long RECEIVE_NANOS = TimeUnit.SECONDS.toNanos(10);
-    private static final long IDLE_NANOS = TimeUnit.SECONDS.toNanos(180);
+    private static final long RECEIVE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
+    private static final long IDLE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(180);
 
     /** Called on the network thread; must hand the request on at once. */
     public interface Handler {
         /** Answers a request; {@code answer} is called once, on any thread. */
-        void handle(Call call, Consumer<Reply> answer);
+        void handle(InboundRequest call, Consumer<HttpReply> answer);
     }
 
     private final EventLoopGroup loops;
     private final Handler handler;
-    private final int mostConnections;
-    private final int mostBytes;
-    private final Set<Connection> open = new HashSet<>();
-    private String crowdPath = "";
-    private int mostOfCrowd;
-    private int crowd;
-    private boolean crowded;
-    private Channel listening;
+    private final int maxConnections;
+    private final int maxRequestBytes;
+    private final Set<ServerConnection> openConnections = new HashSet<>();
+    private String limitedPath = "";
+    private int limitedPathMaxConnections;
+    private int limitedPathConnections;
+    private boolean limitReported;
+    private Channel serverChannel;
 
     /** Creates a server with the default limit on the size of a request. */
     public HttpServer(EventLoopGroup loops, int mostConnections, Handler handler) {
-        this(loops, mostConnections, MOST_BYTES, handler);
+        this(loops, mostConnections, MAX_REQUEST_BYTES, handler);
     }
 
     /**
@@ -71,8 +71,8 @@
      */
     public HttpServer(EventLoopGroup loops, int mostConnections, int mostBytes, Handler handler) {
         this.loops = loops;
-        this.mostConnections = mostConnections;
-        this.mostBytes = mostBytes;
+        this.maxConnections = mostConnections;
+        this.maxRequestBytes = mostBytes;
         this.handler = handler;
     }
 
@@ -80,9 +80,9 @@
      * Clients of that path, of which there are many, may hold so many of the connections; the rest
      * is for all others.
      */
-    public HttpServer limit(String path, int most) {
-        crowdPath = path;
-        mostOfCrowd = most;
+    public HttpServer limitConnections(String path, int most) {
+        limitedPath = path;
+        limitedPathMaxConnections = most;
         return this;
     }
 
@@ -101,30 +101,32 @@
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
                                     protected void initChannel(SocketChannel channel) {
-                                        if (open.size() >= mostConnections) {
+                                        if (openConnections.size() >= maxConnections) {
                                             // Beyond this the process would run out of sockets for
                                             // the state service and the workers.
                                             channel.close();
                                             return;
                                         }
-                                        Connection connection = new Connection(channel);
+                                        ServerConnection connection = new ServerConnection(channel);
                                         channel.pipeline()
                                                 .addLast(
                                                         connection,
                                                         new HttpServerCodec(4096, 8192, 8192),
-                                                        new BoundedAggregator(mostBytes),
-                                                        new Requests(connection));
+                                                        new BoundedAggregator(maxRequestBytes),
+                                                        new RequestHandler(connection));
                                     }
                                 });
-        listening = bootstrap.bind(new InetSocketAddress(host, port)).sync().channel();
-        listening.eventLoop().scheduleWithFixedDelay(this::sweep, 1, 1, TimeUnit.SECONDS);
-        return ((InetSocketAddress) listening.localAddress()).getPort();
+        serverChannel = bootstrap.bind(new InetSocketAddress(host, port)).sync().channel();
+        serverChannel
+                .eventLoop()
+                .scheduleWithFixedDelay(this::closeExpiredConnections, 1, 1, TimeUnit.SECONDS);
+        return ((InetSocketAddress) serverChannel.localAddress()).getPort();
     }
 
     /** Stops listening; open connections are left to the event loop. */
     public void close() {
-        if (listening != null) {
-            listening.close();
+        if (serverChannel != null) {
+            serverChannel.close();
         }
     }
 
@@ -132,14 +134,16 @@
      * One coarse timer for all connections: ends those that drip a request in or have been idle for
      * minutes.
      */
-    private void sweep() {
+    private void closeExpiredConnections() {
         long now = System.nanoTime();
-        for (Connection connection : open.toArray(new Connection[0])) {
-            boolean dripping = connection.receiving && now - connection.since > RECEIVE_NANOS;
+        for (ServerConnection connection : openConnections.toArray(new ServerConnection[0])) {
+            boolean dripping =
+                    connection.receivingRequest
+                            && now - connection.stateSinceNanos > RECEIVE_TIMEOUT_NANOS;
             boolean idle =
-                    !connection.receiving
-                            && !connection.answering
-                            && now - connection.since > IDLE_NANOS;
+                    !connection.receivingRequest
+                            && !connection.awaitingReply
+                            && now - connection.stateSinceNanos > IDLE_TIMEOUT_NANOS;
             if (dripping || idle) {
                 connection.channel.close();
             }
@@ -150,38 +154,38 @@
      * Sees the raw bytes first, so that a half-sent request line counts as a request being
      * received.
      */
-    private final class Connection extends ChannelInboundHandlerAdapter {
+    private final class ServerConnection extends ChannelInboundHandlerAdapter {
         final Channel channel;
-        boolean receiving;
-        boolean answering;
-        boolean ofCrowd;
-        long since = System.nanoTime();
+        boolean receivingRequest;
+        boolean awaitingReply;
+        boolean onLimitedPath;
+        long stateSinceNanos = System.nanoTime();
 
-        Connection(Channel channel) {
+        ServerConnection(Channel channel) {
             this.channel = channel;
         }
 
         @Override
         public void handlerAdded(ChannelHandlerContext ctx) {
-            open.add(this);
+            openConnections.add(this);
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-            if (!receiving && !answering) {
-                receiving = true;
-                since = System.nanoTime();
+            if (!receivingRequest && !awaitingReply) {
+                receivingRequest = true;
+                stateSinceNanos = System.nanoTime();
             }
             ctx.fireChannelRead(bytes);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            open.remove(this);
-            crowd -= ofCrowd ? 1 : 0;
+            openConnections.remove(this);
+            limitedPathConnections -= onLimitedPath ? 1 : 0;
             // Said again only after a clear let-up, or each refusal near the limit would be a line.
-            crowded &= crowd >= mostOfCrowd * 9 / 10;
-            ofCrowd = false;
+            limitReported &= limitedPathConnections >= limitedPathMaxConnections * 9 / 10;
+            onLimitedPath = false;
             ctx.fireChannelInactive();
         }
     }
@@ -197,79 +201,86 @@
 
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-            write(
+            writeReply(
                     ctx,
-                    Reply.error(
+                    HttpReply.error(
                             400, "the body is longer than " + maxContentLength() / 1024 + " KiB"),
                     false);
         }
     }
 
     /** Takes the requests of one connection and sends the answers. */
-    private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final Connection connection;
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+        private final ServerConnection connection;
 
-        Requests(Connection connection) {
+        RequestHandler(ServerConnection connection) {
             this.connection = connection;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            connection.receiving = false;
-            if (connection.answering) {
+            connection.receivingRequest = false;
+            if (connection.awaitingReply) {
                 // A second request before the first answer is pipelining, which the protocol rules
                 // out.
                 ctx.close();
                 return;
             }
-            connection.answering = true;
+            connection.awaitingReply = true;
             boolean keep = HttpUtil.isKeepAlive(request);
-            Consumer<Reply> answer =
+            Consumer<HttpReply> answer =
                     reply ->
                             ctx.channel()
                                     .eventLoop()
                                     .execute(
                                             () -> {
-                                                connection.answering = false;
-                                                connection.since = System.nanoTime();
+                                                connection.awaitingReply = false;
+                                                connection.stateSinceNanos = System.nanoTime();
                                                 // Near its limit the crowd's connections end with
                                                 // each answer: more clients than sockets find their
                                                 // turn so.
                                                 boolean full =
-                                                        connection.ofCrowd
-                                                                && crowd > mostOfCrowd * 9 / 10;
-                                                write(ctx, reply, keep && !reply.close() && !full);
+                                                        connection.onLimitedPath
+                                                                && limitedPathConnections
+                                                                        > limitedPathMaxConnections
+                                                                                * 9
+                                                                                / 10;
+                                                writeReply(
+                                                        ctx,
+                                                        reply,
+                                                        keep && !reply.closeConnection() && !full);
                                             });
             if (request.decoderResult().isFailure()) {
-                write(ctx, Reply.error(400, "malformed request"), false);
+                writeReply(ctx, HttpReply.error(400, "malformed request"), false);
                 return;
             }
-            Call call;
+            InboundRequest call;
             try {
                 call =
-                        Call.of(
+                        InboundRequest.of(
                                 request.method().name(),
                                 request.uri(),
                                 ByteBufUtil.getBytes(request.content()));
             } catch (IllegalArgumentException e) {
-                answer.accept(Reply.error(400, "malformed address"));
+                answer.accept(HttpReply.error(400, "malformed address"));
                 return;
             }
-            if (!connection.ofCrowd && call.path().equals(crowdPath)) {
-                if (crowd >= mostOfCrowd) {
-                    if (!crowded) {
-                        crowded = true;
+            if (!connection.onLimitedPath && call.path().equals(limitedPath)) {
+                if (limitedPathConnections >= limitedPathMaxConnections) {
+                    if (!limitReported) {
+                        limitReported = true;
                         LOG.warn(
                                 "{} connections of {} are as many as this controller can carry: others are refused",
-                                crowd,
-                                crowdPath);
+                                limitedPathConnections,
+                                limitedPath);
                     }
                     // When one node alone has all workers, its users must still find a connection.
-                    answer.accept(Reply.later("too many connections").closing());
+                    answer.accept(
+                            HttpReply.unavailable("too many connections").closingConnection());
                     return;
                 }
-                connection.ofCrowd = true;
-                crowd++;
+                connection.onLimitedPath = true;
+                limitedPathConnections++;
             }
             handler.handle(call, answer);
         }
@@ -281,7 +292,7 @@
         }
     }
 
-    private static void write(ChannelHandlerContext ctx, Reply reply, boolean keep) {
+    private static void writeReply(ChannelHandlerContext ctx, HttpReply reply, boolean keep) {
         ByteBuf body = Unpooled.wrappedBuffer(reply.body());
         FullHttpResponse response =
                 new DefaultFullHttpResponse(
--- a/src/main/java/io/pepperfield/http/Call.java
+++ b/src/main/java/io/pepperfield/http/InboundRequest.java
@@ -5,15 +5,16 @@
 import java.util.Map;
 
 /** One request as the server received it. */
-public record Call(String method, String path, Map<String, List<String>> query, byte[] body) {
+public record InboundRequest(
+        String method, String path, Map<String, List<String>> query, byte[] body) {
 
-    static Call of(String method, String uri, byte[] body) {
+    static InboundRequest of(String method, String uri, byte[] body) {
         QueryStringDecoder decoder = new QueryStringDecoder(uri);
-        return new Call(method, decoder.path(), decoder.parameters(), body);
+        return new InboundRequest(method, decoder.path(), decoder.parameters(), body);
     }
 
     /** The first value of a query parameter, or {@code otherwise} where it is missing. */
-    public String parameter(String name, String otherwise) {
+    public String queryParameter(String name, String otherwise) {
         List<String> values = query.get(name);
         return values == null || values.isEmpty() ? otherwise : values.get(0);
     }
--- a/src/main/java/io/pepperfield/http/PendingQueryLimit.java
+++ b/src/main/java/io/pepperfield/http/PendingQueryLimit.java
@@ -11,31 +11,31 @@
 public final class PendingQueryLimit implements HttpServer.Handler {
 
     private final HttpServer.Handler next;
-    private final int most;
-    private final String prefix;
-    private final AtomicInteger waiting = new AtomicInteger();
+    private final int maxPending;
+    private final String pathPrefix;
+    private final AtomicInteger pending = new AtomicInteger();
 
     /**
      * @param prefix the paths whose GETs are counted
      */
     public PendingQueryLimit(String prefix, int most, HttpServer.Handler next) {
-        this.prefix = prefix;
-        this.most = most;
+        this.pathPrefix = prefix;
+        this.maxPending = most;
         this.next = next;
     }
 
     @Override
-    public void handle(Call call, Consumer<Reply> answer) {
-        if (!call.method().equals("GET") || !call.path().startsWith(prefix)) {
+    public void handle(InboundRequest call, Consumer<HttpReply> answer) {
+        if (!call.method().equals("GET") || !call.path().startsWith(pathPrefix)) {
             next.handle(call, answer);
-        } else if (waiting.incrementAndGet() > most) {
-            waiting.decrementAndGet();
-            answer.accept(Reply.later("too many questions at once"));
+        } else if (pending.incrementAndGet() > maxPending) {
+            pending.decrementAndGet();
+            answer.accept(HttpReply.unavailable("too many questions at once"));
         } else {
             next.handle(
                     call,
                     reply -> {
-                        waiting.decrementAndGet();
+                        pending.decrementAndGet();
                         answer.accept(reply);
                     });
         }
--- a/src/main/java/io/pepperfield/jobs/CreateIfAbsent.java
+++ b/src/main/java/io/pepperfield/jobs/CreateIfAbsent.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.http.Json;
 import io.pepperfield.loop.Loop;
-import io.pepperfield.store.StateService;
-import io.pepperfield.store.StateService.Change;
-import io.pepperfield.store.StateService.Guard;
-import io.pepperfield.store.StateService.TxnResult;
-import io.pepperfield.store.StateService.Urgency;
+import io.pepperfield.store.KeyValueStore;
+import io.pepperfield.store.KeyValueStore.CompareAndSwapOutcome;
+import io.pepperfield.store.KeyValueStore.Mutation;
+import io.pepperfield.store.KeyValueStore.Precondition;
+import io.pepperfield.store.KeyValueStore.RequestPriority;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -35,65 +35,68 @@
 
     /** A key to be created, until when it may be tried (loop time), and whom to tell. */
     private record PendingCreation(
-            String key, JsonNode data, double until, List<Consumer<Result>> asked) {
+            String key, JsonNode value, double deadline, List<Consumer<Result>> callbacks) {
 
-        void done(Result result) {
-            asked.forEach(one -> one.accept(result));
+        void complete(Result result) {
+            callbacks.forEach(one -> one.accept(result));
         }
     }
 
     /** Users wait 5 s for an answer; what has waited so long is told to come back. */
-    static final double PATIENCE_S = 3;
+    static final double MAX_QUEUE_WAIT_S = 3;
 
-    private static final int TOO_MANY_REQUESTS = 429;
+    private static final int STATUS_TOO_MANY_REQUESTS = 429;
 
     private final Loop loop;
-    private final StateService state;
-    private final Urgency urgency;
-    private final int mostWaiting;
-    private final int mostChanges;
-    private final int mostBytes;
+    private final KeyValueStore store;
+    private final RequestPriority priority;
+    private final int maxQueued;
+    private final int maxMutations;
+    private final int maxBytes;
     private final ArrayDeque<PendingCreation> queue = new ArrayDeque<>();
-    private final Map<String, PendingCreation> waiting = new HashMap<>();
-    private boolean writing;
+    private final Map<String, PendingCreation> queuedByKey = new HashMap<>();
+    private boolean transactionInFlight;
 
     /**
      * @param changesPerS how many keys can be created in a second
      */
     CreateIfAbsent(
             Loop loop,
-            StateService state,
-            Urgency urgency,
+            KeyValueStore state,
+            RequestPriority urgency,
             int mostChanges,
             int mostBytes,
             double changesPerS) {
         this.loop = loop;
-        this.state = state;
-        this.urgency = urgency;
-        this.mostWaiting = (int) Math.ceil(PATIENCE_S * changesPerS);
-        this.mostChanges = mostChanges;
-        this.mostBytes = mostBytes;
+        this.store = state;
+        this.priority = urgency;
+        this.maxQueued = (int) Math.ceil(MAX_QUEUE_WAIT_S * changesPerS);
+        this.maxMutations = mostChanges;
+        this.maxBytes = mostBytes;
     }
 
     void create(String key, JsonNode data, Consumer<Result> done) {
-        PendingCreation same = waiting.get(key);
+        PendingCreation same = queuedByKey.get(key);
         if (same != null) {
             // Asked again while the first request waits: one answer for both.
-            same.asked.add(done);
-        } else if (waiting.size() >= mostWaiting) {
+            same.callbacks.add(done);
+        } else if (queuedByKey.size() >= maxQueued) {
             done.accept(Result.TOO_MANY);
         } else {
             PendingCreation creation =
                     new PendingCreation(
-                            key, data, loop.now() + PATIENCE_S, new ArrayList<>(List.of(done)));
-            waiting.put(key, creation);
+                            key,
+                            data,
+                            loop.now() + MAX_QUEUE_WAIT_S,
+                            new ArrayList<>(List.of(done)));
+            queuedByKey.put(key, creation);
             queue.add(creation);
         }
     }
 
     /** Whether the key's creation waits already, so that it is asked for once more at no cost. */
-    boolean isWaiting(String key) {
-        return waiting.containsKey(key);
+    boolean isQueued(String key) {
+        return queuedByKey.containsKey(key);
     }
 
     /**
@@ -101,23 +104,23 @@
      * together.
      */
     void flush() {
-        if (writing || queue.isEmpty()) {
+        if (transactionInFlight || queue.isEmpty()) {
             return;
         }
         List<PendingCreation> batch = new ArrayList<>();
         int bytes = 0;
-        while (!queue.isEmpty() && batch.size() < mostChanges) {
+        while (!queue.isEmpty() && batch.size() < maxMutations) {
             PendingCreation creation = queue.peek();
             // As sent: counted in letters, names of another script would have the service refuse
             // everybody in the transaction.
-            int size = Json.write(creation.data).length + 2 * creation.key.length();
-            if (!batch.isEmpty() && bytes + size > mostBytes) {
+            int size = Json.write(creation.value).length + 2 * creation.key.length();
+            if (!batch.isEmpty() && bytes + size > maxBytes) {
                 break;
             }
             queue.poll();
-            waiting.remove(creation.key);
-            if (creation.until < loop.now()) {
-                creation.done(Result.TOO_MANY);
+            queuedByKey.remove(creation.key);
+            if (creation.deadline < loop.now()) {
+                creation.complete(Result.TOO_MANY);
             } else {
                 batch.add(creation);
                 bytes += size;
@@ -126,33 +129,34 @@
         if (batch.isEmpty()) {
             return;
         }
-        writing = true;
-        List<Guard> guards = batch.stream().map(w -> new Guard(w.key, 0)).toList();
-        List<Change> changes = batch.stream().map(w -> Change.set(w.key, w.data)).toList();
-        state.txn(
-                urgency,
+        transactionInFlight = true;
+        List<Precondition> guards = batch.stream().map(w -> new Precondition(w.key, 0)).toList();
+        List<Mutation> changes = batch.stream().map(w -> Mutation.set(w.key, w.value)).toList();
+        store.compareAndSwap(
+                priority,
                 guards,
                 changes,
                 result -> {
-                    writing = false;
-                    if (result instanceof TxnResult.Committed) {
-                        batch.forEach(w -> w.done(Result.CREATED));
-                    } else if (result instanceof TxnResult.Conflict conflict
-                            && batch.stream().anyMatch(w -> conflict.failed().contains(w.key))) {
+                    transactionInFlight = false;
+                    if (result instanceof CompareAndSwapOutcome.Committed) {
+                        batch.forEach(w -> w.complete(Result.CREATED));
+                    } else if (result instanceof CompareAndSwapOutcome.Conflict conflict
+                            && batch.stream()
+                                    .anyMatch(w -> conflict.failedKeys().contains(w.key))) {
                         for (PendingCreation creation : batch) {
-                            if (conflict.failed().contains(creation.key)) {
-                                creation.done(Result.EXISTS);
+                            if (conflict.failedKeys().contains(creation.key)) {
+                                creation.complete(Result.EXISTS);
                             } else {
-                                again(creation);
+                                requeue(creation);
                             }
                         }
-                    } else if (result instanceof TxnResult.Refused refused
-                            && refused.status() == TOO_MANY_REQUESTS) {
-                        batch.forEach(w -> w.done(Result.THROTTLED));
+                    } else if (result instanceof CompareAndSwapOutcome.Refused refused
+                            && refused.status() == STATUS_TOO_MANY_REQUESTS) {
+                        batch.forEach(w -> w.complete(Result.THROTTLED));
                     } else {
                         // Also when nobody answered: the user comes back, and finds it accepted if
                         // it took effect after all.
-                        batch.forEach(w -> w.done(Result.UNAVAILABLE));
+                        batch.forEach(w -> w.complete(Result.UNAVAILABLE));
                     }
                     flush();
                 });
@@ -162,11 +166,11 @@
      * Was in a transaction that failed for another key's sake; joined by what asked for the same
      * meanwhile.
      */
-    private void again(PendingCreation creation) {
-        PendingCreation later = waiting.put(creation.key, creation);
+    private void requeue(PendingCreation creation) {
+        PendingCreation later = queuedByKey.put(creation.key, creation);
         if (later != null) {
             queue.remove(later);
-            creation.asked.addAll(later.asked);
+            creation.callbacks.addAll(later.callbacks);
         }
         queue.addFirst(creation);
     }
--- a/src/main/java/io/pepperfield/jobs/Job.java
+++ b/src/main/java/io/pepperfield/jobs/Job.java
@@ -1,6 +1,6 @@
 package io.pepperfield.jobs;
 
-import io.pepperfield.predict.PeerTimes;
+import io.pepperfield.predict.PeerRunTimes;
 import it.unimi.dsi.fastutil.ints.Int2IntMap;
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap;
 import java.util.BitSet;
@@ -15,14 +15,14 @@
      * One machine on which tasks fail may be faulty; that two are, and nothing else is known of the
      * job, is less likely.
      */
-    private static final int SUSPECT = 2;
+    private static final int CRASH_LOOP_MACHINES = 2;
 
-    private static final int REMEMBERED = 8;
+    private static final int MAX_FAILED_MACHINES = 8;
 
     public final JobSpec spec;
 
     /** Run times of this job's tasks: what WIRE predicts from. */
-    public final PeerTimes times = new PeerTimes();
+    public final PeerRunTimes runTimes = new PeerRunTimes();
 
     /** When this leader's clock says it was submitted, or its last prerequisite was done. */
     private double readyAt;
@@ -30,79 +30,79 @@
     /**
      * It needs jobs that are not done yet: until then it holds nothing and stands in nobody's way.
      */
-    private boolean awaiting;
+    private boolean awaitDependencies;
 
-    /** Its description with the rank of {@link RankInheritance}. */
-    private JobSpec placed;
+    /** Its description with the rank of {@link PriorityInheritance}. */
+    private JobSpec effectiveSpec;
 
-    private final BitSet waiting;
-    private final BitSet done;
+    private final BitSet pendingTasks;
+    private final BitSet doneTasks;
 
     /** Tasks of which the last attempt failed. */
-    private final BitSet failed = new BitSet();
+    private final BitSet recordFailure = new BitSet();
 
-    private final Int2IntMap attempts = new Int2IntOpenHashMap();
-    private Status end;
-    private double openAsOf;
+    private final Int2IntMap lastAttempts = new Int2IntOpenHashMap();
+    private Status finalStatus;
+    private double lastKnownOpenAt;
 
     /**
      * Machines on which a task failed since one of the job was last completed, the last few of
      * them, and until when to avoid them.
      */
-    private final LinkedHashMap<String, Double> failedOn = new LinkedHashMap<>();
+    private final LinkedHashMap<String, Double> failedMachines = new LinkedHashMap<>();
 
     /** Tasks that durable records call failed, from before this leader. */
-    private int failedBefore;
+    private int recordEarlierFailure;
 
-    private double notBefore;
+    private double startNotBefore;
 
     /** Creates the state of a job none of whose tasks has been started. */
     public Job(JobSpec spec, double submittedAt) {
         this.spec = spec;
-        this.placed = spec;
+        this.effectiveSpec = spec;
         this.readyAt = submittedAt;
-        this.waiting = new BitSet(spec.tasks());
-        this.waiting.set(0, spec.tasks());
-        this.done = new BitSet(spec.tasks());
+        this.pendingTasks = new BitSet(spec.tasks());
+        this.pendingTasks.set(0, spec.tasks());
+        this.doneTasks = new BitSet(spec.tasks());
     }
 
     /** The final state, or null. */
-    public Status end() {
-        return end;
+    public Status finalStatus() {
+        return finalStatus;
     }
 
     /**
      * @param asOf a time at which it had not ended yet
      */
-    public void end(Status status, double asOf) {
-        end = status;
-        openAsOf = asOf;
-        waiting.clear();
+    public void finalStatus(Status status, double asOf) {
+        finalStatus = status;
+        lastKnownOpenAt = asOf;
+        pendingTasks.clear();
     }
 
     /** Of a job that has ended: a time at which it had not. */
-    public double openAsOf() {
-        return openAsOf;
+    public double lastKnownOpenAt() {
+        return lastKnownOpenAt;
     }
 
     /** Tasks that wait to be started; none while the job waits for others. */
-    public int waitingCount() {
-        return awaiting ? 0 : waiting.cardinality();
+    public int pendingTaskCount() {
+        return awaitDependencies ? 0 : pendingTasks.cardinality();
     }
 
     /** Jobs that it needs are not done yet. */
-    public void awaiting() {
-        awaiting = true;
+    public void awaitDependencies() {
+        awaitDependencies = true;
     }
 
     /** Whether it waits for other jobs. */
-    public boolean isAwaiting() {
-        return awaiting;
+    public boolean isAwaitingDependencies() {
+        return awaitDependencies;
     }
 
     /** The last job that it needs is done: its class's times begin. */
-    public void ready(double now) {
-        awaiting = false;
+    public void dependenciesDone(double now) {
+        awaitDependencies = false;
         readyAt = now;
     }
 
@@ -112,66 +112,66 @@
     }
 
     /** What it is placed by. */
-    public JobSpec placed() {
-        return placed;
+    public JobSpec effectiveSpec() {
+        return effectiveSpec;
     }
 
     /** The highest rank among its own and those of the unfinished jobs that need it. */
-    public void placedAs(JobSpec.Rank rank) {
-        placed = rank == spec.rank() ? spec : spec.ranked(rank);
+    public void setEffectivePriority(JobSpec.Priority rank) {
+        effectiveSpec = rank == spec.priority() ? spec : spec.withPriority(rank);
     }
 
     /** The number of completed tasks. */
-    public int doneCount() {
-        return done.cardinality();
+    public int doneTaskCount() {
+        return doneTasks.cardinality();
     }
 
     /** Whether all its tasks are completed. */
     public boolean allDone() {
-        return doneCount() == spec.tasks();
+        return doneTaskCount() == spec.tasks();
     }
 
     /** Whether the task is completed. */
     public boolean isDone(int task) {
-        return done.get(task);
+        return doneTasks.get(task);
     }
 
     /** The first task that waits to be started, or -1. */
-    public int nextWaiting() {
-        return waiting.nextSetBit(0);
+    public int nextPendingTask() {
+        return pendingTasks.nextSetBit(0);
     }
 
     /** Records that the task's last attempt failed. */
     public void markFailed(int task) {
-        failed.set(task);
+        recordFailure.set(task);
     }
 
     /** Whether the task's last attempt failed. */
     public boolean hasFailed(int task) {
-        return failed.get(task);
+        return recordFailure.get(task);
     }
 
     /** Takes the task off the waiting ones and gives its new attempt's number. */
-    public int begin(int task) {
-        waiting.clear(task);
-        failed.clear(task);
-        int number = attempts.get(task) + 1;
-        attempts.put(task, number);
+    public int startAttempt(int task) {
+        pendingTasks.clear(task);
+        recordFailure.clear(task);
+        int number = lastAttempts.get(task) + 1;
+        lastAttempts.put(task, number);
         return number;
     }
 
     /** From a durable record: the task has got as far as that attempt, which may be alive. */
-    public void restore(int task, int attempt, boolean live) {
-        attempts.put(task, attempt);
-        if (live && end == null) {
-            waiting.clear(task);
+    public void restoreAttempt(int task, int attempt, boolean live) {
+        lastAttempts.put(task, attempt);
+        if (live && finalStatus == null) {
+            pendingTasks.clear(task);
         }
     }
 
     /** Records that the task is completed: it is not started again. */
     public void markDone(int task) {
-        done.set(task);
-        waiting.clear(task);
+        doneTasks.set(task);
+        pendingTasks.clear(task);
     }
 
     /**
@@ -179,33 +179,33 @@
      * more.
      */
     public void requeue(int task) {
-        if (end == null && !done.get(task)) {
-            waiting.set(task);
+        if (finalStatus == null && !doneTasks.get(task)) {
+            pendingTasks.set(task);
         }
     }
 
     /** The number of the task's last attempt; 0 before the first. */
-    public int attempt(int task) {
-        return attempts.get(task);
+    public int lastAttempt(int task) {
+        return lastAttempts.get(task);
     }
 
     /** Loop time in seconds before which none of its tasks is started, after a failure. */
-    public double notBefore() {
-        return notBefore;
+    public double startNotBefore() {
+        return startNotBefore;
     }
 
     /** Where it failed since a task was last completed. */
-    public Set<String> failedOn() {
-        return failedOn.keySet();
+    public Set<String> failedMachines() {
+        return failedMachines.keySet();
     }
 
     /**
      * Where it failed of late: the next try goes elsewhere. Not for ever, or a job of which no task
      * can be completed would wait beside the only machines that fit it.
      */
-    public Set<String> avoided(double now) {
+    public Set<String> recentlyFailedMachines(double now) {
         Set<String> avoided = new HashSet<>();
-        failedOn.forEach(
+        failedMachines.forEach(
                 (machine, until) -> {
                     if (until > now) {
                         avoided.add(machine);
@@ -215,38 +215,42 @@
     }
 
     /** A task failed on that machine; true if this makes the job suspect. */
-    public boolean failed(String machine, double now, double firstPauseS, double longestPauseS) {
-        boolean before = suspect();
-        failedOn.remove(machine);
-        failedOn.put(machine, now + longestPauseS);
-        if (failedOn.size() > REMEMBERED) {
-            failedOn.remove(failedOn.keySet().iterator().next());
+    public boolean recordFailure(
+            String machine, double now, double firstPauseS, double longestPauseS) {
+        boolean before = isCrashLooping();
+        failedMachines.remove(machine);
+        failedMachines.put(machine, now + longestPauseS);
+        if (failedMachines.size() > MAX_FAILED_MACHINES) {
+            failedMachines.remove(failedMachines.keySet().iterator().next());
         }
-        if (suspect()) {
-            notBefore =
+        if (isCrashLooping()) {
+            startNotBefore =
                     now
                             + Math.min(
                                     longestPauseS,
                                     firstPauseS
                                             * Math.pow(
-                                                    2, failedOn.size() + failedBefore - SUSPECT));
+                                                    2,
+                                                    failedMachines.size()
+                                                            + recordEarlierFailure
+                                                            - CRASH_LOOP_MACHINES));
         }
-        return suspect() && !before;
+        return isCrashLooping() && !before;
     }
 
     /** A durable record says that the task failed where it was last tried. */
-    public void failedBefore() {
-        failedBefore = Math.min(REMEMBERED, failedBefore + 1);
+    public void recordEarlierFailure() {
+        recordEarlierFailure = Math.min(MAX_FAILED_MACHINES, recordEarlierFailure + 1);
     }
 
     /**
      * What can be completed was not submitted with a mistake, whatever its bad machines have made
      * of it.
      */
-    public void succeeded() {
-        failedOn.clear();
-        failedBefore = 0;
-        notBefore = 0;
+    public void recordSuccess() {
+        failedMachines.clear();
+        recordEarlierFailure = 0;
+        startNotBefore = 0;
     }
 
     /**
@@ -254,12 +258,14 @@
      * anyone can tell. Such a job is tried one task at a time and after growing pauses, and neither
      * rents nor stops anything until a task is completed.
      */
-    public boolean suspect() {
-        return failedOn.size() + failedBefore >= SUSPECT;
+    public boolean isCrashLooping() {
+        return failedMachines.size() + recordEarlierFailure >= CRASH_LOOP_MACHINES;
     }
 
     /** How many of its tasks may be started now, beside those that may be alive. */
-    public int startable(boolean anyAlive) {
-        return !suspect() ? waitingCount() : anyAlive ? 0 : Math.min(1, waitingCount());
+    public int startableTaskCount(boolean anyAlive) {
+        return !isCrashLooping()
+                ? pendingTaskCount()
+                : anyAlive ? 0 : Math.min(1, pendingTaskCount());
     }
 }
--- a/src/main/java/io/pepperfield/jobs/JobMessages.java
+++ b/src/main/java/io/pepperfield/jobs/JobMessages.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.http.Json;
-import io.pepperfield.jobs.JobSpec.Rank;
+import io.pepperfield.jobs.JobSpec.Priority;
 import io.pepperfield.jobs.JobSpec.Shape;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -21,38 +21,39 @@
 public final class JobMessages {
 
     /** A field is missing or invalid; the message says which. */
-    public static final class Malformed extends Exception {
-        Malformed(String why) {
+    public static final class InvalidSubmissionException extends Exception {
+        InvalidSubmissionException(String why) {
             super(why);
         }
     }
 
-    private static final Pattern ID = Pattern.compile("run-[0-9]{6,15}");
-    private static final int MOST_TASKS = 100_000;
-    private static final int LONGEST_NAME = 200;
-    private static final double MOST = 1e9;
+    private static final Pattern JOB_ID = Pattern.compile("run-[0-9]{6,15}");
+    private static final int MAX_TASKS = 100_000;
+    private static final int MAX_NAME_LENGTH = 200;
+    private static final double MAX_NUMBER = 1e9;
 
     private JobMessages() {}
 
     /** Whether the text may name a job. */
     public static boolean validId(String id) {
-        return ID.matcher(id).matches();
+        return JOB_ID.matcher(id).matches();
     }
 
     /** The id that a submission carries, or empty where it carries none of the right form. */
-    public static String idOf(JsonNode body) {
+    public static String jobId(JsonNode body) {
         String id = body.path("nameId").isTextual() ? body.path("nameId").textValue() : "";
         return validId(id) ? id : "";
     }
 
     /** Reads and checks a submission; {@code chunk} tasks are to share a run record. */
-    public static JobSpec submission(JsonNode body, long nowMs, int chunk) throws Malformed {
+    public static JobSpec decodeSubmission(JsonNode body, long nowMs, int chunk)
+            throws InvalidSubmissionException {
         if (!body.isObject()) {
-            throw new Malformed("want a JSON object");
+            throw new InvalidSubmissionException("want a JSON object");
         }
-        String id = idOf(body);
+        String id = jobId(body);
         if (id.isEmpty()) {
-            throw new Malformed("nameId: want run- and at least six digits");
+            throw new InvalidSubmissionException("nameId: want run- and at least six digits");
         }
         Shape shape =
                 switch (text(body, "shape")) {
@@ -61,28 +62,30 @@
                     // Not in the users' table of shapes, but among the words of their platform; see
                     // docs/QUESTIONS.md.
                     case "gang" -> Shape.GANG;
-                    default -> throw new Malformed("shape: want sweep or standing");
+                    default ->
+                            throw new InvalidSubmissionException("shape: want sweep or standing");
                 };
-        Rank rank =
+        Priority rank =
                 switch (text(body, "rank")) {
-                    case "production" -> Rank.PRODUCTION;
-                    case "urgent" -> Rank.URGENT;
-                    case "standard" -> Rank.STANDARD;
-                    case "best_effort" -> Rank.BEST_EFFORT;
+                    case "production" -> Priority.PRODUCTION;
+                    case "urgent" -> Priority.URGENT;
+                    case "standard" -> Priority.STANDARD;
+                    case "best_effort" -> Priority.BEST_EFFORT;
                     default ->
-                            throw new Malformed(
+                            throw new InvalidSubmissionException(
                                     "rank: want production, urgent, standard or best_effort");
                 };
         JsonNode tasks = body.path("shards");
         if (!tasks.isIntegralNumber()
                 || !tasks.canConvertToInt()
                 || tasks.intValue() < 1
-                || tasks.intValue() > MOST_TASKS) {
-            throw new Malformed("shards: want a whole number from 1 to " + MOST_TASKS);
+                || tasks.intValue() > MAX_TASKS) {
+            throw new InvalidSubmissionException(
+                    "shards: want a whole number from 1 to " + MAX_TASKS);
         }
         double cpus = number(body, "vcpus");
         if (cpus <= 0) {
-            throw new Malformed("vcpus: want more than 0");
+            throw new InvalidSubmissionException("vcpus: want more than 0");
         }
         JsonNode due = body.path("dueS");
         return new JobSpec(
@@ -98,27 +101,28 @@
                 text(body, "bundle"),
                 number(body, "pullGb"),
                 names(body, "flavours"),
-                absent(body.path("site")) ? null : text(body, "site"),
+                isAbsent(body.path("site")) ? null : text(body, "site"),
                 flag(body, "together"),
                 flag(body, "spread"),
                 flag(body, "reclaimable"),
                 number(body, "expectedS"),
                 number(body, "snapshotEveryS"),
                 number(body, "snapshotS"),
-                absent(due) ? null : (Double) number(body, "dueS"),
+                isAbsent(due) ? null : (Double) number(body, "dueS"),
                 nowMs,
                 chunk,
-                ids(body, "awaits"));
+                jobIds(body, "awaits"));
     }
 
-    private static boolean absent(JsonNode value) {
+    private static boolean isAbsent(JsonNode value) {
         return value.isMissingNode() || value.isNull();
     }
 
-    private static String text(JsonNode body, String field) throws Malformed {
+    private static String text(JsonNode body, String field) throws InvalidSubmissionException {
         JsonNode value = body.path(field);
         if (!isName(value)) {
-            throw new Malformed(field + ": want a name of 1 to " + LONGEST_NAME + " characters");
+            throw new InvalidSubmissionException(
+                    field + ": want a name of 1 to " + MAX_NAME_LENGTH + " characters");
         }
         return value.textValue();
     }
@@ -130,38 +134,40 @@
     private static boolean isName(JsonNode value) {
         return value.isTextual()
                 && !value.textValue().isBlank()
-                && value.textValue().length() <= LONGEST_NAME
+                && value.textValue().length() <= MAX_NAME_LENGTH
                 && StandardCharsets.UTF_8.newEncoder().canEncode(value.textValue());
     }
 
-    private static double number(JsonNode body, String field) throws Malformed {
+    private static double number(JsonNode body, String field) throws InvalidSubmissionException {
         JsonNode value = body.path(field);
         double number = value.isNumber() ? value.doubleValue() : Double.NaN;
-        if (!(number >= 0 && number <= MOST)) {
-            throw new Malformed(field + ": want a number from 0 to 1e9");
+        if (!(number >= 0 && number <= MAX_NUMBER)) {
+            throw new InvalidSubmissionException(field + ": want a number from 0 to 1e9");
         }
         return number;
     }
 
-    private static boolean flag(JsonNode body, String field) throws Malformed {
+    private static boolean flag(JsonNode body, String field) throws InvalidSubmissionException {
         if (!body.path(field).isBoolean()) {
-            throw new Malformed(field + ": want true or false");
+            throw new InvalidSubmissionException(field + ": want true or false");
         }
         return body.path(field).booleanValue();
     }
 
-    private static List<String> names(JsonNode body, String field) throws Malformed {
+    private static List<String> names(JsonNode body, String field)
+            throws InvalidSubmissionException {
         JsonNode value = body.path(field);
-        if (absent(value)) {
+        if (isAbsent(value)) {
             return null;
         }
         if (!value.isArray() || value.size() > 64) {
-            throw new Malformed(field + ": want null or at most 64 names");
+            throw new InvalidSubmissionException(field + ": want null or at most 64 names");
         }
         List<String> names = new ArrayList<>();
         for (JsonNode name : value) {
             if (!isName(name)) {
-                throw new Malformed(field + ": want names of 1 to " + LONGEST_NAME + " characters");
+                throw new InvalidSubmissionException(
+                        field + ": want names of 1 to " + MAX_NAME_LENGTH + " characters");
             }
             names.add(name.textValue());
         }
@@ -169,67 +175,71 @@
     }
 
     /** None where the field is absent; each id once. */
-    private static List<String> ids(JsonNode body, String field) throws Malformed {
+    private static List<String> jobIds(JsonNode body, String field)
+            throws InvalidSubmissionException {
         JsonNode value = body.path(field);
-        if (absent(value)) {
+        if (isAbsent(value)) {
             return List.of();
         }
         Set<String> ids = new LinkedHashSet<>();
         for (JsonNode id : value) {
             if (!id.isTextual() || !validId(id.textValue())) {
-                throw new Malformed(field + ": want an array of job ids");
+                throw new InvalidSubmissionException(field + ": want an array of job ids");
             }
             ids.add(id.textValue());
         }
         if (!value.isArray()) {
-            throw new Malformed(field + ": want an array of job ids");
+            throw new InvalidSubmissionException(field + ": want an array of job ids");
         }
         return List.copyOf(ids);
     }
 
     /** Encodes an accepted job in the form kept in the state service. */
-    public static ObjectNode durable(JobSpec job) {
+    public static ObjectNode encodeSpec(JobSpec job) {
         ObjectNode node =
                 Json.object()
                         .put("w", job.workload())
                         .put("o", job.team())
                         .put("s", job.shape().ordinal())
-                        .put("r", job.rank().ordinal())
+                        .put("r", job.priority().ordinal())
                         .put("n", job.tasks())
                         .put("c", job.cpus())
                         .put("g", job.gpus())
                         .put("m", job.memGb())
                         .put("i", job.image())
                         .put("ig", job.imageGb())
-                        .put("e", job.expectedS())
-                        .put("ce", job.checkpointEveryS())
-                        .put("cs", job.checkpointS())
+                        .put("e", job.expectedRunTimeS())
+                        .put("ce", job.checkpointIntervalS())
+                        .put("cs", job.checkpointDurationS())
                         .put("at", job.acceptedMs())
-                        .put("k", job.chunk());
-        if (job.types() != null) {
+                        .put("k", job.tasksPerRunRecord());
+        if (job.machineTypes() != null) {
             ArrayNode types = node.putArray("f");
-            job.types().forEach(types::add);
+            job.machineTypes().forEach(types::add);
         }
         if (job.zone() != null) {
             node.put("z", job.zone());
         }
-        if (job.dueS() != null) {
-            node.put("d", job.dueS());
+        if (job.deadlineS() != null) {
+            node.put("d", job.deadlineS());
         }
-        if (!job.awaits().isEmpty()) {
+        if (!job.dependencies().isEmpty()) {
             ArrayNode awaits = node.putArray("aw");
-            job.awaits().forEach(awaits::add);
+            job.dependencies().forEach(awaits::add);
         }
-        return node.put("t", job.oneZone()).put("sp", job.spread()).put("re", job.spot());
+        return node.put("t", job.sameZone())
+                .put("sp", job.spreadOverZones())
+                .put("re", job.spotAllowed());
     }
 
     /** What the list of needed jobs takes of the durable form. */
-    static int awaitsBytes(JobSpec job) {
-        return Json.write(durable(job)).length - Json.write(durable(job.withoutAwaits())).length;
+    static int dependenciesBytes(JobSpec job) {
+        return Json.write(encodeSpec(job)).length
+                - Json.write(encodeSpec(job.withoutDependencies())).length;
     }
 
-    /** Decodes what {@link #durable} has encoded. */
-    public static JobSpec fromDurable(String id, JsonNode n) {
+    /** Decodes what {@link #encodeSpec} has encoded. */
+    public static JobSpec decodeSpec(String id, JsonNode n) {
         List<String> types = null;
         if (n.has("f")) {
             types = new ArrayList<>();
@@ -244,7 +254,7 @@
                 n.path("w").asText(),
                 n.path("o").asText(),
                 Shape.values()[n.path("s").asInt()],
-                Rank.values()[n.path("r").asInt()],
+                Priority.values()[n.path("r").asInt()],
                 n.path("n").asInt(),
                 n.path("c").asDouble(),
                 n.path("g").asDouble(),
@@ -266,42 +276,42 @@
     }
 
     /** The answer to a query for a job's state, with its counts of tasks. */
-    public static ObjectNode state(String id, Status status, int done, int running) {
+    public static ObjectNode statusAnswer(String id, Status status, int done, int running) {
         return Json.object()
                 .put("nameId", id)
-                .put("status", status.word())
+                .put("status", status.wireName())
                 .put("done", done)
                 .put("running", running);
     }
 
     /** The answer that names a job and its state alone. */
-    public static ObjectNode brief(String id, Status status) {
-        return Json.object().put("nameId", id).put("status", status.word());
+    public static ObjectNode briefStatusAnswer(String id, Status status) {
+        return Json.object().put("nameId", id).put("status", status.wireName());
     }
 
     /** Encodes a final state in the form kept in the state service. */
-    public static ObjectNode durableEnd(Status status) {
-        return Json.object().put("s", status.word());
+    public static ObjectNode encodeFinalStatus(Status status) {
+        return Json.object().put("s", status.wireName());
     }
 
     /**
      * @param doneMs time of day, from which the times of the jobs that need it count; versions that
      *     do not know the field ignore it
      */
-    public static ObjectNode durableDone(long doneMs) {
-        return durableEnd(Status.DONE).put("at", doneMs);
+    public static ObjectNode encodeDone(long doneMs) {
+        return encodeFinalStatus(Status.DONE).put("at", doneMs);
     }
 
     /** When the job was done, or empty where the version that wrote it did not say. */
-    public static OptionalLong doneMs(JsonNode durable) {
+    public static OptionalLong decodeDoneMs(JsonNode durable) {
         return durable.path("at").isIntegralNumber()
                 ? OptionalLong.of(durable.path("at").longValue())
                 : OptionalLong.empty();
     }
 
-    /** Decodes what {@link #durableEnd} has encoded. */
-    public static Status end(JsonNode durable) {
-        return durable.path("s").asText().equals(Status.DONE.word())
+    /** Decodes what {@link #encodeFinalStatus} has encoded. */
+    public static Status decodeFinalStatus(JsonNode durable) {
+        return durable.path("s").asText().equals(Status.DONE.wireName())
                 ? Status.DONE
                 : Status.CANCELLED;
     }
--- a/src/main/java/io/pepperfield/jobs/JobSpec.java
+++ b/src/main/java/io/pepperfield/jobs/JobSpec.java
@@ -7,40 +7,40 @@
 /**
  * What a user asked for.
  *
- * @param types allowed machine types, or null for any
+ * @param machineTypes allowed machine types, or null for any
  * @param zone the only allowed zone, or null
- * @param oneZone all tasks in the same zone
- * @param spread at most half of the tasks, rounded up, in one zone
- * @param spot may use spot machines
- * @param dueS deadline after the submission, or null
+ * @param sameZone all tasks in the same zone
+ * @param spreadOverZones at most half of the tasks, rounded up, in one zone
+ * @param spotAllowed may use spot machines
+ * @param deadlineS deadline after the submission, or null
  * @param acceptedMs time of day of the submission
- * @param chunk tasks per durable run record
- * @param awaits jobs that must be done before any task starts, each once
+ * @param tasksPerRunRecord tasks per durable run record
+ * @param dependencies jobs that must be done before any task starts, each once
  */
 public record JobSpec(
         String id,
         String workload,
         String team,
         Shape shape,
-        Rank rank,
+        Priority priority,
         int tasks,
         double cpus,
         double gpus,
         double memGb,
         String image,
         double imageGb,
-        List<String> types,
+        List<String> machineTypes,
         String zone,
-        boolean oneZone,
-        boolean spread,
-        boolean spot,
-        double expectedS,
-        double checkpointEveryS,
-        double checkpointS,
-        Double dueS,
+        boolean sameZone,
+        boolean spreadOverZones,
+        boolean spotAllowed,
+        double expectedRunTimeS,
+        double checkpointIntervalS,
+        double checkpointDurationS,
+        Double deadlineS,
         long acceptedMs,
-        int chunk,
-        List<String> awaits) {
+        int tasksPerRunRecord,
+        List<String> dependencies) {
 
     /**
      * The kind of job: independent tasks, replicas that run until cancelled, or tasks that start
@@ -53,7 +53,7 @@
     }
 
     /** From the highest to the lowest. */
-    public enum Rank {
+    public enum Priority {
         PRODUCTION,
         URGENT,
         STANDARD,
@@ -61,53 +61,55 @@
     }
 
     /** Whether its tasks are replicas that run until it is cancelled. */
-    public boolean service() {
+    public boolean isService() {
         return shape == Shape.SERVICE;
     }
 
     /** All tasks are started together or none. */
-    public boolean gang() {
+    public boolean isGang() {
         return shape == Shape.GANG;
     }
 
     /** How many tasks must be able to run at the same time. */
-    public int leastAtOnce() {
+    public int minConcurrentTasks() {
         return shape == Shape.ARRAY ? 1 : tasks;
     }
 
     /** How many tasks may be in one zone at the same time. */
-    public int mostPerZone() {
-        return spread ? (tasks + 1) / 2 : tasks;
+    public int maxTasksPerZone() {
+        return spreadOverZones ? (tasks + 1) / 2 : tasks;
     }
 
     /** The number of run records that its tasks need. */
-    public int chunks() {
-        return (tasks + chunk - 1) / chunk;
+    public int runRecordCount() {
+        return (tasks + tasksPerRunRecord - 1) / tasksPerRunRecord;
     }
 
     /**
      * The key of a part of a divided run record: numbers beyond those of the chunks, which every
      * version reads like any other chunk.
      */
-    public String partKey(int chunkNumber, int part) {
-        return Keys.run(id, chunkNumber + part * chunks());
+    public String splitRecordKey(int chunkNumber, int part) {
+        return Keys.runRecord(id, chunkNumber + part * runRecordCount());
     }
 
     /** The same job with another rank. */
-    public JobSpec ranked(Rank other) {
-        return copy(other, awaits);
+    public JobSpec withPriority(Priority other) {
+        return copy(other, dependencies);
     }
 
     /** The same job, with the ids of those that it needs as {@code shared} has them. */
-    JobSpec needing(UnaryOperator<String> shared) {
-        return awaits.isEmpty() ? this : copy(rank, awaits.stream().map(shared).toList());
+    JobSpec withSharedDependencyIds(UnaryOperator<String> shared) {
+        return dependencies.isEmpty()
+                ? this
+                : copy(priority, dependencies.stream().map(shared).toList());
     }
 
-    JobSpec withoutAwaits() {
-        return copy(rank, List.of());
+    JobSpec withoutDependencies() {
+        return copy(priority, List.of());
     }
 
-    private JobSpec copy(Rank otherRank, List<String> otherAwaits) {
+    private JobSpec copy(Priority otherRank, List<String> otherAwaits) {
         return new JobSpec(
                 id,
                 workload,
@@ -120,29 +122,29 @@
                 memGb,
                 image,
                 imageGb,
-                types,
+                machineTypes,
                 zone,
-                oneZone,
-                spread,
-                spot,
-                expectedS,
-                checkpointEveryS,
-                checkpointS,
-                dueS,
+                sameZone,
+                spreadOverZones,
+                spotAllowed,
+                expectedRunTimeS,
+                checkpointIntervalS,
+                checkpointDurationS,
+                deadlineS,
                 acceptedMs,
-                chunk,
+                tasksPerRunRecord,
                 otherAwaits);
     }
 
     /** Whether its tasks save checkpoints. */
-    public boolean saves() {
-        return checkpointEveryS > 0;
+    public boolean takesCheckpoints() {
+        return checkpointIntervalS > 0;
     }
 
     /** Whether a machine of that type, in that zone and of that kind may hold a task. */
-    public boolean allows(String type, String inZone, boolean onSpot) {
-        return (spot || !onSpot)
-                && (types == null || types.contains(type))
+    public boolean allowsMachine(String type, String inZone, boolean onSpot) {
+        return (spotAllowed || !onSpot)
+                && (machineTypes == null || machineTypes.contains(type))
                 && (zone == null || zone.equals(inZone));
     }
 }
--- a/src/main/java/io/pepperfield/jobs/LinearizableReads.java
+++ b/src/main/java/io/pepperfield/jobs/LinearizableReads.java
@@ -1,6 +1,6 @@
 package io.pepperfield.jobs;
 
-import io.pepperfield.store.Sync;
+import io.pepperfield.store.ReplicaSynchronizer;
 import java.util.function.Consumer;
 
 /**
@@ -25,50 +25,50 @@
 final class LinearizableReads {
 
     /** The result of reading a job. */
-    sealed interface Reading {
+    sealed interface ReadOutcome {
         /** The job was accepted; its record as of the reading. */
-        record Accepted(Catalog.Record job) implements Reading {}
+        record Accepted(JobIndex.JobRecord job) implements ReadOutcome {}
 
         /** Not accepted by any node before the request came in. */
-        record NeverAccepted() implements Reading {}
+        record NeverAccepted() implements ReadOutcome {}
 
         /** The state service has not answered in time. */
-        record Unavailable() implements Reading {}
+        record Unavailable() implements ReadOutcome {}
     }
 
-    private final Catalog catalog;
-    private final Sync sync;
+    private final JobIndex jobIndex;
+    private final ReplicaSynchronizer synchronizer;
 
-    LinearizableReads(Catalog catalog, Sync sync) {
-        this.catalog = catalog;
-        this.sync = sync;
+    LinearizableReads(JobIndex catalog, ReplicaSynchronizer sync) {
+        this.jobIndex = catalog;
+        this.synchronizer = sync;
     }
 
     /** Whether this node has heard that the job was accepted; that it has not says nothing. */
     boolean isKnown(String id) {
-        return catalog.get(id) != null;
+        return jobIndex.get(id) != null;
     }
 
-    void read(String id, Consumer<Reading> done) {
+    void read(String id, Consumer<ReadOutcome> done) {
         if (isFinal(id)) {
-            done.accept(new Reading.Accepted(catalog.get(id)));
+            done.accept(new ReadOutcome.Accepted(jobIndex.get(id)));
             return;
         }
-        sync.confirm(
+        synchronizer.awaitReadIndex(
                 current -> {
                     if (!current && !isFinal(id)) {
-                        done.accept(new Reading.Unavailable());
+                        done.accept(new ReadOutcome.Unavailable());
                     } else {
                         done.accept(
                                 isKnown(id)
-                                        ? new Reading.Accepted(catalog.get(id))
-                                        : new Reading.NeverAccepted());
+                                        ? new ReadOutcome.Accepted(jobIndex.get(id))
+                                        : new ReadOutcome.NeverAccepted());
                     }
                 });
     }
 
     /** Whether this node knows the job's final state, which it may tell at any time. */
     boolean isFinal(String id) {
-        return isKnown(id) && catalog.get(id).end() != null;
+        return isKnown(id) && jobIndex.get(id).finalStatus() != null;
     }
 }
--- a/src/main/java/io/pepperfield/jobs/RankInheritance.java
+++ b/src/main/java/io/pepperfield/jobs/PriorityInheritance.java
@@ -1,6 +1,6 @@
 package io.pepperfield.jobs;
 
-import io.pepperfield.jobs.JobSpec.Rank;
+import io.pepperfield.jobs.JobSpec.Priority;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
@@ -15,29 +15,29 @@
  * are counted by rank: a job that comes or goes costs a step for each edge over which a rank
  * changes, however many jobs need the same one.
  */
-public final class RankInheritance {
+public final class PriorityInheritance {
 
-    private static final Rank[] RANKS = Rank.values();
+    private static final Priority[] PRIORITIES = Priority.values();
 
     /** A job, or one that is named before it comes, with how many jobs of each rank need it. */
     private static final class Node {
-        private final int[] dependants = new int[RANKS.length];
+        private final int[] dependentsByPriority = new int[PRIORITIES.length];
 
         /** Null where the job is not known, or over. */
         private JobSpec spec;
 
-        private Rank effective;
+        private Priority effectivePriority;
 
-        private Rank highest() {
+        private Priority highestPriority() {
             int rank = 0;
-            while (rank < spec.rank().ordinal() && dependants[rank] == 0) {
+            while (rank < spec.priority().ordinal() && dependentsByPriority[rank] == 0) {
                 rank++;
             }
-            return RANKS[rank];
+            return PRIORITIES[rank];
         }
 
-        private boolean unused() {
-            for (int count : dependants) {
+        private boolean isUnused() {
+            for (int count : dependentsByPriority) {
                 if (count > 0) {
                     return false;
                 }
@@ -47,17 +47,17 @@
     }
 
     /** One job that needs {@code job} has another rank; null for none. */
-    private record Step(String job, Rank before, Rank after) {}
+    private record Step(String job, Priority before, Priority after) {}
 
     private final Map<String, Node> nodes = new HashMap<>();
-    private final BiConsumer<String, Rank> changed;
+    private final BiConsumer<String, Priority> changed;
     private long steps;
 
     /**
      * @param changed told of a job and the rank that it is placed by from now on, where that is not
      *     the one before; at first it is its own
      */
-    public RankInheritance(BiConsumer<String, Rank> changed) {
+    public PriorityInheritance(BiConsumer<String, Priority> changed) {
         this.changed = changed;
     }
 
@@ -68,9 +68,9 @@
             return;
         }
         node.spec = job;
-        node.effective = job.rank();
+        node.effectivePriority = job.priority();
         ArrayDeque<Step> open = new ArrayDeque<>();
-        lend(job, null, node.effective, open);
+        addSteps(job, null, node.effectivePriority, open);
         open.add(new Step(job.id(), null, null));
         propagate(open);
     }
@@ -83,13 +83,14 @@
         }
         node.spec = null;
         ArrayDeque<Step> open = new ArrayDeque<>();
-        lend(job, node.effective, null, open);
+        addSteps(job, node.effectivePriority, null, open);
         forgetIfUnused(job.id(), node);
         propagate(open);
     }
 
-    private static void lend(JobSpec job, Rank before, Rank after, ArrayDeque<Step> open) {
-        job.awaits().forEach(needed -> open.add(new Step(needed, before, after)));
+    private static void addSteps(
+            JobSpec job, Priority before, Priority after, ArrayDeque<Step> open) {
+        job.dependencies().forEach(needed -> open.add(new Step(needed, before, after)));
     }
 
     /** Without recursion: chains may be long. */
@@ -100,24 +101,24 @@
             Node node = nodes.computeIfAbsent(step.job, id -> new Node());
             count(node, step.before, -1);
             count(node, step.after, 1);
-            Rank now = node.spec == null ? null : node.highest();
-            if (now != null && now != node.effective) {
-                lend(node.spec, node.effective, now, open);
-                node.effective = now;
+            Priority now = node.spec == null ? null : node.highestPriority();
+            if (now != null && now != node.effectivePriority) {
+                addSteps(node.spec, node.effectivePriority, now, open);
+                node.effectivePriority = now;
                 changed.accept(step.job, now);
             }
             forgetIfUnused(step.job, node);
         }
     }
 
-    private static void count(Node node, Rank rank, int change) {
+    private static void count(Node node, Priority rank, int change) {
         if (rank != null) {
-            node.dependants[rank.ordinal()] += change;
+            node.dependentsByPriority[rank.ordinal()] += change;
         }
     }
 
     private void forgetIfUnused(String id, Node node) {
-        if (node.unused()) {
+        if (node.isUnused()) {
             nodes.remove(id);
         }
     }
--- a/src/main/java/io/pepperfield/jobs/Status.java
+++ b/src/main/java/io/pepperfield/jobs/Status.java
@@ -10,12 +10,12 @@
     CANCELLED;
 
     /** Whether the state is final. */
-    public boolean ended() {
+    public boolean isFinal() {
         return this == DONE || this == CANCELLED;
     }
 
     /** The state's name in the users' protocol. */
-    public String word() {
+    public String wireName() {
         return name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/io/pepperfield/jobs/SubmissionPolicy.java
+++ b/src/main/java/io/pepperfield/jobs/SubmissionPolicy.java
@@ -9,7 +9,7 @@
         record Admitted() implements Decision {}
 
         /** Its user is told to come back, at once. */
-        record Refused(String why, int retryAfterS) implements Decision {}
+        record Refused(String reason, int retryAfterS) implements Decision {}
     }
 
     Decision ADMITTED = new Decision.Admitted();
@@ -23,12 +23,12 @@
                 }
 
                 @Override
-                public void throttled() {}
+                public void storeThrottled() {}
             };
 
     /** Decides about a job that nobody is known to have accepted; counts it if it is admitted. */
     Decision decide(JobSpec job);
 
     /** The state service has refused a creation as beyond its rate. */
-    void throttled();
+    void storeThrottled();
 }
--- a/src/main/java/io/pepperfield/jobs/UserRequests.java
+++ b/src/main/java/io/pepperfield/jobs/UserRequests.java
@@ -1,13 +1,13 @@
 package io.pepperfield.jobs;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Reply;
-import io.pepperfield.jobs.LinearizableReads.Reading;
+import io.pepperfield.jobs.LinearizableReads.ReadOutcome;
 import io.pepperfield.loop.Loop;
+import io.pepperfield.store.KeyValueStore;
 import io.pepperfield.store.Keys;
-import io.pepperfield.store.StateService;
-import io.pepperfield.store.Sync;
+import io.pepperfield.store.ReplicaSynchronizer;
 import java.util.function.Consumer;
 import java.util.function.IntSupplier;
 import java.util.function.IntUnaryOperator;
@@ -21,14 +21,14 @@
     /** Whether a job can ever run: null, or why not; throws where that cannot be decided yet. */
     public interface Feasibility {
         /** Why the job can never run, or null where it can. */
-        String refusal(JobSpec job) throws Undecided;
+        String infeasibilityReason(JobSpec job) throws UndecidedException;
     }
 
     /** The machine types are not known yet. */
-    public static final class Undecided extends Exception {}
+    public static final class UndecidedException extends Exception {}
 
-    private static final String NO_STATE = "the state service does not answer";
-    private static final Reply NO_JOB = Reply.error(404, "no such job");
+    private static final String STORE_UNAVAILABLE = "the state service does not answer";
+    private static final HttpReply JOB_NOT_FOUND = HttpReply.error(404, "no such job");
 
     private final Loop loop;
     private final LinearizableReads reads;
@@ -36,13 +36,13 @@
     private final SubmissionPolicy policy;
     private final CreateIfAbsent submissions;
     private final CreateIfAbsent cancellations;
-    private final IntSupplier linesInRecord;
-    private final int mostValueBytes;
-    private final int mostUnknownQueries;
-    private final Consumer<String> cancelled;
+    private final IntSupplier tasksPerRunRecord;
+    private final int maxValueBytes;
+    private final int maxUnknownQueries;
+    private final Consumer<String> onCancelled;
 
     /** Questions about jobs that this node knows nothing of, waiting for their confirmation. */
-    private int unknownQueries;
+    private int unknownQueriesInFlight;
 
     /**
      * @param linesInRecord tasks in a run record of a new job, given how many the first stored form
@@ -51,9 +51,9 @@
      */
     public UserRequests(
             Loop loop,
-            Catalog catalog,
-            Sync sync,
-            StateService state,
+            JobIndex catalog,
+            ReplicaSynchronizer sync,
+            KeyValueStore state,
             Feasibility feasibility,
             SubmissionPolicy policy,
             int mostChanges,
@@ -66,19 +66,29 @@
         this.reads = new LinearizableReads(catalog, sync);
         this.feasibility = feasibility;
         this.policy = policy;
-        this.mostUnknownQueries = mostUnknownQueries;
-        this.cancelled = cancelled;
-        this.mostValueBytes = (int) (valueKb * 1024 * 0.9);
+        this.maxUnknownQueries = mostUnknownQueries;
+        this.onCancelled = cancelled;
+        this.maxValueBytes = (int) (valueKb * 1024 * 0.9);
         // A run record takes up to about 60 bytes a task; half of a value leaves room for long
         // machine names.
         int linesInFirstForm = Math.max(1, (int) (valueKb * 1024 / 120));
-        this.linesInRecord = () -> linesInRecord.applyAsInt(linesInFirstForm);
+        this.tasksPerRunRecord = () -> linesInRecord.applyAsInt(linesInFirstForm);
         this.submissions =
                 new CreateIfAbsent(
-                        loop, state, StateService.Urgency.JOB, mostChanges, 40 * 1024, changesPerS);
+                        loop,
+                        state,
+                        KeyValueStore.RequestPriority.SUBMISSION,
+                        mostChanges,
+                        40 * 1024,
+                        changesPerS);
         this.cancellations =
                 new CreateIfAbsent(
-                        loop, state, StateService.Urgency.END, mostChanges, 40 * 1024, changesPerS);
+                        loop,
+                        state,
+                        KeyValueStore.RequestPriority.CANCELLATION,
+                        mostChanges,
+                        40 * 1024,
+                        changesPerS);
     }
 
     /** Sends what has been gathered for the state service; called after each batch of commands. */
@@ -88,12 +98,12 @@
     }
 
     /** Accepts a job once it is durable, and answers its user. */
-    public void submit(byte[] body, Consumer<Reply> answer) {
+    public void submit(byte[] body, Consumer<HttpReply> answer) {
         JsonNode json = Json.read(body);
-        String id = JobMessages.idOf(json);
+        String id = JobMessages.jobId(json);
         if (!json.isObject() || id.isEmpty()) {
             answer.accept(
-                    Reply.error(
+                    HttpReply.error(
                             400,
                             json.isMissingNode()
                                     ? "the body is not JSON"
@@ -106,29 +116,30 @@
         }
         JobSpec job;
         try {
-            job = JobMessages.submission(json, loop.wallMs(), linesInRecord.getAsInt());
-        } catch (JobMessages.Malformed e) {
-            unlessKnown(id, Reply.error(400, e.getMessage()), answer);
+            job = JobMessages.decodeSubmission(json, loop.wallMs(), tasksPerRunRecord.getAsInt());
+        } catch (JobMessages.InvalidSubmissionException e) {
+            answerUnlessKnown(id, HttpReply.error(400, e.getMessage()), answer);
             return;
         }
-        JsonNode durable = JobMessages.durable(job);
-        String tooLong = tooLong(job, Json.write(durable).length);
+        JsonNode durable = JobMessages.encodeSpec(job);
+        String tooLong = oversizeReason(job, Json.write(durable).length);
         if (tooLong != null) {
-            unlessKnown(id, Reply.error(400, tooLong), answer);
+            answerUnlessKnown(id, HttpReply.error(400, tooLong), answer);
             return;
         }
         String refusal;
         try {
-            refusal = feasibility.refusal(job);
-        } catch (Undecided e) {
-            unlessKnown(id, Reply.later("the machine types are not known yet"), answer);
+            refusal = feasibility.infeasibilityReason(job);
+        } catch (UndecidedException e) {
+            answerUnlessKnown(
+                    id, HttpReply.unavailable("the machine types are not known yet"), answer);
             return;
         }
         if (refusal != null) {
-            unlessKnown(id, Reply.error(422, refusal), answer);
+            answerUnlessKnown(id, HttpReply.error(422, refusal), answer);
             return;
         }
-        if (job.awaits().stream().allMatch(reads::isKnown)) {
+        if (job.dependencies().stream().allMatch(reads::isKnown)) {
             accept(job, durable, answer);
             return;
         }
@@ -138,20 +149,20 @@
                 id,
                 reading -> {
                     String unknownPrerequisite =
-                            job.awaits().stream()
+                            job.dependencies().stream()
                                     .filter(needed -> !reads.isKnown(needed))
                                     .findFirst()
                                     .orElse(null);
-                    if (reading instanceof Reading.Accepted accepted) {
-                        answer.accept(Reply.json(200, accepted.job().answer()));
-                    } else if (reading instanceof Reading.NeverAccepted
+                    if (reading instanceof ReadOutcome.Accepted accepted) {
+                        answer.accept(HttpReply.json(200, accepted.job().statusAnswer()));
+                    } else if (reading instanceof ReadOutcome.NeverAccepted
                             && unknownPrerequisite == null) {
                         accept(job, durable, answer);
                     } else {
                         answer.accept(
-                                notKnown(
+                                notKnownReply(
                                         reading,
-                                        Reply.error(
+                                        HttpReply.error(
                                                 422,
                                                 "awaits: "
                                                         + unknownPrerequisite
@@ -161,113 +172,117 @@
     }
 
     /** Which field makes the description too long to be stored, or null. */
-    private String tooLong(JobSpec job, int bytes) {
-        if (bytes <= mostValueBytes) {
+    private String oversizeReason(JobSpec job, int bytes) {
+        if (bytes <= maxValueBytes) {
             return null;
         }
-        int listBytes = JobMessages.awaitsBytes(job);
-        return bytes - listBytes < mostValueBytes
+        int listBytes = JobMessages.dependenciesBytes(job);
+        return bytes - listBytes < maxValueBytes
                 ? "awaits: want at most "
-                        + (mostValueBytes - bytes + listBytes)
+                        + (maxValueBytes - bytes + listBytes)
                         + " bytes of JSON beside the other fields, not "
                         + listBytes
                 : "flavours and names: want at most "
-                        + mostValueBytes
+                        + maxValueBytes
                         + " bytes in all, not "
                         + (bytes - listBytes);
     }
 
-    private void accept(JobSpec job, JsonNode durable, Consumer<Reply> answer) {
+    private void accept(JobSpec job, JsonNode durable, Consumer<HttpReply> answer) {
         String id = job.id();
         // Asked again while its creation waits, it costs nothing more.
-        if (!submissions.isWaiting(Keys.JOB + id)
+        if (!submissions.isQueued(Keys.JOB_PREFIX + id)
                 && policy.decide(job) instanceof SubmissionPolicy.Decision.Refused refused) {
-            answer.accept(Reply.later(refused.why(), refused.retryAfterS()));
+            answer.accept(HttpReply.unavailable(refused.reason(), refused.retryAfterS()));
             return;
         }
         submissions.create(
-                Keys.JOB + id,
+                Keys.JOB_PREFIX + id,
                 durable,
                 result -> {
                     switch (result) {
                         case CREATED ->
                                 answer.accept(
-                                        Reply.json(201, JobMessages.brief(id, Status.PENDING)));
+                                        HttpReply.json(
+                                                201,
+                                                JobMessages.briefStatusAnswer(id, Status.PENDING)));
                         case EXISTS -> query(id, answer);
-                        case UNAVAILABLE -> answer.accept(Reply.later(NO_STATE));
+                        case UNAVAILABLE -> answer.accept(HttpReply.unavailable(STORE_UNAVAILABLE));
                         case THROTTLED -> {
-                            policy.throttled();
-                            answer.accept(Reply.later(NO_STATE));
+                            policy.storeThrottled();
+                            answer.accept(HttpReply.unavailable(STORE_UNAVAILABLE));
                         }
-                        case TOO_MANY -> answer.accept(tooMany());
+                        case TOO_MANY -> answer.accept(tooManyReply());
                     }
                 });
     }
 
     /** By then what waits now has been written; to come back sooner would only add to the crowd. */
-    private static Reply tooMany() {
-        return Reply.later(
+    private static HttpReply tooManyReply() {
+        return HttpReply.unavailable(
                 "more is submitted than can be written",
-                (int) Math.ceil(CreateIfAbsent.PATIENCE_S));
+                (int) Math.ceil(CreateIfAbsent.MAX_QUEUE_WAIT_S));
     }
 
     /**
      * A known id gets 200 whatever its body says: the job was accepted, perhaps by another node and
      * a moment ago.
      */
-    private void unlessKnown(String id, Reply refusal, Consumer<Reply> answer) {
+    private void answerUnlessKnown(String id, HttpReply refusal, Consumer<HttpReply> answer) {
         reads.read(
                 id,
                 reading ->
                         answer.accept(
-                                reading instanceof Reading.Accepted accepted
-                                        ? stateOf(accepted.job())
-                                        : notKnown(reading, refusal)));
+                                reading instanceof ReadOutcome.Accepted accepted
+                                        ? statusReply(accepted.job())
+                                        : notKnownReply(reading, refusal)));
     }
 
-    private static Reply stateOf(Catalog.Record job) {
-        return job.unreadable() && job.end() == null
-                ? Reply.later("a record of the job is of a form that is not known here")
-                : Reply.json(200, job.answer());
+    private static HttpReply statusReply(JobIndex.JobRecord job) {
+        return job.unreadable() && job.finalStatus() == null
+                ? HttpReply.unavailable("a record of the job is of a form that is not known here")
+                : HttpReply.json(200, job.statusAnswer());
     }
 
-    private static Reply notKnown(Reading reading, Reply refusal) {
-        return reading instanceof Reading.NeverAccepted ? refusal : Reply.later(NO_STATE);
+    private static HttpReply notKnownReply(ReadOutcome reading, HttpReply refusal) {
+        return reading instanceof ReadOutcome.NeverAccepted
+                ? refusal
+                : HttpReply.unavailable(STORE_UNAVAILABLE);
     }
 
     /** Answers a user's query for a job's state. */
-    public void query(String id, Consumer<Reply> answer) {
+    public void query(String id, Consumer<HttpReply> answer) {
         if (reads.isKnown(id)) {
-            unlessKnown(id, NO_JOB, answer);
-        } else if (unknownQueries >= mostUnknownQueries) {
+            answerUnlessKnown(id, JOB_NOT_FOUND, answer);
+        } else if (unknownQueriesInFlight >= maxUnknownQueries) {
             // Questions about jobs that nobody submitted must leave room for those about jobs that
             // somebody did.
-            answer.accept(Reply.later("too many questions about unknown jobs"));
+            answer.accept(HttpReply.unavailable("too many questions about unknown jobs"));
         } else {
-            unknownQueries++;
-            unlessKnown(
+            unknownQueriesInFlight++;
+            answerUnlessKnown(
                     id,
-                    NO_JOB,
+                    JOB_NOT_FOUND,
                     reply -> {
-                        unknownQueries--;
+                        unknownQueriesInFlight--;
                         answer.accept(reply);
                     });
         }
     }
 
     /** Cancels a job durably, and answers its user. */
-    public void cancel(String id, Consumer<Reply> answer) {
+    public void cancel(String id, Consumer<HttpReply> answer) {
         if (reads.isKnown(id)) {
-            end(id, answer);
+            cancelKnownJob(id, answer);
             return;
         }
         reads.read(
                 id,
                 reading -> {
-                    if (reading instanceof Reading.Accepted) {
-                        end(id, answer);
+                    if (reading instanceof ReadOutcome.Accepted) {
+                        cancelKnownJob(id, answer);
                     } else {
-                        answer.accept(notKnown(reading, NO_JOB));
+                        answer.accept(notKnownReply(reading, JOB_NOT_FOUND));
                     }
                 });
     }
@@ -276,36 +291,42 @@
      * Whether the job is over already the state service decides, where its end is written once;
      * unless this node knows it.
      */
-    private void end(String id, Consumer<Reply> answer) {
+    private void cancelKnownJob(String id, Consumer<HttpReply> answer) {
         if (reads.isFinal(id)) {
-            ended(id, answer);
+            answerFinalStatus(id, answer);
             return;
         }
         cancellations.create(
-                Keys.END + id,
-                JobMessages.durableEnd(Status.CANCELLED),
+                Keys.FINAL_STATE_PREFIX + id,
+                JobMessages.encodeFinalStatus(Status.CANCELLED),
                 result -> {
                     switch (result) {
                         case CREATED -> {
-                            cancelled.accept(id);
-                            answer.accept(Reply.json(200, JobMessages.brief(id, Status.CANCELLED)));
+                            onCancelled.accept(id);
+                            answer.accept(
+                                    HttpReply.json(
+                                            200,
+                                            JobMessages.briefStatusAnswer(id, Status.CANCELLED)));
                         }
-                        case EXISTS -> ended(id, answer);
-                        case UNAVAILABLE, THROTTLED -> answer.accept(Reply.later(NO_STATE));
-                        case TOO_MANY -> answer.accept(tooMany());
+                        case EXISTS -> answerFinalStatus(id, answer);
+                        case UNAVAILABLE, THROTTLED ->
+                                answer.accept(HttpReply.unavailable(STORE_UNAVAILABLE));
+                        case TOO_MANY -> answer.accept(tooManyReply());
                     }
                 });
     }
 
-    private void ended(String id, Consumer<Reply> answer) {
+    private void answerFinalStatus(String id, Consumer<HttpReply> answer) {
         reads.read(
                 id,
                 reading ->
                         answer.accept(
-                                reading instanceof Reading.Accepted accepted
-                                                && accepted.job().end() != null
-                                        ? Reply.json(
-                                                200, JobMessages.brief(id, accepted.job().end()))
-                                        : Reply.later(NO_STATE)));
+                                reading instanceof ReadOutcome.Accepted accepted
+                                                && accepted.job().finalStatus() != null
+                                        ? HttpReply.json(
+                                                200,
+                                                JobMessages.briefStatusAnswer(
+                                                        id, accepted.job().finalStatus()))
+                                        : HttpReply.unavailable(STORE_UNAVAILABLE)));
     }
 }
--- a/src/main/java/io/pepperfield/leadership/LeaderClaim.java
+++ b/src/main/java/io/pepperfield/leadership/LeaderClaim.java
@@ -6,17 +6,17 @@
 public interface LeaderClaim {
 
     /** Whether this node leads and its grant cannot have ended. */
-    boolean confirmed();
+    boolean holdsValidLease();
 
     /** The stamp of the leader key. */
-    long token();
+    long fencingToken();
 
     /** The grant that the leader key is tied to. */
     long grant();
 
     /** The value of the leader key. */
-    JsonNode value();
+    JsonNode leaderKeyValue();
 
     /** The leading node as far as known, or empty. */
-    String leader();
+    String leaderNode();
 }
