--- a/src/main/java/io/pepperfield/leadership/Leadership.java
+++ b/src/main/java/io/pepperfield/leadership/Leadership.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.http.Json;
 import io.pepperfield.loop.Loop;
+import io.pepperfield.store.KeyValueStore;
+import io.pepperfield.store.KeyValueStore.CompareAndSwapOutcome;
+import io.pepperfield.store.KeyValueStore.Mutation;
+import io.pepperfield.store.KeyValueStore.Precondition;
+import io.pepperfield.store.KeyValueStore.RequestPriority;
 import io.pepperfield.store.Keys;
-import io.pepperfield.store.StateService;
-import io.pepperfield.store.StateService.Change;
-import io.pepperfield.store.StateService.Guard;
-import io.pepperfield.store.StateService.TxnResult;
-import io.pepperfield.store.StateService.Urgency;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -22,7 +22,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
 
     /** Part of the grant's time to live for which candidates that are no newcomers hold back. */
-    private static final double NEWCOMERS_FIRST = 1.0 / 20;
+    private static final double NEWCOMER_HEAD_START = 1.0 / 20;
 
     /** The owner's reaction to changes of role; called on the event loop. */
     public interface Listener {
@@ -30,79 +30,79 @@
         void elected(long token);
 
         /** The leader key was written anew: writes are guarded by this token from now on. */
-        void renewedToken(long token);
+        void fencingTokenRenewed(long token);
 
         /** This node does not lead any more; {@code why} is for the log. */
-        void deposed(String why);
+        void leadershipLost(String why);
     }
 
     private final Loop loop;
-    private final StateService state;
+    private final KeyValueStore store;
     private final String node;
-    private final double ttlS;
+    private final double leaseTtlS;
     private final Listener listener;
 
-    private String leader = "";
+    private String leaderNode = "";
     private long leaderGrant;
-    private long leaderToken;
-    private boolean known;
-    private long token;
+    private long highestFencingToken;
+    private boolean leaderKeyKnown;
+    private long fencingToken;
     private long grant;
-    private double grantUntil;
-    private boolean busy;
-    private boolean minting;
-    private boolean touching;
-    private double touchAt;
-    private double abstainUntil;
+    private double leaseValidUntil;
+    private boolean electionInFlight;
+    private boolean tokenRenewalInFlight;
+    private boolean leaseRenewalInFlight;
+    private double nextLeaseRenewalAt;
+    private double noCandidacyBefore;
 
     /** Elections lost since the replica last brought news of the leader key. */
-    private int electionsLost;
+    private int consecutiveLostElections;
 
     /** The leader's grant when this process began, or 0 where nobody led. */
-    private long grantAtStart;
+    private long grantAtProcessStart;
 
-    private boolean startSeen;
+    private boolean initialLeaderSeen;
 
     /** The grant of an earlier process of this node that was last asked to be ended. */
-    private long orphanEnded;
+    private long revokedOrphanGrant;
 
-    private boolean doubted;
+    private boolean leadershipDoubted;
     private double doubtedAt;
 
     /**
      * Creates the state of a node that does not lead; {@code ttlS} is the lifetime of its grant in
      * seconds.
      */
-    public Leadership(Loop loop, StateService state, String node, double ttlS, Listener listener) {
+    public Leadership(Loop loop, KeyValueStore state, String node, double ttlS, Listener listener) {
         this.loop = loop;
-        this.state = state;
+        this.store = state;
         this.node = node;
-        this.ttlS = ttlS;
+        this.leaseTtlS = ttlS;
         this.listener = listener;
     }
 
     /**
      * Leading as far as this node knows: enough to keep leases alive, not to decide anything new.
      */
-    public boolean leading() {
-        return token != 0 && !doubted;
+    public boolean isLeader() {
+        return fencingToken != 0 && !leadershipDoubted;
     }
 
     /** Leading, and the grant cannot have ended yet by this node's own reckoning. */
     @Override
-    public boolean confirmed() {
-        return leading() && loop.now() < grantUntil;
+    public boolean holdsValidLease() {
+        return isLeader() && loop.now() < leaseValidUntil;
     }
 
     /** The token of this node's term, 0 while it does not lead. */
     @Override
-    public long token() {
-        return token;
+    public long fencingToken() {
+        return fencingToken;
     }
 
     /** The highest token that the state service has shown, whoever's it was. */
-    public long leaderToken() {
-        return Math.max(token, leaderToken);
+    public long highestFencingToken() {
+        return Math.max(fencingToken, highestFencingToken);
     }
 
     /** The grant of this node's term. */
@@ -113,49 +113,50 @@
 
     /** What this node writes under the leader key. */
     @Override
-    public JsonNode value() {
+    public JsonNode leaderKeyValue() {
         return Json.object().put("node", node).put("grant", grant);
     }
 
     /** The leading node as far as known, or empty. */
     @Override
-    public String leader() {
-        return leader;
+    public String leaderNode() {
+        return leaderNode;
     }
 
     /** The condition that a leader's write must carry. */
-    public Guard guard() {
-        return new Guard(Keys.LEADER, token);
+    public Precondition fencingPrecondition() {
+        return new Precondition(Keys.LEADER, fencingToken);
     }
 
     /** The replica's news of the leader key. */
-    public void leaderKey(JsonNode data, long stamp) {
-        known = true;
-        electionsLost = 0;
+    public void leaderKeyChanged(JsonNode data, long stamp) {
+        leaderKeyKnown = true;
+        consecutiveLostElections = 0;
         long lostGrant = leaderGrant;
-        leader = data == null ? "" : data.path("node").asText();
-        leaderToken = Math.max(leaderToken, data == null ? 0 : stamp);
+        leaderNode = data == null ? "" : data.path("node").asText();
+        highestFencingToken = Math.max(highestFencingToken, data == null ? 0 : stamp);
         leaderGrant = data == null ? 0 : data.path("grant").longValue();
-        noteStart();
-        boolean mine = data != null && leader.equals(node) && leaderGrant == grant && grant != 0;
-        if (mine && token == 0) {
-            lead(stamp);
-        } else if (mine && stamp > token) {
+        recordInitialLeader();
+        boolean mine =
+                data != null && leaderNode.equals(node) && leaderGrant == grant && grant != 0;
+        if (mine && fencingToken == 0) {
+            becomeLeader(stamp);
+        } else if (mine && stamp > fencingToken) {
             // A renewal of which no answer came has taken effect: older guards fail from here on.
-            token = stamp;
-            listener.renewedToken(token);
-        } else if (!mine && token != 0 && (data == null || stamp > token)) {
-            depose("another node has the leader key");
+            fencingToken = stamp;
+            listener.fencingTokenRenewed(fencingToken);
+        } else if (!mine && fencingToken != 0 && (data == null || stamp > fencingToken)) {
+            endTerm("another node has the leader key");
         }
-        if (data == null && lostGrant != 0 && token == 0) {
-            succeed(lostGrant);
+        if (data == null && lostGrant != 0 && fencingToken == 0) {
+            onLeaderGone(lostGrant);
         }
     }
 
-    private void noteStart() {
-        if (!startSeen) {
-            startSeen = true;
-            grantAtStart = leaderGrant;
+    private void recordInitialLeader() {
+        if (!initialLeaderSeen) {
+            initialLeaderSeen = true;
+            grantAtProcessStart = leaderGrant;
         }
     }
 
@@ -164,16 +165,20 @@
      * others a moment later: while controllers are restarted one after the other, a newcomer has
      * had its turn, and any other leader would end within seconds, each time with a take-over.
      */
-    private void succeed(long lostGrant) {
-        if (lostGrant != grantAtStart) {
-            abstainUntil = Math.max(abstainUntil, loop.now() + ttlS * NEWCOMERS_FIRST);
-        } else if (mayStand()) {
-            stand();
+    private void onLeaderGone(long lostGrant) {
+        if (lostGrant != grantAtProcessStart) {
+            noCandidacyBefore =
+                    Math.max(noCandidacyBefore, loop.now() + leaseTtlS * NEWCOMER_HEAD_START);
+        } else if (mayStandForElection()) {
+            standForElection();
         }
     }
 
-    private boolean mayStand() {
-        return known && leader.isEmpty() && !busy && loop.now() >= abstainUntil;
+    private boolean mayStandForElection() {
+        return leaderKeyKnown
+                && leaderNode.isEmpty()
+                && !electionInFlight
+                && loop.now() >= noCandidacyBefore;
     }
 
     /**
@@ -181,10 +186,10 @@
      * service has renewed the grant, which it does only for the node that still has the key. A
      * made-up token thus stops it for a moment only.
      */
-    public void sawToken(long seen) {
-        if (token != 0 && seen > token && !doubted) {
-            LOG.info("a newer token {} is about, own {}", seen, token);
-            doubted = true;
+    public void observeFencingToken(long seen) {
+        if (fencingToken != 0 && seen > fencingToken && !leadershipDoubted) {
+            LOG.info("a newer token {} is about, own {}", seen, fencingToken);
+            leadershipDoubted = true;
             doubtedAt = loop.now();
         }
     }
@@ -193,60 +198,64 @@
      * Called when the replica is known to be loaded, so that a missing key means a missing leader.
      */
     public void replicaLoaded() {
-        known = true;
-        noteStart();
+        leaderKeyKnown = true;
+        recordInitialLeader();
     }
 
     /** To be called a few times per ttl. */
     public void tick() {
-        if (token != 0) {
-            renew();
-        } else if (mayStand()) {
-            stand();
-        } else if (known && leader.equals(node) && grant == 0 && orphanEnded != leaderGrant) {
+        if (fencingToken != 0) {
+            renewLease();
+        } else if (mayStandForElection()) {
+            standForElection();
+        } else if (leaderKeyKnown
+                && leaderNode.equals(node)
+                && grant == 0
+                && revokedOrphanGrant != leaderGrant) {
             // The key names this node, which holds no grant: an earlier process of this node wrote
             // it and has ended, or an
             // election that this one gave up has been carried out late.
-            orphanEnded = leaderGrant;
+            revokedOrphanGrant = leaderGrant;
             LOG.info("ending the grant of this node's earlier process");
-            state.endGrant(leaderGrant);
+            store.revokeGrant(leaderGrant);
         }
     }
 
-    private void stand() {
-        busy = true;
+    private void standForElection() {
+        electionInFlight = true;
         double sent = loop.now();
-        state.grant(
-                ttlS,
+        store.createGrant(
+                leaseTtlS,
                 granted -> {
                     if (granted.id() == 0) {
-                        retry();
+                        abandonElection();
                         return;
                     }
                     grant = granted.id();
-                    grantUntil = validity(sent);
-                    state.txn(
-                            Urgency.GRANT,
-                            List.of(new Guard(Keys.LEADER, 0)),
-                            List.of(new Change(Keys.LEADER, value(), grant)),
+                    leaseValidUntil = leaseEnd(sent);
+                    store.compareAndSwap(
+                            RequestPriority.GRANT,
+                            List.of(new Precondition(Keys.LEADER, 0)),
+                            List.of(new Mutation(Keys.LEADER, leaderKeyValue(), grant)),
                             result -> {
-                                busy = false;
-                                if (result instanceof TxnResult.Committed done) {
-                                    leader = node;
+                                electionInFlight = false;
+                                if (result instanceof CompareAndSwapOutcome.Committed done) {
+                                    leaderNode = node;
                                     leaderGrant = grant;
-                                    if (token == 0) {
-                                        lead(done.revision());
+                                    if (fencingToken == 0) {
+                                        becomeLeader(done.revision());
                                     }
-                                } else if (!(result instanceof TxnResult.Unknown) && token == 0) {
-                                    state.endGrant(grant);
+                                } else if (!(result instanceof CompareAndSwapOutcome.Unknown)
+                                        && fencingToken == 0) {
+                                    store.revokeGrant(grant);
                                     grant = 0;
-                                    abstainUntil = loop.now() + afterLostElection();
-                                } else if (token == 0) {
+                                    noCandidacyBefore = loop.now() + backoffAfterLostElection();
+                                } else if (fencingToken == 0) {
                                     // Perhaps elected without knowing it: ending the grant undoes
                                     // it whenever it takes effect.
-                                    state.endGrant(grant);
+                                    store.revokeGrant(grant);
                                     grant = 0;
-                                    abstainUntil = loop.now() + ttlS / 4;
+                                    noCandidacyBefore = loop.now() + leaseTtlS / 4;
                                 }
                             });
                 });
@@ -257,52 +266,52 @@
      * again and again before the replica brings it would cost three requests each time, which never
      * wait, and so leave none for the follow that brings the news.
      */
-    private double afterLostElection() {
-        double pause = ttlS / 10 * Math.pow(2, electionsLost);
-        electionsLost++;
-        return Math.min(ttlS, pause);
+    private double backoffAfterLostElection() {
+        double pause = leaseTtlS / 10 * Math.pow(2, consecutiveLostElections);
+        consecutiveLostElections++;
+        return Math.min(leaseTtlS, pause);
     }
 
-    private void retry() {
-        busy = false;
-        abstainUntil = loop.now() + ttlS / 10;
+    private void abandonElection() {
+        electionInFlight = false;
+        noCandidacyBefore = loop.now() + leaseTtlS / 10;
     }
 
-    private void lead(long stamp) {
-        token = stamp;
-        doubted = false;
-        LOG.info("leading with token {}", token);
-        listener.elected(token);
+    private void becomeLeader(long stamp) {
+        fencingToken = stamp;
+        leadershipDoubted = false;
+        LOG.info("leading with token {}", fencingToken);
+        listener.elected(fencingToken);
     }
 
     /**
      * Counted from the sending, less clock drift and a margin: the service may have started its
      * clock then.
      */
-    private double validity(double sent) {
-        return sent + ttlS * 0.9;
+    private double leaseEnd(double sent) {
+        return sent + leaseTtlS * 0.9;
     }
 
-    private void renew() {
+    private void renewLease() {
         double sent = loop.now();
-        if (touching || sent < touchAt) {
+        if (leaseRenewalInFlight || sent < nextLeaseRenewalAt) {
             return;
         }
-        touching = true;
-        touchAt = sent + ttlS / 4;
+        leaseRenewalInFlight = true;
+        nextLeaseRenewalAt = sent + leaseTtlS / 4;
         long touched = grant;
-        state.touch(
+        store.renewGrant(
                 touched,
                 result -> {
-                    touching = false;
+                    leaseRenewalInFlight = false;
                     if (grant != touched) {
                         return;
                     }
                     if (result.id() != 0) {
-                        grantUntil = Math.max(grantUntil, validity(sent));
-                        doubted &= sent < doubtedAt;
-                    } else if (result.gone() && token != 0) {
-                        depose("the grant has ended");
+                        leaseValidUntil = Math.max(leaseValidUntil, leaseEnd(sent));
+                        leadershipDoubted &= sent < doubtedAt;
+                    } else if (result.ended() && fencingToken != 0) {
+                        endTerm("the grant has ended");
                     }
                 });
     }
@@ -311,45 +320,46 @@
      * Writes the leader key again: workers that have seen the new token refuse every order under
      * the old one.
      */
-    public void mint() {
-        if (!confirmed() || minting) {
+    public void renewFencingToken() {
+        if (!holdsValidLease() || tokenRenewalInFlight) {
             return;
         }
-        minting = true;
-        long before = token;
-        state.txn(
-                Urgency.GRANT,
-                List.of(guard()),
-                List.of(new Change(Keys.LEADER, value(), grant)),
+        tokenRenewalInFlight = true;
+        long before = fencingToken;
+        store.compareAndSwap(
+                RequestPriority.GRANT,
+                List.of(fencingPrecondition()),
+                List.of(new Mutation(Keys.LEADER, leaderKeyValue(), grant)),
                 result -> {
-                    minting = false;
-                    if (result instanceof TxnResult.Committed done && token == before) {
-                        token = done.revision();
-                        listener.renewedToken(token);
+                    tokenRenewalInFlight = false;
+                    if (result instanceof CompareAndSwapOutcome.Committed done
+                            && fencingToken == before) {
+                        fencingToken = done.revision();
+                        listener.fencingTokenRenewed(fencingToken);
                     }
                 });
     }
 
     /** Gives the lead away, for a node that can reach the state service but not the workers. */
-    public void abdicate(String why, double forS) {
-        if (token != 0) {
+    public void stepDown(String why, double forS) {
+        if (fencingToken != 0) {
             long given = grant;
-            depose(why);
-            state.endGrant(given);
-            abstainUntil = loop.now() + forS;
+            endTerm(why);
+            store.revokeGrant(given);
+            noCandidacyBefore = loop.now() + forS;
         }
     }
 
-    private void depose(String why) {
+    private void endTerm(String why) {
         LOG.info("no longer leading: {}", why);
-        token = 0;
+        fencingToken = 0;
         grant = 0;
-        minting = false;
-        if (leader.equals(node)) {
-            leader = "";
+        tokenRenewalInFlight = false;
+        if (leaderNode.equals(node)) {
+            leaderNode = "";
         }
         // The replica still has to bring the end of the old key before this node may stand again.
-        abstainUntil = Math.max(abstainUntil, loop.now() + ttlS / 4);
-        listener.deposed(why);
+        noCandidacyBefore = Math.max(noCandidacyBefore, loop.now() + leaseTtlS / 4);
+        listener.leadershipLost(why);
     }
 }
--- a/src/main/java/io/pepperfield/node/DirectOrders.java
+++ b/src/main/java/io/pepperfield/lifecycle/DirectOrders.java
@@ -1,13 +1,13 @@
-package io.pepperfield.node;
+package io.pepperfield.lifecycle;
 
 import io.pepperfield.fleet.Attempt;
 import io.pepperfield.fleet.Fleet;
 import io.pepperfield.fleet.Machine;
 import io.pepperfield.fleet.Order;
-import io.pepperfield.fleet.Workers;
+import io.pepperfield.fleet.WorkerClient;
 import io.pepperfield.leadership.Leadership;
 import io.pepperfield.loop.Loop;
-import io.pepperfield.peer.PartitionOrders;
+import io.pepperfield.peer.PartitionOrderRouter;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -18,51 +18,51 @@
  * Orders that need not wait for a machine's next report: what came together for one goes in one
  * message.
  */
-final class DirectOrders {
+public final class DirectOrders {
 
     private final Loop loop;
     private final Fleet fleet;
     private final Leadership leadership;
-    private final PartitionOrders workers;
-    private final BooleanSupplier fresh;
-    private final Map<Machine, List<Attempt>> toSend = new LinkedHashMap<>();
+    private final PartitionOrderRouter workers;
+    private final BooleanSupplier storeIsFresh;
+    private final Map<Machine, List<Attempt>> pendingByMachine = new LinkedHashMap<>();
     private boolean stopped;
 
     /**
      * @param fresh whether the state service has answered of late, or starts have to wait
      */
-    DirectOrders(
+    public DirectOrders(
             Loop loop,
             Fleet fleet,
             Leadership leadership,
-            PartitionOrders workers,
+            PartitionOrderRouter workers,
             BooleanSupplier fresh) {
         this.loop = loop;
         this.fleet = fleet;
         this.leadership = leadership;
         this.workers = workers;
-        this.fresh = fresh;
+        this.storeIsFresh = fresh;
     }
 
     /** The leadership has ended: what is still answered changes nothing. */
-    void stop() {
+    public void stop() {
         stopped = true;
     }
 
-    void add(Attempt attempt) {
+    void enqueue(Attempt attempt) {
         if (attempt.phase() != Attempt.Phase.INTENDED && attempt.live()) {
-            toSend.computeIfAbsent(attempt.machine, m -> new ArrayList<>()).add(attempt);
+            pendingByMachine.computeIfAbsent(attempt.machine, m -> new ArrayList<>()).add(attempt);
         }
     }
 
     /** At the end of each batch of commands. */
-    void flush() {
+    public void flush() {
         // What does not go directly goes with the answer to the machine's next report.
-        if (!toSend.isEmpty() && leadership.confirmed()) {
-            boolean mayStart = fresh.getAsBoolean();
-            toSend.forEach((machine, attempts) -> send(machine, attempts, mayStart));
+        if (!pendingByMachine.isEmpty() && leadership.holdsValidLease()) {
+            boolean mayStart = storeIsFresh.getAsBoolean();
+            pendingByMachine.forEach((machine, attempts) -> send(machine, attempts, mayStart));
         }
-        toSend.clear();
+        pendingByMachine.clear();
         workers.flush();
     }
 
@@ -70,29 +70,29 @@
         List<Order> orders = new ArrayList<>();
         List<Attempt> runs = new ArrayList<>();
         for (Attempt attempt : attempts) {
-            if (!attempt.live() || attempt.tenure != machine.tenure()) {
+            if (!attempt.live() || attempt.incarnation != machine.incarnation()) {
                 continue;
             }
-            if (attempt.stopWanted()) {
-                orders.add(new Order.Stop(attempt.ref, attempt.number, attempt.drainS()));
+            if (attempt.stopRequested()) {
+                orders.add(new Order.Stop(attempt.taskRef, attempt.number, attempt.gracePeriodS()));
             } else if (attempt.phase() == Attempt.Phase.ORDERED && mayStart) {
-                orders.add(new Order.Run(attempt.ref, attempt.number));
+                orders.add(new Order.Run(attempt.taskRef, attempt.number));
                 runs.add(attempt);
             }
         }
         if (orders.isEmpty() || machine.releasing()) {
             return;
         }
-        fleet.sendingDirect(runs);
-        workers.orders(
-                machine.through(),
+        fleet.directOrdersLeaving(runs);
+        workers.sendOrders(
+                machine.reportingController(),
                 machine.address(),
-                leadership.token(),
-                machine.tenure(),
+                leadership.fencingToken(),
+                machine.incarnation(),
                 orders,
                 result -> {
-                    if (!stopped && result instanceof Workers.Result.Heard heard) {
-                        fleet.heard(heard.report(), loop.now());
+                    if (!stopped && result instanceof WorkerClient.Result.Responded heard) {
+                        fleet.handleDirectResponse(heard.heartbeat(), loop.now());
                     }
                 });
     }
--- /dev/null
+++ b/src/main/java/io/pepperfield/lifecycle/package-info.java
@@ -0,0 +1,5 @@
+/**
+ * The lifecycle of jobs and attempts on the leader: intents, starts, run records, final states, and
+ * their recovery at failover.
+ */
+package io.pepperfield.lifecycle;
--- a/src/main/java/io/pepperfield/node/NodeOverview.java
+++ b/src/main/java/io/pepperfield/overview/ControllerOverview.java
@@ -1,54 +1,60 @@
-package io.pepperfield.node;
+package io.pepperfield.overview;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.admission.Admission;
 import io.pepperfield.config.Settings;
+import io.pepperfield.heartbeat.HeartbeatHandler;
 import io.pepperfield.http.Json;
 import io.pepperfield.leadership.Leadership;
-import io.pepperfield.peer.Members;
-import io.pepperfield.store.Sync;
+import io.pepperfield.peer.Membership;
+import io.pepperfield.store.ReplicaSynchronizer;
 
 /** What operators see of one node ({@code GET /api/nodes}). */
-final class NodeOverview {
+public final class ControllerOverview {
 
     private final Settings settings;
     private final Leadership leadership;
-    private final Sync sync;
-    private final Members members;
-    private final ReportHandler reports;
+    private final ReplicaSynchronizer synchronizer;
+    private final Membership membership;
+    private final HeartbeatHandler heartbeatHandler;
 
     /** Null where it is switched off. */
     private final Admission admission;
 
-    NodeOverview(
+    /**
+     * Creates the overview of one controller; {@code admission} is null where it is switched off.
+     */
+    public ControllerOverview(
             Settings settings,
             Leadership leadership,
-            Sync sync,
-            Members members,
-            ReportHandler reports,
+            ReplicaSynchronizer sync,
+            Membership members,
+            HeartbeatHandler reports,
             Admission admission) {
         this.settings = settings;
         this.leadership = leadership;
-        this.sync = sync;
-        this.members = members;
-        this.reports = reports;
+        this.synchronizer = sync;
+        this.membership = members;
+        this.heartbeatHandler = reports;
         this.admission = admission;
     }
 
     /**
      * @param leader this node's leadership, or null while another node leads
      */
-    JsonNode describe(LeaderOverview leader, double now) {
+    public JsonNode describe(LeaderOverview leader, double now) {
         ObjectNode node =
                 Json.object()
                         .put("node", settings.node())
                         .put("zone", settings.zone())
-                        .put("leader", leadership.leader())
-                        .put("leading", leadership.leading())
-                        .put("epoch", leadership.token())
-                        .put("stateContactS", Math.round(100 * (now - sync.contactAt())) / 100.0);
+                        .put("leader", leadership.leaderNode())
+                        .put("leading", leadership.isLeader())
+                        .put("epoch", leadership.fencingToken())
+                        .put(
+                                "stateContactS",
+                                Math.round(100 * (now - synchronizer.lastConfirmedAt())) / 100.0);
         if (admission != null) {
             admission.describe(node);
         }
@@ -64,16 +70,16 @@
         line.put("node", member.node())
                 .put("zone", member.zone())
                 .put("state", state(member.node(), now));
-        double silentS = members.silentFor(member.node(), now);
+        double silentS = membership.silentForS(member.node(), now);
         if (Double.isFinite(silentS)) {
             line.put("heardAgoS", Math.round(10 * silentS) / 10.0);
         }
     }
 
     private String state(String node, double now) {
-        if (!members.live(now).contains(node)) {
+        if (!membership.liveMembers(now).contains(node)) {
             return "silent";
         }
-        return reports.hearsNobody(node, now) ? "hears no workers" : "takes part";
+        return heartbeatHandler.hasReceiveFailure(node, now) ? "hears no workers" : "takes part";
     }
 }
--- a/src/main/java/io/pepperfield/node/LeaderOverview.java
+++ b/src/main/java/io/pepperfield/overview/LeaderOverview.java
@@ -1,63 +1,68 @@
-package io.pepperfield.node;
+package io.pepperfield.overview;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pepperfield.cluster.ClusterState;
 import io.pepperfield.config.Settings;
+import io.pepperfield.dispatch.Dispatcher;
 import io.pepperfield.fleet.Machine;
 import io.pepperfield.fleet.MachineType;
-import io.pepperfield.jobs.Catalog;
 import io.pepperfield.jobs.Job;
+import io.pepperfield.jobs.JobIndex;
 import io.pepperfield.placement.PlacementRequest;
-import io.pepperfield.placement.Share;
-import io.pepperfield.store.Writer;
+import io.pepperfield.placement.QuotaUsage;
+import io.pepperfield.store.FencedWriter;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 
 /** What operators see of a leadership. */
-final class LeaderOverview {
+public final class LeaderOverview {
 
     /** So many of the jobs that one waits for are named. */
-    private static final int MOST_SHOWN = 16;
+    private static final int MAX_DEPENDENCIES_SHOWN = 16;
 
     private final ClusterState cluster;
     private final Dispatcher dispatcher;
-    private final Writer writer;
-    private final Catalog catalog;
+    private final FencedWriter writer;
+    private final JobIndex jobIndex;
 
-    LeaderOverview(ClusterState cluster, Dispatcher dispatcher, Writer writer, Catalog catalog) {
-        this.catalog = catalog;
+    /** Creates the overview of one term. */
+    public LeaderOverview(
+            ClusterState cluster, Dispatcher dispatcher, FencedWriter writer, JobIndex catalog) {
+        this.jobIndex = catalog;
         this.cluster = cluster;
         this.dispatcher = dispatcher;
         this.writer = writer;
     }
 
     /** A line for the log: machines, attempts, queues and what has been waiting to be written. */
-    String summary() {
+    public String summary() {
         int waiting =
                 cluster.jobs().values().stream()
-                        .filter(j -> j.end() == null)
-                        .mapToInt(Job::waitingCount)
+                        .filter(j -> j.finalStatus() == null)
+                        .mapToInt(Job::pendingTaskCount)
                         .sum();
         return "machines "
-                + cluster.fleet().census(cluster.loop().now(), 2 * cluster.reportS())
+                + cluster.fleet()
+                        .countByState(cluster.loop().now(), 2 * cluster.heartbeatIntervalS())
                 + ", jobs "
                 + cluster.jobs().size()
                 + ", attempts "
-                + cluster.ledger().size()
+                + cluster.liveAttempts().size()
                 + ", waiting tasks "
                 + waiting
                 + ", writes waiting "
-                + writer.waiting()
+                + writer.pendingCount()
                 + ", passes "
-                + cluster.passes().summary();
+                + cluster.passDurations().summarizeAndReset();
     }
 
     void describe(ObjectNode node) {
         double now = cluster.loop().now();
         ArrayNode machines = node.putArray("machines");
         for (Machine machine : cluster.fleet().machines()) {
-            MachineType type = cluster.types().get(machine.type());
+            MachineType type = cluster.machineTypes().get(machine.type());
             ObjectNode line =
                     machines.addObject()
                             .put("name", machine.name)
@@ -65,13 +70,13 @@
                             .put("zone", machine.zone())
                             .put("spot", machine.spot())
                             .put("state", state(machine, now))
-                            .put("tasks", machine.liveCount());
+                            .put("tasks", machine.liveAttemptCount());
             if (type != null) {
                 line.put("freeCpus", machine.freeCpus(type));
             }
         }
         ArrayNode teams = node.putArray("teams");
-        Map<String, Share> shares = cluster.shares();
+        Map<String, QuotaUsage> shares = cluster.quotaUsages();
         shares.keySet().stream()
                 .sorted()
                 .forEach(
@@ -81,38 +86,39 @@
                                     cluster.jobs().values().stream()
                                             .filter(
                                                     j ->
-                                                            j.end() == null
+                                                            j.finalStatus() == null
                                                                     && j.spec.team().equals(name))
-                                            .mapToInt(Job::waitingCount)
+                                            .mapToInt(Job::pendingTaskCount)
                                             .sum();
                             ObjectNode line =
                                     teams.addObject()
                                             .put("name", name)
-                                            .put("cpus", shares.get(name).cpus())
-                                            .put("guaranteed", team.cpus())
+                                            .put("cpus", shares.get(name).usedCpus())
+                                            .put("guaranteed", team.guaranteedCpus())
                                             .put("waitingTasks", waiting);
-                            if (Double.isFinite(team.cpusMax())) {
-                                line.put("most", team.cpusMax());
+                            if (Double.isFinite(team.cpuLimit())) {
+                                line.put("most", team.cpuLimit());
                             }
                         });
         ArrayNode queue = node.putArray("waiting");
         cluster.jobs().values().stream()
-                .filter(job -> job.end() == null && job.suspect())
+                .filter(job -> job.finalStatus() == null && job.isCrashLooping())
                 .forEach(
                         job ->
                                 queue.addObject()
                                         .put("job", job.spec.id())
                                         .put("team", job.spec.team())
-                                        .put("tasks", job.waitingCount())
+                                        .put("tasks", job.pendingTaskCount())
                                         .put(
                                                 "why",
                                                 "its tasks fail wherever they are tried; the next try is due in "
                                                         + Math.max(
                                                                 0,
-                                                                Math.round(job.notBefore() - now))
+                                                                Math.round(
+                                                                        job.startNotBefore() - now))
                                                         + " s"));
         cluster.jobs().values().stream()
-                .filter(job -> job.end() == null && job.isAwaiting())
+                .filter(job -> job.finalStatus() == null && job.isAwaitingDependencies())
                 .forEach(
                         job ->
                                 queue.addObject()
@@ -121,30 +127,32 @@
                                         .put("tasks", job.spec.tasks())
                                         .put(
                                                 "why",
-                                                waitsFor(catalog.get(job.spec.id()).awaited())));
-        for (PlacementRequest request : dispatcher.requests(now)) {
+                                                describeDependencies(
+                                                        jobIndex.get(job.spec.id())
+                                                                .unfinishedDependencies())));
+        for (PlacementRequest request : dispatcher.pendingRequests(now)) {
             Job job = cluster.jobs().get(request.job().id());
-            if (job.suspect()) {
+            if (job.isCrashLooping()) {
                 continue;
             }
             boolean limited =
-                    shares.get(job.spec.team()).cpus() + job.spec.cpus()
+                    shares.get(job.spec.team()).usedCpus() + job.spec.cpus()
                             > cluster.settings()
                                     .deployment()
                                     .teams()
                                     .get(job.spec.team())
-                                    .cpusMax();
+                                    .cpuLimit();
             queue.addObject()
                     .put("job", job.spec.id())
                     .put("team", job.spec.team())
-                    .put("tasks", request.waiting())
-                    .put("rank", job.placed().rank().name().toLowerCase(Locale.ROOT))
+                    .put("tasks", request.waitingTasks())
+                    .put("rank", job.effectiveSpec().priority().name().toLowerCase(Locale.ROOT))
                     .put("waitedS", Math.round(10 * (now - job.readyAt())) / 10.0)
                     .put(
                             "why",
                             limited
                                     ? "the team's limit"
-                                    : !cluster.types().known()
+                                    : !cluster.machineTypes().known()
                                             ? "the machine types are not known"
                                             : "no machine has room");
         }
@@ -154,22 +162,23 @@
         if (machine.releasing()) {
             return "releasing";
         }
-        if (!machine.up()) {
+        if (!machine.ready()) {
             return "awaited";
         }
         if (machine.draining()) {
             return "draining";
         }
-        if (machine.deaf()) {
+        if (machine.hasReceiveFailure()) {
             return "deaf";
         }
-        return machine.silentFor(now) > 2 * cluster.reportS() ? "silent" : "up";
+        return machine.silentFor(now) > 2 * cluster.heartbeatIntervalS() ? "silent" : "up";
     }
 
     /** Bounded, as a job may need as many as its description holds. */
-    private static String waitsFor(List<String> jobs) {
-        String shown = String.join(", ", jobs.subList(0, Math.min(MOST_SHOWN, jobs.size())));
-        int more = jobs.size() - MOST_SHOWN;
+    private static String describeDependencies(List<String> jobs) {
+        String shown =
+                String.join(", ", jobs.subList(0, Math.min(MAX_DEPENDENCIES_SHOWN, jobs.size())));
+        int more = jobs.size() - MAX_DEPENDENCIES_SHOWN;
         return "waits for " + shown + (more > 0 ? " and " + more + " more" : "");
     }
 }
--- a/src/main/java/io/pepperfield/peer/Members.java
+++ b/src/main/java/io/pepperfield/peer/Membership.java
@@ -10,14 +10,14 @@
  * The leader's view of the other controllers: which of them take reports for it, and in which life
  * each of them is.
  */
-public final class Members {
+public final class Membership {
 
     /** What is known of one controller: its process, the last message's number and its time. */
     private static final class Member {
-        String life = "";
+        String incarnation = "";
         long sequence;
-        double heardAt = Double.NEGATIVE_INFINITY;
-        final Set<String> earlier = new HashSet<>();
+        double lastHeardAt = Double.NEGATIVE_INFINITY;
+        final Set<String> earlierIncarnations = new HashSet<>();
     }
 
     private final String self;
@@ -27,7 +27,7 @@
     /**
      * @param graceS how long after its last message a member still counts as live
      */
-    public Members(String self, double graceS) {
+    public Membership(String self, double graceS) {
         this.self = self;
         this.graceS = graceS;
     }
@@ -37,33 +37,33 @@
      * a fraction of a second must not be taken for the one before it, nor may a late message of the
      * earlier process count for the new one.
      */
-    public boolean heard(String node, String life, long sequence, double now) {
+    public boolean recordMessage(String node, String life, long sequence, double now) {
         Member member = members.computeIfAbsent(node, n -> new Member());
-        if (member.earlier.contains(life)
-                || member.life.equals(life) && sequence <= member.sequence) {
+        if (member.earlierIncarnations.contains(life)
+                || member.incarnation.equals(life) && sequence <= member.sequence) {
             return false;
         }
-        if (!member.life.equals(life)) {
-            member.earlier.add(member.life);
-            member.life = life;
+        if (!member.incarnation.equals(life)) {
+            member.earlierIncarnations.add(member.incarnation);
+            member.incarnation = life;
         }
         member.sequence = sequence;
-        member.heardAt = now;
+        member.lastHeardAt = now;
         return true;
     }
 
     /** Seconds since its last message, infinite where none has come. */
-    public double silentFor(String node, double now) {
+    public double silentForS(String node, double now) {
         Member member = members.get(node);
-        return member == null ? Double.POSITIVE_INFINITY : now - member.heardAt;
+        return member == null ? Double.POSITIVE_INFINITY : now - member.lastHeardAt;
     }
 
     /** This node and those whose messages came of late. */
-    public Set<String> live(double now) {
+    public Set<String> liveMembers(double now) {
         Set<String> live = new TreeSet<>(Set.of(self));
         members.forEach(
                 (node, member) -> {
-                    if (now - member.heardAt < graceS) {
+                    if (now - member.lastHeardAt < graceS) {
                         live.add(node);
                     }
                 });
--- a/src/main/java/io/pepperfield/peer/PartitionOrders.java
+++ b/src/main/java/io/pepperfield/peer/PartitionOrderRouter.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.config.Settings;
+import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.Order;
-import io.pepperfield.fleet.Report;
-import io.pepperfield.fleet.Workers;
+import io.pepperfield.fleet.WorkerClient;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -17,48 +17,48 @@
  * through that node, in one message for many workers. What their answers show comes back among that
  * node's reports.
  */
-public final class PartitionOrders implements Workers {
+public final class PartitionOrderRouter implements WorkerClient {
 
-    private final Workers own;
+    private final WorkerClient localWorkers;
     private final Peers peers;
     private final Map<String, Settings.Member> members = new HashMap<>();
-    private final Map<Settings.Member, List<ForwardingMessages.Direct>> waiting =
+    private final Map<Settings.Member, List<PeerMessages.DirectOrderMessage>> pendingOrders =
             new LinkedHashMap<>();
-    private long token;
+    private long fencingToken;
 
     /** Creates the router; {@code own} reaches the workers of this node's partition. */
-    public PartitionOrders(Workers own, Peers peers, Settings settings) {
-        this.own = own;
+    public PartitionOrderRouter(WorkerClient own, Peers peers, Settings settings) {
+        this.localWorkers = own;
         this.peers = peers;
         settings.members().forEach(member -> members.put(member.node(), member));
     }
 
     @Override
-    public void probe(String address, Consumer<Report> done) {
-        own.probe(address, done);
+    public void probe(String address, Consumer<Heartbeat> done) {
+        localWorkers.probe(address, done);
     }
 
     @Override
-    public void forward(
+    public void forwardOrders(
             String address, long orderToken, long tenure, JsonNode orders, Consumer<byte[]> heard) {
-        own.forward(address, orderToken, tenure, orders, heard);
+        localWorkers.forwardOrders(address, orderToken, tenure, orders, heard);
     }
 
     @Override
-    public void orders(
+    public void sendOrders(
             String address,
             long orderToken,
             long tenure,
             List<Order> orders,
             Consumer<Result> done) {
-        own.orders(address, orderToken, tenure, orders, done);
+        localWorkers.sendOrders(address, orderToken, tenure, orders, done);
     }
 
     /**
      * Orders for a worker that reports through that node; through this one where it is no member's
      * name.
      */
-    public void orders(
+    public void sendOrders(
             String through,
             String address,
             long orderToken,
@@ -67,19 +67,23 @@
             Consumer<Result> done) {
         Settings.Member owner = members.get(through);
         if (owner == null) {
-            own.orders(address, orderToken, tenure, orders, done);
+            localWorkers.sendOrders(address, orderToken, tenure, orders, done);
             return;
         }
-        token = orderToken;
-        waiting.computeIfAbsent(owner, o -> new ArrayList<>())
+        fencingToken = orderToken;
+        pendingOrders
+                .computeIfAbsent(owner, o -> new ArrayList<>())
                 .add(
-                        new ForwardingMessages.Direct(
-                                address, tenure, Order.reply(orderToken, orders).path("orders")));
+                        new PeerMessages.DirectOrderMessage(
+                                address,
+                                tenure,
+                                Order.replyBody(orderToken, orders).path("orders")));
     }
 
     /** At the end of each batch of commands: one message for each partition. */
     public void flush() {
-        waiting.forEach((owner, messages) -> peers.direct(owner, token, messages));
-        waiting.clear();
+        pendingOrders.forEach(
+                (owner, messages) -> peers.sendDirectOrders(owner, fencingToken, messages));
+        pendingOrders.clear();
     }
 }
--- a/src/main/java/io/pepperfield/peer/ForwardingMessages.java
+++ b/src/main/java/io/pepperfield/peer/PeerMessages.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.databind.util.RawValue;
-import io.pepperfield.fleet.Report;
+import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.http.Json;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -16,72 +16,76 @@
 /**
  * What partition owners and the leader tell each other; the only place that knows its field names.
  */
-public final class ForwardingMessages {
+public final class PeerMessages {
 
     /** One report as a partition owner passes it on. */
-    public sealed interface Beat {
+    public sealed interface ForwardedHeartbeat {
         /** The name of the machine that reports. */
         String machine();
 
         /** The report in full. */
-        record Whole(Report report) implements Beat {
+        record Full(Heartbeat heartbeat) implements ForwardedHeartbeat {
             @Override
             public String machine() {
-                return report.machine();
+                return heartbeat.machine();
             }
         }
 
         /** Differs from the one of serial {@code base} only in its serial and token. */
-        record Same(String machine, long tenure, long base, long serial, long token)
-                implements Beat {}
+        record Repeated(
+                String machine, long incarnation, long baseSerial, long serial, long fencingToken)
+                implements ForwardedHeartbeat {}
     }
 
     /** A report that its partition owner remembers from before the leader was elected. */
-    public record Kept(Report report, double ageS) {}
+    public record CachedHeartbeat(Heartbeat heartbeat, double ageS) {}
 
     /** One message of a partition owner to the leader; {@code life} names the owner's process. */
-    public record Batch(
-            String node,
-            String life,
+    public record HeartbeatBatch(
+            String sender,
+            String incarnation,
             long sequence,
-            long token,
-            List<Beat> beats,
-            List<Report> heard,
-            List<Kept> kept) {}
+            long fencingToken,
+            List<ForwardedHeartbeat> heartbeats,
+            List<Heartbeat> directOrderReplies,
+            List<CachedHeartbeat> cachedHeartbeats) {}
 
     /** The leader's answer to one report. */
-    public sealed interface Verdict {
+    public sealed interface LeaderVerdict {
         /** To be answered with these orders. */
-        record Orders(JsonNode orders) implements Verdict {}
+        record Orders(JsonNode orders) implements LeaderVerdict {}
 
         /** A late copy, or of a machine that was returned. */
-        record Refused() implements Verdict {}
+        record Refused() implements LeaderVerdict {}
 
         /** The leader lacks the report that a short one repeats. */
-        record WantsWhole() implements Verdict {}
+        record FullHeartbeatRequired() implements LeaderVerdict {}
     }
 
     /** The leader's answer to a batch, with one verdict for each of its reports. */
-    public record Answer(
-            long token, double contactAgoS, Set<String> live, List<Verdict> verdicts) {}
+    public record HeartbeatBatchReply(
+            long fencingToken,
+            double stateContactAgeS,
+            Set<String> partitionOwners,
+            List<LeaderVerdict> verdicts) {}
 
     /** Orders that a partition owner is to hand to a worker at once. */
-    public record Direct(String address, long tenure, JsonNode orders) {}
+    public record DirectOrderMessage(String address, long incarnation, JsonNode orders) {}
 
-    private ForwardingMessages() {}
+    private PeerMessages() {}
 
     /**
      * A worker's report as part of a message; one in another encoding than UTF-8 would spoil the
      * others beside it.
      */
-    static RawValue raw(byte[] report) {
+    static RawValue embedded(byte[] report) {
         boolean plain = report.length > 1 && report[0] > 0 && report[1] > 0;
         return new RawValue(
                 new String(plain ? report : Json.write(Json.read(report)), StandardCharsets.UTF_8));
     }
 
     /** Null where the message is not one of this version's: it is refused whole. */
-    public static Batch batch(JsonNode message) {
+    public static HeartbeatBatch readBatch(JsonNode message) {
         if (!message.path("node").isTextual()
                 || !message.path("life").isTextual()
                 || !message.path("seq").isIntegralNumber()
@@ -89,39 +93,41 @@
                 || !message.path("beats").isArray()) {
             return null;
         }
-        List<Beat> beats = new ArrayList<>();
+        List<ForwardedHeartbeat> beats = new ArrayList<>();
         for (JsonNode beat : message.path("beats")) {
             if (beat.isArray() && beat.size() == 5) {
                 beats.add(
-                        new Beat.Same(
+                        new ForwardedHeartbeat.Repeated(
                                 beat.path(0).asText(),
                                 beat.path(1).asLong(),
                                 beat.path(2).asLong(),
                                 beat.path(3).asLong(),
                                 beat.path(4).asLong()));
             } else {
-                Report report = Report.read(beat);
+                Heartbeat report = Heartbeat.parse(beat);
                 if (report == null) {
                     return null;
                 }
-                beats.add(new Beat.Whole(report));
+                beats.add(new ForwardedHeartbeat.Full(report));
             }
         }
-        List<Report> heard = new ArrayList<>();
+        List<Heartbeat> heard = new ArrayList<>();
         for (JsonNode report : message.path("heard")) {
-            Report read = Report.read(report);
+            Heartbeat read = Heartbeat.parse(report);
             if (read != null) {
                 heard.add(read);
             }
         }
-        List<Kept> kept = new ArrayList<>();
+        List<CachedHeartbeat> kept = new ArrayList<>();
         for (JsonNode item : message.path("kept")) {
-            Report read = Report.read(item.path("report"));
+            Heartbeat read = Heartbeat.parse(item.path("report"));
             if (read != null) {
-                kept.add(new Kept(read, Math.max(0, item.path("ageMs").asLong() / 1000.0)));
+                kept.add(
+                        new CachedHeartbeat(
+                                read, Math.max(0, item.path("ageMs").asLong() / 1000.0)));
             }
         }
-        return new Batch(
+        return new HeartbeatBatch(
                 message.path("node").textValue(),
                 message.path("life").textValue(),
                 message.path("seq").longValue(),
@@ -132,8 +138,8 @@
     }
 
     /** Encodes the answer to a batch. */
-    public static byte[] answer(
-            long token, double contactAgoS, Collection<String> live, List<Verdict> verdicts) {
+    public static byte[] writeBatchReply(
+            long token, double contactAgoS, Collection<String> live, List<LeaderVerdict> verdicts) {
         ObjectNode node =
                 Json.object()
                         .put("epoch", token)
@@ -141,18 +147,21 @@
         ArrayNode names = node.putArray("live");
         live.forEach(names::add);
         ArrayNode answers = node.putArray("answers");
-        for (Verdict verdict : verdicts) {
-            if (verdict instanceof Verdict.Orders orders) {
+        for (LeaderVerdict verdict : verdicts) {
+            if (verdict instanceof LeaderVerdict.Orders orders) {
                 answers.add(orders.orders());
             } else {
-                answers.add(verdict instanceof Verdict.WantsWhole ? "whole" : "refused");
+                answers.add(
+                        verdict instanceof LeaderVerdict.FullHeartbeatRequired
+                                ? "whole"
+                                : "refused");
             }
         }
         return Json.write(node);
     }
 
     /** Null where the message is not an answer to that many reports. */
-    static Answer readAnswer(JsonNode message, int beats) {
+    static HeartbeatBatchReply readBatchReply(JsonNode message, int beats) {
         if (!message.path("epoch").isIntegralNumber()
                 || !message.path("contactAgoMs").isNumber()
                 || message.path("answers").size() != beats) {
@@ -160,52 +169,52 @@
         }
         Set<String> live = new TreeSet<>();
         message.path("live").forEach(name -> live.add(name.asText()));
-        List<Verdict> verdicts = new ArrayList<>();
+        List<LeaderVerdict> verdicts = new ArrayList<>();
         for (JsonNode answer : message.path("answers")) {
             verdicts.add(
                     answer.isArray()
-                            ? new Verdict.Orders(answer)
+                            ? new LeaderVerdict.Orders(answer)
                             : answer.asText().equals("whole")
-                                    ? new Verdict.WantsWhole()
-                                    : new Verdict.Refused());
+                                    ? new LeaderVerdict.FullHeartbeatRequired()
+                                    : new LeaderVerdict.Refused());
         }
-        return new Answer(
+        return new HeartbeatBatchReply(
                 message.path("epoch").longValue(),
                 message.path("contactAgoMs").doubleValue() / 1000,
                 live,
                 verdicts);
     }
 
-    static byte[] cancelled(List<String> ids) {
+    static byte[] writeCancelledJobs(List<String> ids) {
         ObjectNode node = Json.object();
         ArrayNode all = node.putArray("jobs");
         ids.forEach(all::add);
         return Json.write(node);
     }
 
-    static List<String> readCancelled(JsonNode message) {
+    static List<String> readCancelledJobs(JsonNode message) {
         List<String> ids = new ArrayList<>();
         message.path("jobs").forEach(id -> ids.add(id.asText()));
         return ids;
     }
 
-    static byte[] direct(long token, List<Direct> messages) {
+    static byte[] writeDirectOrders(long token, List<DirectOrderMessage> messages) {
         ObjectNode node = Json.object().put("epoch", token);
         ArrayNode all = node.putArray("messages");
         messages.forEach(
                 m ->
                         all.addObject()
                                 .put("addr", m.address())
-                                .put("tenure", m.tenure())
+                                .put("tenure", m.incarnation())
                                 .set("orders", m.orders()));
         return Json.write(node);
     }
 
-    static List<Direct> readDirect(JsonNode message) {
-        List<Direct> messages = new ArrayList<>();
+    static List<DirectOrderMessage> readDirectOrders(JsonNode message) {
+        List<DirectOrderMessage> messages = new ArrayList<>();
         for (JsonNode direct : message.path("messages")) {
             messages.add(
-                    new Direct(
+                    new DirectOrderMessage(
                             direct.path("addr").asText(),
                             direct.path("tenure").longValue(),
                             direct.path("orders")));
--- a/src/main/java/io/pepperfield/peer/Peers.java
+++ b/src/main/java/io/pepperfield/peer/Peers.java
@@ -2,11 +2,11 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.config.Settings;
-import io.pepperfield.http.Call;
+import io.pepperfield.http.HttpOutcome;
+import io.pepperfield.http.HttpReply;
+import io.pepperfield.http.HttpSender;
+import io.pepperfield.http.InboundRequest;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Outcome;
-import io.pepperfield.http.Reply;
-import io.pepperfield.http.Sender;
 import io.pepperfield.loop.Loop;
 import java.util.HashMap;
 import java.util.List;
@@ -23,46 +23,46 @@
     /** What this node does with the others' messages. */
     public interface Handler {
         /** A partition owner's reports, for the leader. */
-        void forwarded(ForwardingMessages.Batch batch, Consumer<Reply> answer);
+        void heartbeatBatchReceived(PeerMessages.HeartbeatBatch batch, Consumer<HttpReply> answer);
 
         /** Orders for a worker of this node's partition. */
-        void direct(long token, ForwardingMessages.Direct message);
+        void directOrdersReceived(long token, PeerMessages.DirectOrderMessage message);
 
         /** Another node has told users that these jobs are cancelled. */
-        void cancelled(List<String> ids);
+        void jobsCancelled(List<String> ids);
     }
 
     /** Answers what other controllers POST to a path of a feature. */
-    public interface Service {
+    public interface Endpoint {
         /** Takes a message; the answer may come later. */
-        void handle(Call call, Consumer<Reply> answer);
+        void handle(InboundRequest call, Consumer<HttpReply> answer);
     }
 
     /** How this node stands with the state service, compared with the others. */
-    public enum Contact {
-        FINE,
-        LOST_BY_ALL,
-        LOST_ALONE
+    public enum StateContact {
+        CONNECTED,
+        OUTAGE,
+        ISOLATED
     }
 
     private final Loop loop;
     private final Settings settings;
-    private final Sender client;
-    private final double reportS;
-    private final Map<String, Double> contactAt = new HashMap<>();
-    private final Map<String, Service> services = new HashMap<>();
+    private final HttpSender client;
+    private final double heartbeatIntervalS;
+    private final Map<String, Double> peerConfirmedAt = new HashMap<>();
+    private final Map<String, Endpoint> endpoints = new HashMap<>();
     private Handler handler;
-    private double reachedAt = Double.NEGATIVE_INFINITY;
-    private double askedAt = Double.NEGATIVE_INFINITY;
-    private double ownContactAt = Double.NEGATIVE_INFINITY;
-    private long token;
+    private double peerReachedAt = Double.NEGATIVE_INFINITY;
+    private double queriedAt = Double.NEGATIVE_INFINITY;
+    private double ownConfirmedAt = Double.NEGATIVE_INFINITY;
+    private long fencingToken;
 
     /** Creates the exchange with the other members of the cluster. */
-    public Peers(Loop loop, Settings settings, Sender client) {
+    public Peers(Loop loop, Settings settings, HttpSender client) {
         this.loop = loop;
         this.settings = settings;
         this.client = client;
-        this.reportS = settings.deployment().workers().reportS();
+        this.heartbeatIntervalS = settings.deployment().workerTimings().heartbeatIntervalS();
     }
 
     /** Sets what receives the other nodes' messages; called once, before the first message. */
@@ -75,14 +75,15 @@
      * service.
      */
     public void tick(double now, double ownContact, long ownToken) {
-        ownContactAt = ownContact;
-        token = ownToken;
+        ownConfirmedAt = ownContact;
+        fencingToken = ownToken;
         // A follow is held for half a period: contact older than that by as much again is not the
         // ordinary case.
-        if (now - ownContact < 0.8 * reportS || now - askedAt < reportS / 4) {
+        if (now - ownContact < 0.8 * heartbeatIntervalS
+                || now - queriedAt < heartbeatIntervalS / 4) {
             return;
         }
-        askedAt = now;
+        queriedAt = now;
         for (Settings.Member member : settings.members()) {
             client.send(
                     member.address().host(),
@@ -91,17 +92,17 @@
                     "GET",
                     "/peer/contact",
                     null,
-                    Math.round(reportS * 500),
-                    outcome -> loop.post(() -> heard(member.node(), now, outcome)));
+                    Math.round(heartbeatIntervalS * 500),
+                    outcome -> loop.post(() -> contactReceived(member.node(), now, outcome)));
         }
     }
 
-    private void heard(String node, double asked, Outcome outcome) {
-        if (outcome instanceof Outcome.Answered answer && answer.status() == 200) {
+    private void contactReceived(String node, double asked, HttpOutcome outcome) {
+        if (outcome instanceof HttpOutcome.Answered answer && answer.status() == 200) {
             JsonNode ago = answer.json().path("contactAgoMs");
             if (ago.isNumber()) {
-                reachedAt = Math.max(reachedAt, asked);
-                contactAt.merge(node, asked - ago.doubleValue() / 1000, Math::max);
+                peerReachedAt = Math.max(peerReachedAt, asked);
+                peerConfirmedAt.merge(node, asked - ago.doubleValue() / 1000, Math::max);
             }
         }
     }
@@ -110,29 +111,33 @@
      * Whether the state service is lost, and to whom. A node that reaches nobody at all must take
      * itself for the one that is cut off: the others may be deciding without it.
      */
-    public Contact contact(double now) {
-        if (now - ownContactAt < 1.5 * reportS) {
-            return Contact.FINE;
+    public StateContact stateContact(double now) {
+        if (now - ownConfirmedAt < 1.5 * heartbeatIntervalS) {
+            return StateContact.CONNECTED;
         }
         if (settings.members().isEmpty()) {
-            return Contact.LOST_BY_ALL;
+            return StateContact.OUTAGE;
         }
         boolean alone =
-                now - reachedAt > 2 * reportS
-                        || contactAt.values().stream().anyMatch(at -> at > ownContactAt + reportS);
-        return alone ? Contact.LOST_ALONE : Contact.LOST_BY_ALL;
+                now - peerReachedAt > 2 * heartbeatIntervalS
+                        || peerConfirmedAt.values().stream()
+                                .anyMatch(at -> at > ownConfirmedAt + heartbeatIntervalS);
+        return alone ? StateContact.ISOLATED : StateContact.OUTAGE;
     }
 
     /** Hands orders for workers to the owner of their partition. */
-    void direct(Settings.Member owner, long orderToken, List<ForwardingMessages.Direct> messages) {
+    void sendDirectOrders(
+            Settings.Member owner,
+            long orderToken,
+            List<PeerMessages.DirectOrderMessage> messages) {
         client.send(
                 owner.address().host(),
                 owner.address().port(),
                 2,
                 "POST",
                 "/peer/orders",
-                ForwardingMessages.direct(orderToken, messages),
-                Math.round(reportS * 500),
+                PeerMessages.writeDirectOrders(orderToken, messages),
+                Math.round(heartbeatIntervalS * 500),
                 outcome -> {});
     }
 
@@ -140,8 +145,8 @@
      * Tells all others what users have been told here: one that is refused by the state service
      * alone can stop those tasks at once, instead of letting their machines go.
      */
-    public void cancelled(List<String> ids) {
-        byte[] body = ForwardingMessages.cancelled(ids);
+    public void announceCancelled(List<String> ids) {
+        byte[] body = PeerMessages.writeCancelledJobs(ids);
         for (Settings.Member member : settings.members()) {
             client.send(
                     member.address().host(),
@@ -150,23 +155,23 @@
                     "POST",
                     "/peer/cancelled",
                     body,
-                    Math.round(reportS * 500),
+                    Math.round(heartbeatIntervalS * 500),
                     outcome -> {});
         }
     }
 
     /** Adds a path for a feature's messages; where it is not served, they get 404. */
-    public void serve(String path, Service service) {
-        services.put(path, service);
+    public void addEndpoint(String path, Endpoint service) {
+        endpoints.put(path, service);
     }
 
     /** Sends a feature's message to another controller; the answer arrives on the event loop. */
-    public void ask(
+    public void send(
             Settings.Member member,
             String path,
             byte[] body,
             double deadlineS,
-            Consumer<Outcome> done) {
+            Consumer<HttpOutcome> done) {
         client.send(
                 member.address().host(),
                 member.address().port(),
@@ -179,40 +184,42 @@
     }
 
     /** Takes another node's message. */
-    public void handle(Call call, Consumer<Reply> answer) {
+    public void handle(InboundRequest call, Consumer<HttpReply> answer) {
         switch (call.method() + " " + call.path()) {
             case "GET /peer/contact" -> {
-                double ago = Math.min(1e9, loop.now() - ownContactAt);
+                double ago = Math.min(1e9, loop.now() - ownConfirmedAt);
                 answer.accept(
-                        Reply.json(
+                        HttpReply.json(
                                 200,
                                 Json.object()
                                         .put("contactAgoMs", Math.round(ago * 1000))
-                                        .put("epoch", token)));
+                                        .put("epoch", fencingToken)));
             }
             case "POST /peer/relay" -> {
-                ForwardingMessages.Batch batch = ForwardingMessages.batch(Json.read(call.body()));
+                PeerMessages.HeartbeatBatch batch = PeerMessages.readBatch(Json.read(call.body()));
                 if (batch == null) {
-                    answer.accept(Reply.error(400, "not a message of this version"));
+                    answer.accept(HttpReply.error(400, "not a message of this version"));
                 } else {
-                    handler.forwarded(batch, answer);
+                    handler.heartbeatBatchReceived(batch, answer);
                 }
             }
             case "POST /peer/orders" -> {
                 JsonNode body = Json.read(call.body());
-                ForwardingMessages.readDirect(body)
+                PeerMessages.readDirectOrders(body)
                         .forEach(
-                                message -> handler.direct(body.path("epoch").longValue(), message));
-                answer.accept(Reply.empty(200));
+                                message ->
+                                        handler.directOrdersReceived(
+                                                body.path("epoch").longValue(), message));
+                answer.accept(HttpReply.empty(200));
             }
             case "POST /peer/cancelled" -> {
-                handler.cancelled(ForwardingMessages.readCancelled(Json.read(call.body())));
-                answer.accept(Reply.empty(200));
+                handler.jobsCancelled(PeerMessages.readCancelledJobs(Json.read(call.body())));
+                answer.accept(HttpReply.empty(200));
             }
             default -> {
-                Service service = call.method().equals("POST") ? services.get(call.path()) : null;
+                Endpoint service = call.method().equals("POST") ? endpoints.get(call.path()) : null;
                 if (service == null) {
-                    answer.accept(Reply.error(404, "no such path"));
+                    answer.accept(HttpReply.error(404, "no such path"));
                 } else {
                     service.handle(call, answer);
                 }
--- a/src/main/java/io/pepperfield/peer/Reachability.java
+++ b/src/main/java/io/pepperfield/peer/Reachability.java
@@ -17,51 +17,53 @@
     private static final Logger LOG = LoggerFactory.getLogger(Reachability.class);
 
     /** So many strays of one partition at once are no accident of theirs. */
-    private static final int SEVERAL = 2;
+    private static final int MIN_MISROUTED_MACHINES = 2;
 
     /**
      * Periods until a controller's workers have found it: a period at another one, then home, with
      * its patience between.
      */
-    private static final double PERIODS = 3;
+    private static final double DISCOVERY_INTERVALS = 3;
 
     /** Each new failure doubles the time without a partition, up to so many leases. */
-    private static final int LONGEST = 8;
+    private static final int MAX_PENALTY_LEASES = 8;
 
     /** How well one controller hears the workers of its partition. */
-    private static final class Owner {
+    private static final class OwnerState {
         double ownsSince = Double.NaN;
         double heardAt = Double.NEGATIVE_INFINITY;
-        double deafUntil = Double.NEGATIVE_INFINITY;
-        double penalty;
-        final Map<String, Stray> strays = new HashMap<>();
+        double receiveFailureUntil = Double.NEGATIVE_INFINITY;
+        double penaltyLeases;
+        final Map<String, MisroutedMachine> misroutedMachines = new HashMap<>();
     }
 
     /** A machine that reports elsewhere, since when and until when. */
-    private record Stray(double since, double at) {}
+    private record MisroutedMachine(double since, double lastSeenAt) {}
 
-    private final double reportS;
+    private final double heartbeatIntervalS;
     private final double leaseS;
-    private final Map<String, Owner> owners = new HashMap<>();
+    private final Map<String, OwnerState> owners = new HashMap<>();
 
     /** Creates an empty view; both intervals are in seconds. */
     public Reachability(double reportS, double leaseS) {
-        this.reportS = reportS;
+        this.heartbeatIntervalS = reportS;
         this.leaseS = leaseS;
     }
 
     /** A report of a machine in that owner's partition came through a controller. */
-    public void report(String machine, String owner, String through, double now) {
+    public void recordHeartbeat(String machine, String owner, String through, double now) {
         if (owner.isEmpty()) {
             return;
         }
-        Owner its = owners.computeIfAbsent(owner, o -> new Owner());
+        OwnerState its = owners.computeIfAbsent(owner, o -> new OwnerState());
         if (owner.equals(through)) {
             its.heardAt = now;
-            its.strays.remove(machine);
+            its.misroutedMachines.remove(machine);
         } else {
-            its.strays.merge(
-                    machine, new Stray(now, now), (known, news) -> new Stray(known.since, now));
+            its.misroutedMachines.merge(
+                    machine,
+                    new MisroutedMachine(now, now),
+                    (known, news) -> new MisroutedMachine(known.since, now));
         }
     }
 
@@ -72,25 +74,27 @@
     public Set<String> owners(Set<String> live, double now) {
         Set<String> hearing = new TreeSet<>();
         for (String node : live) {
-            Owner owner = owners.computeIfAbsent(node, o -> new Owner());
-            if (owner.deafUntil > now) {
+            OwnerState owner = owners.computeIfAbsent(node, o -> new OwnerState());
+            if (owner.receiveFailureUntil > now) {
                 continue;
             }
             if (Double.isNaN(owner.ownsSince)) {
                 owner.ownsSince = now;
             }
-            if (isDeaf(owner, now)) {
-                owner.penalty = Math.min(LONGEST, Math.max(1, 2 * owner.penalty));
-                owner.deafUntil = now + owner.penalty * leaseS;
+            if (detectReceiveFailure(owner, now)) {
+                owner.penaltyLeases =
+                        Math.min(MAX_PENALTY_LEASES, Math.max(1, 2 * owner.penaltyLeases));
+                owner.receiveFailureUntil = now + owner.penaltyLeases * leaseS;
                 owner.ownsSince = Double.NaN;
                 LOG.warn(
                         "{} hears no worker of its partition while others do: they take it for {} s",
                         node,
-                        Math.round(owner.penalty * leaseS));
-                owner.strays.clear();
+                        Math.round(owner.penaltyLeases * leaseS));
+                owner.misroutedMachines.clear();
             } else {
-                if (owner.heardAt > owner.ownsSince && now - owner.ownsSince > LONGEST * leaseS) {
-                    owner.penalty = 0;
+                if (owner.heardAt > owner.ownsSince
+                        && now - owner.ownsSince > MAX_PENALTY_LEASES * leaseS) {
+                    owner.penaltyLeases = 0;
                 }
                 hearing.add(node);
             }
@@ -100,48 +104,54 @@
                     if (!live.contains(node)) {
                         // It begins anew when it is back: its workers need their time to find it.
                         owner.ownsSince = Double.NaN;
-                        owner.strays.clear();
+                        owner.misroutedMachines.clear();
                     }
                 });
         return hearing.isEmpty() ? live : hearing;
     }
 
     /** Whether that controller is without a partition for not hearing its workers. */
-    public boolean deaf(String node, double now) {
-        Owner owner = owners.get(node);
-        return owner != null && owner.deafUntil > now;
+    public boolean hasReceiveFailure(String node, double now) {
+        OwnerState owner = owners.get(node);
+        return owner != null && owner.receiveFailureUntil > now;
     }
 
     /**
      * The workers are refused everywhere for now: until that is over, where they turn up tells
      * nothing.
      */
-    public void paused() {
+    public void restartObservation() {
         owners.values()
                 .forEach(
                         owner -> {
                             owner.ownsSince = Double.NaN;
-                            owner.strays.clear();
+                            owner.misroutedMachines.clear();
                         });
     }
 
-    private boolean isDeaf(Owner owner, double now) {
+    private boolean detectReceiveFailure(OwnerState owner, double now) {
         // A stray spends most of its time waiting for an answer at home; it is seen elsewhere once
         // in a while.
-        owner.strays.values().removeIf(stray -> now - stray.at > leaseS);
+        owner.misroutedMachines.values().removeIf(stray -> now - stray.lastSeenAt > leaseS);
         // New machines turn up anywhere and are sent home after a period: until then an owner that
         // had none before has
         // heard nobody for long, and is not deaf for it.
         double firstStray =
-                owner.strays.values().stream().mapToDouble(Stray::since).min().orElse(now);
-        if (now - Math.max(Math.max(owner.ownsSince, owner.heardAt), firstStray - reportS / 2)
-                <= PERIODS * reportS) {
+                owner.misroutedMachines.values().stream()
+                        .mapToDouble(MisroutedMachine::since)
+                        .min()
+                        .orElse(now);
+        if (now
+                        - Math.max(
+                                Math.max(owner.ownsSince, owner.heardAt),
+                                firstStray - heartbeatIntervalS / 2)
+                <= DISCOVERY_INTERVALS * heartbeatIntervalS) {
             return false;
         }
         // On a small site a partition may be a single machine: it tells as much if it has strayed
         // for a while.
-        return owner.strays.size() >= SEVERAL
-                || owner.strays.values().stream()
-                        .anyMatch(stray -> stray.at - stray.since > leaseS);
+        return owner.misroutedMachines.size() >= MIN_MISROUTED_MACHINES
+                || owner.misroutedMachines.values().stream()
+                        .anyMatch(stray -> stray.lastSeenAt - stray.since > leaseS);
     }
 }
--- a/src/main/java/io/pepperfield/placement/PlacementRequest.java
+++ b/src/main/java/io/pepperfield/placement/PlacementRequest.java
@@ -8,24 +8,24 @@
 public final class PlacementRequest {
 
     final JobSpec job;
-    int waiting;
-    final boolean guaranteed;
-    final double submittedAt;
+    int waitingTasks;
+    final boolean withinGuarantee;
+    final double readyAt;
 
     /** Tasks of this job that may be alive, by zone. */
-    final Map<String, Integer> perZone;
+    final Map<String, Integer> tasksPerZone;
 
     /** Machines that are not to be used for this job now. */
-    final Set<String> avoid;
+    final Set<String> excludedMachines;
 
     /** Tasks of this job that may be alive. */
-    final int live;
+    final int liveTasks;
 
     /**
      * Only machines that have its image will do for now: to fetch it would take longer than its
      * class may wait.
      */
-    boolean warmOnly;
+    boolean imageLocalityRequired;
 
     /**
      * Nothing of it has begun for so long that it comes first: what is smaller or ranks higher
@@ -34,17 +34,17 @@
     boolean overdue;
 
     /** Others are being stopped for it: the room that this frees is its own. */
-    boolean promised;
+    boolean reserved;
 
-    boolean madeRoom;
+    boolean causedPreemption;
 
     /** Of a job that has only failed so far: nothing is stopped for it. */
-    private boolean trial;
+    private boolean probe;
 
-    boolean stuck;
+    boolean unschedulable;
 
     /** How long it has waited for each CPU that it still waits for. */
-    double waitedForSize;
+    double waitPerCpu;
 
     /**
      * Creates a request for places for {@code waiting} tasks; {@code submittedAt} is a loop time.
@@ -57,12 +57,12 @@
             Map<String, Integer> perZone,
             Set<String> avoid) {
         this.job = job;
-        this.waiting = waiting;
-        this.guaranteed = guaranteed;
-        this.submittedAt = submittedAt;
-        this.perZone = perZone;
-        this.avoid = avoid;
-        this.live = perZone.values().stream().mapToInt(Integer::intValue).sum();
+        this.waitingTasks = waiting;
+        this.withinGuarantee = guaranteed;
+        this.readyAt = submittedAt;
+        this.tasksPerZone = perZone;
+        this.excludedMachines = avoid;
+        this.liveTasks = perZone.values().stream().mapToInt(Integer::intValue).sum();
     }
 
     /** Sets whether it has waited so long that it comes first. */
@@ -75,33 +75,33 @@
      * than can be done, whole jobs are done in time instead of parts of all of them, and a large
      * one's turn comes all the same.
      */
-    public void waited(double seconds) {
-        waitedForSize = job.service() ? 0 : seconds / (waiting * job.cpus());
+    public void waitingTime(double seconds) {
+        waitPerCpu = job.isService() ? 0 : seconds / (waitingTasks * job.cpus());
     }
 
     /** Adds machines that are not to be used for this job now. */
-    public void avoid(Set<String> machines) {
-        avoid.addAll(machines);
+    public void excludedMachines(Set<String> machines) {
+        excludedMachines.addAll(machines);
     }
 
     /** Sets whether its job has only failed so far. */
-    public void trial(boolean suspect) {
-        trial = suspect;
+    public void probe(boolean suspect) {
+        probe = suspect;
     }
 
     /** Whether its job has only failed so far, so that nothing is stopped for it. */
-    public boolean trial() {
-        return trial;
+    public boolean probe() {
+        return probe;
     }
 
     /** Sets whether other tasks are being stopped to make room for it. */
-    public void promised(boolean room) {
-        promised = room;
+    public void reserved(boolean room) {
+        reserved = room;
     }
 
     /** Whether something was chosen to be stopped for it. */
-    public boolean madeRoom() {
-        return madeRoom;
+    public boolean causedPreemption() {
+        return causedPreemption;
     }
 
     /** The job whose tasks wait. */
@@ -110,35 +110,35 @@
     }
 
     /** Whether only machines with its image in their cache will do. */
-    public boolean warmOnly() {
-        return warmOnly;
+    public boolean imageLocalityRequired() {
+        return imageLocalityRequired;
     }
 
     /**
      * Sets whether only machines with its image will do; what was stuck by that is looked at again.
      */
-    public void warmOnly(boolean only) {
-        if (warmOnly && !only) {
-            stuck = false;
+    public void imageLocalityRequired(boolean only) {
+        if (imageLocalityRequired && !only) {
+            unschedulable = false;
         }
-        warmOnly = only;
+        imageLocalityRequired = only;
     }
 
     /** Tasks still without a place. */
-    public int waiting() {
-        return waiting;
+    public int waitingTasks() {
+        return waitingTasks;
     }
 
     /** Whether its team is within its guarantee. */
-    public boolean guaranteed() {
-        return guaranteed;
+    public boolean withinGuarantee() {
+        return withinGuarantee;
     }
 
     /**
      * No machine had room for it; where tasks wait and this is false, its team's limit holds them
      * up.
      */
-    public boolean stuck() {
-        return stuck;
+    public boolean unschedulable() {
+        return unschedulable;
     }
 }
--- a/src/main/java/io/pepperfield/placement/PreemptionBounds.java
+++ b/src/main/java/io/pepperfield/placement/PreemptionBounds.java
@@ -10,41 +10,42 @@
  */
 final class PreemptionBounds {
 
-    private JobSpec.Rank lowest = JobSpec.Rank.PRODUCTION;
-    private double widest = Double.NEGATIVE_INFINITY;
-    private final Collection<Share> shares;
+    private JobSpec.Priority lowestPriority = JobSpec.Priority.PRODUCTION;
+    private double mostFreeCpus = Double.NEGATIVE_INFINITY;
+    private final Collection<QuotaUsage> quotaUsages;
 
     /**
      * @param shares as they will be once all that is being stopped is gone
      */
-    PreemptionBounds(Collection<Share> shares) {
-        this.shares = shares;
+    PreemptionBounds(Collection<QuotaUsage> shares) {
+        this.quotaUsages = shares;
     }
 
     /** A machine with what could be stopped on it. */
-    void add(Room room, List<Preemption.Victim> victims) {
-        widen(room);
-        for (Preemption.Victim victim : victims) {
-            if (victim.job().rank().compareTo(lowest) > 0) {
-                lowest = victim.job().rank();
+    void addMachine(FreeCapacity room, List<PreemptionPlanner.Victim> victims) {
+        includeCapacity(room);
+        for (PreemptionPlanner.Victim victim : victims) {
+            if (victim.job().priority().compareTo(lowestPriority) > 0) {
+                lowestPriority = victim.job().priority();
             }
         }
     }
 
     /** The machine has more room than before. */
-    void widen(Room room) {
-        widest = Math.max(widest, room.cpus);
+    void includeCapacity(FreeCapacity room) {
+        mostFreeCpus = Math.max(mostFreeCpus, room.freeCpus);
     }
 
     /** Whether a plan for the request may exist on any machine. */
-    boolean allow(PlacementRequest request) {
+    boolean mayHavePlan(PlacementRequest request) {
         boolean stops =
-                request.job.rank().compareTo(lowest) < 0 || request.guaranteed && anyBorrows();
-        return stops || Placer.holdsCpus(request, widest);
+                request.job.priority().compareTo(lowestPriority) < 0
+                        || request.withinGuarantee && anyTeamExceedsGuarantee();
+        return stops || BinPacker.hasCpus(request, mostFreeCpus);
     }
 
     /** Looked at anew: a team may come to borrow by what is placed in the same pass. */
-    private boolean anyBorrows() {
-        return shares.stream().anyMatch(Share::borrows);
+    private boolean anyTeamExceedsGuarantee() {
+        return quotaUsages.stream().anyMatch(QuotaUsage::exceedsGuarantee);
     }
 }
--- a/src/main/java/io/pepperfield/predict/BootTimes.java
+++ b/src/main/java/io/pepperfield/predict/BootTimePredictor.java
@@ -12,34 +12,34 @@
  * the first of them: so a zone that has become slow is known for it before its first machine comes
  * up, and a few stragglers of a fleet that is up make no zone slow.
  */
-public final class BootTimes {
+public final class BootTimePredictor {
 
-    private static final int KEPT = 256;
+    private static final int MAX_SAMPLES = 256;
 
     /**
      * The nominal time counts like so many boots: where hardly any were rented, a few that died are
      * no slow zone.
      */
-    private static final int STATED = 5;
+    private static final int NOMINAL_SAMPLES = 5;
 
     /** The platform's usual spread: beyond it a machine is late. */
-    private static final double LATE = 1.5;
+    private static final double LATE_FACTOR = 1.5;
 
     /** A zone that is slower than that cannot be told from one in which nothing comes up. */
-    private static final double SLOWEST = 4;
+    private static final double MAX_FACTOR = 4;
 
     /** Loop times in seconds of a machine's rental and of its first report. */
-    private record Boot(double rentedAt, double upAt) {}
+    private record Boot(double rentedAt, double readyAt) {}
 
     private final Map<String, ArrayDeque<Boot>> seen = new HashMap<>();
-    private final double recentS;
+    private final double retentionS;
 
     /**
      * @param recentS how long a boot says something about the next, so that what a trouble has
      *     taught is forgotten after it
      */
-    public BootTimes(double recentS) {
-        this.recentS = recentS;
+    public BootTimePredictor(double recentS) {
+        this.retentionS = recentS;
     }
 
     /**
@@ -49,7 +49,7 @@
     public void seen(String place, double rentedAt, double upAt) {
         ArrayDeque<Boot> boots = seen.computeIfAbsent(place, p -> new ArrayDeque<>());
         boots.addLast(new Boot(rentedAt, upAt));
-        if (boots.size() > KEPT) {
+        if (boots.size() > MAX_SAMPLES) {
             boots.removeFirst();
         }
     }
@@ -62,33 +62,33 @@
      * @param unseen rentals of machines that are up and whose boots were not seen, as after a
      *     change of leader
      */
-    public double expected(
+    public double expectedBootTime(
             String place, double nominalS, List<Double> awaited, List<Double> unseen, double now) {
         double since =
                 awaited.stream()
-                        .filter(at -> now - at > LATE * nominalS)
+                        .filter(at -> now - at > LATE_FACTOR * nominalS)
                         .min(Double::compare)
                         .orElse(Double.NEGATIVE_INFINITY);
         DoubleArrayList times = new DoubleArrayList();
-        for (int i = 0; i < STATED; i++) {
+        for (int i = 0; i < NOMINAL_SAMPLES; i++) {
             times.add(nominalS);
         }
         for (Boot boot : seen.getOrDefault(place, new ArrayDeque<>())) {
-            if (now - boot.upAt <= recentS && boot.rentedAt >= since) {
-                times.add(boot.upAt - boot.rentedAt);
+            if (now - boot.readyAt <= retentionS && boot.rentedAt >= since) {
+                times.add(boot.readyAt - boot.rentedAt);
             }
         }
         if (since > Double.NEGATIVE_INFINITY) {
             unseen.stream().filter(at -> at >= since).forEach(at -> times.add(nominalS));
             awaited.stream()
-                    .filter(at -> now - at > LATE * nominalS)
+                    .filter(at -> now - at > LATE_FACTOR * nominalS)
                     .forEach(at -> times.add(now - at));
         }
-        return Math.min(SLOWEST * nominalS, Math.max(nominalS, Medians.of(times)));
+        return Math.min(MAX_FACTOR * nominalS, Math.max(nominalS, Medians.of(times)));
     }
 
     /** Whether machines come so much later than usual that other zones are worth a try. */
-    public static boolean late(double expectedS, double nominalS) {
-        return expectedS > LATE * nominalS;
+    public static boolean isLate(double expectedS, double nominalS) {
+        return expectedS > LATE_FACTOR * nominalS;
     }
 }
--- a/src/main/java/io/pepperfield/predict/OnlineGradient.java
+++ b/src/main/java/io/pepperfield/predict/OnlineLinearRegression.java
@@ -7,9 +7,9 @@
  * WIRE's algorithm 1: run time as intercept + slope x size, by online gradient descent from zero at
  * rate 0.1.
  */
-final class OnlineGradient {
+final class OnlineLinearRegression {
 
-    private static final double RATE = 0.1;
+    private static final double LEARNING_RATE = 0.1;
 
     private double intercept;
     private double slope;
@@ -23,11 +23,11 @@
             interceptGradient += -2.0 / groups.size() * missed;
             slopeGradient += -2.0 / groups.size() * size * missed;
         }
-        intercept -= RATE * interceptGradient;
-        slope -= RATE * slopeGradient;
+        intercept -= LEARNING_RATE * interceptGradient;
+        slope -= LEARNING_RATE * slopeGradient;
     }
 
-    double at(double size) {
+    double predict(double size) {
         return Math.max(0, intercept + slope * size);
     }
 }
--- a/src/main/java/io/pepperfield/predict/PeerTimes.java
+++ b/src/main/java/io/pepperfield/predict/PeerRunTimes.java
@@ -6,14 +6,14 @@
 import java.util.OptionalDouble;
 
 /** Run times of a job's finished tasks, and those of equal input size apart where sizes exist. */
-public final class PeerTimes {
+public final class PeerRunTimes {
 
-    private static final int KEPT = 256;
+    private static final int MAX_SAMPLES = 256;
 
     private final DoubleArrayList finished = new DoubleArrayList();
     private int count;
     private final Double2ObjectMap<DoubleArrayList> bySize = new Double2ObjectOpenHashMap<>();
-    private final OnlineGradient gradient = new OnlineGradient();
+    private final OnlineLinearRegression regression = new OnlineLinearRegression();
 
     /**
      * Asked for each task in each step: looked for again only after news; NaN while it is not
@@ -23,12 +23,12 @@
 
     /** Records the run time of a finished task in seconds, and its input size where it has one. */
     public void finished(double seconds, OptionalDouble size) {
-        if (finished.size() < KEPT) {
+        if (finished.size() < MAX_SAMPLES) {
             finished.add(seconds);
         } else {
             // The middle of the last few hundred says as much, and an array of 100,000 tasks is not
             // sorted anew for each.
-            finished.set(count % KEPT, seconds);
+            finished.set(count % MAX_SAMPLES, seconds);
         }
         count++;
         median = Double.NaN;
@@ -56,13 +56,13 @@
     }
 
     /** One step of the online fit over the groups of equal size; once in each interval. */
-    public void learn() {
+    public void updateModel() {
         if (!bySize.isEmpty()) {
-            gradient.step(bySize);
+            regression.step(bySize);
         }
     }
 
-    double fitted(double size) {
-        return gradient.at(size);
+    double modelPrediction(double size) {
+        return regression.predict(size);
     }
 }
--- a/src/main/java/io/pepperfield/predict/ReadyTimes.java
+++ b/src/main/java/io/pepperfield/predict/ReadinessPredictor.java
@@ -11,10 +11,10 @@
  * When jobs that need others are predicted to become ready: WIRE looks ahead along the workflow's
  * graph in the same way, and counts what will be ready at the start of the next interval.
  */
-public final class ReadyTimes {
+public final class ReadinessPredictor {
 
-    private final Function<String, Collection<String>> needs;
-    private final ToDoubleFunction<String> remaining;
+    private final Function<String, Collection<String>> dependencies;
+    private final ToDoubleFunction<String> remainingTime;
     private final Map<String, Double> readyIn = new HashMap<>();
     private final Map<String, Double> doneIn = new HashMap<>();
 
@@ -22,10 +22,10 @@
      * @param needs the jobs that a job needs and that are not done, without cycles
      * @param remaining how long a job still takes, from now or from when it is ready
      */
-    public ReadyTimes(
+    public ReadinessPredictor(
             Function<String, Collection<String>> needs, ToDoubleFunction<String> remaining) {
-        this.needs = needs;
-        this.remaining = remaining;
+        this.dependencies = needs;
+        this.remainingTime = remaining;
     }
 
     /**
@@ -45,7 +45,7 @@
             }
             double latest = 0;
             boolean known = true;
-            for (String needed : needs.apply(top)) {
+            for (String needed : dependencies.apply(top)) {
                 if (readyIn.containsKey(needed)) {
                     latest = Math.max(latest, doneIn(needed));
                 } else {
@@ -63,6 +63,6 @@
 
     /** Of a job whose readiness is known; a fan asks for the same one thousands of times. */
     private double doneIn(String job) {
-        return doneIn.computeIfAbsent(job, id -> readyIn.get(id) + remaining.applyAsDouble(id));
+        return doneIn.computeIfAbsent(job, id -> readyIn.get(id) + remainingTime.applyAsDouble(id));
     }
 }
--- a/src/main/java/io/pepperfield/predict/Predictor.java
+++ b/src/main/java/io/pepperfield/predict/RunTimePredictor.java
@@ -4,9 +4,9 @@
 import java.util.OptionalDouble;
 
 /** WIRE's five policies for a task's least run time, from what its job's peers have shown. */
-public final class Predictor {
+public final class RunTimePredictor {
 
-    private Predictor() {}
+    private RunTimePredictor() {}
 
     /**
      * @param times the finished peers
@@ -14,8 +14,8 @@
      * @param ready whether the task could start now
      * @param size the task's input size, where such exist
      */
-    public static double runTime(
-            PeerTimes times, DoubleArrayList running, boolean ready, OptionalDouble size) {
+    public static double predictRunTime(
+            PeerRunTimes times, DoubleArrayList running, boolean ready, OptionalDouble size) {
         if (times.count() == 0) {
             // Policies 1 and 2: nothing is known, or the running ones are presumed about to
             // complete.
@@ -25,11 +25,11 @@
             return times.median();
         }
         OptionalDouble same = times.medianOfSize(size.getAsDouble());
-        return same.isPresent() ? same.getAsDouble() : times.fitted(size.getAsDouble());
+        return same.isPresent() ? same.getAsDouble() : times.modelPrediction(size.getAsDouble());
     }
 
     /** What is left of it for a task that has run so long already; never below zero. */
-    public static double remaining(double runTime, double ranS) {
+    public static double remainingTime(double runTime, double ranS) {
         return Math.max(0, runTime - ranS);
     }
 }
--- a/src/main/java/io/pepperfield/recovery/ArchiveFault.java
+++ b/src/main/java/io/pepperfield/recovery/ArchiveException.java
@@ -1,11 +1,11 @@
 package io.pepperfield.recovery;
 
 /** The first thing found wrong with an archive. */
-public final class ArchiveFault extends Exception {
+public final class ArchiveException extends Exception {
 
     private static final long serialVersionUID = 1;
 
-    ArchiveFault(String what) {
+    ArchiveException(String what) {
         super(what);
     }
 }
--- a/src/main/java/io/pepperfield/recovery/ArchiveManifest.java
+++ b/src/main/java/io/pepperfield/recovery/ArchiveManifest.java
@@ -39,16 +39,16 @@
         return Json.write(root);
     }
 
-    static ArchiveManifest read(byte[] bytes) throws ArchiveFault {
+    static ArchiveManifest read(byte[] bytes) throws ArchiveException {
         JsonNode root = Json.read(bytes);
         if (root == null || !root.path("kind").asText().equals(KIND)) {
-            throw new ArchiveFault(NAME + ": not of a pepperfield archive");
+            throw new ArchiveException(NAME + ": not of a pepperfield archive");
         }
         if (root.path("format").asInt() != FORMAT) {
-            throw new ArchiveFault(NAME + ": format " + root.path("format") + " is not known");
+            throw new ArchiveException(NAME + ": format " + root.path("format") + " is not known");
         }
         if (!root.path("revision").isIntegralNumber()) {
-            throw new ArchiveFault(NAME + ": no revision");
+            throw new ArchiveException(NAME + ": no revision");
         }
         List<String> controllers = new ArrayList<>();
         root.path("controllers").forEach(name -> controllers.add(name.asText()));
--- a/src/main/java/io/pepperfield/recovery/StateExport.java
+++ b/src/main/java/io/pepperfield/recovery/ArchiveWriter.java
@@ -1,8 +1,8 @@
 package io.pepperfield.recovery;
 
-import io.pepperfield.recovery.StateSource.ChangesForgotten;
-import io.pepperfield.recovery.StateSource.Page;
-import io.pepperfield.store.StateService.Item;
+import io.pepperfield.recovery.SnapshotSource.ChangesCompactedException;
+import io.pepperfield.recovery.SnapshotSource.Page;
+import io.pepperfield.store.KeyValueStore.KeyValue;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.channels.FileChannel;
@@ -25,20 +25,20 @@
  * revision: a key that has not changed since the first page is as it was then, and every other one
  * is among the changes.
  */
-public final class StateExport {
+public final class ArchiveWriter {
 
     /** The name of the entry with the changes. */
-    static final String CHANGES = "changes.json";
+    static final String CHANGES_ENTRY = "changes.json";
 
-    private static final int TRIES = 3;
+    private static final int MAX_ATTEMPTS = 3;
 
-    private final StateSource source;
+    private final SnapshotSource source;
     private final List<String> controllers;
 
     /**
      * @param controllers of the cluster, by name, for the manifest
      */
-    public StateExport(StateSource source, List<String> controllers) {
+    public ArchiveWriter(SnapshotSource source, List<String> controllers) {
         this.source = source;
         this.controllers = List.copyOf(controllers);
     }
@@ -68,8 +68,8 @@
         }
         Path part = file.resolveSibling(file.getFileName() + ".part");
         try {
-            long revision = writePart(part);
-            sync(part);
+            long revision = writePartial(part);
+            flushToDisk(part);
             Files.move(part, file, StandardCopyOption.ATOMIC_MOVE);
             return revision;
         } finally {
@@ -77,14 +77,14 @@
         }
     }
 
-    private long writePart(Path part) throws IOException {
+    private long writePartial(Path part) throws IOException {
         for (int attempt = 1; ; attempt++) {
             try (OutputStream out = Files.newOutputStream(part);
                     TarArchiveOutputStream tar = new TarArchiveOutputStream(out)) {
                 return writeEntries(tar);
-            } catch (ChangesForgotten e) {
+            } catch (ChangesCompactedException e) {
                 // Too much has changed while the pages were read: they are read once more.
-                if (attempt == TRIES) {
+                if (attempt == MAX_ATTEMPTS) {
                     throw e;
                 }
             }
@@ -97,16 +97,17 @@
         String after = "";
         boolean more = true;
         while (more) {
-            Page page = source.page(after);
+            Page page = source.readPage(after);
             first = first < 0 ? page.revision() : first;
-            List<Item> items = page.items();
+            List<KeyValue> items = page.items();
             more = page.more() && !items.isEmpty();
             after = items.isEmpty() ? after : items.get(items.size() - 1).key();
-            entries.add(put(tar, pageName(entries.size() + 1), ArchiveItems.write(items)));
+            entries.add(
+                    addEntry(tar, pageName(entries.size() + 1), ArchiveItemsCodec.write(items)));
         }
         Page changes = source.changesSince(first);
-        entries.add(put(tar, CHANGES, ArchiveItems.write(changes.items())));
-        put(
+        entries.add(addEntry(tar, CHANGES_ENTRY, ArchiveItemsCodec.write(changes.items())));
+        addEntry(
                 tar,
                 ArchiveManifest.NAME,
                 new ArchiveManifest(changes.revision(), controllers, entries).write());
@@ -114,7 +115,7 @@
         return changes.revision();
     }
 
-    private static ArchiveManifest.Entry put(
+    private static ArchiveManifest.Entry addEntry(
             TarArchiveOutputStream tar, String name, byte[] content) throws IOException {
         TarArchiveEntry entry = new TarArchiveEntry(name);
         entry.setSize(content.length);
@@ -125,7 +126,7 @@
     }
 
     /** A file that is moved into place before its content is on the disk may come back empty. */
-    private static void sync(Path file) throws IOException {
+    private static void flushToDisk(Path file) throws IOException {
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.WRITE)) {
             channel.force(true);
         }
--- a/src/main/java/io/pepperfield/recovery/HttpStateSource.java
+++ b/src/main/java/io/pepperfield/recovery/HttpSnapshotSource.java
@@ -3,20 +3,20 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.config.Settings;
 import io.pepperfield.http.HttpClient;
-import io.pepperfield.http.Outcome;
+import io.pepperfield.http.HttpOutcome;
+import io.pepperfield.store.KeyValueResponses;
 import io.pepperfield.store.Keys;
-import io.pepperfield.store.StateAnswers;
 import java.io.IOException;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.locks.LockSupport;
 
 /** The state service itself, read from a console with a small part of its request rate. */
-public final class HttpStateSource implements StateSource {
+public final class HttpSnapshotSource implements SnapshotSource {
 
-    private static final int PAGE = 500;
+    private static final int PAGE_SIZE = 500;
     private static final long DEADLINE_MS = 5000;
-    private static final int TRIES = 10;
-    private static final int FORGOTTEN = 410;
+    private static final int MAX_ATTEMPTS = 10;
+    private static final int GONE = 410;
 
     /** The part of the service's requests per second that reading may use. */
     private static final double RATE_SHARE = 0.05;
@@ -28,29 +28,29 @@
     /**
      * @param requestsPerS what the state service allows all its users together
      */
-    public HttpStateSource(HttpClient client, Settings.Address address, double requestsPerS) {
+    public HttpSnapshotSource(HttpClient client, Settings.Address address, double requestsPerS) {
         this.client = client;
         this.address = address;
         this.spacingNanos = Math.round(1e9 / (RATE_SHARE * requestsPerS));
     }
 
     @Override
-    public Page page(String after) throws IOException {
+    public Page readPage(String after) throws IOException {
         String since = after.isEmpty() ? "" : "&since=" + after;
-        JsonNode body = get("/kv?starts=" + Keys.ROOT + "&limit=" + PAGE + since).json();
+        JsonNode body = get("/kv?starts=" + Keys.ROOT + "&limit=" + PAGE_SIZE + since).json();
         boolean more = body.path("truncated").asBoolean();
-        return new Page(StateAnswers.pairs(body), more, revision(body));
+        return new Page(KeyValueResponses.pairs(body), more, revision(body));
     }
 
     @Override
     public Page changesSince(long revision) throws IOException {
-        Outcome.Answered answer =
+        HttpOutcome.Answered answer =
                 get("/follow?starts=" + Keys.ROOT + "&since=" + revision + "&holdMs=0");
-        if (answer.status() == FORGOTTEN) {
-            throw new ChangesForgotten(revision);
+        if (answer.status() == GONE) {
+            throw new ChangesCompactedException(revision);
         }
         JsonNode body = answer.json();
-        return new Page(StateAnswers.events(body), false, revision(body));
+        return new Page(KeyValueResponses.events(body), false, revision(body));
     }
 
     private static long revision(JsonNode body) throws IOException {
@@ -61,11 +61,11 @@
     }
 
     /** Outages and refusals pass: each request is tried a few times. */
-    private Outcome.Answered get(String path) throws IOException {
+    private HttpOutcome.Answered get(String path) throws IOException {
         String trouble = "";
-        for (int attempt = 0; attempt < TRIES; attempt++) {
+        for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
             LockSupport.parkNanos(spacingNanos);
-            CompletableFuture<Outcome> outcome = new CompletableFuture<>();
+            CompletableFuture<HttpOutcome> outcome = new CompletableFuture<>();
             client.send(
                     address.host(),
                     address.port(),
@@ -75,8 +75,8 @@
                     null,
                     DEADLINE_MS,
                     outcome::complete);
-            if (outcome.join() instanceof Outcome.Answered answer) {
-                if (answer.status() == 200 || answer.status() == FORGOTTEN) {
+            if (outcome.join() instanceof HttpOutcome.Answered answer) {
+                if (answer.status() == 200 || answer.status() == GONE) {
                     return answer;
                 }
                 trouble = "answers " + answer.status();
--- a/src/main/java/io/pepperfield/recovery/StateArchive.java
+++ b/src/main/java/io/pepperfield/recovery/StateArchive.java
@@ -1,6 +1,6 @@
 package io.pepperfield.recovery;
 
-import io.pepperfield.store.StateService.Item;
+import io.pepperfield.store.KeyValueStore.KeyValue;
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -19,96 +19,97 @@
  *
  * @param revision of the state service that it amounts to
  * @param controllers of the cluster that it is of
- * @param keys how many there are of each kind
+ * @param keyCounts how many there are of each kind
  */
-public record StateArchive(long revision, List<String> controllers, Map<String, Integer> keys) {
+public record StateArchive(
+        long revision, List<String> controllers, Map<String, Integer> keyCounts) {
 
     /** Far more than any entry has: what a damaged header names must not fill the memory. */
-    private static final long MOST_ENTRY_BYTES = 64L * 1024 * 1024;
+    private static final long MAX_ENTRY_BYTES = 64L * 1024 * 1024;
 
     /** Receives the keys of an archive in their order, and then the changes. */
     public interface Visitor {
         /** A key as a page holds it. */
-        void item(Item item);
+        void item(KeyValue item);
 
         /** A change since the first page; null data deletes the key. */
-        void change(Item item);
+        void change(KeyValue item);
     }
 
     /**
      * Checks an archive and counts what it holds. It is read twice, since the changes come last and
      * the pages do not fit into memory.
      */
-    public static StateArchive inspect(Path file) throws ArchiveFault {
+    public static StateArchive inspect(Path file) throws ArchiveException {
         LastChanges changes = new LastChanges();
         visit(file, changes);
-        Census census = new Census(changes.exists);
+        KeyCounter census = new KeyCounter(changes.exists);
         ArchiveManifest manifest = visit(file, census);
-        return new StateArchive(manifest.revision(), manifest.controllers(), census.keys);
+        return new StateArchive(manifest.revision(), manifest.controllers(), census.keyCounts);
     }
 
     /** Reads an archive; what was visited counts only once this has returned. */
-    static ArchiveManifest visit(Path file, Visitor visitor) throws ArchiveFault {
+    static ArchiveManifest visit(Path file, Visitor visitor) throws ArchiveException {
         List<ArchiveManifest.Entry> seen = new ArrayList<>();
         try (InputStream in = new BufferedInputStream(Files.newInputStream(file));
                 TarArchiveInputStream tar = new TarArchiveInputStream(in)) {
             for (TarArchiveEntry entry = tar.getNextEntry();
                     entry != null;
                     entry = tar.getNextEntry()) {
-                byte[] content = content(tar, entry);
+                byte[] content = readContent(tar, entry);
                 if (entry.getName().equals(ArchiveManifest.NAME)) {
                     ArchiveManifest manifest = ArchiveManifest.read(content);
-                    compare(manifest.entries(), seen);
+                    verifyEntries(manifest.entries(), seen);
                     return manifest;
                 }
                 visitEntry(entry.getName(), content, seen.size() + 1, visitor);
                 seen.add(
                         new ArchiveManifest.Entry(
-                                entry.getName(), content.length, StateExport.sha256(content)));
+                                entry.getName(), content.length, ArchiveWriter.sha256(content)));
             }
         } catch (IOException | IllegalArgumentException e) {
-            throw new ArchiveFault(
+            throw new ArchiveException(
                     "after "
                             + seen.size()
                             + " entries: not a whole archive ("
                             + e.getMessage()
                             + ")");
         }
-        throw new ArchiveFault("cut off: no " + ArchiveManifest.NAME);
+        throw new ArchiveException("cut off: no " + ArchiveManifest.NAME);
     }
 
-    private static byte[] content(TarArchiveInputStream tar, TarArchiveEntry entry)
-            throws IOException, ArchiveFault {
-        if (entry.getSize() > MOST_ENTRY_BYTES) {
-            throw new ArchiveFault(entry.getName() + ": " + entry.getSize() + " bytes");
+    private static byte[] readContent(TarArchiveInputStream tar, TarArchiveEntry entry)
+            throws IOException, ArchiveException {
+        if (entry.getSize() > MAX_ENTRY_BYTES) {
+            throw new ArchiveException(entry.getName() + ": " + entry.getSize() + " bytes");
         }
         byte[] content = tar.readNBytes((int) entry.getSize());
         if (content.length < entry.getSize()) {
-            throw new ArchiveFault(entry.getName() + ": cut off");
+            throw new ArchiveException(entry.getName() + ": cut off");
         }
         return content;
     }
 
     private static void visitEntry(String name, byte[] content, int number, Visitor visitor)
-            throws ArchiveFault {
-        if (name.equals(StateExport.CHANGES)) {
-            ArchiveItems.read(name, content).forEach(visitor::change);
-        } else if (name.equals(StateExport.pageName(number))) {
-            ArchiveItems.read(name, content).forEach(visitor::item);
+            throws ArchiveException {
+        if (name.equals(ArchiveWriter.CHANGES_ENTRY)) {
+            ArchiveItemsCodec.read(name, content).forEach(visitor::change);
+        } else if (name.equals(ArchiveWriter.pageName(number))) {
+            ArchiveItemsCodec.read(name, content).forEach(visitor::item);
         } else {
-            throw new ArchiveFault(name + ": not an entry of a pepperfield archive");
+            throw new ArchiveException(name + ": not an entry of a pepperfield archive");
         }
     }
 
-    private static void compare(
+    private static void verifyEntries(
             List<ArchiveManifest.Entry> expected, List<ArchiveManifest.Entry> seen)
-            throws ArchiveFault {
+            throws ArchiveException {
         for (int i = 0; i < Math.max(expected.size(), seen.size()); i++) {
             if (i >= seen.size()) {
-                throw new ArchiveFault(expected.get(i).name() + ": is missing");
+                throw new ArchiveException(expected.get(i).name() + ": is missing");
             }
             if (i >= expected.size() || !expected.get(i).equals(seen.get(i))) {
-                throw new ArchiveFault(seen.get(i).name() + ": not as the manifest says");
+                throw new ArchiveException(seen.get(i).name() + ": not as the manifest says");
             }
         }
     }
@@ -118,20 +119,20 @@
         private final Map<String, Boolean> exists = new HashMap<>();
 
         @Override
-        public void item(Item item) {}
+        public void item(KeyValue item) {}
 
         @Override
-        public void change(Item item) {
-            exists.put(item.key(), item.data() != null);
+        public void change(KeyValue item) {
+            exists.put(item.key(), item.value() != null);
         }
     }
 
     /** Counts keys by what stands between the service's prefix and the next slash. */
-    private static final class Census implements Visitor {
-        private final Map<String, Integer> keys = new TreeMap<>();
+    private static final class KeyCounter implements Visitor {
+        private final Map<String, Integer> keyCounts = new TreeMap<>();
         private final Map<String, Boolean> changed;
 
-        Census(Map<String, Boolean> changed) {
+        KeyCounter(Map<String, Boolean> changed) {
             this.changed = changed;
             changed.forEach(
                     (key, exists) -> {
@@ -142,17 +143,17 @@
         }
 
         @Override
-        public void item(Item item) {
+        public void item(KeyValue item) {
             if (!changed.containsKey(item.key())) {
                 count(item.key());
             }
         }
 
         @Override
-        public void change(Item item) {}
+        public void change(KeyValue item) {}
 
         private void count(String key) {
-            keys.merge(key.split("/", 3)[1], 1, Integer::sum);
+            keyCounts.merge(key.split("/", 3)[1], 1, Integer::sum);
         }
     }
 }
--- a/src/main/java/io/pepperfield/rollout/ClusterVersion.java
+++ b/src/main/java/io/pepperfield/rollout/ClusterVersion.java
@@ -9,12 +9,17 @@
 /**
  * The cluster's stored-state version: the one durable record that all writes are guarded by.
  *
- * @param writes version that records are written in
- * @param highest newest version in which a record may exist
- * @param finalized version below which there is no way back
- * @param removed controllers that the activation did not wait for, by an operator's decision
+ * @param writeVersion version that records are written in
+ * @param highestVersion newest version in which a record may exist
+ * @param finalizedVersion version below which there is no way back
+ * @param removedControllers controllers that the activation did not wait for, by an operator's
+ *     decision
  */
-public record ClusterVersion(int writes, int highest, int finalized, List<String> removed) {
+public record ClusterVersion(
+        int writeVersion,
+        int highestVersion,
+        int finalizedVersion,
+        List<String> removedControllers) {
 
     /** Where a cluster stands between two versions. */
     public enum Phase {
@@ -33,44 +38,45 @@
 
     /** Keeps the names of its own. */
     public ClusterVersion {
-        removed = List.copyOf(removed);
+        removedControllers = List.copyOf(removedControllers);
     }
 
     /** Where the cluster stands. */
     public Phase phase() {
-        if (writes < highest) {
+        if (writeVersion < highestVersion) {
             return Phase.ROLLING_BACK;
         }
-        return writes > finalized ? Phase.ACTIVE : Phase.FINALIZED;
+        return writeVersion > finalizedVersion ? Phase.ACTIVE : Phase.FINALIZED;
     }
 
     /** The next version is written from now on. */
     ClusterVersion activated(int target, List<String> without) {
-        return new ClusterVersion(target, target, finalized, without);
+        return new ClusterVersion(target, target, finalizedVersion, without);
     }
 
     /** The active version becomes the only one. */
-    ClusterVersion asFinal() {
-        return new ClusterVersion(writes, highest, writes, removed);
+    ClusterVersion asFinalized() {
+        return new ClusterVersion(writeVersion, highestVersion, writeVersion, removedControllers);
     }
 
     /** The final version is written again, and what is newer is to be rewritten. */
     ClusterVersion rollingBack() {
-        return new ClusterVersion(finalized, highest, finalized, removed);
+        return new ClusterVersion(
+                finalizedVersion, highestVersion, finalizedVersion, removedControllers);
     }
 
     /** Nothing is left of the newer version. */
     ClusterVersion rolledBack() {
-        return new ClusterVersion(finalized, finalized, finalized, List.of());
+        return new ClusterVersion(finalizedVersion, finalizedVersion, finalizedVersion, List.of());
     }
 
     JsonNode write() {
         ObjectNode data =
                 Json.object()
-                        .put("writes", writes)
-                        .put("highest", highest)
-                        .put("finalized", finalized);
-        removed.forEach(data.putArray("removed")::add);
+                        .put("writes", writeVersion)
+                        .put("highest", highestVersion)
+                        .put("finalized", finalizedVersion);
+        removedControllers.forEach(data.putArray("removed")::add);
         return data;
     }
 
--- a/src/main/java/io/pepperfield/rollout/CompactRunRecords.java
+++ b/src/main/java/io/pepperfield/rollout/CompactRunRecords.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.http.Json;
-import io.pepperfield.jobs.RunRecord;
-import io.pepperfield.jobs.RunRecord.State;
+import io.pepperfield.jobs.TaskState;
+import io.pepperfield.jobs.TaskState.Phase;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
@@ -20,17 +20,17 @@
 final class CompactRunRecords {
 
     /** So many times as many lines are kept in a record as in the first form. */
-    static final int LINES_FACTOR = 2;
+    static final int TASKS_PER_RECORD_FACTOR = 2;
 
     private static final String VERSION = "v";
     private static final String LIVE = "live";
     private static final int RUN_FIELDS = 3;
 
     /** In a group of live tasks: machine and session stand before the runs. */
-    private static final int LIVE_FIELDS = 2;
+    private static final int LIVE_GROUP_HEADER_FIELDS = 2;
 
     /** More tasks than any job has: a damaged count must not fill the heap. */
-    private static final int MOST_LINES = 100_000;
+    private static final int MAX_TASKS = 100_000;
 
     /** A value that is no record of this form. */
     static final class UnreadableRecord extends Exception {
@@ -42,26 +42,26 @@
     }
 
     /** A live task's machine and session. */
-    private record Session(String machine, long tenure) {}
+    private record AgentIncarnation(String machine, long incarnation) {}
 
     private CompactRunRecords() {}
 
     /** Encodes the lines of a record of the first form. */
     static JsonNode encode(JsonNode first) {
-        List<RunRecord> lines = new ArrayList<>(RunRecord.read(first));
-        lines.sort(Comparator.comparingInt(RunRecord::task));
-        Map<Session, ArrayNode> live = new LinkedHashMap<>();
+        List<TaskState> lines = new ArrayList<>(TaskState.decode(first));
+        lines.sort(Comparator.comparingInt(TaskState::task));
+        Map<AgentIncarnation, ArrayNode> live = new LinkedHashMap<>();
         ObjectNode record = Json.object().put(VERSION, StoredVersions.COMPACT_RUN_RECORDS);
-        for (RunRecord line : lines) {
-            if (line.state() == State.LIVE) {
-                Session session = new Session(line.machine(), line.tenure());
-                append(
+        for (TaskState line : lines) {
+            if (line.phase() == Phase.LIVE) {
+                AgentIncarnation session = new AgentIncarnation(line.machine(), line.incarnation());
+                appendTask(
                         live.computeIfAbsent(
-                                session, s -> Json.array().add(s.machine).add(s.tenure)),
+                                session, s -> Json.array().add(s.machine).add(s.incarnation)),
                         line,
-                        LIVE_FIELDS);
+                        LIVE_GROUP_HEADER_FIELDS);
             } else {
-                append(record.withArray(name(line.state())), line, 0);
+                appendTask(record.withArray(groupName(line.phase())), line, 0);
             }
         }
         if (!live.isEmpty()) {
@@ -70,7 +70,7 @@
         return record;
     }
 
-    private static String name(State state) {
+    private static String groupName(Phase state) {
         return switch (state) {
             case GONE -> "gone";
             case LIVE -> LIVE;
@@ -80,7 +80,7 @@
     }
 
     /** Lengthens the last run by the line's task, or begins another. */
-    private static void append(ArrayNode group, RunRecord line, int before) {
+    private static void appendTask(ArrayNode group, TaskState line, int before) {
         int last = group.size() - RUN_FIELDS;
         if (last >= before
                 && group.get(last).asInt() + group.get(last + 1).asInt() == line.task()
@@ -96,48 +96,50 @@
         if (record.path(VERSION).asInt(0) != StoredVersions.COMPACT_RUN_RECORDS) {
             throw new UnreadableRecord("version " + record.path(VERSION));
         }
-        List<RunRecord> lines = new ArrayList<>();
-        for (State state : State.values()) {
-            JsonNode groups = record.path(name(state));
+        List<TaskState> lines = new ArrayList<>();
+        for (Phase state : Phase.values()) {
+            JsonNode groups = record.path(groupName(state));
             if (groups.isMissingNode()) {
                 continue;
             }
-            if (state != State.LIVE) {
-                addRuns(groups, 0, state, new Session("", 0), lines);
+            if (state != Phase.LIVE) {
+                decodeRuns(groups, 0, state, new AgentIncarnation("", 0), lines);
                 continue;
             }
             for (JsonNode group : groups) {
                 if (!group.path(0).isTextual() || !group.path(1).isIntegralNumber()) {
                     throw new UnreadableRecord("a live group without machine and session");
                 }
-                Session session = new Session(group.get(0).asText(), group.get(1).longValue());
-                addRuns(group, LIVE_FIELDS, state, session, lines);
+                AgentIncarnation session =
+                        new AgentIncarnation(group.get(0).asText(), group.get(1).longValue());
+                decodeRuns(group, LIVE_GROUP_HEADER_FIELDS, state, session, lines);
             }
         }
-        lines.sort(Comparator.comparingInt(RunRecord::task));
-        return RunRecord.write(lines);
+        lines.sort(Comparator.comparingInt(TaskState::task));
+        return TaskState.encode(lines);
     }
 
-    private static void addRuns(
-            JsonNode group, int from, State state, Session session, List<RunRecord> lines)
+    private static void decodeRuns(
+            JsonNode group, int from, Phase state, AgentIncarnation session, List<TaskState> lines)
             throws UnreadableRecord {
         if (!group.isArray() || (group.size() - from) % RUN_FIELDS != 0) {
             throw new UnreadableRecord("a run that is cut off");
         }
         for (int i = from; i < group.size(); i += RUN_FIELDS) {
-            int first = number(group.get(i));
-            int count = number(group.get(i + 1));
-            int attempt = number(group.get(i + 2));
-            if (lines.size() + count > MOST_LINES) {
+            int first = readCount(group.get(i));
+            int count = readCount(group.get(i + 1));
+            int attempt = readCount(group.get(i + 2));
+            if (lines.size() + count > MAX_TASKS) {
                 throw new UnreadableRecord("a run of " + count + " tasks");
             }
             for (int task = first; task < first + count; task++) {
-                lines.add(new RunRecord(task, attempt, state, session.machine, session.tenure));
+                lines.add(
+                        new TaskState(task, attempt, state, session.machine, session.incarnation));
             }
         }
     }
 
-    private static int number(JsonNode value) throws UnreadableRecord {
+    private static int readCount(JsonNode value) throws UnreadableRecord {
         if (!value.isInt() || value.intValue() < 0) {
             throw new UnreadableRecord("a run with " + value);
         }
--- a/src/main/java/io/pepperfield/rollout/MemberDeclaration.java
+++ b/src/main/java/io/pepperfield/rollout/MemberDeclaration.java
@@ -2,12 +2,12 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.loop.Loop;
+import io.pepperfield.store.KeyValueStore;
+import io.pepperfield.store.KeyValueStore.CompareAndSwapOutcome;
+import io.pepperfield.store.KeyValueStore.Mutation;
+import io.pepperfield.store.KeyValueStore.Precondition;
+import io.pepperfield.store.KeyValueStore.RequestPriority;
 import io.pepperfield.store.Keys;
-import io.pepperfield.store.StateService;
-import io.pepperfield.store.StateService.Change;
-import io.pepperfield.store.StateService.Guard;
-import io.pepperfield.store.StateService.TxnResult;
-import io.pepperfield.store.StateService.Urgency;
 import java.util.List;
 import java.util.UUID;
 
@@ -18,55 +18,56 @@
 final class MemberDeclaration {
 
     /** Part of its time to live after which a grant is renewed. */
-    private static final double RENEWAL = 0.25;
+    private static final double RENEWAL_FRACTION = 0.25;
 
     private final Loop loop;
-    private final StateService raw;
+    private final KeyValueStore store;
     private final double ttlS;
     private final String key;
-    private final MemberRelease own;
+    private final MemberRelease ownRelease;
 
     private long grant;
-    private long stamp;
+    private long modRevision;
     private boolean declared;
-    private boolean busy;
-    private double nextAt;
+    private boolean requestInFlight;
+    private double nextRenewalAt;
 
-    MemberDeclaration(Loop loop, StateService raw, String node, Release release, double ttlS) {
+    MemberDeclaration(Loop loop, KeyValueStore raw, String node, Release release, double ttlS) {
         this.loop = loop;
-        this.raw = raw;
+        this.store = raw;
         this.ttlS = ttlS;
-        this.key = Keys.ROLLOUT_MEMBER + node;
-        this.own = new MemberRelease(release, UUID.randomUUID().toString(), 0);
+        this.key = Keys.ROLLOUT_MEMBER_PREFIX + node;
+        this.ownRelease = new MemberRelease(release, UUID.randomUUID().toString(), 0);
     }
 
     /** News of this node's key: perhaps of an earlier process, whose write came late. */
     void changed(JsonNode data, long newStamp) {
-        stamp = data == null ? 0 : newStamp;
-        declared = data != null && data.path("incarnation").asText().equals(own.incarnation());
+        modRevision = data == null ? 0 : newStamp;
+        declared =
+                data != null && data.path("incarnation").asText().equals(ownRelease.incarnation());
     }
 
     /** To be called often, once the replica is loaded. */
     void tick() {
-        if (busy || loop.now() < nextAt) {
+        if (requestInFlight || loop.now() < nextRenewalAt) {
             return;
         }
-        busy = true;
-        nextAt = loop.now() + ttlS * RENEWAL;
+        requestInFlight = true;
+        nextRenewalAt = loop.now() + ttlS * RENEWAL_FRACTION;
         if (grant == 0) {
-            raw.grant(
+            store.createGrant(
                     ttlS,
                     granted -> {
                         grant = granted.id();
                         declare();
                     });
         } else {
-            raw.touch(
+            store.renewGrant(
                     grant,
                     touched -> {
-                        if (touched.gone()) {
+                        if (touched.ended()) {
                             grant = 0;
-                            nextAt = loop.now();
+                            nextRenewalAt = loop.now();
                         }
                         declare();
                     });
@@ -75,16 +76,16 @@
 
     private void declare() {
         if (grant == 0 || declared) {
-            busy = false;
+            requestInFlight = false;
             return;
         }
-        raw.txn(
-                Urgency.JOB,
-                List.of(new Guard(key, stamp)),
-                List.of(new Change(key, own.write(), grant)),
+        store.compareAndSwap(
+                RequestPriority.SUBMISSION,
+                List.of(new Precondition(key, modRevision)),
+                List.of(new Mutation(key, ownRelease.write(), grant)),
                 result -> {
-                    busy = false;
-                    if (result instanceof TxnResult.Refused) {
+                    requestInFlight = false;
+                    if (result instanceof CompareAndSwapOutcome.Refused) {
                         // Also where the grant has ended: the next one is asked for.
                         grant = 0;
                     }
--- a/src/main/java/io/pepperfield/rollout/MemberRegistry.java
+++ b/src/main/java/io/pepperfield/rollout/MemberRegistry.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.config.Settings;
+import io.pepperfield.store.KeyValueStore.Precondition;
 import io.pepperfield.store.Keys;
-import io.pepperfield.store.StateService.Guard;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -37,7 +37,7 @@
     }
 
     /** Why the version cannot be activated yet, a line for each controller that holds it up. */
-    List<String> waitingFor(int target, Collection<String> without) {
+    List<String> activationBlockers(int target, Collection<String> without) {
         List<String> lines = new ArrayList<>();
         members.forEach(
                 (node, member) -> {
@@ -46,25 +46,27 @@
                     }
                     if (member == null) {
                         lines.add(node + " has declared no release");
-                    } else if (!member.ready(target)) {
+                    } else if (!member.supports(target)) {
                         lines.add(
                                 node
                                         + " runs "
                                         + member.release().name()
                                         + ", which writes "
-                                        + member.release().writes());
+                                        + member.release().newestWritten());
                     }
                 });
         return lines;
     }
 
     /** The conditions that these declarations still stand, each by the same process. */
-    List<Guard> guards(Collection<String> without) {
-        List<Guard> guards = new ArrayList<>();
+    List<Precondition> preconditions(Collection<String> without) {
+        List<Precondition> guards = new ArrayList<>();
         members.forEach(
                 (node, member) -> {
                     if (!without.contains(node)) {
-                        guards.add(new Guard(Keys.ROLLOUT_MEMBER + node, member.stamp()));
+                        guards.add(
+                                new Precondition(
+                                        Keys.ROLLOUT_MEMBER_PREFIX + node, member.modRevision()));
                     }
                 });
         return guards;
--- a/src/main/java/io/pepperfield/rollout/MemberRelease.java
+++ b/src/main/java/io/pepperfield/rollout/MemberRelease.java
@@ -7,16 +7,16 @@
  * What a controller's process has declared about its release.
  *
  * @param incarnation drawn by the process when it began
- * @param stamp revision that wrote the declaration
+ * @param modRevision revision that wrote the declaration
  */
-record MemberRelease(Release release, String incarnation, long stamp) {
+record MemberRelease(Release release, String incarnation, long modRevision) {
 
     JsonNode write() {
         return Json.object()
                 .put("release", release.name())
                 .put("oldestRead", release.oldestRead())
                 .put("newestRead", release.newestRead())
-                .put("writes", release.writes())
+                .put("writes", release.newestWritten())
                 .put("incarnation", incarnation);
     }
 
@@ -38,7 +38,7 @@
     }
 
     /** Whether the process reads and writes that version. */
-    boolean ready(int target) {
-        return release.newestRead() >= target && release.writes() >= target;
+    boolean supports(int target) {
+        return release.newestRead() >= target && release.newestWritten() >= target;
     }
 }
--- a/src/main/java/io/pepperfield/rollout/Release.java
+++ b/src/main/java/io/pepperfield/rollout/Release.java
@@ -6,9 +6,9 @@
  * @param name for operators to read
  * @param oldestRead oldest stored-state version that it reads
  * @param newestRead newest stored-state version that it reads
- * @param writes newest stored-state version that it writes
+ * @param newestWritten newest stored-state version that it writes
  */
-public record Release(String name, int oldestRead, int newestRead, int writes) {
+public record Release(String name, int oldestRead, int newestRead, int newestWritten) {
 
     /** The release of this program. */
     public static final Release CURRENT =
@@ -20,7 +20,9 @@
 
     /** Checks that the release reads what it writes. */
     public Release {
-        if (oldestRead < StoredVersions.FIRST || writes < oldestRead || writes > newestRead) {
+        if (oldestRead < StoredVersions.FIRST
+                || newestWritten < oldestRead
+                || newestWritten > newestRead) {
             throw new IllegalArgumentException(
                     "release "
                             + name
@@ -29,14 +31,14 @@
                             + " to "
                             + newestRead
                             + " and writes "
-                            + writes);
+                            + newestWritten);
         }
     }
 
     /** Whether the release may take part in a cluster of that version. */
-    boolean serves(ClusterVersion version) {
+    boolean isCompatibleWith(ClusterVersion version) {
         return oldestRead <= StoredVersions.FIRST
-                && version.highest() <= newestRead
-                && version.writes() <= writes;
+                && version.highestVersion() <= newestRead
+                && version.writeVersion() <= newestWritten;
     }
 }
--- a/src/main/java/io/pepperfield/rollout/RollbackRewriter.java
+++ b/src/main/java/io/pepperfield/rollout/RollbackRewriter.java
@@ -2,17 +2,17 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.jobs.JobSpec;
-import io.pepperfield.jobs.RunRecord;
+import io.pepperfield.jobs.TaskState;
 import io.pepperfield.loop.Loop;
 import io.pepperfield.rollout.CompactRunRecords.UnreadableRecord;
+import io.pepperfield.store.KeyValueStore;
+import io.pepperfield.store.KeyValueStore.CompareAndSwapOutcome;
+import io.pepperfield.store.KeyValueStore.KeyValue;
+import io.pepperfield.store.KeyValueStore.Mutation;
+import io.pepperfield.store.KeyValueStore.Precondition;
+import io.pepperfield.store.KeyValueStore.ReadResult;
+import io.pepperfield.store.KeyValueStore.RequestPriority;
 import io.pepperfield.store.Keys;
-import io.pepperfield.store.StateService;
-import io.pepperfield.store.StateService.Change;
-import io.pepperfield.store.StateService.Guard;
-import io.pepperfield.store.StateService.Item;
-import io.pepperfield.store.StateService.ReadResult;
-import io.pepperfield.store.StateService.TxnResult;
-import io.pepperfield.store.StateService.Urgency;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Function;
@@ -33,214 +33,220 @@
     private static final double RATE_SHARE = 0.25;
 
     /** Each record is a put and a deletion. */
-    private static final int CHANGES_PER_RECORD = 2;
+    private static final int MUTATIONS_PER_RECORD = 2;
 
     /** The service will never take the transaction as it is. */
-    private static final int MALFORMED = 400;
+    private static final int BAD_REQUEST = 400;
 
     /** Sorts right before all compact records. */
-    private static final String FIRST_PLACE =
-            Keys.SECOND_RUN.substring(0, Keys.SECOND_RUN.length() - 1);
+    private static final String SCAN_START =
+            Keys.SECOND_FORM_RUN_RECORD_PREFIX.substring(
+                    0, Keys.SECOND_FORM_RUN_RECORD_PREFIX.length() - 1);
 
     /** How the next records are written, after a transaction was refused for good. */
-    private enum Attempt {
+    private enum Batching {
         /** Several at a time. */
-        TOGETHER,
+        BATCH,
         /** One by one, as one of them may be too large. */
-        ALONE,
+        SINGLE_RECORD,
         /** One, among several keys. */
-        DIVIDED
+        SPLIT_RECORD
     }
 
     private final Loop loop;
-    private final StateService raw;
+    private final KeyValueStore store;
     private final VersionGate gate;
-    private final VersionChanges versions;
-    private final Function<String, JobSpec> jobs;
-    private final int mostRecords;
-    private final double changeS;
+    private final VersionTransitions versionTransitions;
+    private final Function<String, JobSpec> jobSpecs;
+    private final int maxRecordsPerTransaction;
+    private final double secondsPerMutation;
 
-    private boolean busy;
-    private double nextAt;
-    private String after = FIRST_PLACE;
+    private boolean stepInFlight;
+    private double nextStepAt;
+    private String scanPosition = SCAN_START;
 
     /** The version record that this reading began under: none is written compactly since then. */
-    private long versionStamp;
+    private long scanVersionRevision;
 
     /** Whether a record could not be rewritten since the reading began anew. */
-    private boolean skipped;
+    private boolean recordSkipped;
 
-    private Attempt attempt = Attempt.TOGETHER;
+    private Batching batching = Batching.BATCH;
 
     /**
      * @param jobs gives the description of an accepted job, or null
      */
     RollbackRewriter(
             Loop loop,
-            StateService raw,
+            KeyValueStore raw,
             VersionGate gate,
-            VersionChanges versions,
+            VersionTransitions versions,
             Function<String, JobSpec> jobs,
             int mostChanges,
             double writesPerS) {
         this.loop = loop;
-        this.raw = raw;
+        this.store = raw;
         this.gate = gate;
-        this.versions = versions;
-        this.jobs = jobs;
-        this.mostRecords = Math.max(1, mostChanges / CHANGES_PER_RECORD);
-        this.changeS = 1 / (RATE_SHARE * writesPerS);
+        this.versionTransitions = versions;
+        this.jobSpecs = jobs;
+        this.maxRecordsPerTransaction = Math.max(1, mostChanges / MUTATIONS_PER_RECORD);
+        this.secondsPerMutation = 1 / (RATE_SHARE * writesPerS);
     }
 
     /** To be called often while this node leads and a rollback is under way. */
     void tick() {
-        if (busy || loop.now() < nextAt) {
+        if (stepInFlight || loop.now() < nextStepAt) {
             return;
         }
-        if (gate.guard().stamp() != versionStamp) {
+        if (gate.precondition().modRevision() != scanVersionRevision) {
             // Records may have been written compactly anew, also before the place reached then.
-            versionStamp = gate.guard().stamp();
-            beginAnew();
+            scanVersionRevision = gate.precondition().modRevision();
+            restartScan();
         }
-        busy = true;
-        long readUnder = versionStamp;
-        raw.range(after, result -> read(result, readUnder));
+        stepInFlight = true;
+        long readUnder = scanVersionRevision;
+        store.readPage(scanPosition, result -> onPageRead(result, readUnder));
     }
 
-    private void pause(int changes) {
-        busy = false;
-        nextAt = loop.now() + Math.max(1, changes) * changeS;
+    private void finishStep(int changes) {
+        stepInFlight = false;
+        nextStepAt = loop.now() + Math.max(1, changes) * secondsPerMutation;
     }
 
-    private void beginAnew() {
-        after = FIRST_PLACE;
-        skipped = false;
-        attempt = Attempt.TOGETHER;
+    private void restartScan() {
+        scanPosition = SCAN_START;
+        recordSkipped = false;
+        batching = Batching.BATCH;
     }
 
     /** The rollback does not end while a record is left out. */
-    private void skip(String last) {
-        after = last;
-        skipped = true;
-        attempt = Attempt.TOGETHER;
+    private void skipRecord(String last) {
+        scanPosition = last;
+        recordSkipped = true;
+        batching = Batching.BATCH;
     }
 
-    private void read(ReadResult result, long readUnder) {
+    private void onPageRead(ReadResult result, long readUnder) {
         if (!(result instanceof ReadResult.Read read)
-                || gate.guard().stamp() != readUnder
+                || gate.precondition().modRevision() != readUnder
                 || gate.version().phase() != ClusterVersion.Phase.ROLLING_BACK) {
-            pause(1);
+            finishStep(1);
             return;
         }
-        List<Item> records =
-                read.items().stream()
-                        .filter(item -> item.key().startsWith(Keys.SECOND_RUN))
-                        .limit(attempt == Attempt.TOGETHER ? mostRecords : 1)
+        List<KeyValue> records =
+                read.entries().stream()
+                        .filter(item -> item.key().startsWith(Keys.SECOND_FORM_RUN_RECORD_PREFIX))
+                        .limit(batching == Batching.BATCH ? maxRecordsPerTransaction : 1)
                         .toList();
         if (!records.isEmpty()) {
             rewrite(records);
-        } else if (read.more()) {
-            after = read.items().get(read.items().size() - 1).key();
-            pause(1);
+        } else if (read.hasMore()) {
+            scanPosition = read.entries().get(read.entries().size() - 1).key();
+            finishStep(1);
         } else {
-            end();
+            finishScan();
         }
     }
 
-    private void end() {
-        if (skipped) {
-            beginAnew();
-            pause(mostRecords);
+    private void finishScan() {
+        if (recordSkipped) {
+            restartScan();
+            finishStep(maxRecordsPerTransaction);
             return;
         }
-        versions.rolledBack(
+        versionTransitions.completeRollback(
                 answer -> {
-                    beginAnew();
-                    pause(1);
+                    restartScan();
+                    finishStep(1);
                 });
     }
 
-    private void rewrite(List<Item> records) {
-        List<Guard> guards = versions.leadersGuards();
-        List<Change> changes = new ArrayList<>();
-        for (Item record : records) {
+    private void rewrite(List<KeyValue> records) {
+        List<Precondition> guards = versionTransitions.leaderPreconditions();
+        List<Mutation> changes = new ArrayList<>();
+        for (KeyValue record : records) {
             try {
-                addRewriting(record, guards, changes);
+                addRewrite(record, guards, changes);
             } catch (UnreadableRecord e) {
                 // Neither guessed nor lost.
                 LOG.warn("{} cannot be rewritten: {}", record.key(), e.getMessage());
-                skipped = true;
+                recordSkipped = true;
             }
         }
         String last = records.get(records.size() - 1).key();
         if (changes.isEmpty()) {
-            skip(last);
-            pause(1);
+            skipRecord(last);
+            finishStep(1);
             return;
         }
-        raw.txn(
-                Urgency.RUN,
+        store.compareAndSwap(
+                RequestPriority.LEADER_WRITE,
                 guards,
                 changes,
                 result -> {
-                    written(result, records.size(), last);
-                    pause(changes.size());
+                    onWritten(result, records.size(), last);
+                    finishStep(changes.size());
                 });
     }
 
-    private void addRewriting(Item record, List<Guard> guards, List<Change> changes)
+    private void addRewrite(KeyValue record, List<Precondition> guards, List<Mutation> changes)
             throws UnreadableRecord {
-        String key = VersionedStateService.firstKey(record.key());
-        JsonNode lines = CompactRunRecords.decode(record.data());
-        if (attempt == Attempt.DIVIDED) {
-            addParts(key, lines, guards, changes);
+        String key = VersionedKeyValueStore.firstFormKey(record.key());
+        JsonNode lines = CompactRunRecords.decode(record.value());
+        if (batching == Batching.SPLIT_RECORD) {
+            addSplitRecords(key, lines, guards, changes);
         } else {
-            changes.add(Change.set(key, lines));
+            changes.add(Mutation.set(key, lines));
         }
-        changes.add(Change.delete(record.key()));
-        guards.add(new Guard(record.key(), record.stamp()));
+        changes.add(Mutation.delete(record.key()));
+        guards.add(new Precondition(record.key(), record.modRevision()));
     }
 
     /**
      * The record as several of the first form, as the leader divides one that does not fit any
      * more: all are written together, and none may be there yet.
      */
-    private void addParts(String key, JsonNode lines, List<Guard> guards, List<Change> changes)
+    private void addSplitRecords(
+            String key, JsonNode lines, List<Precondition> guards, List<Mutation> changes)
             throws UnreadableRecord {
         int slash = key.lastIndexOf('/');
-        JobSpec spec = jobs.apply(key.substring(Keys.RUN.length(), slash));
+        JobSpec spec = jobSpecs.apply(key.substring(Keys.RUN_RECORD_PREFIX.length(), slash));
         int chunk = Integer.parseInt(key.substring(slash + 1));
-        if (spec == null || chunk >= spec.chunks()) {
+        if (spec == null || chunk >= spec.runRecordCount()) {
             throw new UnreadableRecord("too large for the first form, and not to be divided");
         }
         int part = 0;
-        for (List<RunRecord> some :
-                RunRecord.divide(RunRecord.read(lines), chunk * spec.chunk(), spec.chunk())) {
-            String partKey = spec.partKey(chunk, part++);
-            changes.add(Change.set(partKey, RunRecord.write(some)));
-            guards.add(new Guard(partKey, 0));
+        for (List<TaskState> some :
+                TaskState.split(
+                        TaskState.decode(lines),
+                        chunk * spec.tasksPerRunRecord(),
+                        spec.tasksPerRunRecord())) {
+            String partKey = spec.splitRecordKey(chunk, part++);
+            changes.add(Mutation.set(partKey, TaskState.encode(some)));
+            guards.add(new Precondition(partKey, 0));
             if (part > 1) {
-                guards.add(new Guard(VersionedStateService.compactKey(partKey), 0));
+                guards.add(new Precondition(VersionedKeyValueStore.compactKey(partKey), 0));
             }
         }
     }
 
-    private void written(TxnResult result, int count, String last) {
-        if (result instanceof TxnResult.Committed) {
-            after = last;
-            attempt = Attempt.TOGETHER;
+    private void onWritten(CompareAndSwapOutcome result, int count, String last) {
+        if (result instanceof CompareAndSwapOutcome.Committed) {
+            scanPosition = last;
+            batching = Batching.BATCH;
             return;
         }
-        if (!(result instanceof TxnResult.Refused refused) || refused.status() != MALFORMED) {
+        if (!(result instanceof CompareAndSwapOutcome.Refused refused)
+                || refused.status() != BAD_REQUEST) {
             return;
         }
         if (count > 1) {
-            attempt = Attempt.ALONE;
-        } else if (attempt != Attempt.DIVIDED) {
-            attempt = Attempt.DIVIDED;
+            batching = Batching.SINGLE_RECORD;
+        } else if (batching != Batching.SPLIT_RECORD) {
+            batching = Batching.SPLIT_RECORD;
         } else {
             LOG.warn("{} is too large for the first form under today's limits", last);
-            skip(last);
+            skipRecord(last);
         }
     }
 }
--- a/src/main/java/io/pepperfield/rollout/Rollout.java
+++ b/src/main/java/io/pepperfield/rollout/Rollout.java
@@ -2,14 +2,14 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.config.Settings;
-import io.pepperfield.http.Call;
-import io.pepperfield.http.Reply;
+import io.pepperfield.http.HttpReply;
+import io.pepperfield.http.InboundRequest;
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.leadership.LeaderClaim;
 import io.pepperfield.loop.Loop;
 import io.pepperfield.rollout.ClusterVersion.Phase;
+import io.pepperfield.store.KeyValueStore;
 import io.pepperfield.store.Keys;
-import io.pepperfield.store.StateService;
 import io.pepperfield.store.TransactionLimits;
 import java.util.function.Consumer;
 import java.util.function.Function;
@@ -25,33 +25,33 @@
 
     private final Loop loop;
     private final Settings settings;
-    private final StateService raw;
+    private final KeyValueStore store;
     private final VersionGate gate;
-    private final VersionedStateService forms;
-    private final MemberRegistry registry;
-    private final MemberDeclaration declaration;
-    private LeaderClaim claim;
-    private RolloutRequests requests;
-    private RollbackRewriter rewriter;
+    private final VersionedKeyValueStore versionedStore;
+    private final MemberRegistry memberRegistry;
+    private final MemberDeclaration memberDeclaration;
+    private LeaderClaim leaderClaim;
+    private RolloutRequestHandler requestHandler;
+    private RollbackRewriter rollbackRewriter;
 
     /**
      * @param raw the state service itself
      * @param release what this program reads and writes
      */
-    public Rollout(Loop loop, Settings settings, StateService raw, Release release) {
+    public Rollout(Loop loop, Settings settings, KeyValueStore raw, Release release) {
         this.loop = loop;
         this.settings = settings;
-        this.raw = raw;
+        this.store = raw;
         this.gate = new VersionGate(release);
-        this.forms = new VersionedStateService(raw, gate);
-        this.registry = new MemberRegistry(settings);
-        this.declaration =
+        this.versionedStore = new VersionedKeyValueStore(raw, gate);
+        this.memberRegistry = new MemberRegistry(settings);
+        this.memberDeclaration =
                 new MemberDeclaration(
                         loop,
                         raw,
                         settings.node(),
                         release,
-                        settings.deployment().workers().leaseS());
+                        settings.deployment().workerTimings().leaseS());
     }
 
     /**
@@ -61,18 +61,26 @@
      * @param jobs gives the description of an accepted job, or null
      */
     public void attach(LeaderClaim lead, Function<String, JobSpec> jobs) {
-        claim = lead;
-        VersionChanges versions = new VersionChanges(raw, gate, forms, registry, lead);
-        requests = new RolloutRequests(gate, forms, registry, versions, lead);
-        Settings.State limits = settings.deployment().state();
-        rewriter =
+        leaderClaim = lead;
+        VersionTransitions versions =
+                new VersionTransitions(store, gate, versionedStore, memberRegistry, lead);
+        requestHandler =
+                new RolloutRequestHandler(gate, versionedStore, memberRegistry, versions, lead);
+        Settings.StoreLimits limits = settings.deployment().storeLimits();
+        rollbackRewriter =
                 new RollbackRewriter(
-                        loop, raw, gate, versions, jobs, limits.txnOps(), limits.writeRps());
+                        loop,
+                        store,
+                        gate,
+                        versions,
+                        jobs,
+                        limits.maxTransactionOps(),
+                        limits.writesPerS());
     }
 
     /** The state service for the rest of the program. */
-    public StateService state() {
-        return forms;
+    public KeyValueStore keyValueStore() {
+        return versionedStore;
     }
 
     /** What new behaviour asks. */
@@ -81,39 +89,44 @@
     }
 
     /** What a transaction of the rest of the program may hold. */
-    public TransactionLimits limits() {
-        return new GatedLimits(settings.deployment().state().txnOps(), gate);
+    public TransactionLimits transactionLimits() {
+        return new VersionedTransactionLimits(
+                settings.deployment().storeLimits().maxTransactionOps(), gate);
     }
 
     /** Tasks in a run record of a new job, where the first form has so many. */
-    public int linesInRecord(int first) {
-        return gate.writesCompactRunRecords() ? CompactRunRecords.LINES_FACTOR * first : first;
+    public int tasksPerRecord(int first) {
+        return gate.writesCompactRunRecords()
+                ? CompactRunRecords.TASKS_PER_RECORD_FACTOR * first
+                : first;
     }
 
-    /** The replica's news of a key below {@link Keys#ROLLOUT}. */
+    /** The replica's news of a key below {@link Keys#ROLLOUT_PREFIX}. */
     public void changed(String key, JsonNode data, long stamp) {
         if (key.equals(Keys.ROLLOUT_VERSION)) {
             gate.changed(data, stamp);
-        } else if (key.startsWith(Keys.ROLLOUT_MEMBER)) {
-            String node = key.substring(Keys.ROLLOUT_MEMBER.length());
-            registry.changed(node, data, stamp);
+        } else if (key.startsWith(Keys.ROLLOUT_MEMBER_PREFIX)) {
+            String node = key.substring(Keys.ROLLOUT_MEMBER_PREFIX.length());
+            memberRegistry.changed(node, data, stamp);
             if (node.equals(settings.node())) {
-                declaration.changed(data, stamp);
+                memberDeclaration.changed(data, stamp);
             }
         }
     }
 
     /** To be called a few times per grant, once the replica is loaded. */
     public void tick() {
-        gate.loaded();
-        declaration.tick();
-        if (gate.serves() && gate.version().phase() == Phase.ROLLING_BACK && claim.confirmed()) {
-            rewriter.tick();
+        gate.replicaLoaded();
+        memberDeclaration.tick();
+        if (gate.mayServe()
+                && gate.version().phase() == Phase.ROLLING_BACK
+                && leaderClaim.holdsValidLease()) {
+            rollbackRewriter.tick();
         }
     }
 
     /** An operator's request below {@code /api/rollout}. */
-    public void handle(Call call, Consumer<Reply> answer) {
-        requests.handle(call, answer);
+    public void handle(InboundRequest call, Consumer<HttpReply> answer) {
+        requestHandler.handle(call, answer);
     }
 }
--- a/src/main/java/io/pepperfield/rollout/VersionGate.java
+++ b/src/main/java/io/pepperfield/rollout/VersionGate.java
@@ -1,14 +1,14 @@
 package io.pepperfield.rollout;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import io.pepperfield.store.KeyValueStore.Precondition;
 import io.pepperfield.store.Keys;
-import io.pepperfield.store.StateService.Guard;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
  * The one place where stored-state versions are compared. New behaviour asks here; whatever is
- * written carries {@link #guard}, so that a controller with stale knowledge writes nothing.
+ * written carries {@link #precondition}, so that a controller with stale knowledge writes nothing.
  */
 public final class VersionGate {
 
@@ -16,11 +16,11 @@
 
     private final Release release;
     private ClusterVersion version = ClusterVersion.INITIAL;
-    private long stamp;
-    private boolean loaded;
-    private String refusal = "";
+    private long modRevision;
+    private boolean replicaLoaded;
+    private String refusalReason = "";
 
-    /** Creates a gate that is closed until the replica is {@link #loaded}. */
+    /** Creates a gate that is closed until the replica is {@link #replicaLoaded}. */
     public VersionGate(Release release) {
         this.release = release;
     }
@@ -31,8 +31,8 @@
     }
 
     /** The replica holds all keys: a version record that is not there does not exist. */
-    void loaded() {
-        loaded = true;
+    void replicaLoaded() {
+        replicaLoaded = true;
     }
 
     /** The replica's news of the version record. */
@@ -40,18 +40,18 @@
         ClusterVersion now = data == null ? null : ClusterVersion.read(data);
         if (now == null) {
             // Never deleted by anybody: without it records of a newer form could be taken for none.
-            refuse("the stored-state version record is gone or cannot be read");
+            refuseService("the stored-state version record is gone or cannot be read");
             return;
         }
         version = now;
-        stamp = newStamp;
-        if (release.serves(now)) {
-            refusal = "";
-            LOG.info("stored-state version {} ({})", now.writes(), now.phase());
+        modRevision = newStamp;
+        if (release.isCompatibleWith(now)) {
+            refusalReason = "";
+            LOG.info("stored-state version {} ({})", now.writeVersion(), now.phase());
         } else {
-            refuse(
+            refuseService(
                     "stored-state version "
-                            + now.highest()
+                            + now.highestVersion()
                             + " is in use, and release "
                             + release.name()
                             + " reads "
@@ -62,26 +62,26 @@
     }
 
     /** What cannot be known keeps this controller from serving; said once. */
-    void refuse(String why) {
-        if (!why.equals(refusal)) {
-            refusal = why;
+    void refuseService(String why) {
+        if (!why.equals(refusalReason)) {
+            refusalReason = why;
             LOG.error("serving nobody: {}", why);
         }
     }
 
     /** Whether this controller may take part in the cluster. */
-    public boolean serves() {
-        return refusal.isEmpty();
+    public boolean mayServe() {
+        return refusalReason.isEmpty();
     }
 
     /** Why it may not, or empty. */
-    String refusal() {
-        return refusal;
+    String refusalReason() {
+        return refusalReason;
     }
 
     /** Whether the version is known and this controller may write. */
     boolean mayWrite() {
-        return loaded && serves();
+        return replicaLoaded && mayServe();
     }
 
     /** The version record as known here. */
@@ -90,20 +90,20 @@
     }
 
     /** The condition that every write carries: the version is still the one known here. */
-    Guard guard() {
-        return new Guard(Keys.ROLLOUT_VERSION, stamp);
+    Precondition precondition() {
+        return new Precondition(Keys.ROLLOUT_VERSION, modRevision);
     }
 
     /** Whether run records are to be written in the compact form. */
     public boolean writesCompactRunRecords() {
-        return version.writes() >= StoredVersions.COMPACT_RUN_RECORDS;
+        return version.writeVersion() >= StoredVersions.COMPACT_RUN_RECORDS;
     }
 
     /**
      * Whether records may exist that a release without a gate cannot read. The leader key is then
      * kept where such a release does not look, and never leads.
      */
-    boolean fenced() {
-        return version.highest() >= StoredVersions.COMPACT_RUN_RECORDS;
+    boolean fencesOlderReleases() {
+        return version.highestVersion() >= StoredVersions.COMPACT_RUN_RECORDS;
     }
 }
--- a/src/main/java/io/pepperfield/store/Writer.java
+++ b/src/main/java/io/pepperfield/store/FencedWriter.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.http.Json;
 import io.pepperfield.loop.Loop;
-import io.pepperfield.store.StateService.Change;
-import io.pepperfield.store.StateService.Guard;
-import io.pepperfield.store.StateService.TxnResult;
+import io.pepperfield.store.KeyValueStore.CompareAndSwapOutcome;
+import io.pepperfield.store.KeyValueStore.Mutation;
+import io.pepperfield.store.KeyValueStore.Precondition;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -21,17 +21,17 @@
  * key is guarded by its own stamp besides the leader's token, so that a transaction that was given
  * up and is applied late finds its keys changed and does nothing.
  */
-public final class Writer {
+public final class FencedWriter {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Writer.class);
+    private static final Logger LOG = LoggerFactory.getLogger(FencedWriter.class);
 
     /** Where the leader stands now; a write without a valid guard is not even tried. */
-    public interface Lead {
+    public interface Fence {
         /** Whether this node leads and its grant cannot have ended. */
-        boolean confirmed();
+        boolean holdsValidLease();
 
         /** The condition that proves the lead when the write takes effect. */
-        Guard guard();
+        Precondition fencingPrecondition();
     }
 
     /** What goes first when changes are short, in this order. */
@@ -39,17 +39,17 @@
         /** Something waits to be started or rented. */
         INTENT,
         /** A final state, which users wait for. */
-        END,
+        FINAL_STATE,
         /**
          * An intent of the lowest rank: gathered for a moment, so that a swarm of small jobs costs
          * one change and not one each.
          */
-        LATER,
+        BATCHED,
         /**
          * A completed or lost task: if it is lost, a worker that still holds it tells it again, or
          * it runs once more.
          */
-        PATIENT
+        BACKGROUND
     }
 
     /** What is to be written under one or several keys, in one transaction. */
@@ -62,24 +62,24 @@
          * The service refuses the values for their size. True if they are divided among more keys
          * from now on, so that another try makes sense.
          */
-        default boolean divide() {
+        default boolean split() {
             return false;
         }
     }
 
     /** A key waiting to be written: what to write, and whom to tell. */
-    private static final class Pending {
+    private static final class PendingWrite {
         final Content content;
-        final Supplier<Collection<String>> absent;
-        final List<Runnable> effects = new ArrayList<>();
-        final Runnable taken;
-        final double since;
+        final Supplier<Collection<String>> requiredAbsent;
+        final List<Runnable> onDurable = new ArrayList<>();
+        final Runnable onAlreadyWritten;
+        final double enqueuedAt;
         Priority priority;
 
         /** Refused by the service for itself: not tried again before. */
-        double notBefore = Double.NEGATIVE_INFINITY;
+        double retryNotBefore = Double.NEGATIVE_INFINITY;
 
-        Pending(
+        PendingWrite(
                 Priority priority,
                 Content content,
                 Supplier<Collection<String>> absent,
@@ -87,76 +87,76 @@
                 double since) {
             this.priority = priority;
             this.content = content;
-            this.absent = absent;
-            this.taken = taken;
-            this.since = since;
+            this.requiredAbsent = absent;
+            this.onAlreadyWritten = taken;
+            this.enqueuedAt = since;
         }
     }
 
     /** 64 KiB are allowed in all; guards and names need their partition. */
-    private static final int MOST_BYTES = 40 * 1024;
+    private static final int MAX_TRANSACTION_BYTES = 40 * 1024;
 
     /** HTTP's word for a request that will never be carried out as it is. */
-    private static final int MALFORMED = 400;
+    private static final int STATUS_BAD_REQUEST = 400;
 
     /** What a guard adds to the name of its key. */
-    private static final int GUARD_BYTES = 20;
+    private static final int PRECONDITION_BYTES = 20;
 
     private final Loop loop;
-    private final StateService state;
+    private final KeyValueStore store;
     private final Replica replica;
-    private final Sync sync;
-    private final Lead lead;
+    private final ReplicaSynchronizer synchronizer;
+    private final Fence fence;
     private final TransactionLimits limits;
     private final double retryS;
-    private final double patienceS;
-    private final double gatherS;
-    private final Map<String, Long> stamps = new LinkedHashMap<>();
-    private Map<String, Pending> pending = new LinkedHashMap<>();
-    private boolean writing;
+    private final double backgroundDelayS;
+    private final double batchDelayS;
+    private final Map<String, Long> knownRevisions = new LinkedHashMap<>();
+    private Map<String, PendingWrite> pending = new LinkedHashMap<>();
+    private boolean transactionInFlight;
     private boolean paused;
-    private int generation;
+    private int resetCount;
 
     /** So many changes are tried one by one, after a transaction was refused whole. */
-    private int alone;
+    private int isolatedWritesLeft;
 
     /**
      * @param retryS the pause after a refusal, and how long intents of the lowest rank are gathered
      * @param patienceS how long changes that nobody waits for are gathered, so that a chunk's many
      *     cost one
      */
-    public Writer(
+    public FencedWriter(
             Loop loop,
-            StateService state,
+            KeyValueStore state,
             Replica replica,
-            Sync sync,
-            Lead lead,
+            ReplicaSynchronizer sync,
+            Fence lead,
             TransactionLimits limits,
             double retryS,
             double patienceS) {
         this.loop = loop;
-        this.state = state;
+        this.store = state;
         this.replica = replica;
-        this.sync = sync;
-        this.lead = lead;
+        this.synchronizer = sync;
+        this.fence = lead;
         this.limits = limits;
         this.retryS = retryS;
-        this.patienceS = patienceS;
-        this.gatherS = retryS;
+        this.backgroundDelayS = patienceS;
+        this.batchDelayS = retryS;
     }
 
     /** Forgets what was waiting: it was the wish of a leadership that has ended. */
     public void reset() {
         pending = new LinkedHashMap<>();
-        stamps.clear();
-        writing = false;
+        knownRevisions.clear();
+        transactionInFlight = false;
         paused = false;
-        alone = 0;
-        generation++;
+        isolatedWritesLeft = 0;
+        resetCount++;
     }
 
     /** The number of keys waiting to be written. */
-    public int waiting() {
+    public int pendingCount() {
         return pending.size();
     }
 
@@ -166,13 +166,13 @@
      * the key is found written. Keys are never deleted here: a late first write would find its key
      * missing, as it expects, and bring it back.
      */
-    public void mark(
+    public void enqueue(
             String key,
             Priority priority,
             Supplier<JsonNode> content,
             Runnable effect,
             Runnable taken) {
-        mark(key, priority, () -> Map.of(key, content.get()), Set::of, effect, taken);
+        enqueue(key, priority, () -> Map.of(key, content.get()), Set::of, effect, taken);
     }
 
     /**
@@ -181,21 +181,21 @@
      * @param key the first key of the content, by which the write is known here
      * @param absent gives the keys that must not exist, when the write leaves
      */
-    public void mark(
+    public void enqueue(
             String key,
             Priority priority,
             Content content,
             Supplier<Collection<String>> absent,
             Runnable effect,
             Runnable taken) {
-        Pending entry =
+        PendingWrite entry =
                 pending.computeIfAbsent(
-                        key, k -> new Pending(priority, content, absent, taken, loop.now()));
+                        key, k -> new PendingWrite(priority, content, absent, taken, loop.now()));
         if (priority.compareTo(entry.priority) < 0) {
             entry.priority = priority;
         }
         if (effect != null) {
-            entry.effects.add(effect);
+            entry.onDurable.add(effect);
         }
     }
 
@@ -203,36 +203,37 @@
      * What was to be written under the key is of no consequence any more; whoever waited for it
      * goes on.
      */
-    public void drop(String key) {
-        Pending entry = pending.remove(key);
+    public void discard(String key) {
+        PendingWrite entry = pending.remove(key);
         if (entry != null) {
-            entry.effects.forEach(Runnable::run);
+            entry.onDurable.forEach(Runnable::run);
         }
     }
 
     /** To be called at the end of each batch of commands. */
     public void flush() {
-        if (writing || paused || pending.isEmpty() || !lead.confirmed()) {
+        if (transactionInFlight || paused || pending.isEmpty() || !fence.holdsValidLease()) {
             return;
         }
-        List<Map.Entry<String, Pending>> chosen = chosen();
+        List<Map.Entry<String, PendingWrite>> chosen = selectNext();
         if (chosen.isEmpty()) {
             return;
         }
-        Map<String, Pending> batch = new LinkedHashMap<>();
-        List<Change> changes = new ArrayList<>();
-        List<Guard> guards = new ArrayList<>();
-        guards.add(lead.guard());
+        Map<String, PendingWrite> batch = new LinkedHashMap<>();
+        List<Mutation> changes = new ArrayList<>();
+        List<Precondition> guards = new ArrayList<>();
+        guards.add(fence.fencingPrecondition());
         int bytes = 0;
-        for (Map.Entry<String, Pending> next : chosen) {
+        for (Map.Entry<String, PendingWrite> next : chosen) {
             Map<String, JsonNode> values = next.getValue().content.values();
-            Collection<String> absent = next.getValue().absent.get();
-            int size = size(values, absent);
+            Collection<String> absent = next.getValue().requiredAbsent.get();
+            int size = encodedSize(values, absent);
             if (!batch.isEmpty()
-                    && (alone > 0
-                            || changes.size() + values.size() > limits.changes()
-                            || bytes + size > MOST_BYTES
-                            || guards.size() + values.size() + absent.size() > limits.guards())) {
+                    && (isolatedWritesLeft > 0
+                            || changes.size() + values.size() > limits.maxMutations()
+                            || bytes + size > MAX_TRANSACTION_BYTES
+                            || guards.size() + values.size() + absent.size()
+                                    > limits.maxPreconditions())) {
                 break;
             }
             bytes += size;
@@ -240,36 +241,36 @@
             batch.put(next.getKey(), next.getValue());
             // A final state is written once: its guard stays 0 whatever a retry has learned
             // meanwhile.
-            boolean once = next.getValue().taken != null;
+            boolean once = next.getValue().onAlreadyWritten != null;
             values.forEach(
                     (key, value) -> {
-                        changes.add(Change.set(key, value));
-                        guards.add(new Guard(key, once ? 0 : stamp(key)));
+                        changes.add(Mutation.set(key, value));
+                        guards.add(new Precondition(key, once ? 0 : expectedRevision(key)));
                     });
-            absent.forEach(k -> guards.add(new Guard(k, 0)));
+            absent.forEach(k -> guards.add(new Precondition(k, 0)));
         }
-        writing = true;
-        alone = Math.max(0, alone - 1);
-        int mine = generation;
-        state.txn(
-                StateService.Urgency.RUN,
+        transactionInFlight = true;
+        isolatedWritesLeft = Math.max(0, isolatedWritesLeft - 1);
+        int mine = resetCount;
+        store.compareAndSwap(
+                KeyValueStore.RequestPriority.LEADER_WRITE,
                 guards,
                 changes,
                 result -> {
-                    if (mine == generation) {
-                        writing = false;
-                        finish(batch, changes, result);
+                    if (mine == resetCount) {
+                        transactionInFlight = false;
+                        handleOutcome(batch, changes, result);
                     }
                 });
     }
 
-    private static int size(Map<String, JsonNode> values, Collection<String> absent) {
+    private static int encodedSize(Map<String, JsonNode> values, Collection<String> absent) {
         int size = 0;
         for (Map.Entry<String, JsonNode> value : values.entrySet()) {
             size += Json.write(value.getValue()).length + 2 * value.getKey().length();
         }
         for (String key : absent) {
-            size += key.length() + GUARD_BYTES;
+            size += key.length() + PRECONDITION_BYTES;
         }
         return size;
     }
@@ -279,22 +280,22 @@
      * With each such time a change moves up, so that what keeps coming cannot hold it back for
      * ever.
      */
-    private List<Map.Entry<String, Pending>> chosen() {
+    private List<Map.Entry<String, PendingWrite>> selectNext() {
         double now = loop.now();
-        List<Map.Entry<String, Pending>> chosen = new ArrayList<>();
+        List<Map.Entry<String, PendingWrite>> chosen = new ArrayList<>();
         for (int rank = 0; rank < Priority.values().length; rank++) {
-            for (Map.Entry<String, Pending> entry : pending.entrySet()) {
-                if (chosen.size() == limits.changes()) {
+            for (Map.Entry<String, PendingWrite> entry : pending.entrySet()) {
+                if (chosen.size() == limits.maxMutations()) {
                     return chosen;
                 }
-                Pending change = entry.getValue();
-                int waited = (int) ((now - change.since) / patienceS);
+                PendingWrite change = entry.getValue();
+                int waited = (int) ((now - change.enqueuedAt) / backgroundDelayS);
                 boolean ripe =
-                        change.notBefore <= now
+                        change.retryNotBefore <= now
                                 && switch (change.priority) {
-                                    case INTENT, END -> true;
-                                    case LATER -> now - change.since >= gatherS;
-                                    case PATIENT -> waited > 0;
+                                    case INTENT, FINAL_STATE -> true;
+                                    case BATCHED -> now - change.enqueuedAt >= batchDelayS;
+                                    case BACKGROUND -> waited > 0;
                                 };
                 if (ripe && Math.max(0, change.priority.ordinal() - waited) == rank) {
                     chosen.add(entry);
@@ -304,34 +305,36 @@
         return chosen;
     }
 
-    private long stamp(String key) {
-        return Math.max(stamps.getOrDefault(key, 0L), replica.stamp(key));
+    private long expectedRevision(String key) {
+        return Math.max(knownRevisions.getOrDefault(key, 0L), replica.modRevision(key));
     }
 
-    private void finish(Map<String, Pending> batch, List<Change> changes, TxnResult result) {
-        if (result instanceof TxnResult.Committed done) {
-            changes.forEach(change -> stamps.put(change.key(), done.revision()));
-            batch.values().forEach(entry -> entry.effects.forEach(Runnable::run));
+    private void handleOutcome(
+            Map<String, PendingWrite> batch, List<Mutation> changes, CompareAndSwapOutcome result) {
+        if (result instanceof CompareAndSwapOutcome.Committed done) {
+            changes.forEach(change -> knownRevisions.put(change.key(), done.revision()));
+            batch.values().forEach(entry -> entry.onDurable.forEach(Runnable::run));
             flush();
             return;
         }
-        if (result instanceof TxnResult.Refused refused && refused.status() == MALFORMED) {
-            refusedForGood(batch);
+        if (result instanceof CompareAndSwapOutcome.Refused refused
+                && refused.status() == STATUS_BAD_REQUEST) {
+            handlePermanentRefusal(batch);
         }
         requeue(batch);
         paused = true;
-        int mine = generation;
-        if (result instanceof TxnResult.Refused) {
+        int mine = resetCount;
+        if (result instanceof CompareAndSwapOutcome.Refused) {
             loop.after(
                     retryS,
                     () -> {
-                        if (mine == generation) {
+                        if (mine == resetCount) {
                             paused = false;
                             flush();
                         }
                     });
         } else {
-            settle(batch, changes);
+            resolveUncertainOutcome(batch, changes);
         }
     }
 
@@ -341,18 +344,18 @@
      * alone is divided among more keys; where that is not possible, it waits until it has changed,
      * without holding up the others.
      */
-    private void refusedForGood(Map<String, Pending> batch) {
+    private void handlePermanentRefusal(Map<String, PendingWrite> batch) {
         if (batch.size() > 1) {
-            alone = batch.size();
+            isolatedWritesLeft = batch.size();
             return;
         }
         batch.forEach(
                 (key, entry) -> {
-                    if (entry.content.divide()) {
+                    if (entry.content.split()) {
                         LOG.info("{} is too large by now and is divided", key);
                     } else {
                         LOG.warn("{} cannot be written as it is", key);
-                        entry.notBefore = loop.now() + patienceS;
+                        entry.retryNotBefore = loop.now() + backgroundDelayS;
                     }
                 });
     }
@@ -361,19 +364,19 @@
      * After a conflict or no answer: what is there now decides which stamps the next try is guarded
      * by.
      */
-    private void settle(Map<String, Pending> batch, List<Change> changes) {
-        int mine = generation;
-        sync.confirm(
+    private void resolveUncertainOutcome(Map<String, PendingWrite> batch, List<Mutation> changes) {
+        int mine = resetCount;
+        synchronizer.awaitReadIndex(
                 current -> {
-                    if (mine != generation) {
+                    if (mine != resetCount) {
                         return;
                     }
                     if (!current) {
                         loop.after(
                                 retryS,
                                 () -> {
-                                    if (mine == generation) {
-                                        settle(batch, changes);
+                                    if (mine == resetCount) {
+                                        resolveUncertainOutcome(batch, changes);
                                     }
                                 });
                         return;
@@ -381,12 +384,12 @@
                     paused = false;
                     // A key in a newer version than expected was written by an earlier try of this
                     // very writer.
-                    changes.forEach(change -> stamps.remove(change.key()));
+                    changes.forEach(change -> knownRevisions.remove(change.key()));
                     batch.forEach(
                             (key, entry) -> {
-                                if (entry.taken != null && replica.get(key) != null) {
+                                if (entry.onAlreadyWritten != null && replica.get(key) != null) {
                                     pending.remove(key);
-                                    entry.taken.run();
+                                    entry.onAlreadyWritten.run();
                                 }
                             });
                     // Spaced, so that a guard which keeps failing until the replica brings the
@@ -396,14 +399,14 @@
     }
 
     /** Puts a batch back in front, joined with what was marked meanwhile. */
-    private void requeue(Map<String, Pending> batch) {
-        Map<String, Pending> later = pending;
+    private void requeue(Map<String, PendingWrite> batch) {
+        Map<String, PendingWrite> later = pending;
         pending = new LinkedHashMap<>(batch);
         later.forEach(
                 (key, entry) -> {
-                    Pending first = pending.putIfAbsent(key, entry);
+                    PendingWrite first = pending.putIfAbsent(key, entry);
                     if (first != null) {
-                        first.effects.addAll(entry.effects);
+                        first.onDurable.addAll(entry.onDurable);
                         first.priority =
                                 first.priority.compareTo(entry.priority) < 0
                                         ? first.priority
