--- a/src/main/java/io/pepperfield/store/HttpStateService.java
+++ b/src/main/java/io/pepperfield/store/HttpKeyValueStore.java
@@ -4,16 +4,16 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.config.Settings;
+import io.pepperfield.http.HttpOutcome;
+import io.pepperfield.http.HttpSender;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Outcome;
-import io.pepperfield.http.Sender;
 import io.pepperfield.loop.Loop;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 
 /** The state service over its published protocol; the only place that knows its field names. */
-public final class HttpStateService implements StateService {
+public final class HttpKeyValueStore implements KeyValueStore {
 
     /**
      * One for each kind of request that can be under way at once: the open watch, a confirmation, a
@@ -21,117 +21,121 @@
      * grant and the renewal. While the service is slow, a renewal that had to wait for one of the
      * others would come too late and end a leadership.
      */
-    private static final int CONNECTIONS = 9;
+    private static final int MAX_CONNECTIONS = 9;
 
-    private static final int PAGE = 500;
+    private static final int PAGE_SIZE = 500;
 
     /**
      * Longer than its slow answers of a few hundred milliseconds, shorter than a user's patience of
      * 2 s.
      */
-    private static final double DEADLINE_S = 1.2;
+    private static final double REQUEST_TIMEOUT_S = 1.2;
 
     private final Loop loop;
-    private final Sender client;
+    private final HttpSender client;
     private final Settings.Address address;
-    private final Budget budget;
+    private final RateLimiter rateLimiter;
 
-    /** Creates a client that sends nothing before its rates are set by {@link #share}. */
-    public HttpStateService(Loop loop, Sender client, Settings.Address address) {
+    /** Creates a client that sends nothing before its rates are set by {@link #setRates}. */
+    public HttpKeyValueStore(Loop loop, HttpSender client, Settings.Address address) {
         this.loop = loop;
         this.client = client;
         this.address = address;
-        this.budget = new Budget(loop);
+        this.rateLimiter = new RateLimiter(loop);
     }
 
     /** Sets this node's part of the service's rates, all per second. */
-    public void share(double requestRate, double leadersWriteRate, double usersWriteRate) {
-        budget.share(requestRate, leadersWriteRate, usersWriteRate);
+    public void setRates(double requestRate, double leadersWriteRate, double usersWriteRate) {
+        rateLimiter.setRates(requestRate, leadersWriteRate, usersWriteRate);
     }
 
     @Override
-    public void txn(
-            Urgency urgency, List<Guard> guards, List<Change> changes, Consumer<TxnResult> done) {
+    public void compareAndSwap(
+            RequestPriority urgency,
+            List<Precondition> guards,
+            List<Mutation> changes,
+            Consumer<CompareAndSwapOutcome> done) {
         ObjectNode body = Json.object();
         ArrayNode conditions = body.putArray("guards");
-        guards.forEach(g -> conditions.addObject().put("k", g.key()).put("stamp", g.stamp()));
+        guards.forEach(g -> conditions.addObject().put("k", g.key()).put("stamp", g.modRevision()));
         ArrayNode apply = body.putArray("apply");
-        for (Change change : changes) {
+        for (Mutation change : changes) {
             ObjectNode op = apply.addObject();
-            if (change.data() == null) {
+            if (change.value() == null) {
                 op.put("delete", change.key());
                 continue;
             }
-            op.put("set", change.key()).set("data", change.data());
+            op.put("set", change.key()).set("data", change.value());
             if (change.grant() != 0) {
                 op.put("claim", change.grant());
             }
         }
         byte[] bytes = Json.write(body);
-        budget.submit(
+        rateLimiter.submit(
                 urgency,
                 changes.size(),
-                DEADLINE_S,
+                REQUEST_TIMEOUT_S,
                 () ->
                         send(
                                 "POST",
                                 "/txn",
                                 bytes,
-                                DEADLINE_S,
-                                outcome -> done.accept(txnResult(outcome))),
-                () -> done.accept(new TxnResult.Refused(429)));
+                                REQUEST_TIMEOUT_S,
+                                outcome -> done.accept(compareAndSwapOutcome(outcome))),
+                () -> done.accept(new CompareAndSwapOutcome.Refused(429)));
     }
 
-    private static TxnResult txnResult(Outcome outcome) {
-        if (outcome instanceof Outcome.NotSent) {
-            return new TxnResult.Refused(0);
+    private static CompareAndSwapOutcome compareAndSwapOutcome(HttpOutcome outcome) {
+        if (outcome instanceof HttpOutcome.NotSent) {
+            return new CompareAndSwapOutcome.Refused(0);
         }
-        if (!(outcome instanceof Outcome.Answered answer)) {
-            return new TxnResult.Unknown();
+        if (!(outcome instanceof HttpOutcome.Answered answer)) {
+            return new CompareAndSwapOutcome.Unknown();
         }
         JsonNode body = answer.json();
         return switch (answer.status()) {
             case 200 ->
                     body.path("generation").isIntegralNumber()
-                            ? new TxnResult.Committed(body.path("generation").longValue())
-                            : new TxnResult.Unknown();
+                            ? new CompareAndSwapOutcome.Committed(
+                                    body.path("generation").longValue())
+                            : new CompareAndSwapOutcome.Unknown();
             case 409 -> {
                 List<String> failed = new ArrayList<>();
                 body.path("failed").forEach(key -> failed.add(key.asText()));
-                yield new TxnResult.Conflict(failed);
+                yield new CompareAndSwapOutcome.Conflict(failed);
             }
-            case 400, 429, 503 -> new TxnResult.Refused(answer.status());
+            case 400, 429, 503 -> new CompareAndSwapOutcome.Refused(answer.status());
             // Anything else may come from something in between, after the service had done its
             // work.
-            default -> new TxnResult.Unknown();
+            default -> new CompareAndSwapOutcome.Unknown();
         };
     }
 
     @Override
-    public void range(String after, Consumer<ReadResult> done) {
+    public void readPage(String after, Consumer<ReadResult> done) {
         String path =
                 "/kv?starts="
                         + Keys.ROOT
                         + "&limit="
-                        + PAGE
+                        + PAGE_SIZE
                         + (after.isEmpty() ? "" : "&since=" + after);
-        budget.submit(
-                Urgency.READ,
+        rateLimiter.submit(
+                RequestPriority.READ,
                 0,
-                DEADLINE_S,
+                REQUEST_TIMEOUT_S,
                 () ->
                         send(
                                 "GET",
                                 path,
                                 null,
-                                2 * DEADLINE_S,
+                                2 * REQUEST_TIMEOUT_S,
                                 outcome -> {
-                                    if (outcome instanceof Outcome.Answered answer
+                                    if (outcome instanceof HttpOutcome.Answered answer
                                             && answer.status() == 200) {
                                         JsonNode body = answer.json();
                                         done.accept(
                                                 new ReadResult.Read(
-                                                        StateAnswers.pairs(body),
+                                                        KeyValueResponses.pairs(body),
                                                         body.path("truncated").asBoolean(),
                                                         body.path("generation").longValue()));
                                     } else {
@@ -142,7 +146,7 @@
     }
 
     @Override
-    public void follow(long since, double holdS, Consumer<ReadResult> done) {
+    public void watch(long since, double holdS, Consumer<ReadResult> done) {
         String path =
                 "/follow?starts="
                         + Keys.ROOT
@@ -150,24 +154,24 @@
                         + since
                         + "&holdMs="
                         + Math.round(holdS * 1000);
-        budget.submit(
-                Urgency.READ,
+        rateLimiter.submit(
+                RequestPriority.READ,
                 0,
-                DEADLINE_S,
+                REQUEST_TIMEOUT_S,
                 () ->
                         send(
                                 "GET",
                                 path,
                                 null,
-                                holdS + DEADLINE_S,
+                                holdS + REQUEST_TIMEOUT_S,
                                 outcome -> {
-                                    if (!(outcome instanceof Outcome.Answered answer)
+                                    if (!(outcome instanceof HttpOutcome.Answered answer)
                                             || answer.status() != 200 && answer.status() != 410) {
                                         done.accept(new ReadResult.Failed());
                                         return;
                                     }
                                     if (answer.status() == 410) {
-                                        done.accept(new ReadResult.TooOld());
+                                        done.accept(new ReadResult.RevisionTooOld());
                                         return;
                                     }
                                     JsonNode body = answer.json();
@@ -177,7 +181,7 @@
                                     }
                                     done.accept(
                                             new ReadResult.Read(
-                                                    StateAnswers.events(body),
+                                                    KeyValueResponses.events(body),
                                                     false,
                                                     body.path("generation").longValue()));
                                 }),
@@ -185,10 +189,10 @@
     }
 
     @Override
-    public void grant(double ttlS, Consumer<GrantResult> done) {
+    public void createGrant(double ttlS, Consumer<GrantResult> done) {
         byte[] body = Json.write(Json.object().put("ttlMs", Math.round(ttlS * 1000)));
-        budget.submit(
-                Urgency.GRANT,
+        rateLimiter.submit(
+                RequestPriority.GRANT,
                 0,
                 0,
                 () ->
@@ -196,15 +200,15 @@
                                 "POST",
                                 "/grants",
                                 body,
-                                DEADLINE_S,
+                                REQUEST_TIMEOUT_S,
                                 outcome -> {
                                     boolean granted =
-                                            outcome instanceof Outcome.Answered answer
+                                            outcome instanceof HttpOutcome.Answered answer
                                                     && answer.status() == 200;
                                     done.accept(
                                             new GrantResult(
                                                     granted
-                                                            ? ((Outcome.Answered) outcome)
+                                                            ? ((HttpOutcome.Answered) outcome)
                                                                     .json()
                                                                     .path("claim")
                                                                     .longValue()
@@ -215,9 +219,9 @@
     }
 
     @Override
-    public void touch(long id, Consumer<GrantResult> done) {
-        budget.submit(
-                Urgency.GRANT,
+    public void renewGrant(long id, Consumer<GrantResult> done) {
+        rateLimiter.submit(
+                RequestPriority.GRANT,
                 0,
                 0,
                 () ->
@@ -225,10 +229,10 @@
                                 "POST",
                                 "/grants/" + id + "/touch",
                                 new byte[0],
-                                DEADLINE_S,
+                                REQUEST_TIMEOUT_S,
                                 outcome -> {
                                     int status =
-                                            outcome instanceof Outcome.Answered answer
+                                            outcome instanceof HttpOutcome.Answered answer
                                                     ? answer.status()
                                                     : 0;
                                     done.accept(
@@ -238,21 +242,21 @@
     }
 
     @Override
-    public void endGrant(long id) {
-        budget.submit(
-                Urgency.GRANT,
+    public void revokeGrant(long id) {
+        rateLimiter.submit(
+                RequestPriority.GRANT,
                 0,
                 0,
-                () -> send("DELETE", "/grants/" + id, null, DEADLINE_S, outcome -> {}),
+                () -> send("DELETE", "/grants/" + id, null, REQUEST_TIMEOUT_S, outcome -> {}),
                 () -> {});
     }
 
     private void send(
-            String method, String path, byte[] body, double deadlineS, Consumer<Outcome> done) {
+            String method, String path, byte[] body, double deadlineS, Consumer<HttpOutcome> done) {
         client.send(
                 address.host(),
                 address.port(),
-                CONNECTIONS,
+                MAX_CONNECTIONS,
                 method,
                 path,
                 body,
--- a/src/main/java/io/pepperfield/store/StateAnswers.java
+++ b/src/main/java/io/pepperfield/store/KeyValueResponses.java
@@ -1,34 +1,34 @@
 package io.pepperfield.store;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.pepperfield.store.StateService.Item;
+import io.pepperfield.store.KeyValueStore.KeyValue;
 import java.util.ArrayList;
 import java.util.List;
 
 /** Reads the bodies of the state service's answers. */
-public final class StateAnswers {
+public final class KeyValueResponses {
 
-    private StateAnswers() {}
+    private KeyValueResponses() {}
 
     /** The keys in the answer to a reading of a range. */
-    public static List<Item> pairs(JsonNode body) {
-        List<Item> items = new ArrayList<>();
+    public static List<KeyValue> pairs(JsonNode body) {
+        List<KeyValue> items = new ArrayList<>();
         for (JsonNode pair : body.path("pairs")) {
             long stamp = pair.path("stamp").longValue();
-            items.add(new Item(pair.path("k").asText(), pair.get("data"), stamp));
+            items.add(new KeyValue(pair.path("k").asText(), pair.get("data"), stamp));
         }
         return items;
     }
 
     /** The changes in the answer to a follow; deleted keys have null data. */
-    public static List<Item> events(JsonNode body) {
-        List<Item> items = new ArrayList<>();
+    public static List<KeyValue> events(JsonNode body) {
+        List<KeyValue> items = new ArrayList<>();
         for (JsonNode event : body.path("events")) {
             long stamp = event.path("stamp").longValue();
             items.add(
                     event.has("delete")
-                            ? new Item(event.path("delete").asText(), null, stamp)
-                            : new Item(event.path("set").asText(), event.get("data"), stamp));
+                            ? new KeyValue(event.path("delete").asText(), null, stamp)
+                            : new KeyValue(event.path("set").asText(), event.get("data"), stamp));
         }
         return items;
     }
--- a/src/main/java/io/pepperfield/store/Replica.java
+++ b/src/main/java/io/pepperfield/store/Replica.java
@@ -23,7 +23,7 @@
     }
 
     /** A key's value and the revision that wrote it. */
-    public record Entry(JsonNode data, long stamp) {}
+    public record Entry(JsonNode value, long modRevision) {}
 
     private final Map<String, Entry> entries = new HashMap<>();
     private final Listener listener;
@@ -45,25 +45,25 @@
     }
 
     /** The revision that last wrote the key; 0 where there is none. */
-    public long stamp(String key) {
+    public long modRevision(String key) {
         Entry entry = entries.get(key);
-        return entry == null ? 0 : entry.stamp;
+        return entry == null ? 0 : entry.modRevision;
     }
 
     /** Keeps only the key's stamp, where what it holds is of no use to anybody any more. */
-    public void lighten(String key) {
+    public void compact(String key) {
         Entry entry = entries.get(key);
         if (entry != null) {
-            entries.put(key, new Entry(MissingNode.getInstance(), entry.stamp));
+            entries.put(key, new Entry(MissingNode.getInstance(), entry.modRevision));
         }
     }
 
     /** Visits all keys with that prefix, in no particular order. */
-    public void each(String prefix, BiConsumer<String, JsonNode> visit) {
+    public void forEachWithPrefix(String prefix, BiConsumer<String, JsonNode> visit) {
         entries.forEach(
                 (key, entry) -> {
                     if (key.startsWith(prefix)) {
-                        visit.accept(key, entry.data);
+                        visit.accept(key, entry.value);
                     }
                 });
     }
@@ -73,19 +73,19 @@
      * later pages may be newer than {@code asOf}; what is, is left to the follow since then, which
      * brings it in its order: a run record, for one, after its job.
      */
-    public void reset(List<StateService.Item> all, long asOf) {
+    public void loadSnapshot(List<KeyValueStore.KeyValue> all, long asOf) {
         Map<String, Entry> missing = new HashMap<>(entries);
-        for (StateService.Item item : all) {
+        for (KeyValueStore.KeyValue item : all) {
             missing.remove(item.key());
             // What is as old as this copy it has seen; where it lacks it, the key was deleted since
             // and must stay so.
-            if (item.stamp() > revision && item.stamp() <= asOf) {
+            if (item.modRevision() > revision && item.modRevision() <= asOf) {
                 put(item);
             }
         }
         missing.forEach(
                 (key, entry) -> {
-                    if (entry.stamp <= asOf) {
+                    if (entry.modRevision <= asOf) {
                         entries.remove(key);
                         listener.changed(key, null, asOf);
                     }
@@ -94,25 +94,25 @@
     }
 
     /** Takes all changes up to revision {@code to}; those that are known already are skipped. */
-    public void advance(List<StateService.Item> changes, long to) {
-        for (StateService.Item item : changes) {
-            if (item.stamp() > revision) {
+    public void applyChanges(List<KeyValueStore.KeyValue> changes, long to) {
+        for (KeyValueStore.KeyValue item : changes) {
+            if (item.modRevision() > revision) {
                 put(item);
             }
         }
         revision = Math.max(revision, to);
     }
 
-    private void put(StateService.Item item) {
+    private void put(KeyValueStore.KeyValue item) {
         Entry known = entries.get(item.key());
-        if (known != null && known.stamp >= item.stamp()) {
+        if (known != null && known.modRevision >= item.modRevision()) {
             return;
         }
-        if (item.data() == null) {
+        if (item.value() == null) {
             entries.remove(item.key());
         } else {
-            entries.put(item.key(), new Entry(item.data(), item.stamp()));
+            entries.put(item.key(), new Entry(item.value(), item.modRevision()));
         }
-        listener.changed(item.key(), item.data(), item.stamp());
+        listener.changed(item.key(), item.value(), item.modRevision());
     }
 }
--- a/src/main/java/io/pepperfield/store/Sync.java
+++ b/src/main/java/io/pepperfield/store/ReplicaSynchronizer.java
@@ -9,40 +9,41 @@
  * Keeps the replica up to date, and confirms on demand that it is: an answer such as "not ended
  * yet" or 404 holds only if the state service said so after the question was asked.
  */
-public final class Sync {
+public final class ReplicaSynchronizer {
 
     /** Users wait 2 s for an answer. */
-    private static final double MOST_AGE_S = 2;
+    private static final double MAX_ANSWER_AGE_S = 2;
 
     private final Loop loop;
-    private final StateService state;
+    private final KeyValueStore state;
     private final Replica replica;
-    private final double holdS;
-    private final double spacingS;
+    private final double watchHoldS;
+    private final double minIntervalS;
     private boolean loaded;
     private boolean loading;
-    private boolean confirming;
-    private double contactAt = Double.NEGATIVE_INFINITY;
-    private List<Consumer<Boolean>> waiting = new ArrayList<>();
-    private int failures;
+    private boolean readIndexInFlight;
+    private double lastConfirmedAt = Double.NEGATIVE_INFINITY;
+    private List<Consumer<Boolean>> pendingReads = new ArrayList<>();
+    private int consecutiveWatchFailures;
 
     /**
      * @param holdS how long the service holds a follow without news
      * @param spacingS least time between two questions of one kind, which bounds their number per
      *     second
      */
-    public Sync(Loop loop, StateService state, Replica replica, double holdS, double spacingS) {
+    public ReplicaSynchronizer(
+            Loop loop, KeyValueStore state, Replica replica, double holdS, double spacingS) {
         this.loop = loop;
         this.state = state;
         this.replica = replica;
-        this.holdS = holdS;
-        this.spacingS = spacingS;
+        this.watchHoldS = holdS;
+        this.minIntervalS = spacingS;
     }
 
     /** Loads the replica and begins to follow the changes. */
     public void start() {
         load();
-        follow();
+        watch();
     }
 
     /** Whether all keys have been read once. */
@@ -51,47 +52,48 @@
     }
 
     /** When the last question was sent that was answered with all changes up to then. */
-    public double contactAt() {
-        return contactAt;
+    public double lastConfirmedAt() {
+        return lastConfirmedAt;
     }
 
     /** Calls back with true once the replica holds everything that was decided before this call. */
-    public void confirm(Consumer<Boolean> done) {
+    public void awaitReadIndex(Consumer<Boolean> done) {
         if (!loaded) {
             done.accept(false);
             return;
         }
-        waiting.add(done);
-        if (!confirming) {
-            ask();
+        pendingReads.add(done);
+        if (!readIndexInFlight) {
+            requestReadIndex();
         }
     }
 
-    private void ask() {
-        confirming = true;
-        List<Consumer<Boolean>> asked = waiting;
-        waiting = new ArrayList<>();
+    private void requestReadIndex() {
+        readIndexInFlight = true;
+        List<Consumer<Boolean>> asked = pendingReads;
+        pendingReads = new ArrayList<>();
         double sent = loop.now();
-        state.follow(
+        state.watch(
                 replica.revision(),
                 0,
                 result -> {
                     // First of all: whatever throws below must not end all questions of this node.
                     loop.after(
-                            spacingS,
+                            minIntervalS,
                             () -> {
-                                confirming = false;
-                                if (!waiting.isEmpty()) {
-                                    ask();
+                                readIndexInFlight = false;
+                                if (!pendingReads.isEmpty()) {
+                                    requestReadIndex();
                                 }
                             });
                     boolean current = false;
                     try {
                         // An answer that this process slept over says how things stood then, not
                         // when those asked who still wait.
-                        current = take(result, sent) && loop.now() - sent <= MOST_AGE_S;
+                        current =
+                                applyResult(result, sent) && loop.now() - sent <= MAX_ANSWER_AGE_S;
                     } finally {
-                        tell(asked, current);
+                        completeAll(asked, current);
                     }
                 });
     }
@@ -100,7 +102,7 @@
      * Each is told, even if another throws: a new leader that fails over its books must not cost
      * users their answers.
      */
-    private static void tell(List<Consumer<Boolean>> asked, boolean current) {
+    private static void completeAll(List<Consumer<Boolean>> asked, boolean current) {
         RuntimeException thrown = null;
         for (Consumer<Boolean> done : asked) {
             try {
@@ -114,42 +116,42 @@
         }
     }
 
-    private void follow() {
+    private void watch() {
         if (!loaded) {
-            loop.after(4 * spacingS, this::follow);
+            loop.after(4 * minIntervalS, this::watch);
             return;
         }
         double sent = loop.now();
-        state.follow(
+        state.watch(
                 replica.revision(),
-                holdS,
+                watchHoldS,
                 result -> {
                     boolean fine = false;
                     try {
-                        fine = take(result, sent);
+                        fine = applyResult(result, sent);
                     } finally {
-                        loop.after(fine ? spacingS : 4 * spacingS, this::follow);
+                        loop.after(fine ? minIntervalS : 4 * minIntervalS, this::watch);
                     }
-                    failures = fine ? 0 : failures + 1;
-                    if (failures > 3
-                            && result instanceof StateService.ReadResult.Failed
-                            && loop.now() - contactAt > 8 * holdS) {
+                    consecutiveWatchFailures = fine ? 0 : consecutiveWatchFailures + 1;
+                    if (consecutiveWatchFailures > 3
+                            && result instanceof KeyValueStore.ReadResult.Failed
+                            && loop.now() - lastConfirmedAt > 8 * watchHoldS) {
                         // An answer too large to read fails for ever; a reading in pages does not.
-                        failures = 0;
+                        consecutiveWatchFailures = 0;
                         load();
                     }
                 });
     }
 
-    private boolean take(StateService.ReadResult result, double sent) {
-        if (result instanceof StateService.ReadResult.Read read) {
-            replica.advance(read.items(), read.revision());
+    private boolean applyResult(KeyValueStore.ReadResult result, double sent) {
+        if (result instanceof KeyValueStore.ReadResult.Read read) {
+            replica.applyChanges(read.entries(), read.revision());
             // After the news has been taken: of each change it is known that it had not happened as
             // of the contact before.
-            contactAt = Math.max(contactAt, sent);
+            lastConfirmedAt = Math.max(lastConfirmedAt, sent);
             return true;
         }
-        if (result instanceof StateService.ReadResult.TooOld) {
+        if (result instanceof KeyValueStore.ReadResult.RevisionTooOld) {
             load();
         }
         return false;
@@ -158,43 +160,48 @@
     private void load() {
         if (!loading) {
             loading = true;
-            page("", new ArrayList<>(), -1, loop.now());
+            loadPage("", new ArrayList<>(), -1, loop.now());
         }
     }
 
-    private void page(String after, List<StateService.Item> all, long asOf, double wantedAt) {
-        state.range(
+    private void loadPage(
+            String after, List<KeyValueStore.KeyValue> all, long asOf, double wantedAt) {
+        state.readPage(
                 after,
                 result -> {
-                    if (!(result instanceof StateService.ReadResult.Read read)) {
+                    if (!(result instanceof KeyValueStore.ReadResult.Read read)) {
                         loop.after(
-                                4 * spacingS,
+                                4 * minIntervalS,
                                 () -> {
-                                    if (loaded && contactAt > wantedAt) {
+                                    if (loaded && lastConfirmedAt > wantedAt) {
                                         // A follow has been answered since: it was an outage, and a
                                         // reading would only burden its end.
                                         loading = false;
                                     } else {
-                                        page(after, all, asOf, wantedAt);
+                                        loadPage(after, all, asOf, wantedAt);
                                     }
                                 });
                         return;
                     }
-                    all.addAll(read.items());
+                    all.addAll(read.entries());
                     // Later pages may be newer than the first; the follow since the first brings
                     // what they have more.
                     long first = asOf < 0 ? read.revision() : asOf;
-                    if (read.more() && !read.items().isEmpty()) {
-                        page(read.items().get(read.items().size() - 1).key(), all, first, wantedAt);
+                    if (read.hasMore() && !read.entries().isEmpty()) {
+                        loadPage(
+                                read.entries().get(read.entries().size() - 1).key(),
+                                all,
+                                first,
+                                wantedAt);
                         return;
                     }
                     loading = false;
                     try {
-                        replica.reset(all, first);
+                        replica.loadSnapshot(all, first);
                         loaded = true;
                     } finally {
                         if (!loaded) {
-                            loop.after(4 * spacingS, this::load);
+                            loop.after(4 * minIntervalS, this::load);
                         }
                     }
                 });
--- a/src/main/java/io/pepperfield/store/TransactionLimits.java
+++ b/src/main/java/io/pepperfield/store/TransactionLimits.java
@@ -4,25 +4,25 @@
 public interface TransactionLimits {
 
     /** The state service takes so many times as many guards as changes. */
-    int GUARDS_PER_CHANGE = 4;
+    int PRECONDITIONS_PER_MUTATION = 4;
 
     /** Puts and deletes in a transaction. */
-    int changes();
+    int maxMutations();
 
     /** Conditions in a transaction. */
-    int guards();
+    int maxPreconditions();
 
     /** All that the state service allows. */
     static TransactionLimits all(int changes) {
         return new TransactionLimits() {
             @Override
-            public int changes() {
+            public int maxMutations() {
                 return changes;
             }
 
             @Override
-            public int guards() {
-                return GUARDS_PER_CHANGE * changes;
+            public int maxPreconditions() {
+                return PRECONDITIONS_PER_MUTATION * changes;
             }
         };
     }
--- a/src/test/java/io/pepperfield/admission/AdmissionForms.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionForms.java
@@ -37,7 +37,7 @@
                                                 DEPENDENT, new ClassDemand(1, 1, 0))))),
                 AdmissionForms::rewriteReport);
         List<QueueWait> waits =
-                Stream.of(JobSpec.Rank.values())
+                Stream.of(JobSpec.Priority.values())
                         .map(rank -> new QueueWait("red", rank, 90))
                         .toList();
         file.addRewrittenByField(
--- a/src/test/java/io/pepperfield/admission/AdmissionLoopbackTest.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionLoopbackTest.java
@@ -137,7 +137,7 @@
             allotted += controller.path("allotted").asInt();
         }
         assertTrue(allotted <= seen.path("divided").asInt(), seen.toString());
-        assertEquals(List.of(), region.broken);
+        assertEquals(List.of(), region.violations);
         assertTrue(admission(0).path("fixed").asInt() > 0);
     }
 }
--- a/src/test/java/io/pepperfield/admission/AdmissionSimulationTest.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionSimulationTest.java
@@ -7,7 +7,7 @@
 import io.pepperfield.config.AdmissionSettings;
 import io.pepperfield.standin.AdmissionLoad.Stream;
 import io.pepperfield.standin.AdmissionLoad.Submission;
-import io.pepperfield.standin.Region;
+import io.pepperfield.standin.SimulatedRegion;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -25,7 +25,7 @@
     private static final int ALL_PER_MINUTE = 1800;
 
     /** Each team's admitted share is within it of its entitlement: as operators are promised. */
-    private static final double BAND = AdmissionSettings.DEFAULTS.band();
+    private static final double BAND = AdmissionSettings.DEFAULTS.fairnessBand();
 
     private static final Stream RED = new Stream("red", "batch", 4, false);
     private static final Stream BLUE = new Stream("blue", "batch", 4, false);
@@ -34,33 +34,34 @@
     private static final double FROM_S = 20;
 
     /** A region whose machines are up and whose users submit from the twentieth second on. */
-    private static Region region(long seed, int nodes, double untilS, Stream... streams) {
-        Region region = Region.admitting(seed, nodes, 0);
-        region.load.watch(ALL_PER_MINUTE);
+    private static SimulatedRegion region(long seed, int nodes, double untilS, Stream... streams) {
+        SimulatedRegion region = SimulatedRegion.admitting(seed, nodes, 0);
+        region.admissionLoad.watch(ALL_PER_MINUTE);
         region.world.run(FROM_S);
         for (Stream stream : streams) {
-            region.load.submit(stream, untilS);
+            region.admissionLoad.submit(stream, untilS);
         }
         return region;
     }
 
-    private static void checkEnd(Region region, double calmAt, String day) {
+    private static void checkEnd(SimulatedRegion region, double calmAt, String day) {
         region.world.run(calmAt + 100);
-        assertEquals(List.of(), region.load.overAllotted(), day);
-        assertEquals(List.of(), region.broken, day);
-        assertEquals(List.of(), region.unanswered(), day);
-        assertEquals(List.of(), region.leftOver(), day);
+        assertEquals(List.of(), region.admissionLoad.overAllotted(), day);
+        assertEquals(List.of(), region.violations, day);
+        assertEquals(List.of(), region.unansweredQueries(), day);
+        assertEquals(List.of(), region.leftoverJobs(), day);
         // A second's worth saved up and one of debt, and one admission for each node's rounding.
         double mostIn10 = ALL_PER_MINUTE / 60.0 * 12 + 10;
         assertTrue(
-                region.load.mostAcceptedWithin(10) <= mostIn10,
-                day + ": " + region.load.mostAcceptedWithin(10) + " within 10 s");
+                region.admissionLoad.mostAcceptedWithin(10) <= mostIn10,
+                day + ": " + region.admissionLoad.mostAcceptedWithin(10) + " within 10 s");
     }
 
     /** Every job of the team was accepted within that time. */
-    private static double[] checkAccepted(Region region, String team, double mostS, String day) {
+    private static double[] checkAccepted(
+            SimulatedRegion region, String team, double mostS, String day) {
         region.world.run(region.world.now() + 15);
-        List<Submission> all = region.load.of(team);
+        List<Submission> all = region.admissionLoad.of(team);
         assertFalse(all.isEmpty());
         double[] took = all.stream().mapToDouble(Submission::tookS).sorted().toArray();
         double longest = took[took.length - 1];
@@ -69,7 +70,7 @@
     }
 
     /** And almost all of them at once. */
-    private static void checkServed(Region region, String team, double mostS, String day) {
+    private static void checkServed(SimulatedRegion region, String team, double mostS, String day) {
         double[] took = checkAccepted(region, team, mostS, day);
         double ninth = took[took.length * 9 / 10];
         assertTrue(ninth <= 3, day + ": 90% of " + team + " within " + ninth);
@@ -77,9 +78,9 @@
 
     @Test
     void aTeamThatFloodsHeedlesslyTakesNothingFromTheOthers() {
-        Region region = region(1, 3, 60, RED, BLUE, FLOOD);
+        SimulatedRegion region = region(1, 3, 60, RED, BLUE, FLOOD);
         region.world.run(60);
-        Map<String, Integer> accepted = region.load.accepted(30, 60);
+        Map<String, Integer> accepted = region.admissionLoad.accepted(30, 60);
         // What the others leave of 30 a second is the flood's, less a twentieth for newcomers.
         assertTrue(accepted.get("guests") >= 0.75 * 30 * (30 - 8 - 6), "" + accepted);
         checkServed(region, "red", 6, "flood");
@@ -89,7 +90,7 @@
 
     @Test
     void threeTeamsThatAllAskForMoreHaveWhatTheirWeightsSay() {
-        Region region =
+        SimulatedRegion region =
                 region(
                         2,
                         3,
@@ -98,7 +99,7 @@
                         new Stream("blue", "flood", 60, true),
                         PATIENT_FLOOD);
         region.world.run(70);
-        Map<String, Integer> accepted = region.load.accepted(30, 70);
+        Map<String, Integer> accepted = region.admissionLoad.accepted(30, 70);
         // All three weigh the same: the guests as the least that has a guarantee. The leader's own
         // writes leave the state service less than the rate at times.
         int all = accepted.values().stream().mapToInt(count -> count).sum();
@@ -111,11 +112,11 @@
 
     @Test
     void twoControllersThatEachSeeHalfOfTheDemandDivideAsOneWould() {
-        Region region = region(3, 3, 60, RED, FLOOD);
+        SimulatedRegion region = region(3, 3, 60, RED, FLOOD);
         int[] turn = new int[1];
-        region.load.node = () -> turn[0]++ % 2;
+        region.admissionLoad.node = () -> turn[0]++ % 2;
         region.world.run(60);
-        Map<String, Integer> accepted = region.load.accepted(30, 60);
+        Map<String, Integer> accepted = region.admissionLoad.accepted(30, 60);
         assertTrue(accepted.get("guests") >= 0.75 * 30 * (30 - 4 - 4), "" + accepted);
         checkServed(region, "red", 6, "two halves");
         checkEnd(region, 60, "two halves");
@@ -123,14 +124,16 @@
 
     @Test
     void allDemandMovesFromOneControllerToAnother() {
-        Region region = region(4, 3, 70, RED, FLOOD);
-        region.load.node = () -> 0;
+        SimulatedRegion region = region(4, 3, 70, RED, FLOOD);
+        region.admissionLoad.node = () -> 0;
         region.world.run(45);
-        int before = region.load.perMinute(0);
+        int before = region.admissionLoad.perMinute(0);
         assertTrue(before > ALL_PER_MINUTE * 0.6, "before " + before);
-        region.load.node = () -> 1;
+        region.admissionLoad.node = () -> 1;
         region.world.run(49);
-        assertTrue(region.load.perMinute(1) > ALL_PER_MINUTE * 0.6, "" + region.load.perMinute(1));
+        assertTrue(
+                region.admissionLoad.perMinute(1) > ALL_PER_MINUTE * 0.6,
+                "" + region.admissionLoad.perMinute(1));
         region.world.run(70);
         checkServed(region, "red", 8, "moved");
         checkEnd(region, 70, "moved");
@@ -138,16 +141,16 @@
 
     @Test
     void aControllerCutOffFromTheLeaderKeepsToItsFixedShareAndServes() {
-        Region region = region(5, 3, 70, RED, FLOOD);
+        SimulatedRegion region = region(5, 3, 70, RED, FLOOD);
         region.world.run(35);
         int alone = (region.leaderIndex() + 1) % 3;
-        region.cuts.peers(alone, 50);
+        region.networkCuts.peers(alone, 50);
         region.world.run(35 + 1.5);
-        assertEquals(ALL_PER_MINUTE * 0.5 / 3, region.load.perMinute(alone), 1);
+        assertEquals(ALL_PER_MINUTE * 0.5 / 3, region.admissionLoad.perMinute(alone), 1);
         // The cut flaps afterwards.
         for (int i = 0; i < 5; i++) {
             double from = 51 + 3 * i;
-            region.world.at(from, () -> region.cuts.peers(alone, from + 1.6));
+            region.world.at(from, () -> region.networkCuts.peers(alone, from + 1.6));
         }
         region.world.run(70);
         checkServed(region, "red", 12, "cut off");
@@ -157,9 +160,9 @@
     @ParameterizedTest
     @ValueSource(longs = {6, 7, 8})
     void theLeaderIsFrozenForLongerThanAnAllotment(long seed) {
-        Region region = region(seed, 3, 60, RED, FLOOD);
+        SimulatedRegion region = region(seed, 3, 60, RED, FLOOD);
         region.world.run(35);
-        region.freeze(region.leaderIndex(), 35 + 4 + seed);
+        region.pause(region.leaderIndex(), 35 + 4 + seed);
         region.world.run(60);
         checkAccepted(region, "red", 20, "frozen");
         checkEnd(region, 60, "frozen leader " + seed);
@@ -167,7 +170,7 @@
 
     @Test
     void aProcessThatIsBackAtOnceHasForgottenWhatItSpent() {
-        Region region = region(9, 3, 60, RED, FLOOD);
+        SimulatedRegion region = region(9, 3, 60, RED, FLOOD);
         region.world.run(30);
         for (int i = 0; i < 20; i++) {
             int node = i % 3;
@@ -180,9 +183,9 @@
 
     @Test
     void anOutageEndsWithEverybodysRetriesAtOnce() {
-        Region region = region(10, 3, 80, RED, PATIENT_FLOOD);
+        SimulatedRegion region = region(10, 3, 80, RED, PATIENT_FLOOD);
         region.world.run(35);
-        region.stateOutage(45);
+        region.storeOutage(45);
         region.world.run(80);
         checkAccepted(region, "red", 30, "outage");
         checkEnd(region, 80, "outage");
@@ -190,19 +193,20 @@
 
     @Test
     void theRateFallsByHalfWithoutNotice() {
-        Region region = region(11, 3, 70, new Stream("red", "batch", 2, false), PATIENT_FLOOD);
+        SimulatedRegion region =
+                region(11, 3, 70, new Stream("red", "batch", 2, false), PATIENT_FLOOD);
         region.world.run(35);
-        region.limitsFall();
+        region.reduceStoreLimits();
         region.world.run(70);
         checkAccepted(region, "red", 30, "limits fell");
         region.world.run(170);
-        assertEquals(List.of(), region.broken);
+        assertEquals(List.of(), region.violations);
     }
 
     @Test
     void besideControllersWithoutItEachKeepsToItsFixedShare() {
-        Region region = Region.admitting(12, 3, 1);
-        region.load.watch(ALL_PER_MINUTE);
+        SimulatedRegion region = SimulatedRegion.admitting(12, 3, 1);
+        region.admissionLoad.watch(ALL_PER_MINUTE);
         region.world.run(FROM_S);
         // The one without the feature leads.
         for (int i = 0; i < 8 && region.leaderIndex() != 2; i++) {
@@ -213,13 +217,13 @@
         double from = region.world.now() + 7;
         region.world.run(from);
         int[] turn = new int[1];
-        region.load.node = () -> turn[0]++ % 2;
-        region.load.submit(FLOOD, from + 30);
+        region.admissionLoad.node = () -> turn[0]++ % 2;
+        region.admissionLoad.submit(FLOOD, from + 30);
         region.world.run(from + 30);
         for (int i = 0; i < 2; i++) {
-            assertEquals(ALL_PER_MINUTE * 0.5 / 3, region.load.perMinute(i), 1);
+            assertEquals(ALL_PER_MINUTE * 0.5 / 3, region.admissionLoad.perMinute(i), 1);
         }
-        int accepted = region.load.accepted(from + 10, from + 30).get("guests");
+        int accepted = region.admissionLoad.accepted(from + 10, from + 30).get("guests");
         assertEquals(20 * 2 * 4.75, accepted, 20);
         checkEnd(region, from + 30, "without");
     }
@@ -236,13 +240,13 @@
     private static void playDrawnDay(long seed) {
         Random random = new Random(seed);
         int nodes = seed % 2 == 0 ? 3 : 5;
-        Region region =
+        SimulatedRegion region =
                 region(seed, nodes, 70, RED, BLUE, random.nextBoolean() ? FLOOD : PATIENT_FLOOD);
         int few = 1 + random.nextInt(nodes);
         if (random.nextBoolean()) {
-            region.load.node = () -> random.nextInt(few);
+            region.admissionLoad.node = () -> random.nextInt(few);
         }
-        region.world.lost = random.nextBoolean() ? 0.02 : 0;
+        region.world.messageLossShare = random.nextBoolean() ? 0.02 : 0;
         for (int i = 0; i < 4; i++) {
             double at = 28 + 8 * i + 4 * random.nextDouble();
             int node = random.nextInt(nodes);
@@ -251,26 +255,26 @@
             region.world.at(at, () -> trouble(region, kind, node, forS));
         }
         region.world.run(70);
-        region.world.lost = 0;
+        region.world.messageLossShare = 0;
         region.world.run(85);
         String day = "seed " + seed;
-        assertTrue(region.load.accepted(60, 70).get("red") > 0, day);
+        assertTrue(region.admissionLoad.accepted(60, 70).get("red") > 0, day);
         double mostS = 45;
         for (String team : List.of("red", "blue")) {
-            for (Submission one : region.load.of(team)) {
+            for (Submission one : region.admissionLoad.of(team)) {
                 assertTrue(one.tookS() <= mostS, () -> day + ": " + team + " at " + one.firstAt);
             }
         }
         checkEnd(region, 85, day);
     }
 
-    private static void trouble(Region region, int kind, int node, double forS) {
+    private static void trouble(SimulatedRegion region, int kind, int node, double forS) {
         double until = region.world.now() + forS;
         switch (kind) {
             case 0 -> region.crash(node, forS);
-            case 1 -> region.freeze(node, until);
-            case 2 -> region.cuts.peers(node, until);
-            case 3 -> region.stateOutage(until);
+            case 1 -> region.pause(node, until);
+            case 2 -> region.networkCuts.peers(node, until);
+            case 3 -> region.storeOutage(until);
             default -> {
                 if (!region.leader().isEmpty()) {
                     region.crash(region.leaderIndex(), Math.min(forS, 0.3));
--- a/src/test/java/io/pepperfield/admission/AllotmentIssuerTest.java
+++ b/src/test/java/io/pepperfield/admission/AllotmentIssuerTest.java
@@ -40,7 +40,7 @@
                                 node,
                                 "p",
                                 sequences.merge(node, 1L, Long::sum),
-                                last == null ? 0 : last.token(),
+                                last == null ? 0 : last.fencingToken(),
                                 last == null ? 0 : last.serial(),
                                 demand(red, blue)),
                         now);
@@ -102,7 +102,7 @@
         Allotment last = ask("b", 200, 0, 4.5);
         DemandReport copy = new DemandReport("b", "p", 1, 0, 0, demand(0, 500));
         assertNull(issuer.issue(copy, 5));
-        assertEquals(last.extraPerMinute(), issuer.ledger().committed("b", 5));
+        assertEquals(last.extraPerMinute(), issuer.outstandingAllotments().committed("b", 5));
         // Nor one of the process before.
         issuer.issue(new DemandReport("b", "q", 1, 0, 0, demand(1, 1)), 5.1);
         assertNull(issuer.issue(new DemandReport("b", "p", 9, 0, 0, demand(0, 500)), 5.2));
@@ -126,7 +126,7 @@
         ask("c", 200, 200, 4.1);
         // Its serial is high, but of an earlier token.
         issuer.issue(new DemandReport("b", "p", 50, TOKEN - 1, 99, demand(0, 0)), 4.2);
-        assertEquals(70, issuer.ledger().committed("b", 4.3));
+        assertEquals(70, issuer.outstandingAllotments().committed("b", 4.3));
     }
 
     @Test
@@ -139,8 +139,8 @@
                 ask(node, random.nextInt(300), random.nextInt(3) * 100, now);
             }
             int sum = 0;
-            for (String each : issuer.nodes()) {
-                sum += issuer.ledger().committed(each, now);
+            for (String each : issuer.reportingControllers()) {
+                sum += issuer.outstandingAllotments().committed(each, now);
             }
             assertTrue(sum <= LIMITS.dividedPerMinute(), sum + " at " + now);
             for (Allotment one : held.values()) {
--- a/src/test/java/io/pepperfield/admission/QueueWaitPredictorTest.java
+++ b/src/test/java/io/pepperfield/admission/QueueWaitPredictorTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.pepperfield.jobs.JobSpec.Rank;
+import io.pepperfield.jobs.JobSpec.Priority;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -15,11 +15,11 @@
     /** A second in which so many tasks of the lowest rank begin and so many wait. */
     private void second(int started, int waiting, double oldestS) {
         for (int i = 0; i < started; i++) {
-            queues.started("guests", Rank.BEST_EFFORT);
+            queues.recordStart("guests", Priority.BEST_EFFORT);
         }
-        queues.recount();
-        queues.waiting("guests", Rank.BEST_EFFORT, waiting, oldestS);
-        queues.counted(++now);
+        queues.beginRecount();
+        queues.addWaiting("guests", Priority.BEST_EFFORT, waiting, oldestS);
+        queues.finishRecount(++now);
     }
 
     @Test
@@ -27,7 +27,7 @@
         for (int i = 0; i < 120; i++) {
             second(5, 600, 100);
         }
-        List<QueueWait> waits = queues.waitsFrom(60);
+        List<QueueWait> waits = queues.waitsOfAtLeast(60);
         assertEquals(1, waits.size());
         assertEquals(120, waits.get(0).waitS(), 1);
     }
@@ -35,8 +35,8 @@
     @Test
     void whileMachinesBootNothingIsPredictedBeyondWhatTheOldestHasShown() {
         second(0, 5000, 10);
-        assertEquals(40, queues.waitsFrom(1).get(0).waitS());
-        assertEquals(List.of(), queues.waitsFrom(60));
+        assertEquals(40, queues.waitsOfAtLeast(1).get(0).waitS());
+        assertEquals(List.of(), queues.waitsOfAtLeast(60));
     }
 
     @Test
@@ -44,20 +44,20 @@
         for (int i = 0; i < 60; i++) {
             second(5, 600, 100);
         }
-        queues.recount();
-        queues.waiting("guests", Rank.BEST_EFFORT, 600, 100);
-        queues.waiting("guests", Rank.URGENT, 1, 0.1);
-        queues.counted(++now);
+        queues.beginRecount();
+        queues.addWaiting("guests", Priority.BEST_EFFORT, 600, 100);
+        queues.addWaiting("guests", Priority.URGENT, 1, 0.1);
+        queues.finishRecount(++now);
         assertEquals(
-                List.of(Rank.BEST_EFFORT),
-                queues.waitsFrom(1).stream().map(QueueWait::rank).toList());
+                List.of(Priority.BEST_EFFORT),
+                queues.waitsOfAtLeast(1).stream().map(QueueWait::rank).toList());
     }
 
     @Test
     void aQueueThatIsOverIsForgotten() {
         second(0, 10, 100);
-        queues.recount();
-        queues.counted(++now);
-        assertEquals(List.of(), queues.waitsFrom(0));
+        queues.beginRecount();
+        queues.finishRecount(++now);
+        assertEquals(List.of(), queues.waitsOfAtLeast(0));
     }
 }
--- a/src/test/java/io/pepperfield/admission/SubmissionAdmissionTest.java
+++ b/src/test/java/io/pepperfield/admission/SubmissionAdmissionTest.java
@@ -85,29 +85,30 @@
     @Test
     void anAllotmentEndsByTheSendingOfItsRequest() {
         loop.run(5);
-        admission.use(allotment(TOKEN, 1, 600, 60, 600), 0, TOKEN);
-        assertEquals(660, admission.perMinute());
+        admission.useAllotment(allotment(TOKEN, 1, 600, 60, 600), 0, TOKEN);
+        assertEquals(660, admission.admissionsPerMinute());
         loop.run(8.99);
-        assertEquals(660, admission.perMinute());
+        assertEquals(660, admission.admissionsPerMinute());
         // Nine tenths of ten seconds from 0, though it came at 5.
         loop.run(9);
-        assertEquals(60, admission.perMinute());
+        assertEquals(60, admission.admissionsPerMinute());
     }
 
     @Test
     void whatIsOldForAnotherOrEndedIsNotUsed() {
-        admission.use(allotment(TOKEN, 5, 100, 1, 1), 0, TOKEN);
-        admission.use(allotment(TOKEN, 4, 600, 1, 1), 0, TOKEN);
-        admission.use(allotment(TOKEN, 5, 600, 1, 1), 0, TOKEN);
-        admission.use(allotment(TOKEN - 1, 9, 600, 1, 1), 0, TOKEN);
-        admission.use(new Allotment("b", TOKEN, 9, 10, 600, new TreeMap<>(), List.of()), 0, TOKEN);
-        admission.use(allotment(TOKEN, 9, 600, 1, 1), -20, TOKEN);
-        assertEquals(160, admission.perMinute());
+        admission.useAllotment(allotment(TOKEN, 5, 100, 1, 1), 0, TOKEN);
+        admission.useAllotment(allotment(TOKEN, 4, 600, 1, 1), 0, TOKEN);
+        admission.useAllotment(allotment(TOKEN, 5, 600, 1, 1), 0, TOKEN);
+        admission.useAllotment(allotment(TOKEN - 1, 9, 600, 1, 1), 0, TOKEN);
+        admission.useAllotment(
+                new Allotment("b", TOKEN, 9, 10, 600, new TreeMap<>(), List.of()), 0, TOKEN);
+        admission.useAllotment(allotment(TOKEN, 9, 600, 1, 1), -20, TOKEN);
+        assertEquals(160, admission.admissionsPerMinute());
     }
 
     @Test
     void aFloodLeavesTheShareOfTheOthersAlone() {
-        admission.use(allotment(TOKEN, 1, 600, 120, 480), 0, TOKEN);
+        admission.useAllotment(allotment(TOKEN, 1, 600, 120, 480), 0, TOKEN);
         int red = 0;
         int flood = 0;
         for (int step = 1; step <= 80; step++) {
@@ -121,7 +122,7 @@
 
     @Test
     void whoComesBackWhenToldGoesBeforeAFloodOfNewOnes() {
-        admission.use(allotment(TOKEN, 1, 600, 0, 60), 0, TOKEN);
+        admission.useAllotment(allotment(TOKEN, 1, 600, 0, 60), 0, TOKEN);
         admittedOf(FLOOD, 3);
         Decision.Refused told = assertInstanceOf(Decision.Refused.class, decide(FLOOD, "run-1"));
         loop.run(told.retryAfterS() - 0.5);
@@ -136,7 +137,7 @@
 
     @Test
     void timesToComeBackAreSpreadByTheRateAndWithinWhatUsersHeed() {
-        admission.use(allotment(TOKEN, 1, 600, 0, 120), 0, TOKEN);
+        admission.useAllotment(allotment(TOKEN, 1, 600, 0, 120), 0, TOKEN);
         // So many wait that the whole rate would not be through with them either.
         admittedOf(RED, 400);
         int[] atSecond = new int[31];
@@ -158,9 +159,9 @@
         }
         loop.run(1);
         admission.tick();
-        double once = admission.report("p", 1).classes().get(FLOOD).perMinute();
+        double once = admission.demandReport("p", 1).classes().get(FLOOD).perMinute();
         assertTrue(once < 50, "demand " + once);
-        assertEquals(50, admission.report("p", 2).classes().get(FLOOD).refused());
+        assertEquals(50, admission.demandReport("p", 2).classes().get(FLOOD).refused());
     }
 
     @Test
@@ -170,9 +171,9 @@
                         .id("run-9")
                         .team("guests")
                         .workload("flood")
-                        .awaits(List.of("run-8"))
+                        .dependencies(List.of("run-8"))
                         .build();
-        admission.use(allotment(TOKEN, 1, 600, 0, 480), 0, TOKEN);
+        admission.useAllotment(allotment(TOKEN, 1, 600, 0, 480), 0, TOKEN);
         loop.run(2);
         admittedOf(FLOOD, 200);
         assertInstanceOf(Decision.Admitted.class, admission.decide(dependent));
@@ -188,8 +189,8 @@
                         10,
                         600,
                         new TreeMap<>(),
-                        List.of(new QueueWait("guests", JobSpec.Rank.STANDARD, 75)));
-        admission.use(full, 0, TOKEN);
+                        List.of(new QueueWait("guests", JobSpec.Priority.STANDARD, 75)));
+        admission.useAllotment(full, 0, TOKEN);
         loop.run(1);
         Decision.Refused told = assertInstanceOf(Decision.Refused.class, decide(FLOOD, "run-1"));
         assertEquals(15, told.retryAfterS());
@@ -198,12 +199,12 @@
 
     @Test
     void refusalsOfTheStateServiceDecreaseTheRateAndItRecovers() {
-        admission.use(allotment(TOKEN, 1, 600, 0, 600), 0, TOKEN);
+        admission.useAllotment(allotment(TOKEN, 1, 600, 0, 600), 0, TOKEN);
         loop.run(1);
         int before = admittedOf(FLOOD, 100);
-        admission.throttled();
+        admission.storeThrottled();
         // Once an interval, however many are refused.
-        admission.throttled();
+        admission.storeThrottled();
         loop.run(2);
         int after = admittedOf(FLOOD, 100);
         assertTrue(after >= 5 && after <= before - 2, before + ", then " + after);
@@ -215,9 +216,9 @@
 
     @Test
     void afterAnOutageNothingSavedUpIsSpentAtOnce() {
-        admission.use(allotment(TOKEN, 1, 600, 300, 300), 0, TOKEN);
+        admission.useAllotment(allotment(TOKEN, 1, 600, 300, 300), 0, TOKEN);
         admission = new SubmissionAdmission(loop, LIMITS, "a", () -> contactAt, 2);
-        admission.use(allotment(TOKEN, 2, 600, 300, 300), 0, TOKEN);
+        admission.useAllotment(allotment(TOKEN, 2, 600, 300, 300), 0, TOKEN);
         loop.run(8);
         assertEquals(0, admittedOf(RED, 50));
         contactAt = 8;
@@ -230,7 +231,7 @@
         for (int i = 0; i < 500; i++) {
             decide(new WorkloadClass("guests", "made-up-" + i, false), "run-" + (5000 + i));
         }
-        assertTrue(admission.report("p", 1).classes().size() <= 18);
+        assertTrue(admission.demandReport("p", 1).classes().size() <= 18);
     }
 
     @Test
@@ -239,7 +240,7 @@
         assertEquals(
                 sent, AdmissionMessages.readAllotment(Json.read(AdmissionMessages.write(sent))));
         decide(RED, "run-1");
-        DemandReport report = admission.report("p", 4);
+        DemandReport report = admission.demandReport("p", 4);
         assertEquals(
                 report.classes().keySet(),
                 AdmissionMessages.readReport(Json.read(AdmissionMessages.write(report)))
--- a/src/test/java/io/pepperfield/node/SizerTest.java
+++ b/src/test/java/io/pepperfield/autoscaling/AutoscalerTest.java
@@ -1,31 +1,35 @@
-package io.pepperfield.node;
+package io.pepperfield.autoscaling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.pepperfield.cloud.Renting;
-import io.pepperfield.config.Aims;
+import io.pepperfield.capacity.InstancePool;
+import io.pepperfield.cloud.InstanceLifecycle;
+import io.pepperfield.cluster.BootTracker;
+import io.pepperfield.cluster.ClusterState;
+import io.pepperfield.cluster.LatencyHistograms;
+import io.pepperfield.cluster.MachineTypes;
+import io.pepperfield.config.Objectives;
 import io.pepperfield.config.Settings;
 import io.pepperfield.fleet.Attempt;
 import io.pepperfield.fleet.Fleet;
-import io.pepperfield.fleet.Ledger;
+import io.pepperfield.fleet.Heartbeat;
+import io.pepperfield.fleet.LiveAttempts;
 import io.pepperfield.fleet.Machine;
 import io.pepperfield.fleet.MachineType;
-import io.pepperfield.fleet.Report;
 import io.pepperfield.fleet.TaskRef;
 import io.pepperfield.jobs.Job;
 import io.pepperfield.jobs.JobSpec.Shape;
 import io.pepperfield.loop.Loop;
 import io.pepperfield.standin.JobSpecBuilder;
-import io.pepperfield.standin.SilentCloud;
-import io.pepperfield.standin.SilentFleetListener;
+import io.pepperfield.standin.NoOpCloud;
+import io.pepperfield.standin.NoOpFleetListener;
+import io.pepperfield.standin.RecordingKeyValueStore;
 import io.pepperfield.standin.SingleNodeSettings;
-import io.pepperfield.standin.Transactions;
-import io.pepperfield.steering.Pool;
+import io.pepperfield.store.FencedWriter;
+import io.pepperfield.store.KeyValueStore;
 import io.pepperfield.store.Replica;
-import io.pepperfield.store.StateService;
-import io.pepperfield.store.Sync;
+import io.pepperfield.store.ReplicaSynchronizer;
 import io.pepperfield.store.TransactionLimits;
-import io.pepperfield.store.Writer;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -37,51 +41,52 @@
 /**
  * What is rented where: boxes of 8 CPUs in the east and the west, a team with a limit of 24 CPUs.
  */
-class SizerTest implements Loop, SilentFleetListener, Writer.Lead, SilentCloud {
+class AutoscalerTest implements Loop, NoOpFleetListener, FencedWriter.Fence, NoOpCloud {
 
-    private static final Pool BOX = new Pool("box", false);
+    private static final InstancePool BOX = new InstancePool("box", false);
 
     private final Settings settings =
             SingleNodeSettings.of(
                     List.of("east", "west"),
                     Map.of("red", new Settings.Team("red", 8, 24, 0, 0)),
                     List.of());
-    private final Transactions state = new Transactions();
+    private final RecordingKeyValueStore state = new RecordingKeyValueStore();
     private final Replica replica = new Replica((key, data, stamp) -> {});
-    private final Writer writer =
-            new Writer(
+    private final FencedWriter writer =
+            new FencedWriter(
                     state,
                     state,
                     replica,
-                    new Sync(state, state, replica, 1, 1),
+                    new ReplicaSynchronizer(state, state, replica, 1, 1),
                     this,
                     TransactionLimits.all(32),
                     1,
                     2);
     private final Fleet fleet = new Fleet(this, 10, 3);
-    private final Renting renting = new Renting(this, this, writer, fleet, 10, 1, 60, () -> true);
+    private final InstanceLifecycle renting =
+            new InstanceLifecycle(this, this, writer, fleet, 10, 1, 60, () -> true);
     private final MachineTypes types = new MachineTypes(settings);
-    private final Ledger ledger = new Ledger();
+    private final LiveAttempts ledger = new LiveAttempts();
     private final Map<String, Job> jobs = new LinkedHashMap<>();
-    private final Sizer sizer =
-            new Sizer(
+    private final Autoscaler autoscaler =
+            new Autoscaler(
                     new ClusterState(
                             this,
                             settings,
-                            new Aims(List.of()),
+                            new Objectives(List.of()),
                             types,
                             fleet,
                             ledger,
                             jobs,
                             renting,
                             new BootTracker(types, 60),
-                            new Latencies()));
+                            new LatencyHistograms()));
     private final List<String> rented = new ArrayList<>();
     private final Map<String, Integer> serials = new HashMap<>();
     private double now = 1;
-    private Consumer<Rented> answer;
+    private Consumer<RentalOutcome> answer;
 
-    SizerTest() {
+    AutoscalerTest() {
         types.update(
                 List.of(
                         new MachineType(
@@ -109,10 +114,10 @@
         return job;
     }
 
-    private Machine up(String name, String zone, Report.Line... lines) {
-        fleet.expect(name, "box", zone, false, 0, 0);
-        fleet.beat(
-                new Report(
+    private Machine up(String name, String zone, Heartbeat.AttemptStatus... lines) {
+        fleet.expectMachine(name, "box", zone, false, 0, 0);
+        fleet.handleHeartbeat(
+                new Heartbeat(
                         name,
                         "a:1",
                         "box",
@@ -128,17 +133,18 @@
     }
 
     private void runs(Job job, int task, String machine, String zone) {
-        Attempt attempt = fleet.intend(job, task, job.begin(task), up(machine, zone), now);
+        Attempt attempt =
+                fleet.intendAttempt(job, task, job.startAttempt(task), up(machine, zone), now);
         ledger.add(attempt);
-        fleet.ordered(attempt);
+        fleet.intentIsDurable(attempt);
         up(
                 machine,
                 zone,
-                new Report.Line(
+                new Heartbeat.AttemptStatus(
                         new TaskRef(job.spec.id(), task),
                         1,
-                        Report.State.RUNNING,
-                        Report.Cause.NONE));
+                        Heartbeat.State.RUNNING,
+                        Heartbeat.Cause.NONE));
     }
 
     /** Some steps in half a unit, in which all machines report; what was asked for in them. */
@@ -146,22 +152,31 @@
         List<String> before = List.copyOf(rented);
         for (double until = now + 30; now < until; now += 0.5) {
             fleet.machines().stream()
-                    .filter(Machine::up)
+                    .filter(Machine::ready)
                     .forEach(machine -> up(machine.name, machine.zone(), lines(machine)));
-            sizer.tick(now);
+            autoscaler.tick(now);
             writer.flush();
-            for (Consumer<StateService.TxnResult> done; (done = state.underWay) != null; ) {
-                state.underWay = null;
-                done.accept(new StateService.TxnResult.Committed(state.written.size()));
+            for (Consumer<KeyValueStore.CompareAndSwapOutcome> done;
+                    (done = state.pendingCallback) != null; ) {
+                state.pendingCallback = null;
+                done.accept(
+                        new KeyValueStore.CompareAndSwapOutcome.Committed(
+                                state.writtenKeys.size()));
             }
         }
         return rented.subList(before.size(), rented.size());
     }
 
-    private static Report.Line[] lines(Machine machine) {
+    private static Heartbeat.AttemptStatus[] lines(Machine machine) {
         return machine.attempts().stream()
-                .map(a -> new Report.Line(a.ref, a.number, Report.State.RUNNING, Report.Cause.NONE))
-                .toArray(Report.Line[]::new);
+                .map(
+                        a ->
+                                new Heartbeat.AttemptStatus(
+                                        a.taskRef,
+                                        a.number,
+                                        Heartbeat.State.RUNNING,
+                                        Heartbeat.Cause.NONE))
+                .toArray(Heartbeat.AttemptStatus[]::new);
     }
 
     @Test
@@ -176,9 +191,9 @@
     void whatIsComingThereCountsAndWhatNeverComesIsReplaced() {
         up("m1", "west");
         job(Shape.ARRAY, 1, "east", false, false);
-        fleet.expect("m2", "box", "east", false, now, now);
+        fleet.expectMachine("m2", "box", "east", false, now, now);
         now += 5;
-        sizer.tick(now);
+        autoscaler.tick(now);
         assertEquals(List.of(), rented);
         assertEquals(List.of("1 in east"), steer());
     }
@@ -221,7 +236,7 @@
         up("m1", "west");
         job(Shape.ARRAY, 1, "east", false, false);
         assertEquals(List.of("1 in east"), steer());
-        answer.accept(new Rented.NoCapacity());
+        answer.accept(new RentalOutcome.NoCapacity());
         assertEquals(List.of(), steer());
         assertEquals(List.of(), steer());
         assertEquals(List.of("1 in east"), steer());
@@ -257,23 +272,23 @@
     public void after(double seconds, Runnable command) {}
 
     @Override
-    public boolean confirmed() {
+    public boolean holdsValidLease() {
         return true;
     }
 
     @Override
-    public StateService.Guard guard() {
-        return new StateService.Guard("leader", 1);
+    public KeyValueStore.Precondition fencingPrecondition() {
+        return new KeyValueStore.Precondition("leader", 1);
     }
 
     @Override
-    public void rent(
+    public void rentInstances(
             String request,
             String type,
             String zone,
             boolean spot,
             int count,
-            Consumer<Rented> done) {
+            Consumer<RentalOutcome> done) {
         rented.add(count + " in " + zone);
         answer = done;
     }
--- a/src/test/java/io/pepperfield/steering/ZoneShortageTest.java
+++ b/src/test/java/io/pepperfield/capacity/ZoneShortageTest.java
@@ -1,14 +1,14 @@
-package io.pepperfield.steering;
+package io.pepperfield.capacity;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
+import io.pepperfield.capacity.ZoneShortage.AvailableMachine;
+import io.pepperfield.capacity.ZoneShortage.ZoneBoundWork;
+import io.pepperfield.capacity.ZoneShortage.ZoneOffer;
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.jobs.JobSpec.Shape;
 import io.pepperfield.standin.JobSpecBuilder;
-import io.pepperfield.steering.ZoneShortage.Bound;
-import io.pepperfield.steering.ZoneShortage.Source;
-import io.pepperfield.steering.ZoneShortage.Standing;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -17,11 +17,11 @@
 /** Boxes of 8 CPUs, a unit of 60 s. */
 class ZoneShortageTest {
 
-    private static final Pool BOX = new Pool("box", false);
-    private static final List<Source> SOURCES = List.of(source("east"), source("west"));
+    private static final InstancePool BOX = new InstancePool("box", false);
+    private static final List<ZoneOffer> SOURCES = List.of(source("east"), source("west"));
 
-    private static Source source(String zone) {
-        return new Source(new Steering.Offer(BOX, 8, 0, 32, 1, 5, 0, true), zone);
+    private static ZoneOffer source(String zone) {
+        return new ZoneOffer(new CapacityPlanner.PoolOffer(BOX, 8, 0, 32, 1, 5, 0, true), zone);
     }
 
     private static JobSpec job(Shape shape, int tasks, double cpus, String zone, boolean spread) {
@@ -38,18 +38,19 @@
                 .build();
     }
 
-    private static Map<Pool, Map<String, Integer>> shortage(
-            Bound bound, List<Source> sources, Standing... standing) {
-        return ZoneShortage.of(List.of(bound), List.of(standing), sources, 60, 0.2);
+    private static Map<InstancePool, Map<String, Integer>> shortage(
+            ZoneBoundWork bound, List<ZoneOffer> sources, AvailableMachine... standing) {
+        return ZoneShortage.missingMachines(List.of(bound), List.of(standing), sources, 60, 0.2);
     }
 
-    private static Standing standing(String zone, double cpus) {
-        return new Standing(BOX, zone, cpus, 0, 32);
+    private static AvailableMachine standing(String zone, double cpus) {
+        return new AvailableMachine(BOX, zone, cpus, 0, 32);
     }
 
     @Test
     void roomInPiecesThatAreTooSmallIsNone() {
-        Bound whole = new Bound(job(Shape.ARRAY, 2, 8, "east", false), "east", 90, 2);
+        ZoneBoundWork whole =
+                new ZoneBoundWork(job(Shape.ARRAY, 2, 8, "east", false), "east", 90, 2);
         assertEquals(
                 Map.of(BOX, Map.of("east", 2)),
                 shortage(
@@ -70,34 +71,38 @@
         // Six of 10 s in a slot, two slots in a machine.
         assertEquals(
                 Map.of(BOX, Map.of("east", 2)),
-                shortage(new Bound(array, "east", 10, 36), SOURCES, standing("east", 8)));
+                shortage(new ZoneBoundWork(array, "east", 10, 36), SOURCES, standing("east", 8)));
         // Of tasks of which nothing is known yet one slot will do until the first has run.
         assertEquals(
                 Map.of(BOX, Map.of("east", 1)),
-                shortage(new Bound(array, "east", 0, 40), SOURCES, standing("east", 2)));
+                shortage(new ZoneBoundWork(array, "east", 0, 40), SOURCES, standing("east", 2)));
         assertEquals(
-                Map.of(), shortage(new Bound(array, "east", 0, 40), SOURCES, standing("east", 4)));
+                Map.of(),
+                shortage(new ZoneBoundWork(array, "east", 0, 40), SOURCES, standing("east", 4)));
     }
 
     @Test
     void whereNothingCanBeHadNothingIsShort() {
-        Bound bound = new Bound(job(Shape.ARRAY, 1, 8, "east", false), "east", 90, 1);
+        ZoneBoundWork bound =
+                new ZoneBoundWork(job(Shape.ARRAY, 1, 8, "east", false), "east", 90, 1);
         assertEquals(Map.of(), shortage(bound, List.of(source("west")), standing("west", 8)));
         assertEquals(
                 Map.of(),
-                shortage(new Bound(job(Shape.ARRAY, 1, 9, "east", false), "east", 90, 1), SOURCES));
+                shortage(
+                        new ZoneBoundWork(job(Shape.ARRAY, 1, 9, "east", false), "east", 90, 1),
+                        SOURCES));
     }
 
     @Test
     void replicasAreBoundOnlyOnceTheOtherZoneMayTakeNoMore() {
         Set<String> zones = Set.of("east", "west");
         JobSpec service = job(Shape.SERVICE, 5, 2, null, true);
-        assertNull(ZoneShortage.bound(service, 90, 5, Map.of(), zones));
-        assertNull(ZoneShortage.bound(service, 90, 3, Map.of("east", 2), zones));
-        Bound rest = ZoneShortage.bound(service, 90, 2, Map.of("east", 3), zones);
-        assertEquals(new Bound(service, "west", 90, 2), rest);
+        assertNull(ZoneShortage.zoneBoundWork(service, 90, 5, Map.of(), zones));
+        assertNull(ZoneShortage.zoneBoundWork(service, 90, 3, Map.of("east", 2), zones));
+        ZoneBoundWork rest = ZoneShortage.zoneBoundWork(service, 90, 2, Map.of("east", 3), zones);
+        assertEquals(new ZoneBoundWork(service, "west", 90, 2), rest);
         assertNull(
-                ZoneShortage.bound(
+                ZoneShortage.zoneBoundWork(
                         job(Shape.ARRAY, 5, 2, null, false), 90, 5, Map.of("east", 3), zones));
     }
 }
--- a/src/test/java/io/pepperfield/config/SettingsTest.java
+++ b/src/test/java/io/pepperfield/config/SettingsTest.java
@@ -53,7 +53,7 @@
     private static String fault(String toml) {
         return assertThrows(
                         SettingsException.class,
-                        () -> SettingsReader.parse("f.toml", toml, Operators.DEFAULTS))
+                        () -> SettingsReader.parse("f.toml", toml, OperatorSettings.DEFAULTS))
                 .getMessage();
     }
 
@@ -71,11 +71,11 @@
         // Read as a limit of nothing, every job of theirs would be refused for good.
         assertEquals(
                 Double.POSITIVE_INFINITY,
-                SettingsReader.parse("f.toml", guests, Operators.DEFAULTS)
+                SettingsReader.parse("f.toml", guests, OperatorSettings.DEFAULTS)
                         .deployment()
                         .teams()
                         .get("guests")
-                        .cpusMax());
+                        .cpuLimit());
     }
 
     @Test
@@ -84,9 +84,11 @@
                 GOOD.replace(
                         "[deployment.cloud]",
                         "[deployment.state.next]\nvalue_kb = 2.0\ntxn_ops = 13\nrps = 900.0\n[deployment.cloud]");
-        Settings.State state =
-                SettingsReader.parse("f.toml", next, Operators.DEFAULTS).deployment().state();
-        assertEquals(new Settings.State(150, 50, 2, 13), state);
+        Settings.StoreLimits state =
+                SettingsReader.parse("f.toml", next, OperatorSettings.DEFAULTS)
+                        .deployment()
+                        .storeLimits();
+        assertEquals(new Settings.StoreLimits(150, 50, 2, 13), state);
         String fault = fault(next.replace("value_kb = 2.0", "value_kb = \"small\""));
         assertTrue(
                 fault.contains("deployment.state.next.value_kb = \"small\": want a number from 1"),
@@ -95,9 +97,9 @@
 
     @Test
     void readsWhatThePlatformHandsOver() throws SettingsException {
-        Settings settings = SettingsReader.parse("f.toml", GOOD, Operators.DEFAULTS);
-        assertEquals(2.5, settings.deployment().workers().reportS());
-        assertEquals(32, settings.deployment().teams().get("red").cpusMax());
+        Settings settings = SettingsReader.parse("f.toml", GOOD, OperatorSettings.DEFAULTS);
+        assertEquals(2.5, settings.deployment().workerTimings().heartbeatIntervalS());
+        assertEquals(32, settings.deployment().teams().get("red").cpuLimit());
     }
 
     @Test
@@ -114,18 +116,19 @@
         assertTrue(fault("node = ").contains("is not TOML in line 1"));
     }
 
-    private static Operators xml(String text) throws SettingsException {
-        return OperatorsReader.parse("f.xml", text.getBytes(StandardCharsets.UTF_8));
+    private static OperatorSettings xml(String text) throws SettingsException {
+        return OperatorSettingsReader.parse("f.xml", text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
     void readsOperatorsXmlAndRefusesSlips() throws SettingsException {
-        assertEquals(90, xml("<pepperfield><charge-s>90</charge-s></pepperfield>").chargeS());
-        assertEquals(Operators.DEFAULTS, xml("<pepperfield/>"));
+        assertEquals(90, xml("<pepperfield><charge-s>90</charge-s></pepperfield>").billingUnitS());
+        assertEquals(OperatorSettings.DEFAULTS, xml("<pepperfield/>"));
         assertTrue(
-                xml("<pepperfield><rollout>on</rollout></pepperfield>").enabled(Feature.ROLLOUT));
+                xml("<pepperfield><rollout>on</rollout></pepperfield>").isEnabled(Feature.ROLLOUT));
         assertFalse(
-                xml("<pepperfield><rollout>off</rollout></pepperfield>").enabled(Feature.ROLLOUT));
+                xml("<pepperfield><rollout>off</rollout></pepperfield>")
+                        .isEnabled(Feature.ROLLOUT));
         assertEquals(
                 "f.xml: <rollout> = \"maybe\": want on or off",
                 assertThrows(
@@ -146,22 +149,23 @@
 
     @Test
     void aQuotaThatIsTooSmallIsNamedAndNothingMore() {
-        assertEquals(List.of(), Shortage.of(new Settings.Quota(0.34, 263, 1200), 128));
+        assertEquals(
+                List.of(), QuotaShortage.warnings(new Settings.ProcessQuota(0.34, 263, 1200), 128));
         assertEquals(
                 List.of(
                         "deployment.quota.mem_mb = 200, and the process may come to hold 224",
                         "deployment.quota.sockets = 40, and 64 are needed before any worker reports"),
-                Shortage.of(new Settings.Quota(0.34, 200, 40), 128));
+                QuotaShortage.warnings(new Settings.ProcessQuota(0.34, 200, 40), 128));
     }
 
     @Test
     void admissionIsOffAndItsSlipsAreRefusedWithPlaceAndRange() throws SettingsException {
-        assertFalse(Operators.DEFAULTS.enabled(Feature.ADMISSION));
-        Operators on =
+        assertFalse(OperatorSettings.DEFAULTS.isEnabled(Feature.ADMISSION));
+        OperatorSettings on =
                 xml(
                         "<pepperfield><admission>on</admission><admission-share>0.4</admission-share>"
                                 + "<team-weight team=\"red\">3</team-weight></pepperfield>");
-        assertTrue(on.enabled(Feature.ADMISSION));
+        assertTrue(on.isEnabled(Feature.ADMISSION));
         assertEquals(0.4, on.admission().acceptanceShare());
         assertEquals(3, on.admission().weights().get("red"));
         SettingsReader.parse("f.toml", GOOD, on);
@@ -181,7 +185,7 @@
             assertTrue(why.contains("want a number from"), why);
             assertTrue(why.contains(slip.substring(0, slip.indexOf('>'))), why);
         }
-        Operators unknown =
+        OperatorSettings unknown =
                 xml("<pepperfield><team-weight team=\"green\">2</team-weight></pepperfield>");
         String why =
                 assertThrows(
--- a/src/test/java/io/pepperfield/node/ConcurrentFailuresTest.java
+++ b/src/test/java/io/pepperfield/controller/ConcurrentFailuresTest.java
@@ -1,39 +1,39 @@
-package io.pepperfield.node;
+package io.pepperfield.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.pepperfield.standin.Region;
+import io.pepperfield.standin.Fault.CancelAtEnd;
+import io.pepperfield.standin.Fault.CancelNow;
+import io.pepperfield.standin.Fault.ControllerCrash;
+import io.pepperfield.standin.Fault.ControllerPartition;
+import io.pepperfield.standin.Fault.ControllerPause;
+import io.pepperfield.standin.Fault.ControllerSelector;
+import io.pepperfield.standin.Fault.DelayedOrders;
+import io.pepperfield.standin.Fault.DelayedWrites;
+import io.pepperfield.standin.Fault.InvalidRequests;
+import io.pepperfield.standin.Fault.LeaderChanges;
+import io.pepperfield.standin.Fault.MachineHang;
+import io.pepperfield.standin.Fault.MachineLoss;
+import io.pepperfield.standin.Fault.MachinePartition;
+import io.pepperfield.standin.Fault.MachineReboot;
+import io.pepperfield.standin.Fault.MachineReceiveFailure;
+import io.pepperfield.standin.Fault.MachineSelector;
+import io.pepperfield.standin.Fault.MachineSendFailure;
+import io.pepperfield.standin.Fault.NetworkLatency;
+import io.pepperfield.standin.Fault.Pipelines;
+import io.pepperfield.standin.Fault.QueryFlood;
+import io.pepperfield.standin.Fault.QuickBoots;
+import io.pepperfield.standin.Fault.ReadAfterWriteChecks;
+import io.pepperfield.standin.Fault.ReplayedHeartbeats;
+import io.pepperfield.standin.Fault.Side;
+import io.pepperfield.standin.Fault.StoreLatency;
+import io.pepperfield.standin.Fault.StoreOutage;
+import io.pepperfield.standin.Fault.StorePartition;
+import io.pepperfield.standin.Fault.SubmissionFlood;
+import io.pepperfield.standin.Fault.Way;
+import io.pepperfield.standin.Fault.ZonePartition;
 import io.pepperfield.standin.Scenario;
-import io.pepperfield.standin.Trouble.CancelAtEnd;
-import io.pepperfield.standin.Trouble.CancelNow;
-import io.pepperfield.standin.Trouble.CommandsHeld;
-import io.pepperfield.standin.Trouble.Controllers;
-import io.pepperfield.standin.Trouble.InvalidRequests;
-import io.pepperfield.standin.Trouble.LateReports;
-import io.pepperfield.standin.Trouble.LateWrites;
-import io.pepperfield.standin.Trouble.LeaderChanges;
-import io.pepperfield.standin.Trouble.MachineCut;
-import io.pepperfield.standin.Trouble.MachineDeaf;
-import io.pepperfield.standin.Trouble.MachineDie;
-import io.pepperfield.standin.Trouble.MachineHang;
-import io.pepperfield.standin.Trouble.MachineMute;
-import io.pepperfield.standin.Trouble.MachineReboot;
-import io.pepperfield.standin.Trouble.Machines;
-import io.pepperfield.standin.Trouble.ManyQuestions;
-import io.pepperfield.standin.Trouble.NodeCrash;
-import io.pepperfield.standin.Trouble.NodeCut;
-import io.pepperfield.standin.Trouble.NodeFreeze;
-import io.pepperfield.standin.Trouble.Pipelines;
-import io.pepperfield.standin.Trouble.QuickBoots;
-import io.pepperfield.standin.Trouble.ReadAfterWriteChecks;
-import io.pepperfield.standin.Trouble.Side;
-import io.pepperfield.standin.Trouble.SlowLinks;
-import io.pepperfield.standin.Trouble.StateCut;
-import io.pepperfield.standin.Trouble.StateOutage;
-import io.pepperfield.standin.Trouble.StateSlow;
-import io.pepperfield.standin.Trouble.Swarm;
-import io.pepperfield.standin.Trouble.Way;
-import io.pepperfield.standin.Trouble.ZoneCut;
+import io.pepperfield.standin.SimulatedRegion;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -53,14 +53,14 @@
     }
 
     private static void playOnce(Scenario scenario, long seed) {
-        Region region = new Region(seed);
+        SimulatedRegion region = new SimulatedRegion(seed);
         region.play(scenario);
         region.world.run(scenario.endsAt());
         String day = "seed " + seed + " of " + scenario;
-        assertEquals(List.of(), region.broken, day);
-        assertEquals(List.of(), region.unfinished(), day);
-        assertEquals(List.of(), region.unanswered(), day);
-        assertEquals(List.of(), region.leftOver(), day);
+        assertEquals(List.of(), region.violations, day);
+        assertEquals(List.of(), region.unfinishedJobs(), day);
+        assertEquals(List.of(), region.unansweredQueries(), day);
+        assertEquals(List.of(), region.leftoverJobs(), day);
         assertEquals(List.of(), region.reusedRentalNames(), day);
     }
 
@@ -72,16 +72,21 @@
     void theStateServiceRefusesTheLeaderAndThenEverybodyWhileUsersCancel(long seed, double apartS) {
         play(
                 Scenario.jobs(20, 2)
-                        .at(40, new StateCut(Controllers.LEADER, Way.REFUSE, apartS + 1))
+                        .at(
+                                40,
+                                new StorePartition(
+                                        ControllerSelector.LEADER, Way.REFUSE, apartS + 1))
                         .at(40.1, new CancelNow(6, 0))
-                        .at(40 + apartS, new StateOutage(1.5 * Region.CANCEL_S)),
+                        .at(
+                                40 + apartS,
+                                new StoreOutage(1.5 * SimulatedRegion.CANCELLATION_DEADLINE_S)),
                 seed);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void oneTaskJobsComeFourASecondAndAQuarterIsCancelled(long seed) {
-        play(Scenario.jobs(6, 4).at(20, new Swarm(4, 60)), seed);
+        play(Scenario.jobs(6, 4).at(20, new SubmissionFlood(4, 60)), seed);
     }
 
     @ParameterizedTest
@@ -89,7 +94,7 @@
     void transactionsWithoutAnAnswerAreCarriedOutAfterNewerOnes(long seed) {
         play(
                 Scenario.jobs(24, 2)
-                        .at(20, new LateWrites(0.2, 40, false))
+                        .at(20, new DelayedWrites(0.2, 40, false))
                         .at(35, new CancelNow(4, 0)),
                 seed);
     }
@@ -100,7 +105,7 @@
         play(
                 Scenario.jobs(24, 2)
                         .at(10, new ReadAfterWriteChecks(60))
-                        .at(15, new LateWrites(0.2, 40, true))
+                        .at(15, new DelayedWrites(0.2, 40, true))
                         .at(35, new CancelNow(4, 0)),
                 seed);
     }
@@ -109,7 +114,7 @@
     @ValueSource(longs = {1, 2, 3})
     void leadersChangeTenTimesInTwoMinutesAndInAnOutage(long seed) {
         play(
-                Scenario.jobs(40, 3).at(30, new LeaderChanges(10, 120)).at(70, new StateOutage(15)),
+                Scenario.jobs(40, 3).at(30, new LeaderChanges(10, 120)).at(70, new StoreOutage(15)),
                 seed);
     }
 
@@ -118,7 +123,12 @@
     void aZoneWithWorkersAndAControllerIsCutOffForLongerThanALease(long seed) {
         play(
                 Scenario.jobs(24, 2)
-                        .at(35, new ZoneCut("east", Controllers.afterLeader(1), 2 * Region.LEASE_S))
+                        .at(
+                                35,
+                                new ZonePartition(
+                                        "east",
+                                        ControllerSelector.afterLeader(1),
+                                        2 * SimulatedRegion.LEASE_S))
                         .at(37, new CancelNow(4, 0)),
                 seed);
     }
@@ -128,7 +138,12 @@
     void aZoneWithTheLeaderIsCutOffForLongerThanALease(long seed) {
         play(
                 Scenario.jobs(24, 2)
-                        .at(35, new ZoneCut("west", Controllers.LEADER, 2 * Region.LEASE_S))
+                        .at(
+                                35,
+                                new ZonePartition(
+                                        "west",
+                                        ControllerSelector.LEADER,
+                                        2 * SimulatedRegion.LEASE_S))
                         .at(37, new CancelNow(4, 0)),
                 seed);
     }
@@ -139,7 +154,10 @@
         play(
                 Scenario.jobs(24, 2)
                         .at(35, new CancelNow(4, 0))
-                        .at(35.2, new NodeCrash(Controllers.ALL, 1.5 * Region.LEASE_S)),
+                        .at(
+                                35.2,
+                                new ControllerCrash(
+                                        ControllerSelector.ALL, 1.5 * SimulatedRegion.LEASE_S)),
                 seed);
     }
 
@@ -148,9 +166,9 @@
     void newMachinesGetWorkAtOnceWhileWritesLagAndTheLeaderEnds(long seed) {
         play(
                 Scenario.jobs(30, 1)
-                        .at(9, new QuickBoots(60), new LateWrites(0.3, 40, false))
-                        .at(14, new NodeCrash(Controllers.LEADER, 3))
-                        .at(30, new NodeCrash(Controllers.LEADER, 0.2)),
+                        .at(9, new QuickBoots(60), new DelayedWrites(0.3, 40, false))
+                        .at(14, new ControllerCrash(ControllerSelector.LEADER, 3))
+                        .at(30, new ControllerCrash(ControllerSelector.LEADER, 0.2)),
                 seed);
     }
 
@@ -159,7 +177,7 @@
     void theStateServiceAnswersSlowlyWhileUsersCancelAndAsk(long seed) {
         play(
                 Scenario.jobs(24, 2)
-                        .at(25, new StateSlow(0.5, 40), new ManyQuestions(40))
+                        .at(25, new StoreLatency(0.5, 40), new QueryFlood(40))
                         .at(35, new CancelNow(4, 0))
                         .at(50, new CancelNow(4, 0)),
                 seed);
@@ -172,12 +190,12 @@
                 Scenario.jobs(24, 2)
                         .at(
                                 30,
-                                new ManyQuestions(60),
-                                new StateCut(Controllers.LEADER, Way.REFUSE, 1))
+                                new QueryFlood(60),
+                                new StorePartition(ControllerSelector.LEADER, Way.REFUSE, 1))
                         .at(30.2, new CancelNow(3, 0))
-                        .at(36, new StateCut(Controllers.LEADER, Way.REFUSE, 8))
+                        .at(36, new StorePartition(ControllerSelector.LEADER, Way.REFUSE, 8))
                         .at(37, new CancelNow(3, 0))
-                        .at(42, new StateOutage(1.5 * Region.CANCEL_S)),
+                        .at(42, new StoreOutage(1.5 * SimulatedRegion.CANCELLATION_DEADLINE_S)),
                 seed);
     }
 
@@ -186,10 +204,10 @@
     void anOldReportReachesEveryControllerJustAsANewLeaderBegins(long seed) {
         play(
                 Scenario.jobs(30, 2)
-                        .at(20, new LateReports(0.3, 60, true))
-                        .at(35, new NodeCrash(Controllers.LEADER, 5))
-                        .at(50, new MachineReboot(Machines.count(2)))
-                        .at(55, new NodeCrash(Controllers.LEADER, 0.2)),
+                        .at(20, new ReplayedHeartbeats(0.3, 60, true))
+                        .at(35, new ControllerCrash(ControllerSelector.LEADER, 5))
+                        .at(50, new MachineReboot(MachineSelector.count(2)))
+                        .at(55, new ControllerCrash(ControllerSelector.LEADER, 0.2)),
                 seed);
     }
 
@@ -198,8 +216,8 @@
     void thereIsMoreWorkThanRoomOverSlowLinks(long seed) {
         play(
                 Scenario.jobs(60, 0.5)
-                        .at(10, new SlowLinks(0.15, 50))
-                        .at(20, new Swarm(4, 20))
+                        .at(10, new NetworkLatency(0.15, 50))
+                        .at(20, new SubmissionFlood(4, 20))
                         .at(30, new CancelNow(6, 0)),
                 seed);
     }
@@ -211,11 +229,11 @@
                 Scenario.jobs(24, 2)
                         .at(
                                 35,
-                                new NodeCut(
-                                        Controllers.LEADER,
+                                new ControllerPartition(
+                                        ControllerSelector.LEADER,
                                         Set.of(Side.STATE, Side.PEERS),
                                         Way.HOLD,
-                                        2 * Region.CANCEL_S))
+                                        2 * SimulatedRegion.CANCELLATION_DEADLINE_S))
                         .at(38, new CancelNow(4, 0))
                         .at(45, new CancelNow(4, 0)),
                 seed);
@@ -229,9 +247,9 @@
                         .at(25, new LeaderChanges(4, 16))
                         .at(
                                 45,
-                                new NodeCrash(Controllers.node(0), 0.3),
-                                new NodeCrash(Controllers.node(1), 15),
-                                new NodeCrash(Controllers.node(2), 15))
+                                new ControllerCrash(ControllerSelector.node(0), 0.3),
+                                new ControllerCrash(ControllerSelector.node(1), 15),
+                                new ControllerCrash(ControllerSelector.node(2), 15))
                         .at(46, new CancelNow(3, 0)),
                 seed);
     }
@@ -241,9 +259,12 @@
     void teamsAreAtTheirLimitWhileCancelledTasksAreOutOfReachAndTheLeaderChanges(long seed) {
         play(
                 Scenario.jobs(42, 0.6)
-                        .at(30, new MachineCut(Machines.share(0.4), 1.5 * Region.LEASE_S))
-                        .at(30.5, new CancelNow(8, 2 * Region.LEASE_S))
-                        .at(31, new NodeCrash(Controllers.LEADER, 2)),
+                        .at(
+                                30,
+                                new MachinePartition(
+                                        MachineSelector.share(0.4), 1.5 * SimulatedRegion.LEASE_S))
+                        .at(30.5, new CancelNow(8, 2 * SimulatedRegion.LEASE_S))
+                        .at(31, new ControllerCrash(ControllerSelector.LEADER, 2)),
                 seed);
     }
 
@@ -254,8 +275,9 @@
                 Scenario.jobs(42, 0.6)
                         .at(
                                 30,
-                                new NodeCrash(Controllers.LEADER, 3),
-                                new MachineCut(Machines.count(4), 2 * Region.LEASE_S))
+                                new ControllerCrash(ControllerSelector.LEADER, 3),
+                                new MachinePartition(
+                                        MachineSelector.count(4), 2 * SimulatedRegion.LEASE_S))
                         .at(32, new CancelNow(6, 0)),
                 seed);
     }
@@ -267,7 +289,7 @@
                 Scenario.jobs(30, 2)
                         .at(8, new ReadAfterWriteChecks(70))
                         .at(35, new CancelNow(5, 0))
-                        .at(40, new NodeCrash(Controllers.LEADER, 0.3)),
+                        .at(40, new ControllerCrash(ControllerSelector.LEADER, 0.3)),
                 seed);
     }
 
@@ -282,7 +304,10 @@
     void workersReachNoControllerWhileDirectCommandsReachThem(long seed) {
         play(
                 Scenario.jobs(24, 2)
-                        .at(30, new MachineMute(Machines.share(0.5), 2 * Region.LEASE_S))
+                        .at(
+                                30,
+                                new MachineSendFailure(
+                                        MachineSelector.share(0.5), 2 * SimulatedRegion.LEASE_S))
                         .at(32, new CancelNow(4, 0)),
                 seed);
     }
@@ -292,9 +317,9 @@
     void aReportIsHeldBackUntilANewLeaderHasActed(long seed) {
         play(
                 Scenario.jobs(30, 2)
-                        .at(25, new LateReports(0.4, 30, false))
-                        .at(35, new NodeCrash(Controllers.LEADER, 3))
-                        .at(48, new NodeCrash(Controllers.LEADER, 3)),
+                        .at(25, new ReplayedHeartbeats(0.4, 30, false))
+                        .at(35, new ControllerCrash(ControllerSelector.LEADER, 3))
+                        .at(48, new ControllerCrash(ControllerSelector.LEADER, 3)),
                 seed);
     }
 
@@ -303,9 +328,12 @@
     void oldReportsArriveAfterNewerOnesOfLaterSessionsAndAttempts(long seed) {
         play(
                 Scenario.jobs(30, 2)
-                        .at(20, new LateReports(0.5, 50, false))
-                        .at(30, new MachineDeaf(Machines.share(0.4), 1.5 * Region.LEASE_S))
-                        .at(50, new MachineReboot(Machines.count(3)))
+                        .at(20, new ReplayedHeartbeats(0.5, 50, false))
+                        .at(
+                                30,
+                                new MachineReceiveFailure(
+                                        MachineSelector.share(0.4), 1.5 * SimulatedRegion.LEASE_S))
+                        .at(50, new MachineReboot(MachineSelector.count(3)))
                         .at(52, new CancelNow(4, 0)),
                 seed);
     }
@@ -315,8 +343,8 @@
     void commandsAreHeldUpAndMachinesGoOn(long seed) {
         play(
                 Scenario.jobs(30, 2)
-                        .at(20, new CommandsHeld(Machines.share(1), 4, 30))
-                        .at(30, new MachineHang(Machines.share(0.4), 4))
+                        .at(20, new DelayedOrders(MachineSelector.share(1), 4, 30))
+                        .at(30, new MachineHang(MachineSelector.share(0.4), 4))
                         .at(31, new CancelNow(5, 0)),
                 seed);
     }
@@ -326,8 +354,8 @@
     void jobsBoundToAZoneLoseTheirMachines(long seed) {
         play(
                 Scenario.jobs(30, 2)
-                        .at(35, new MachineDie(Machines.zone("east")))
-                        .at(55, new MachineDie(Machines.zone("west"))),
+                        .at(35, new MachineLoss(MachineSelector.zone("east")))
+                        .at(55, new MachineLoss(MachineSelector.zone("west"))),
                 seed);
     }
 
@@ -336,9 +364,15 @@
     void aLeaderEndsWhileMachinesCannotBeReachedOrDoNotHear(long seed) {
         play(
                 Scenario.jobs(24, 2)
-                        .at(30, new MachineCut(Machines.count(3), 1.5 * Region.LEASE_S))
-                        .at(31, new MachineDeaf(Machines.count(3), Region.LEASE_S))
-                        .at(32, new NodeCrash(Controllers.LEADER, 4))
+                        .at(
+                                30,
+                                new MachinePartition(
+                                        MachineSelector.count(3), 1.5 * SimulatedRegion.LEASE_S))
+                        .at(
+                                31,
+                                new MachineReceiveFailure(
+                                        MachineSelector.count(3), SimulatedRegion.LEASE_S))
+                        .at(32, new ControllerCrash(ControllerSelector.LEADER, 4))
                         .at(33, new CancelNow(4, 0)),
                 seed);
     }
@@ -348,9 +382,9 @@
     void jobsAreCancelledWhileAControllersWorkChangesHands(long seed) {
         play(
                 Scenario.jobs(30, 2)
-                        .at(30, new NodeCrash(Controllers.afterLeader(1), 10))
+                        .at(30, new ControllerCrash(ControllerSelector.afterLeader(1), 10))
                         .at(30.5, new CancelNow(4, 0))
-                        .at(45, new NodeFreeze(Controllers.afterLeader(2), 8))
+                        .at(45, new ControllerPause(ControllerSelector.afterLeader(2), 8))
                         .at(46, new CancelNow(4, 0))
                         .at(53.2, new CancelNow(3, 0)),
                 seed);
@@ -370,10 +404,19 @@
     void aRunOrderIsHeldForLongerThanACancellationMayTake(long seed) {
         play(
                 Scenario.jobs(30, 1)
-                        .at(15, new CommandsHeld(Machines.share(0.6), 1.2 * Region.CANCEL_S, 15))
+                        .at(
+                                15,
+                                new DelayedOrders(
+                                        MachineSelector.share(0.6),
+                                        1.2 * SimulatedRegion.CANCELLATION_DEADLINE_S,
+                                        15))
                         .at(20, new CancelNow(6, 0))
-                        .at(20.5, new StateOutage(1.5 * Region.CANCEL_S))
-                        .at(21, new NodeCrash(Controllers.LEADER, 2 * Region.CANCEL_S)),
+                        .at(20.5, new StoreOutage(1.5 * SimulatedRegion.CANCELLATION_DEADLINE_S))
+                        .at(
+                                21,
+                                new ControllerCrash(
+                                        ControllerSelector.LEADER,
+                                        2 * SimulatedRegion.CANCELLATION_DEADLINE_S)),
                 seed);
     }
 
@@ -384,7 +427,13 @@
     @ParameterizedTest
     @CsvSource({"1, 3", "2, 3", "3, 3", "1, 8", "2, 8", "3, 8", "6001, 6", "7002, 6"})
     void jobsAreCancelledWhoseMachinesHang(long seed, int jobs) {
-        play(Scenario.jobs(30, 1).at(30, new CancelNow(jobs, 1.25 * Region.CANCEL_S)), seed);
+        play(
+                Scenario.jobs(30, 1)
+                        .at(
+                                30,
+                                new CancelNow(
+                                        jobs, 1.25 * SimulatedRegion.CANCELLATION_DEADLINE_S)),
+                seed);
     }
 
     @ParameterizedTest
@@ -392,7 +441,11 @@
     void mostMachinesHangForLongerThanACancellationMayTake(long seed) {
         play(
                 Scenario.jobs(24, 2)
-                        .at(35, new MachineHang(Machines.share(0.7), 1.5 * Region.CANCEL_S))
+                        .at(
+                                35,
+                                new MachineHang(
+                                        MachineSelector.share(0.7),
+                                        1.5 * SimulatedRegion.CANCELLATION_DEADLINE_S))
                         .at(35.5, new CancelNow(6, 0)),
                 seed);
     }
@@ -402,12 +455,15 @@
     void machinesAreDeafWhileJobsAreCancelledAndTheStateServiceAndTheLeaderEnd(long seed) {
         play(
                 Scenario.jobs(24, 2)
-                        .at(33, new MachineDeaf(Machines.share(1), 0.6 * Region.LEASE_S))
+                        .at(
+                                33,
+                                new MachineReceiveFailure(
+                                        MachineSelector.share(1), 0.6 * SimulatedRegion.LEASE_S))
                         .at(34, new CancelNow(6, 0))
                         .at(
                                 36,
-                                new StateOutage(1.5 * Region.CANCEL_S),
-                                new NodeCrash(Controllers.LEADER, 5)),
+                                new StoreOutage(1.5 * SimulatedRegion.CANCELLATION_DEADLINE_S),
+                                new ControllerCrash(ControllerSelector.LEADER, 5)),
                 seed);
     }
 
@@ -417,8 +473,8 @@
         play(
                 Scenario.jobs(24, 2)
                         .at(9, new InvalidRequests(60))
-                        .at(30, new NodeCrash(Controllers.LEADER, 1))
-                        .at(40, new StateOutage(5)),
+                        .at(30, new ControllerCrash(ControllerSelector.LEADER, 1))
+                        .at(40, new StoreOutage(5)),
                 seed);
     }
 
@@ -433,9 +489,9 @@
     void pipelinesMeetLeadersThatChangeLateWritesAndAnOutage(long seed) {
         play(
                 Scenario.jobs(12, 4)
-                        .at(10, new Pipelines(15, 60), new LateWrites(0.15, 60, false))
+                        .at(10, new Pipelines(15, 60), new DelayedWrites(0.15, 60, false))
                         .at(30, new LeaderChanges(5, 40))
-                        .at(45, new StateOutage(12))
+                        .at(45, new StoreOutage(12))
                         .at(50, new CancelNow(4, 0)),
                 seed);
     }
@@ -447,9 +503,9 @@
                 Scenario.jobs(12, 4)
                         .at(10, new Pipelines(15, 50), new ReadAfterWriteChecks(60))
                         .at(25, new CancelAtEnd(0.3, 40))
-                        .at(35, new StateCut(Controllers.LEADER, Way.REFUSE, 2))
+                        .at(35, new StorePartition(ControllerSelector.LEADER, Way.REFUSE, 2))
                         .at(35.1, new CancelNow(6, 0))
-                        .at(36, new StateOutage(1.5 * Region.CANCEL_S)),
+                        .at(36, new StoreOutage(1.5 * SimulatedRegion.CANCELLATION_DEADLINE_S)),
                 seed);
     }
 
@@ -458,11 +514,11 @@
     void pipelinesMeetMachinesThatAreDeafMuteOrHangAndAllControllersEnd(long seed) {
         play(
                 Scenario.jobs(8, 4)
-                        .at(10, new Pipelines(15, 50), new LateReports(0.2, 50, false))
-                        .at(25, new MachineDeaf(Machines.share(0.3), 8))
-                        .at(30, new MachineMute(Machines.count(2), 10))
+                        .at(10, new Pipelines(15, 50), new ReplayedHeartbeats(0.2, 50, false))
+                        .at(25, new MachineReceiveFailure(MachineSelector.share(0.3), 8))
+                        .at(30, new MachineSendFailure(MachineSelector.count(2), 10))
                         .at(35, new CancelNow(4, 10))
-                        .at(40, new NodeCrash(Controllers.ALL, 4)),
+                        .at(40, new ControllerCrash(ControllerSelector.ALL, 4)),
                 seed);
     }
 }
--- a/src/test/java/io/pepperfield/node/DecisionDigestTest.java
+++ b/src/test/java/io/pepperfield/controller/DecisionDigestTest.java
@@ -1,4 +1,4 @@
-package io.pepperfield.node;
+package io.pepperfield.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,7 +8,7 @@
 
 import io.pepperfield.standin.Decision;
 import io.pepperfield.standin.DecisionDigest;
-import io.pepperfield.standin.Region;
+import io.pepperfield.standin.SimulatedRegion;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -38,14 +38,14 @@
     @ParameterizedTest
     @EnumSource(DecisionDay.class)
     void aDayIsDecidedAsBefore(DecisionDay day) throws IOException {
-        Region region = day.play();
+        SimulatedRegion region = day.play();
         List<String> digest = DecisionDigest.of(region.decisions.entries());
         if (Boolean.getBoolean(WRITE)) {
             write(KEPT, day.label() + DIGEST, digest);
             fail("Written, not compared: " + day.label() + DIGEST);
         }
         assertSameLines(day, kept(day.label() + DIGEST), digest, region.decisions.lines());
-        assertEquals(List.of(), region.broken);
+        assertEquals(List.of(), region.violations);
     }
 
     @ParameterizedTest
--- a/src/test/java/io/pepperfield/node/LargeFleetTest.java
+++ b/src/test/java/io/pepperfield/controller/LargeFleetTest.java
@@ -1,9 +1,9 @@
-package io.pepperfield.node;
+package io.pepperfield.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pepperfield.standin.Region;
+import io.pepperfield.standin.SimulatedRegion;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -19,12 +19,12 @@
 
     @Test
     void fourAndAHalfThousandMachinesAreRentedAndAllWork() {
-        Region region = Region.large(1, MACHINES);
+        SimulatedRegion region = SimulatedRegion.large(1, MACHINES);
         region.world.run(5);
         // What may wait has machines for about half of it at a time.
         int arrays = 40;
         for (int number = 1; number <= arrays; number++) {
-            region.jobs.submitWide(number, 2 * MACHINES / arrays, CPUS);
+            region.jobMix.submitWide(number, 2 * MACHINES / arrays, CPUS);
         }
         long began = System.nanoTime();
         int most = 0;
@@ -39,7 +39,7 @@
                 most,
                 (System.nanoTime() - began) / 1e9,
                 runtime.maxMemory() / (1024 * 1024));
-        assertEquals(List.of(), region.broken);
+        assertEquals(List.of(), region.violations);
         assertTrue(region.machines().size() >= MACHINES, region.machines().size() + " machines");
         assertTrue(most >= MACHINES, most + " tasks at once");
     }
--- a/src/test/java/io/pepperfield/node/LoopbackTest.java
+++ b/src/test/java/io/pepperfield/controller/LoopbackTest.java
@@ -1,10 +1,10 @@
-package io.pepperfield.node;
+package io.pepperfield.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.cli.Main;
-import io.pepperfield.config.Operators;
+import io.pepperfield.config.OperatorSettings;
 import io.pepperfield.config.Settings;
 import io.pepperfield.config.SettingsReader;
 import io.pepperfield.http.Json;
@@ -26,7 +26,7 @@
 class LoopbackTest {
 
     private LoopbackRegion region;
-    private final List<Service> services = new ArrayList<>();
+    private final List<ControllerServer> services = new ArrayList<>();
     private final List<Thread> owners = new ArrayList<>();
 
     @BeforeEach
@@ -34,8 +34,9 @@
         region = new LoopbackRegion(3);
         for (int i = 0; i < 3; i++) {
             Settings settings =
-                    SettingsReader.parse("node-" + i, region.settings(i), Operators.DEFAULTS);
-            Service service = new Service(settings);
+                    SettingsReader.parse(
+                            "node-" + i, region.settings(i), OperatorSettings.DEFAULTS);
+            ControllerServer service = new ControllerServer(settings);
             service.start();
             services.add(service);
             Thread owner = new Thread(service::run);
@@ -46,7 +47,7 @@
 
     @AfterEach
     void stop() throws InterruptedException {
-        services.forEach(Service::stop);
+        services.forEach(ControllerServer::stop);
         for (Thread owner : owners) {
             owner.join();
         }
--- a/src/test/java/io/pepperfield/node/PipelineSimulationTest.java
+++ b/src/test/java/io/pepperfield/controller/PipelineSimulationTest.java
@@ -1,24 +1,24 @@
-package io.pepperfield.node;
+package io.pepperfield.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pepperfield.standin.CancelMoment;
+import io.pepperfield.standin.Fault.CancelNow;
+import io.pepperfield.standin.Fault.ControllerCrash;
+import io.pepperfield.standin.Fault.ControllerSelector;
+import io.pepperfield.standin.Fault.DelayedWrites;
+import io.pepperfield.standin.Fault.InvalidRequests;
+import io.pepperfield.standin.Fault.LeaderChanges;
+import io.pepperfield.standin.Fault.ReadAfterWriteChecks;
+import io.pepperfield.standin.Fault.ReplayedHeartbeats;
+import io.pepperfield.standin.Fault.StoreLatency;
+import io.pepperfield.standin.Fault.StoreOutage;
+import io.pepperfield.standin.Fault.StorePartition;
+import io.pepperfield.standin.Fault.Way;
 import io.pepperfield.standin.PipelineShape;
-import io.pepperfield.standin.Region;
 import io.pepperfield.standin.Scenario;
-import io.pepperfield.standin.Trouble.CancelNow;
-import io.pepperfield.standin.Trouble.Controllers;
-import io.pepperfield.standin.Trouble.InvalidRequests;
-import io.pepperfield.standin.Trouble.LateReports;
-import io.pepperfield.standin.Trouble.LateWrites;
-import io.pepperfield.standin.Trouble.LeaderChanges;
-import io.pepperfield.standin.Trouble.NodeCrash;
-import io.pepperfield.standin.Trouble.ReadAfterWriteChecks;
-import io.pepperfield.standin.Trouble.StateCut;
-import io.pepperfield.standin.Trouble.StateOutage;
-import io.pepperfield.standin.Trouble.StateSlow;
-import io.pepperfield.standin.Trouble.Way;
+import io.pepperfield.standin.SimulatedRegion;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -50,7 +50,7 @@
     }
 
     /** A pipeline of the shape for each of its jobs and each moment of a cancellation. */
-    private static void submitAll(Region region, PipelineShape shape) {
+    private static void submitAll(SimulatedRegion region, PipelineShape shape) {
         int pipelines = 0;
         for (CancelMoment moment : CancelMoment.values()) {
             for (int cancelled = 0; cancelled < shape.jobs(); cancelled++) {
@@ -64,16 +64,16 @@
     }
 
     private static void playOnce(Scenario scenario, PipelineShape shape, long seed) {
-        Region region = new Region(seed);
+        SimulatedRegion region = new SimulatedRegion(seed);
         region.play(scenario);
         submitAll(region, shape);
         region.world.run(scenario.endsAt());
         String which = "seed " + seed + ", " + shape + " in " + scenario;
-        assertEquals(List.of(), region.broken, which);
-        assertEquals(List.of(), region.unfinished(), which);
+        assertEquals(List.of(), region.violations, which);
+        assertEquals(List.of(), region.unfinishedJobs(), which);
         assertEquals(List.of(), region.pipelines.wronglyEnded(), which);
-        assertEquals(List.of(), region.unanswered(), which);
-        assertEquals(List.of(), region.leftOver(), which);
+        assertEquals(List.of(), region.unansweredQueries(), which);
+        assertEquals(List.of(), region.leftoverJobs(), which);
         assertTrue(region.pipelines.cancelled() >= shape.jobs(), which);
     }
 
@@ -88,7 +88,10 @@
     void leadersChangeWhileTransactionsAreCarriedOutLate(PipelineShape shape) {
         play(
                 day(shape)
-                        .at(12, new LateWrites(0.2, 50, false), new LateReports(0.2, 50, false))
+                        .at(
+                                12,
+                                new DelayedWrites(0.2, 50, false),
+                                new ReplayedHeartbeats(0.2, 50, false))
                         .at(15, new LeaderChanges(6, 50)),
                 shape,
                 2);
@@ -99,9 +102,9 @@
     void answersToTransactionsAreLostAndAllControllersEnd(PipelineShape shape) {
         play(
                 day(shape)
-                        .at(10, new LateWrites(0.3, 50, true), new ReadAfterWriteChecks(40))
-                        .at(25, new NodeCrash(Controllers.ALL, 3))
-                        .at(45, new NodeCrash(Controllers.LEADER, 0.2)),
+                        .at(10, new DelayedWrites(0.3, 50, true), new ReadAfterWriteChecks(40))
+                        .at(25, new ControllerCrash(ControllerSelector.ALL, 3))
+                        .at(45, new ControllerCrash(ControllerSelector.LEADER, 0.2)),
                 shape,
                 3);
     }
@@ -111,9 +114,9 @@
     void theStateServiceIsSlowAndThenOut(PipelineShape shape) {
         play(
                 day(shape)
-                        .at(12, new StateSlow(0.4, 20))
-                        .at(34, new StateOutage(8))
-                        .at(50, new StateOutage(1.5 * Region.CANCEL_S)),
+                        .at(12, new StoreLatency(0.4, 20))
+                        .at(34, new StoreOutage(8))
+                        .at(50, new StoreOutage(1.5 * SimulatedRegion.CANCELLATION_DEADLINE_S)),
                 shape,
                 4);
     }
@@ -125,9 +128,14 @@
             PipelineShape shape, long seed, double apartS) {
         play(
                 day(shape)
-                        .at(30, new StateCut(Controllers.LEADER, Way.REFUSE, apartS + 1))
+                        .at(
+                                30,
+                                new StorePartition(
+                                        ControllerSelector.LEADER, Way.REFUSE, apartS + 1))
                         .at(30.1, new CancelNow(4, 0))
-                        .at(30 + apartS, new StateOutage(1.5 * Region.CANCEL_S)),
+                        .at(
+                                30 + apartS,
+                                new StoreOutage(1.5 * SimulatedRegion.CANCELLATION_DEADLINE_S)),
                 shape,
                 seed);
     }
@@ -137,19 +145,19 @@
     void noRuleBreaksWhateverFails(PipelineShape shape, long first) {
         for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
             long seed = first + 1000L * more;
-            Region region = new Region(seed);
-            region.world.lost = 0.01;
-            region.world.late = 0.005;
-            region.world.copies = 0.01;
+            SimulatedRegion region = new SimulatedRegion(seed);
+            region.world.messageLossShare = 0.01;
+            region.world.lateDeliveryShare = 0.005;
+            region.world.duplicateDeliveryShare = 0.01;
             submitAll(region, shape);
             for (int i = 0; i < 10; i++) {
-                region.world.at(15 + 9 * i, region::trouble);
+                region.world.at(15 + 9 * i, region::injectRandomFault);
             }
             region.world.run(330);
-            assertEquals(List.of(), region.broken, "seed " + seed);
-            assertEquals(List.of(), region.unfinished(), "seed " + seed);
+            assertEquals(List.of(), region.violations, "seed " + seed);
+            assertEquals(List.of(), region.unfinishedJobs(), "seed " + seed);
             assertEquals(List.of(), region.pipelines.wronglyEnded(), "seed " + seed);
-            assertEquals(List.of(), region.unanswered(), "seed " + seed);
+            assertEquals(List.of(), region.unansweredQueries(), "seed " + seed);
         }
     }
 }
--- a/src/test/java/io/pepperfield/node/RollingRestartTest.java
+++ b/src/test/java/io/pepperfield/controller/RollingRestartTest.java
@@ -1,9 +1,9 @@
-package io.pepperfield.node;
+package io.pepperfield.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pepperfield.standin.Region;
+import io.pepperfield.standin.SimulatedRegion;
 import java.util.LinkedHashSet;
 import java.util.Set;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -24,7 +24,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void theLeadGoesToAControllerThatHasBeenRestarted(long seed) {
-        Region region = new Region(seed);
+        SimulatedRegion region = new SimulatedRegion(seed);
         Set<Integer> restarted = new LinkedHashSet<>();
         for (int turn = 0; turn < CONTROLLERS; turn++) {
             region.world.run(FIRST_RESTART_S + turn * BETWEEN_RESTARTS_S);
--- a/src/test/java/io/pepperfield/node/SimulationTest.java
+++ b/src/test/java/io/pepperfield/controller/SimulationTest.java
@@ -1,11 +1,12 @@
-package io.pepperfield.node;
+package io.pepperfield.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pepperfield.standin.Region;
+import io.pepperfield.health.ZonePartitionDetector;
+import io.pepperfield.standin.SimulatedRegion;
 import io.pepperfield.standin.WorkerStandIn;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -19,95 +20,95 @@
 class SimulationTest {
 
     /** A region in which that many jobs come from the tenth second on. */
-    private static Region region(long seed, int jobs, double everyS) {
-        Region region = new Region(seed);
+    private static SimulatedRegion region(long seed, int jobs, double everyS) {
+        SimulatedRegion region = new SimulatedRegion(seed);
         for (int i = 1; i <= jobs; i++) {
             int number = i;
-            region.world.at(10 + everyS * i, () -> region.jobs.submit(number));
+            region.world.at(10 + everyS * i, () -> region.jobMix.submit(number));
         }
         return region;
     }
 
     @Test
     void aQuietDayEndsWithEveryJobOver() {
-        Region region = region(1, 12, 3);
-        region.world.at(30, region::askForNothing);
+        SimulatedRegion region = region(1, 12, 3);
+        region.world.at(30, region::queryUnknownJob);
         region.world.run(220);
-        assertEquals(List.of(), region.broken);
+        assertEquals(List.of(), region.violations);
         assertEquals(12, region.accepted());
-        assertEquals(List.of(), region.unfinished());
+        assertEquals(List.of(), region.unfinishedJobs());
         assertEquals(0, region.runningTasks());
     }
 
     @Test
     void anOutageOfTheStateServiceCostsNoRunningWork() {
-        Region region = region(2, 6, 1);
-        region.world.at(24, () -> region.stateOutage(34));
+        SimulatedRegion region = region(2, 6, 1);
+        region.world.at(24, () -> region.storeOutage(34));
         region.world.run(150);
-        assertEquals(List.of(), region.broken);
-        assertEquals(List.of(), region.unfinished());
+        assertEquals(List.of(), region.violations);
+        assertEquals(List.of(), region.unfinishedJobs());
     }
 
     @Test
     void aMachineThatDoesNotHearGetsNoWorkAndIsReturned() {
-        Region region = region(3, 20, 3);
+        SimulatedRegion region = region(3, 20, 3);
         region.world.run(45);
         WorkerStandIn deaf =
-                region.machines().stream().filter(WorkerStandIn::busy).findFirst().orElseThrow();
-        deaf.deafen(400);
-        region.world.run(45 + 3 * Region.LEASE_S);
+                region.machines().stream().filter(WorkerStandIn::isBusy).findFirst().orElseThrow();
+        deaf.failReceiving(400);
+        region.world.run(45 + 3 * SimulatedRegion.LEASE_S);
         assertFalse(region.machines().contains(deaf), "still rented");
         region.world.run(300);
-        assertEquals(List.of(), region.broken);
-        assertEquals(List.of(), region.unfinished());
+        assertEquals(List.of(), region.violations);
+        assertEquals(List.of(), region.unfinishedJobs());
     }
 
     @Test
     void aLeaderCutFromAllButItsWorkersLetsThemGoWithinTheirLeases() {
-        Region region = region(4, 12, 2);
+        SimulatedRegion region = region(4, 12, 2);
         region.world.run(40);
         assertTrue(region.runningTasks() > 8, "tasks " + region.runningTasks());
         int lostBefore = region.lostTasks();
         String leader = region.leader();
         int alone = region.leaderIndex();
-        region.cuts.isolate(alone, 70);
+        region.networkCuts.isolate(alone, 70);
         region.world.run(50);
         // It can answer nobody: it leaves the load balancer and ends the connections that were
         // opened before.
         assertEquals(503, region.answer(alone, "GET", "/up").status());
-        assertTrue(region.answer(alone, "GET", "/api/jobs/run-999998").close());
+        assertTrue(region.answer(alone, "GET", "/api/jobs/run-999998").closeConnection());
         region.world.run(68);
         assertNotEquals(leader, region.leader());
         // No lease ran out, and no machine was given up for a silence that was the old leader's
         // doing.
         assertEquals(lostBefore, region.lostTasks());
         region.world.run(250);
-        assertEquals(List.of(), region.broken);
-        assertEquals(List.of(), region.unfinished());
-        assertEquals(List.of(), region.unanswered());
+        assertEquals(List.of(), region.violations);
+        assertEquals(List.of(), region.unfinishedJobs());
+        assertEquals(List.of(), region.unansweredQueries());
     }
 
     @Test
     void aLeaderThatStoodStillActsOnNothingItKnewBefore() {
-        Region region = region(7, 16, 2);
+        SimulatedRegion region = region(7, 16, 2);
         region.world.run(40);
         for (int i = 0; i < 6; i++) {
             // Shorter than a lease, so that workers may still turn to it; longer than its grant.
             region.world.run(40 + 9 * i);
-            region.freeze(region.leaderIndex(), region.world.now() + 1.5 + 0.5 * i);
+            region.pause(region.leaderIndex(), region.world.now() + 1.5 + 0.5 * i);
         }
         region.world.run(250);
-        assertEquals(List.of(), region.broken);
-        assertEquals(List.of(), region.unfinished());
-        assertEquals(List.of(), region.unanswered());
+        assertEquals(List.of(), region.violations);
+        assertEquals(List.of(), region.unfinishedJobs());
+        assertEquals(List.of(), region.unansweredQueries());
     }
 
     @Test
     void aZoneOutOfHearingIsNotReturnedByALeaderThatNeverHeardIt() {
-        Region region = region(8, 12, 2);
+        SimulatedRegion region = region(8, 12, 2);
         region.world.run(40);
         int leader = region.leaderIndex();
-        region.cuts.zone("east", (leader + 1) % 3, 40 + 2.5 * Region.LEASE_S);
+        region.networkCuts.zone("east", (leader + 1) % 3, 40 + 2.5 * SimulatedRegion.LEASE_S);
         // The next leader begins while half of the fleet is silent, after those machines had
         // booted.
         region.world.at(41, () -> region.crash(leader, 5));
@@ -121,80 +122,80 @@
         assertTrue(zone.size() >= 3, "machines " + zone);
         region.world.run(44);
         assertNotEquals("node-" + leader, region.leader());
-        region.world.run(40 + 2.5 * Region.LEASE_S);
+        region.world.run(40 + 2.5 * SimulatedRegion.LEASE_S);
         assertTrue(
                 region.machines().stream().map(w -> w.name).toList().containsAll(zone),
                 "returned some of " + zone);
         region.world.run(250);
-        assertEquals(List.of(), region.broken);
-        assertEquals(List.of(), region.unfinished());
-        assertEquals(List.of(), region.unanswered());
+        assertEquals(List.of(), region.violations);
+        assertEquals(List.of(), region.unfinishedJobs());
+        assertEquals(List.of(), region.unansweredQueries());
     }
 
     @Test
     void theOneControllerInsideACutGoesOnForItsZone() {
-        Region region = region(9, 0, 1);
+        SimulatedRegion region = region(9, 0, 1);
         region.world.run(10);
         int inside = (region.leaderIndex() + 1) % 3;
         for (int i = 0; i < 100; i++) {
-            region.report(inside, i % 2 == 0 ? "east" : "west");
+            region.sendHeartbeat(inside, i % 2 == 0 ? "east" : "west");
         }
         double cut = region.world.now();
-        region.cuts.zone("east", inside, cut + 40);
+        region.networkCuts.zone("east", inside, cut + 40);
         region.world.run(cut + 4);
         // Alone as far as it knows: others are to take the worker.
-        assertEquals(503, region.report(inside, "east").status());
+        assertEquals(503, region.sendHeartbeat(inside, "east").status());
         for (int i = 0; i < 12; i++) {
-            region.report(inside, "east");
+            region.sendHeartbeat(inside, "east");
         }
-        assertEquals(200, region.report(inside, "east").status());
+        assertEquals(200, region.sendHeartbeat(inside, "east").status());
         // But not beyond what it knows of cancellations.
-        region.world.run(cut + Region.CANCEL_S - Region.LEASE_S);
-        assertEquals(503, region.report(inside, "east").status());
+        region.world.run(cut + SimulatedRegion.CANCELLATION_DEADLINE_S - SimulatedRegion.LEASE_S);
+        assertEquals(503, region.sendHeartbeat(inside, "east").status());
     }
 
     @Test
     void aZonesOwnReportsAloneTellThatItIsCutOff() {
-        ZoneWatch watch = new ZoneWatch();
+        ZonePartitionDetector watch = new ZonePartitionDetector();
         for (int i = 0; i < 200; i++) {
-            watch.heard(i % 2 == 0);
-            assertFalse(watch.cutOff());
+            watch.recordHeartbeat(i % 2 == 0);
+            assertFalse(watch.isPartitioned());
         }
         for (int i = 0; i < 12; i++) {
-            watch.heard(true);
+            watch.recordHeartbeat(true);
         }
-        assertTrue(watch.cutOff());
-        watch.heard(false);
-        assertFalse(watch.cutOff());
-        ZoneWatch only = new ZoneWatch();
+        assertTrue(watch.isPartitioned());
+        watch.recordHeartbeat(false);
+        assertFalse(watch.isPartitioned());
+        ZonePartitionDetector only = new ZonePartitionDetector();
         for (int i = 0; i < 500; i++) {
-            only.heard(true);
+            only.recordHeartbeat(true);
         }
         // Where there are no others, their silence says nothing.
-        assertFalse(only.cutOff());
+        assertFalse(only.isPartitioned());
     }
 
     @Test
     void cancelledTasksEndInTimeThoughNobodyLeads() {
-        Region region = region(6, 12, 2);
+        SimulatedRegion region = region(6, 12, 2);
         region.world.run(36);
         assertTrue(region.runningTasks() > 4, "tasks " + region.runningTasks());
         // The others know of the cancellations, but give no stops; their answers must not keep the
         // tasks alive.
-        region.nobodyLeads(36 + 3 * Region.CANCEL_S);
+        region.preventElection(36 + 3 * SimulatedRegion.CANCELLATION_DEADLINE_S);
         region.cancelAll();
-        region.world.run(36 + 2 * Region.CANCEL_S);
-        assertEquals(List.of(), region.broken);
+        region.world.run(36 + 2 * SimulatedRegion.CANCELLATION_DEADLINE_S);
+        assertEquals(List.of(), region.violations);
         assertEquals(0, region.runningTasks());
         region.world.run(250);
-        assertEquals(List.of(), region.broken);
-        assertEquals(List.of(), region.unfinished());
+        assertEquals(List.of(), region.violations);
+        assertEquals(List.of(), region.unfinishedJobs());
     }
 
     @Test
     void processesThatAreBackAtOnceInMidElectionLeadNobodyAstray() {
-        Region region = region(5, 16, 2);
-        region.world.copies = 0.05;
+        SimulatedRegion region = region(5, 16, 2);
+        region.world.duplicateDeliveryShare = 0.05;
         for (int i = 0; i < 30; i++) {
             int node = i % 3;
             region.world.at(20 + 0.9 * i, () -> region.crash(node, 0.1));
@@ -202,128 +203,131 @@
             region.world.at(20.3 + 4.5 * (i / 5), () -> region.crash((node + 1) % 3, 0.15));
         }
         region.world.run(250);
-        assertEquals(List.of(), region.broken);
+        assertEquals(List.of(), region.violations);
         assertEquals(List.of(), region.reusedRentalNames());
-        assertEquals(List.of(), region.unfinished());
-        assertEquals(List.of(), region.unanswered());
+        assertEquals(List.of(), region.unfinishedJobs());
+        assertEquals(List.of(), region.unansweredQueries());
     }
 
     @Test
     void aSwarmAndALargeArrayOfGuestsAreServedFromFewChanges() {
-        Region region = region(21, 8, 3);
+        SimulatedRegion region = region(21, 8, 3);
         region.world.run(30);
-        int before = region.changes();
+        int before = region.storedMutations();
         for (int i = 0; i < 160; i++) {
             int number = 1000 + i;
-            region.world.at(30 + i / 16.0, () -> region.jobs.submitGuests(number, 1, 6));
+            region.world.at(30 + i / 16.0, () -> region.jobMix.submitGuests(number, 1, 6));
         }
-        region.world.at(31, () -> region.jobs.submitGuests(2000, 400, 2));
+        region.world.at(31, () -> region.jobMix.submitGuests(2000, 400, 2));
         region.world.run(41);
         // The submissions alone are one each; intents of their own would be as many again, and
         // completions too.
-        assertTrue(region.changes() - before < 330, "changes " + (region.changes() - before));
+        assertTrue(
+                region.storedMutations() - before < 330,
+                "changes " + (region.storedMutations() - before));
         region.world.run(160);
-        assertEquals(List.of(), region.broken);
-        assertEquals(List.of(), region.unfinished());
-        assertEquals(List.of(), region.unanswered());
+        assertEquals(List.of(), region.violations);
+        assertEquals(List.of(), region.unfinishedJobs());
+        assertEquals(List.of(), region.unansweredQueries());
     }
 
     @Test
     void jobsThatFailEverywhereHoldUpNobodyAndCostNoMachine() {
-        Region region = region(22, 0, 3);
+        SimulatedRegion region = region(22, 0, 3);
         for (int i = 1; i <= 8; i++) {
             int number = i;
-            region.world.at(10 + 2 * i, () -> region.jobs.submitGuests(number, 20, 4));
+            region.world.at(10 + 2 * i, () -> region.jobMix.submitGuests(number, 20, 4));
         }
         for (int i = 0; i < 5; i++) {
             int number = 500 + i;
-            region.world.at(12 + i, () -> region.jobs.submitMistake(number, 110));
+            region.world.at(12 + i, () -> region.jobMix.submitFailing(number, 110));
         }
         region.world.run(60);
         int rentals = region.rentals();
-        int starts = region.starts();
+        int starts = region.taskStarts();
         region.world.run(100);
         // One task at a time, after pauses that have grown by now.
-        assertTrue(region.starts() - starts <= 5 * 5, "starts " + (region.starts() - starts));
+        assertTrue(
+                region.taskStarts() - starts <= 5 * 5, "starts " + (region.taskStarts() - starts));
         assertEquals(
                 rentals,
                 region.rentals(),
                 "rented although only what fails was waiting, or returned as faulty what is not");
         region.world.run(200);
-        assertEquals(List.of(), region.broken);
-        assertEquals(List.of(), region.unfinished());
+        assertEquals(List.of(), region.violations);
+        assertEquals(List.of(), region.unfinishedJobs());
         assertEquals(0, region.runningTasks());
     }
 
     @Test
     void machinesThatComeLateAreWaitedForAndThoseThatNeverComeReplaced() {
-        Region late = new Region(23);
-        late.boots(4, 0, 60);
-        late.world.at(10, () -> late.jobs.submitGuests(1, 64, 20));
-        Region usual = new Region(23);
-        usual.world.at(10, () -> usual.jobs.submitGuests(1, 64, 20));
+        SimulatedRegion late = new SimulatedRegion(23);
+        late.slowBoots(4, 0, 60);
+        late.world.at(10, () -> late.jobMix.submitGuests(1, 64, 20));
+        SimulatedRegion usual = new SimulatedRegion(23);
+        usual.world.at(10, () -> usual.jobMix.submitGuests(1, 64, 20));
         late.world.run(140);
         usual.world.run(140);
-        assertEquals(List.of(), late.unfinished());
+        assertEquals(List.of(), late.unfinishedJobs());
         assertTrue(
                 late.rentals() <= usual.rentals() + 1,
                 "a second fleet: " + late.rentals() + " machines, usually " + usual.rentals());
-        Region never = new Region(24);
-        never.boots(1, 1, 14);
-        never.world.at(10, () -> never.jobs.submitGuests(1, 64, 5));
+        SimulatedRegion never = new SimulatedRegion(24);
+        never.slowBoots(1, 1, 14);
+        never.world.at(10, () -> never.jobMix.submitGuests(1, 64, 5));
         never.world.run(60);
-        assertEquals(List.of(), never.unfinished());
+        assertEquals(List.of(), never.unfinishedJobs());
     }
 
     @Test
     void aLeaderThatItsWorkersDoNotReachGivesTheLeadAwayOnce() {
-        Region region = region(25, 16, 2);
+        SimulatedRegion region = region(25, 16, 2);
         region.world.run(40);
         // What workers do tells of a controller only while some of them are its own.
-        while (region.partition(region.leaderIndex()) < 2 && region.world.now() < 100) {
+        while (region.partitionSize(region.leaderIndex()) < 2 && region.world.now() < 100) {
             region.crash(region.leaderIndex(), 0.5);
             region.world.run(region.world.now() + 4);
         }
         int leader = region.leaderIndex();
         double cut = region.world.now();
-        assertTrue(region.partition(leader) >= 2, "machines " + region.partition(leader));
-        region.world.cut("host-", "10.0.0." + (leader + 1), cut + 10 * Region.LEASE_S);
-        region.world.run(cut + 5 * Region.LEASE_S);
+        assertTrue(region.partitionSize(leader) >= 2, "machines " + region.partitionSize(leader));
+        region.world.cut("host-", "10.0.0." + (leader + 1), cut + 10 * SimulatedRegion.LEASE_S);
+        region.world.run(cut + 5 * SimulatedRegion.LEASE_S);
         assertNotEquals("node-" + leader, region.leader());
         int next = region.leaderIndex();
         // In this region a lease is hardly longer than a worker's patience: some run out until the
         // partition has moved, none later.
         int lost = region.lostTasks();
-        region.world.run(cut + 10 * Region.LEASE_S);
+        region.world.run(cut + 10 * SimulatedRegion.LEASE_S);
         assertEquals(next, region.leaderIndex(), "given to and fro");
         assertEquals(lost, region.lostTasks());
         region.world.run(250);
-        assertEquals(List.of(), region.broken);
-        assertEquals(List.of(), region.unfinished());
+        assertEquals(List.of(), region.violations);
+        assertEquals(List.of(), region.unfinishedJobs());
     }
 
     @Test
     void questionsAboutUnknownJobsLeaveRoomForTheOthers() {
-        Region region = region(27, 4, 1);
+        SimulatedRegion region = region(27, 4, 1);
         region.world.run(30);
         // 1,000 sockets: 125 questions at once, of which 62 about jobs that nobody submitted.
-        assertEquals(List.of(62, 38), region.floodOfUnknown(1, 100));
+        assertEquals(List.of(62, 38), region.floodWithUnknownJobs(1, 100));
         assertEquals(200, region.answer(1, "GET", "/api/jobs/run-000001").status());
     }
 
     @Test
     void manyTimesAsManyQuestionsWhileAControllerIsSilentAreAllAnswered() {
-        Region region = region(26, 20, 1);
+        SimulatedRegion region = region(26, 20, 1);
         region.world.run(35);
         int silent = region.leaderIndex();
-        region.freeze(silent, 35 + 5 * Region.LEASE_S);
-        region.askMore(35 + 6 * Region.LEASE_S);
-        region.world.run(35 + 5 * Region.LEASE_S - 1);
+        region.pause(silent, 35 + 5 * SimulatedRegion.LEASE_S);
+        region.queryMoreOften(35 + 6 * SimulatedRegion.LEASE_S);
+        region.world.run(35 + 5 * SimulatedRegion.LEASE_S - 1);
         assertNotEquals("node-" + silent, region.leader());
         region.world.run(250);
-        assertEquals(List.of(), region.broken);
-        assertEquals(List.of(), region.unfinished());
-        assertEquals(List.of(), region.unanswered());
+        assertEquals(List.of(), region.violations);
+        assertEquals(List.of(), region.unfinishedJobs());
+        assertEquals(List.of(), region.unansweredQueries());
     }
 
     @ParameterizedTest
@@ -340,29 +344,29 @@
     }
 
     private static void run(long seed) {
-        Region region = new Region(seed);
-        region.world.lost = 0.01;
-        region.world.late = 0.005;
-        region.world.copies = 0.01;
+        SimulatedRegion region = new SimulatedRegion(seed);
+        region.world.messageLossShare = 0.01;
+        region.world.lateDeliveryShare = 0.005;
+        region.world.duplicateDeliveryShare = 0.01;
         for (int i = 1; i <= 40; i++) {
             int number = i;
-            region.world.at(5 + 4 * i, () -> region.jobs.submit(number));
+            region.world.at(5 + 4 * i, () -> region.jobMix.submit(number));
         }
         for (int i = 1; i <= 24; i++) {
             int number = 100 + i;
-            region.world.at(60 + i / 6.0, () -> region.jobs.submitGuests(number, 1, 5));
+            region.world.at(60 + i / 6.0, () -> region.jobMix.submitGuests(number, 1, 5));
         }
-        region.world.at(70, () -> region.jobs.submitGuests(200, 150, 2));
-        region.world.at(30, () -> region.jobs.submitMistake(201, 150));
-        region.world.at(80, () -> region.jobs.submitMistake(202, 180));
+        region.world.at(70, () -> region.jobMix.submitGuests(200, 150, 2));
+        region.world.at(30, () -> region.jobMix.submitFailing(201, 150));
+        region.world.at(80, () -> region.jobMix.submitFailing(202, 180));
         for (int i = 0; i < 14; i++) {
-            region.world.at(20 + 11 * i, region::trouble);
-            region.world.at(25 + 11 * i, region::askForNothing);
+            region.world.at(20 + 11 * i, region::injectRandomFault);
+            region.world.at(25 + 11 * i, region::queryUnknownJob);
         }
         region.world.run(420);
-        assertEquals(List.of(), region.broken, "seed " + seed);
+        assertEquals(List.of(), region.violations, "seed " + seed);
         assertTrue(region.accepted() >= 35, "seed " + seed + " accepted " + region.accepted());
-        assertEquals(List.of(), region.unfinished(), "seed " + seed);
-        assertEquals(List.of(), region.unanswered(), "seed " + seed);
+        assertEquals(List.of(), region.unfinishedJobs(), "seed " + seed);
+        assertEquals(List.of(), region.unansweredQueries(), "seed " + seed);
     }
 }
--- a/src/test/java/io/pepperfield/node/UpgradeTest.java
+++ b/src/test/java/io/pepperfield/controller/UpgradeTest.java
@@ -1,28 +1,28 @@
-package io.pepperfield.node;
+package io.pepperfield.controller;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pepperfield.standin.Region;
+import io.pepperfield.standin.Fault.CancelNow;
+import io.pepperfield.standin.Fault.ControllerCrash;
+import io.pepperfield.standin.Fault.ControllerPartition;
+import io.pepperfield.standin.Fault.ControllerSelector;
+import io.pepperfield.standin.Fault.DelayedWrites;
+import io.pepperfield.standin.Fault.GrantsRefused;
+import io.pepperfield.standin.Fault.LargeArrays;
+import io.pepperfield.standin.Fault.LeaderChanges;
+import io.pepperfield.standin.Fault.MachineReboot;
+import io.pepperfield.standin.Fault.MachineSelector;
+import io.pepperfield.standin.Fault.Pipelines;
+import io.pepperfield.standin.Fault.Replace;
+import io.pepperfield.standin.Fault.Side;
+import io.pepperfield.standin.Fault.StoreLimitsReduction;
+import io.pepperfield.standin.Fault.StoreOutage;
+import io.pepperfield.standin.Fault.SubmissionFlood;
+import io.pepperfield.standin.Fault.Upgrade;
+import io.pepperfield.standin.Fault.Way;
 import io.pepperfield.standin.Scenario;
-import io.pepperfield.standin.Trouble.CancelNow;
-import io.pepperfield.standin.Trouble.Controllers;
-import io.pepperfield.standin.Trouble.GrantsRefused;
-import io.pepperfield.standin.Trouble.LargeArrays;
-import io.pepperfield.standin.Trouble.LateWrites;
-import io.pepperfield.standin.Trouble.LeaderChanges;
-import io.pepperfield.standin.Trouble.LimitsFall;
-import io.pepperfield.standin.Trouble.MachineReboot;
-import io.pepperfield.standin.Trouble.Machines;
-import io.pepperfield.standin.Trouble.NodeCrash;
-import io.pepperfield.standin.Trouble.NodeCut;
-import io.pepperfield.standin.Trouble.Pipelines;
-import io.pepperfield.standin.Trouble.Replace;
-import io.pepperfield.standin.Trouble.Side;
-import io.pepperfield.standin.Trouble.StateOutage;
-import io.pepperfield.standin.Trouble.Swarm;
-import io.pepperfield.standin.Trouble.Upgrade;
-import io.pepperfield.standin.Trouble.Way;
+import io.pepperfield.standin.SimulatedRegion;
 import io.pepperfield.standin.Version;
 import java.util.List;
 import java.util.Objects;
@@ -46,19 +46,19 @@
         }
     }
 
-    private static Region playOnce(Scenario scenario, long seed) {
-        Region region = Region.beforeUpgrade(seed);
+    private static SimulatedRegion playOnce(Scenario scenario, long seed) {
+        SimulatedRegion region = SimulatedRegion.beforeUpgrade(seed);
         region.play(scenario);
         region.world.run(scenario.endsAt());
         checkEnd(region, "seed " + seed + " of " + scenario);
         return region;
     }
 
-    private static void checkEnd(Region region, String day) {
-        assertEquals(List.of(), region.broken, day);
-        assertEquals(List.of(), region.unfinished(), day);
-        assertEquals(List.of(), region.unanswered(), day);
-        assertEquals(List.of(), region.leftOver(), day);
+    private static void checkEnd(SimulatedRegion region, String day) {
+        assertEquals(List.of(), region.violations, day);
+        assertEquals(List.of(), region.unfinishedJobs(), day);
+        assertEquals(List.of(), region.unansweredQueries(), day);
+        assertEquals(List.of(), region.leftoverJobs(), day);
         assertEquals(List.of(), region.reusedRentalNames(), day);
         assertEquals(List.of(), region.alteredJobs(), day);
         assertTrue(region.upgraded(), day);
@@ -71,9 +71,9 @@
                 Scenario.jobs(40, 2)
                         .at(30, new Upgrade(30))
                         .at(70, new Pipelines(4, 20))
-                        .at(85, new LimitsFall());
+                        .at(85, new StoreLimitsReduction());
         for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
-            Region region = playOnce(day, seed + 1000L * more);
+            SimulatedRegion region = playOnce(day, seed + 1000L * more);
             assertTrue(
                     region.leaderChanges() <= 1 + NODES,
                     "seed " + seed + ": leadership began " + region.leaderChanges() + " times");
@@ -85,8 +85,8 @@
     void anOldLeaderHasNewFollowersForLong(long seed) {
         play(
                 Scenario.jobs(40, 2)
-                        .at(30, new Replace(Controllers.afterLeader(1), Version.CURRENT, 4))
-                        .at(40, new Replace(Controllers.afterLeader(2), Version.CURRENT, 4))
+                        .at(30, new Replace(ControllerSelector.afterLeader(1), Version.CURRENT, 4))
+                        .at(40, new Replace(ControllerSelector.afterLeader(2), Version.CURRENT, 4))
                         .at(50, new CancelNow(4, 0))
                         .at(70, new Upgrade(10))
                         .at(90, new Pipelines(4, 20)),
@@ -99,7 +99,7 @@
         Scenario day =
                 Scenario.jobs(40, 2).at(50, new CancelNow(4, 0)).at(80, new Pipelines(4, 20));
         for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
-            Region region = Region.beforeUpgrade(seed + 1000L * more);
+            SimulatedRegion region = SimulatedRegion.beforeUpgrade(seed + 1000L * more);
             region.play(day);
             region.world.run(30);
             int first = region.leaderIndex();
@@ -125,10 +125,10 @@
     void processesEndBeforeTheirTurnAndComeBackOld(long seed) {
         play(
                 Scenario.jobs(40, 2)
-                        .at(24, new Replace(Controllers.LEADER, Version.CURRENT, 5))
-                        .at(25, new NodeCrash(Controllers.afterLeader(1), 0.2))
+                        .at(24, new Replace(ControllerSelector.LEADER, Version.CURRENT, 5))
+                        .at(25, new ControllerCrash(ControllerSelector.afterLeader(1), 0.2))
                         .at(32, new LeaderChanges(6, 24))
-                        .at(40, new LateWrites(0.2, 20, false))
+                        .at(40, new DelayedWrites(0.2, 20, false))
                         .at(44, new Upgrade(30))
                         .at(85, new Pipelines(4, 20)),
                 seed);
@@ -140,9 +140,9 @@
         play(
                 Scenario.jobs(40, 2)
                         .at(20, new Upgrade(20))
-                        .at(50, new Replace(Controllers.LEADER, Version.RECORDED, 1))
-                        .at(56, new Replace(Controllers.afterLeader(1), Version.RECORDED, 1))
-                        .at(62, new Replace(Controllers.afterLeader(2), Version.RECORDED, 1))
+                        .at(50, new Replace(ControllerSelector.LEADER, Version.RECORDED, 1))
+                        .at(56, new Replace(ControllerSelector.afterLeader(1), Version.RECORDED, 1))
+                        .at(62, new Replace(ControllerSelector.afterLeader(2), Version.RECORDED, 1))
                         .at(75, new Upgrade(15))
                         .at(100, new Pipelines(3, 15)),
                 seed);
@@ -150,7 +150,7 @@
 
     @Test
     void anOldFollowerNeverTouchesWhatAJobNeeds() {
-        Region region = Region.beforeUpgrade(5);
+        SimulatedRegion region = SimulatedRegion.beforeUpgrade(5);
         Scenario day =
                 Scenario.jobs(12, 2)
                         .at(20, new Upgrade(10))
@@ -158,13 +158,16 @@
                         // It knows of no job that is cancelled with another: users must not ask it.
                         .at(
                                 56,
-                                new NodeCut(
-                                        Controllers.afterLeader(1),
+                                new ControllerPartition(
+                                        ControllerSelector.afterLeader(1),
                                         Set.of(Side.USERS),
                                         Way.REFUSE,
                                         14))
-                        .at(56, new Replace(Controllers.afterLeader(1), Version.RECORDED, 0.5))
-                        .at(66, new Replace(Controllers.afterLeader(1), Version.CURRENT, 1));
+                        .at(
+                                56,
+                                new Replace(
+                                        ControllerSelector.afterLeader(1), Version.RECORDED, 0.5))
+                        .at(66, new Replace(ControllerSelector.afterLeader(1), Version.CURRENT, 1));
         region.play(day);
         region.world.run(day.endsAt());
         checkEnd(region, day.toString());
@@ -179,25 +182,25 @@
     }
 
     private static void troubledUpgrade(long seed) {
-        Region region = Region.beforeUpgrade(seed);
-        region.world.lost = 0.01;
-        region.world.late = 0.005;
-        region.world.copies = 0.01;
+        SimulatedRegion region = SimulatedRegion.beforeUpgrade(seed);
+        region.world.messageLossShare = 0.01;
+        region.world.lateDeliveryShare = 0.005;
+        region.world.duplicateDeliveryShare = 0.01;
         Scenario day =
                 Scenario.jobs(40, 4)
                         .at(30, new Upgrade(60))
                         .at(60, new LargeArrays(2, 150, 2))
                         .at(110, new Pipelines(6, 30))
-                        .at(100 + region.world.random.nextInt(60), new LimitsFall());
+                        .at(100 + region.world.random.nextInt(60), new StoreLimitsReduction());
         region.play(day);
         for (int i = 0; i < 12; i++) {
-            region.world.at(20 + 11 * i, region::trouble);
+            region.world.at(20 + 11 * i, region::injectRandomFault);
         }
         region.world.run(420);
         String what = "seed " + seed;
-        assertEquals(List.of(), region.broken, what);
-        assertEquals(List.of(), region.unfinished(), what);
-        assertEquals(List.of(), region.unanswered(), what);
+        assertEquals(List.of(), region.violations, what);
+        assertEquals(List.of(), region.unfinishedJobs(), what);
+        assertEquals(List.of(), region.unansweredQueries(), what);
         assertEquals(List.of(), region.alteredJobs(), what);
         assertTrue(region.accepted() >= 40, what + " accepted " + region.accepted());
         assertTrue(region.upgraded(), what);
@@ -208,13 +211,13 @@
     void theLimitsFallWhileRecordsLargerThanThemAreInUse(long seed) {
         Scenario day =
                 Scenario.jobs(20, 3)
-                        .at(20, new Swarm(6, 20))
+                        .at(20, new SubmissionFlood(6, 20))
                         .at(24, new LargeArrays(2, 136, 12))
                         .at(26, new Upgrade(12))
-                        .at(46, new LimitsFall())
+                        .at(46, new StoreLimitsReduction())
                         .at(50, new CancelNow(4, 0));
         for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
-            Region region = playOnce(day, seed + 1000L * more);
+            SimulatedRegion region = playOnce(day, seed + 1000L * more);
             assertTrue(region.refusedForSize() > 0, "nothing was too large, seed " + seed);
             // Two chunks of 68 tasks: what comes after them are parts of a divided record.
             assertTrue(
@@ -234,10 +237,10 @@
                 Scenario.jobs(4, 2)
                         .at(10, new LargeArrays(44, 1, runS))
                         .at(56, new Upgrade(9))
-                        .at(74, new LimitsFall())
-                        .at(75, new MachineReboot(Machines.share(1)));
+                        .at(74, new StoreLimitsReduction())
+                        .at(75, new MachineReboot(MachineSelector.share(1)));
         for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
-            Region region = Region.beforeUpgrade(seed + 1000L * more);
+            SimulatedRegion region = SimulatedRegion.beforeUpgrade(seed + 1000L * more);
             region.play(day);
             // A machine may have room for some of them only once the others have ended.
             region.world.run(day.endsAt() + runS);
@@ -252,8 +255,8 @@
                 Scenario.jobs(30, 2)
                         .at(20, new Upgrade(12))
                         .at(24, new LargeArrays(2, 136, 8))
-                        .at(45, new NodeCrash(Controllers.LEADER, 3))
-                        .at(45.5, new LimitsFall())
+                        .at(45, new ControllerCrash(ControllerSelector.LEADER, 3))
+                        .at(45.5, new StoreLimitsReduction())
                         .at(50, new Pipelines(4, 10)),
                 seed);
     }
@@ -265,8 +268,8 @@
                 Scenario.jobs(30, 2)
                         .at(20, new Upgrade(12))
                         .at(24, new LargeArrays(2, 136, 8))
-                        .at(44, new StateOutage(8))
-                        .at(52, new LimitsFall(), new Pipelines(4, 10)),
+                        .at(44, new StoreOutage(8))
+                        .at(52, new StoreLimitsReduction(), new Pipelines(4, 10)),
                 seed);
     }
 
@@ -277,7 +280,7 @@
                 Scenario.jobs(30, 2)
                         .at(20, new LargeArrays(2, 136, 8))
                         .at(26, new Upgrade(24))
-                        .at(36, new LimitsFall())
+                        .at(36, new StoreLimitsReduction())
                         .at(70, new Pipelines(4, 10)),
                 seed);
     }
@@ -286,11 +289,11 @@
     @ValueSource(longs = {1, 2})
     void renewalsThatAreRefusedForAMomentCostNoLead(long seed) {
         // A grant lasts 0.75 s here and is renewed four times in that time.
-        Region region = Region.beforeUpgrade(seed);
+        SimulatedRegion region = SimulatedRegion.beforeUpgrade(seed);
         Scenario day =
                 Scenario.jobs(20, 2)
                         .at(20, new Upgrade(12))
-                        .at(50, new LimitsFall(), new Swarm(8, 10))
+                        .at(50, new StoreLimitsReduction(), new SubmissionFlood(8, 10))
                         .at(52, new GrantsRefused(0.3))
                         .at(55, new GrantsRefused(0.3));
         region.play(day);
@@ -307,7 +310,7 @@
         play(
                 Scenario.jobs(20, 2)
                         .at(20, new Upgrade(12))
-                        .at(50, new LimitsFall(), new GrantsRefused(4))
+                        .at(50, new StoreLimitsReduction(), new GrantsRefused(4))
                         .at(51, new Pipelines(3, 6)),
                 seed);
     }
--- a/src/test/java/io/pepperfield/node/DispatcherTest.java
+++ b/src/test/java/io/pepperfield/dispatch/DispatcherTest.java
@@ -1,26 +1,30 @@
-package io.pepperfield.node;
+package io.pepperfield.dispatch;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pepperfield.config.Aims;
+import io.pepperfield.cluster.BootTracker;
+import io.pepperfield.cluster.ClusterState;
+import io.pepperfield.cluster.LatencyHistograms;
+import io.pepperfield.cluster.MachineTypes;
+import io.pepperfield.config.Objectives;
 import io.pepperfield.config.Settings;
 import io.pepperfield.fleet.Attempt;
 import io.pepperfield.fleet.Fleet;
-import io.pepperfield.fleet.Ledger;
+import io.pepperfield.fleet.Heartbeat;
+import io.pepperfield.fleet.LiveAttempts;
 import io.pepperfield.fleet.Machine;
 import io.pepperfield.fleet.MachineType;
-import io.pepperfield.fleet.Report;
 import io.pepperfield.fleet.TaskRef;
 import io.pepperfield.jobs.Job;
 import io.pepperfield.jobs.JobSpec;
-import io.pepperfield.jobs.JobSpec.Rank;
+import io.pepperfield.jobs.JobSpec.Priority;
 import io.pepperfield.jobs.JobSpec.Shape;
 import io.pepperfield.loop.Loop;
 import io.pepperfield.placement.PlacementRequest;
 import io.pepperfield.standin.JobSpecBuilder;
-import io.pepperfield.standin.SilentFleetListener;
+import io.pepperfield.standin.NoOpFleetListener;
 import io.pepperfield.standin.SingleNodeSettings;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -29,28 +33,28 @@
 import org.junit.jupiter.api.Test;
 
 /** Starting and stopping in one pass over real books. */
-class DispatcherTest implements Loop, SilentFleetListener, Dispatcher.Starter {
+class DispatcherTest implements Loop, NoOpFleetListener, Dispatcher.AttemptControl {
 
     private final Settings settings = settings();
     private final MachineTypes types = new MachineTypes(settings);
     private final Fleet fleet = new Fleet(this, 10, 3);
-    private final Ledger ledger = new Ledger();
+    private final LiveAttempts liveAttempts = new LiveAttempts();
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Dispatcher dispatcher =
             new Dispatcher(
                     new ClusterState(
                             this,
                             settings,
-                            new Aims(settings.deployment().objectives()),
+                            new Objectives(settings.deployment().objectives()),
                             types,
                             fleet,
-                            ledger,
+                            liveAttempts,
                             jobs,
                             null,
                             new BootTracker(types, 60),
-                            new Latencies()),
+                            new LatencyHistograms()),
                     this);
-    private final List<String> said = new ArrayList<>();
+    private final List<String> actions = new ArrayList<>();
     private double now = 0.5;
 
     private static Settings settings() {
@@ -61,7 +65,8 @@
                 List.of("east"), teams, List.of(new Settings.Objective("wait", "gate", 1, 0.9, 0)));
     }
 
-    private Job job(String id, String workload, String team, Rank rank, String image, int tasks) {
+    private Job job(
+            String id, String workload, String team, Priority rank, String image, int tasks) {
         Job job =
                 new Job(
                         new JobSpecBuilder()
@@ -80,26 +85,26 @@
         return job;
     }
 
-    private void report(String machine, int serial, Report.Line... lines) {
-        fleet.expect(machine, "box", "east", false, 0, 0);
-        fleet.beat(
-                new Report(
+    private void heartbeat(String machine, int serial, Heartbeat.AttemptStatus... lines) {
+        fleet.expectMachine(machine, "box", "east", false, 0, 0);
+        fleet.handleHeartbeat(
+                new Heartbeat(
                         machine, "a:1", "box", "east", false, 1, serial, 10, null, List.of(lines)),
                 now());
     }
 
     @Override
     public void start(Job job, int task, Machine machine) {
-        Attempt attempt = fleet.intend(job, task, job.begin(task), machine, now());
-        ledger.add(attempt);
-        fleet.ordered(attempt);
-        said.add("start " + attempt.ref + " on " + machine.name);
+        Attempt attempt = fleet.intendAttempt(job, task, job.startAttempt(task), machine, now());
+        liveAttempts.add(attempt);
+        fleet.intentIsDurable(attempt);
+        actions.add("start " + attempt.taskRef + " on " + machine.name);
     }
 
     @Override
     public void stop(Attempt attempt, double drainS) {
-        fleet.stop(attempt, drainS);
-        said.add("stop " + attempt.ref);
+        fleet.requestStop(attempt, drainS);
+        actions.add("stop " + attempt.taskRef);
     }
 
     /**
@@ -109,24 +114,30 @@
     @Test
     void aStoppedTaskLeavesNoRoomUnderTheLimitUntilItIsGone() {
         types.update(List.of(new MachineType("box", 8, 0, 32, 20, 1, 1, 0.4, 5, List.of("east"))));
-        report("m1", 1);
-        Job array = job("run-000001", "batch", "red", Rank.STANDARD, "img", 3);
+        heartbeat("m1", 1);
+        Job array = job("run-000001", "batch", "red", Priority.STANDARD, "img", 3);
         start(array, 0, fleet.get("m1"));
         start(array, 1, fleet.get("m1"));
-        report(
+        heartbeat(
                 "m1",
                 2,
-                new Report.Line(
-                        new TaskRef("run-000001", 0), 1, Report.State.RUNNING, Report.Cause.NONE),
-                new Report.Line(
-                        new TaskRef("run-000001", 1), 1, Report.State.RUNNING, Report.Cause.NONE));
-        report("m2", 1);
+                new Heartbeat.AttemptStatus(
+                        new TaskRef("run-000001", 0),
+                        1,
+                        Heartbeat.State.RUNNING,
+                        Heartbeat.Cause.NONE),
+                new Heartbeat.AttemptStatus(
+                        new TaskRef("run-000001", 1),
+                        1,
+                        Heartbeat.State.RUNNING,
+                        Heartbeat.Cause.NONE));
+        heartbeat("m2", 1);
         // Wants its image at once, which only the full machine has; the array's last task would
         // have room elsewhere.
-        job("run-000002", "gate", "blue", Rank.PRODUCTION, "img", 1);
-        said.clear();
-        dispatcher.flush();
-        assertEquals(List.of("stop run-000001/0"), said);
+        job("run-000002", "gate", "blue", Priority.PRODUCTION, "img", 1);
+        actions.clear();
+        dispatcher.runPassIfDue();
+        assertEquals(List.of("stop run-000001/0"), actions);
     }
 
     /**
@@ -136,51 +147,52 @@
     @Test
     void roomThatIsBeingFreedForALargerTaskIsNotTakenBySmallOnesPieceByPiece() {
         types.update(List.of(new MachineType("box", 8, 0, 32, 20, 1, 1, 0.4, 5, List.of("east"))));
-        report("m1", 1);
-        Job swarm = job("run-000001", "swarm", "red", Rank.BEST_EFFORT, "img", 4);
+        heartbeat("m1", 1);
+        Job swarm = job("run-000001", "swarm", "red", Priority.BEST_EFFORT, "img", 4);
         start(swarm, 0, fleet.get("m1"));
         start(swarm, 1, fleet.get("m1"));
-        report("m1", 2, running(0), running(1));
+        heartbeat("m1", 2, running(0), running(1));
         Job large =
                 new Job(
                         new JobSpecBuilder()
                                 .id("run-000002")
                                 .team("blue")
-                                .rank(Rank.URGENT)
+                                .rank(Priority.URGENT)
                                 .cpus(8)
                                 .image("img")
                                 .build(),
                         0);
         jobs.put(large.spec.id(), large);
-        said.clear();
-        dispatcher.flush();
+        actions.clear();
+        dispatcher.runPassIfDue();
         assertEquals(
-                List.of("stop run-000001/0", "stop run-000001/1"), said.stream().sorted().toList());
-        ledger.remove(ledger.get(swarm, 0));
-        report("m1", 3, stopped(0), running(1));
+                List.of("stop run-000001/0", "stop run-000001/1"),
+                actions.stream().sorted().toList());
+        liveAttempts.remove(liveAttempts.get(swarm, 0));
+        heartbeat("m1", 3, stopped(0), running(1));
         swarm.requeue(0);
-        said.clear();
+        actions.clear();
         now += 0.2;
-        dispatcher.wake();
-        dispatcher.flush();
-        assertEquals(List.of(), said);
-        ledger.remove(ledger.get(swarm, 1));
-        report("m1", 4, stopped(1));
+        dispatcher.requestPass();
+        dispatcher.runPassIfDue();
+        assertEquals(List.of(), actions);
+        liveAttempts.remove(liveAttempts.get(swarm, 1));
+        heartbeat("m1", 4, stopped(1));
         swarm.requeue(1);
         now += 0.2;
-        dispatcher.wake();
-        dispatcher.flush();
-        assertEquals(List.of("start run-000002/0 on m1"), said);
+        dispatcher.requestPass();
+        dispatcher.runPassIfDue();
+        assertEquals(List.of("start run-000002/0 on m1"), actions);
     }
 
-    private static Report.Line running(int task) {
-        return new Report.Line(
-                new TaskRef("run-000001", task), 1, Report.State.RUNNING, Report.Cause.NONE);
+    private static Heartbeat.AttemptStatus running(int task) {
+        return new Heartbeat.AttemptStatus(
+                new TaskRef("run-000001", task), 1, Heartbeat.State.RUNNING, Heartbeat.Cause.NONE);
     }
 
-    private static Report.Line stopped(int task) {
-        return new Report.Line(
-                new TaskRef("run-000001", task), 1, Report.State.ENDED, Report.Cause.STOPPED);
+    private static Heartbeat.AttemptStatus stopped(int task) {
+        return new Heartbeat.AttemptStatus(
+                new TaskRef("run-000001", task), 1, Heartbeat.State.ENDED, Heartbeat.Cause.STOPPED);
     }
 
     /**
@@ -190,16 +202,16 @@
     @Test
     void ofAClassThatHasWaitedTooLongOneJobComesFirst() {
         types.update(List.of(new MachineType("box", 8, 0, 32, 20, 1, 1, 0.4, 5, List.of("east"))));
-        report("m1", 1);
+        heartbeat("m1", 1);
         for (int i = 1; i <= 5; i++) {
-            job("run-00000" + i, "swarm", "red", Rank.BEST_EFFORT, "img", 1);
+            job("run-00000" + i, "swarm", "red", Priority.BEST_EFFORT, "img", 1);
         }
-        Job gate = job("run-000009", "gate", "blue", Rank.PRODUCTION, "img", 1);
+        Job gate = job("run-000009", "gate", "blue", Priority.PRODUCTION, "img", 1);
         jobs.put(gate.spec.id(), new Job(gate.spec, 95));
         now = 100;
-        report("m1", 2);
-        dispatcher.flush();
-        assertEquals(List.of("start run-000001/0 on m1", "start run-000009/0 on m1"), said);
+        heartbeat("m1", 2);
+        dispatcher.runPassIfDue();
+        assertEquals(List.of("start run-000001/0 on m1", "start run-000009/0 on m1"), actions);
     }
 
     /**
@@ -209,17 +221,17 @@
     @Test
     void onlyFailuresOfJobsThatSucceedElsewhereMakeAMachineFaulty() {
         for (int i = 1; i <= 2; i++) {
-            Job job = job("run-00000" + i, "batch", "blue", Rank.STANDARD, "img", 3);
-            report("m1", 10 * i);
+            Job job = job("run-00000" + i, "batch", "blue", Priority.STANDARD, "img", 3);
+            heartbeat("m1", 10 * i);
             start(job, 0, fleet.get("m1"));
-            report(
+            heartbeat(
                     "m1",
                     10 * i + 1,
-                    new Report.Line(
+                    new Heartbeat.AttemptStatus(
                             new TaskRef(job.spec.id(), 0),
                             1,
-                            Report.State.ENDED,
-                            Report.Cause.ERROR));
+                            Heartbeat.State.ENDED,
+                            Heartbeat.Cause.ERROR));
         }
         assertFalse(fleet.get("m1").faulty());
         jobs.get("run-000001").markDone(1);
@@ -238,8 +250,8 @@
                 List.of(
                         new MachineType(
                                 "box", 8, 0, 32, 20, 1, 1, 0.4, 5, List.of("east", "west"))));
-        report("m1", 1);
-        Job first = job("run-000001", "batch", "red", Rank.STANDARD, "img", 1);
+        heartbeat("m1", 1);
+        Job first = job("run-000001", "batch", "red", Priority.STANDARD, "img", 1);
         start(first, 0, fleet.get("m1"));
         JobSpec elsewhere =
                 new JobSpecBuilder()
@@ -253,13 +265,13 @@
                         .expectedS(9)
                         .build();
         jobs.put(elsewhere.id(), new Job(elsewhere, 0));
-        job("run-000003", "batch", "red", Rank.STANDARD, "img", 1);
+        job("run-000003", "batch", "red", Priority.STANDARD, "img", 1);
         jobs.put("run-000003", new Job(jobs.get("run-000003").spec, 95));
-        said.clear();
+        actions.clear();
         now = 100;
-        report("m1", 2);
-        dispatcher.flush();
-        assertEquals(List.of("start run-000003/0 on m1"), said);
+        heartbeat("m1", 2);
+        dispatcher.runPassIfDue();
+        assertEquals(List.of("start run-000003/0 on m1"), actions);
     }
 
     /**
@@ -269,17 +281,17 @@
     @Test
     void aMachineOnWhichAJobFailedIsAvoidedForAUnitAndNotForEver() {
         types.update(List.of(new MachineType("box", 8, 0, 32, 20, 1, 1, 0.4, 5, List.of("east"))));
-        Job job = job("run-000001", "batch", "blue", Rank.STANDARD, "img", 1);
-        job.failed("m1", now, 1, 60);
+        Job job = job("run-000001", "batch", "blue", Priority.STANDARD, "img", 1);
+        job.recordFailure("m1", now, 1, 60);
         now = 59;
-        report("m1", 1);
-        dispatcher.flush();
-        assertEquals(List.of(), said);
+        heartbeat("m1", 1);
+        dispatcher.runPassIfDue();
+        assertEquals(List.of(), actions);
         now = 61;
-        report("m1", 2);
-        dispatcher.wake();
-        dispatcher.flush();
-        assertEquals(List.of("start run-000001/0 on m1"), said);
+        heartbeat("m1", 2);
+        dispatcher.requestPass();
+        dispatcher.runPassIfDue();
+        assertEquals(List.of("start run-000001/0 on m1"), actions);
     }
 
     /**
@@ -294,7 +306,7 @@
                         .workload("gate")
                         .team("blue")
                         .shape(Shape.SERVICE)
-                        .rank(Rank.PRODUCTION)
+                        .rank(Priority.PRODUCTION)
                         .tasks(3)
                         .cpus(4)
                         .image("img")
@@ -303,25 +315,28 @@
                         .build();
         Job service = new Job(spec, 0);
         jobs.put(spec.id(), service);
-        report("m1", 1);
+        heartbeat("m1", 1);
         start(service, 0, fleet.get("m1"));
-        report(
+        heartbeat(
                 "m1",
                 2,
-                new Report.Line(
-                        new TaskRef(spec.id(), 0), 1, Report.State.RUNNING, Report.Cause.NONE));
-        service.failed("bad1", now, 1, 60);
-        service.failed("bad2", now, 1, 60);
-        said.clear();
+                new Heartbeat.AttemptStatus(
+                        new TaskRef(spec.id(), 0),
+                        1,
+                        Heartbeat.State.RUNNING,
+                        Heartbeat.Cause.NONE));
+        service.recordFailure("bad1", now, 1, 60);
+        service.recordFailure("bad2", now, 1, 60);
+        actions.clear();
         now = 59;
-        report("m2", 1);
-        dispatcher.flush();
-        assertEquals(List.of(), said);
+        heartbeat("m2", 1);
+        dispatcher.runPassIfDue();
+        assertEquals(List.of(), actions);
         now = 61;
-        report("m2", 2);
-        dispatcher.wake();
-        dispatcher.flush();
-        assertEquals(List.of("start run-000001/1 on m2", "start run-000001/2 on m2"), said);
+        heartbeat("m2", 2);
+        dispatcher.requestPass();
+        dispatcher.runPassIfDue();
+        assertEquals(List.of("start run-000001/1 on m2", "start run-000001/2 on m2"), actions);
     }
 
     @Override
@@ -346,23 +361,23 @@
     @Test
     void aJobThatWaitsForOthersHoldsNothing() {
         types.update(List.of(new MachineType("box", 8, 0, 32, 20, 1, 1, 0.4, 5, List.of("east"))));
-        report("m1", 1);
+        heartbeat("m1", 1);
         // As much as is guaranteed to the team, and as its limit leaves.
-        Job waits = job("run-000001", "batch", "blue", Rank.PRODUCTION, "img", 16);
-        waits.awaiting();
-        job("run-000002", "batch", "blue", Rank.STANDARD, "img", 2);
+        Job waits = job("run-000001", "batch", "blue", Priority.PRODUCTION, "img", 16);
+        waits.awaitDependencies();
+        job("run-000002", "batch", "blue", Priority.STANDARD, "img", 2);
         now = 100;
-        report("m1", 2);
-        List<PlacementRequest> requests = dispatcher.requests(now);
+        heartbeat("m1", 2);
+        List<PlacementRequest> requests = dispatcher.pendingRequests(now);
         assertEquals(
                 List.of("run-000002"),
                 requests.stream().map(request -> request.job().id()).toList());
-        assertTrue(requests.get(0).guaranteed());
+        assertTrue(requests.get(0).withinGuarantee());
         // Not before its time: the wait of its class begins when the last of them is done.
-        waits.ready(now);
-        assertEquals(2, dispatcher.requests(now).size());
-        assertEquals("run-000002", dispatcher.requests(now).get(0).job().id());
-        dispatcher.flush();
-        assertEquals(2, said.size());
+        waits.dependenciesDone(now);
+        assertEquals(2, dispatcher.pendingRequests(now).size());
+        assertEquals("run-000002", dispatcher.pendingRequests(now).get(0).job().id());
+        dispatcher.runPassIfDue();
+        assertEquals(2, actions.size());
     }
 }
--- a/src/test/java/io/pepperfield/node/PipelineQueueTest.java
+++ b/src/test/java/io/pepperfield/dispatch/PipelineQueueTest.java
@@ -1,4 +1,4 @@
-package io.pepperfield.node;
+package io.pepperfield.dispatch;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,14 +7,14 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.http.Json;
-import io.pepperfield.standin.Region;
+import io.pepperfield.standin.SimulatedRegion;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** By which rank and since when the jobs of a pipeline wait, also under the next leader. */
 class PipelineQueueTest {
 
-    private final Region region = new Region(31);
+    private final SimulatedRegion region = new SimulatedRegion(31);
 
     /** What the leader shows of a job that waits. */
     private JsonNode waiting(String job) {
@@ -74,7 +74,7 @@
         region.pipelines.cancel(4);
         run(1);
         assertEquals("best_effort", waiting("run-000002").path("rank").asText());
-        assertEquals(List.of(), region.broken);
+        assertEquals(List.of(), region.violations);
     }
 
     @Test
@@ -96,7 +96,7 @@
         changeLeader();
         assertEquals(
                 region.world.now() - done, waiting("run-000003").path("waitedS").asDouble(), 2);
-        assertEquals(List.of(), region.broken);
+        assertEquals(List.of(), region.violations);
     }
 
     @Test
@@ -122,7 +122,7 @@
             assertEquals("cancelled", job(leader, lost).path("status").asText());
         }
         run(30);
-        assertEquals(List.of(), region.broken);
+        assertEquals(List.of(), region.violations);
     }
 
     /** Derived at every node: the state service takes one change, and nobody has to be asked. */
@@ -141,12 +141,14 @@
         }
         run(5);
         assertEquals(2 * each + 2, region.accepted());
-        int changes = region.changes();
+        int changes = region.storedMutations();
         region.pipelines.cancel(2, 0);
         // As long as users need to ask again.
         run(5);
-        assertEquals(1, region.unfinished().size(), region.unfinished().toString());
-        assertTrue(region.changes() - changes < 10, "changes " + (region.changes() - changes));
-        assertEquals(List.of(), region.broken);
+        assertEquals(1, region.unfinishedJobs().size(), region.unfinishedJobs().toString());
+        assertTrue(
+                region.storedMutations() - changes < 10,
+                "changes " + (region.storedMutations() - changes));
+        assertEquals(List.of(), region.violations);
     }
 }
--- a/src/test/java/io/pepperfield/fleet/AttemptTraceTest.java
+++ b/src/test/java/io/pepperfield/fleet/AttemptTraceTest.java
@@ -3,7 +3,7 @@
 import io.pepperfield.jobs.Job;
 import io.pepperfield.jobs.Status;
 import io.pepperfield.standin.JobSpecBuilder;
-import io.pepperfield.standin.Trace;
+import io.pepperfield.standin.ReplayTrace;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -16,7 +16,7 @@
 /** The proofs that an attempt is gone, and when a worker may forget one. */
 class AttemptTraceTest implements Fleet.Listener {
 
-    private final List<String> said = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
     private final Map<String, Attempt> attempts = new HashMap<>();
     private final Job job = new Job(new JobSpecBuilder().tasks(4).chunk(4).build(), 0);
     private Fleet fleet;
@@ -35,94 +35,94 @@
                 "attempt-starts-held.txt"
             })
     void trace(String name) throws IOException {
-        Trace.check(name, this::play);
+        ReplayTrace.check(name, this::play);
     }
 
     private List<String> play(String[] words) {
-        said.clear();
+        events.clear();
         now += 1;
         switch (words[0]) {
             case "elected" -> fleet = new Fleet(this, Long.parseLong(words[1]), 3);
-            case "token" -> fleet.token(Long.parseLong(words[1]));
+            case "token" -> fleet.renewFencingToken(Long.parseLong(words[1]));
             case "intend" -> {
                 Attempt attempt =
-                        fleet.intend(
+                        fleet.intendAttempt(
                                 job,
                                 task(words[1]),
-                                job.begin(task(words[1])),
+                                job.startAttempt(task(words[1])),
                                 fleet.get(words[2]),
                                 now);
                 attempts.put(words[1], attempt);
             }
             case "durable" ->
-                    said.add(
-                            fleet.ordered(attempts.get(words[1]))
+                    events.add(
+                            fleet.intentIsDurable(attempts.get(words[1]))
                                     ? "may be ordered"
                                     : "not ordered");
-            case "direct" -> fleet.sendingDirect(List.of(attempts.get(words[1])));
-            case "stop" -> fleet.stop(attempts.get(words[1]), 0);
+            case "direct" -> fleet.directOrdersLeaving(List.of(attempts.get(words[1])));
+            case "stop" -> fleet.requestStop(attempts.get(words[1]), 0);
             case "cancelled" -> {
-                job.end(Status.CANCELLED, now);
-                attempts.values().forEach(attempt -> fleet.stop(attempt, 0));
+                job.finalStatus(Status.CANCELLED, now);
+                attempts.values().forEach(attempt -> fleet.requestStop(attempt, 0));
             }
             case "unsettled" -> {
-                List<Attempt> unsettled = fleet.unsettledCancelled(fleet.get(words[1]));
-                said.add(unsettled.isEmpty() ? "nothing" : unsettled.get(0).ref.toString());
+                List<Attempt> unsettled = fleet.cancelledAttemptsThatMayStart(fleet.get(words[1]));
+                events.add(unsettled.isEmpty() ? "nothing" : unsettled.get(0).taskRef.toString());
             }
             case "silence" -> {
-                return List.of(Math.round(fleet.get(words[1]).lostFor(now)) + " s");
+                return List.of(Math.round(fleet.get(words[1]).unreachableFor(now)) + " s");
             }
-            case "hold" -> fleet.holdStarts(true);
-            case "go" -> fleet.holdStarts(false);
+            case "hold" -> fleet.suspendStarts(true);
+            case "go" -> fleet.suspendStarts(false);
             case "wait" -> now += Integer.parseInt(words[1]) - 1;
-            case "settled" -> attempts.get(words[1]).settle();
+            case "settled" -> attempts.get(words[1]).acknowledge();
             case "restore" ->
                     attempts.put(
                             words[1],
-                            fleet.restore(
+                            fleet.restoreAttempt(
                                     job,
                                     task(words[1]),
                                     Integer.parseInt(words[2]),
                                     words[3],
                                     Long.parseLong(words[4]),
                                     now));
-            case "released" -> fleet.gone(words[1]);
+            case "released" -> fleet.confirmReleased(words[1]);
             case "beat" -> {
-                List<Order> orders = fleet.beat(report(words), now);
+                List<Order> orders = fleet.handleHeartbeat(heartbeat(words), now);
                 if (orders == null) {
-                    said.add("not answered");
+                    events.add("not answered");
                 } else {
                     orders.forEach(
                             o ->
-                                    said.add(
+                                    events.add(
                                             "order "
                                                     + o.getClass()
                                                             .getSimpleName()
                                                             .toLowerCase(Locale.ROOT)
                                                     + " "
-                                                    + o.ref()
+                                                    + o.taskRef()
                                                     + " try "
-                                                    + o.attempt()));
+                                                    + o.attemptNumber()));
                 }
             }
-            case "heard" -> fleet.heard(report(words), now);
-            case "remembered" -> fleet.remembered(report(words), now);
-            case "listed" -> fleet.expect(words[1], "box", "east", false, now, now);
+            case "heard" -> fleet.handleDirectResponse(heartbeat(words), now);
+            case "remembered" -> fleet.handleCachedHeartbeat(heartbeat(words), now);
+            case "listed" -> fleet.expectMachine(words[1], "box", "east", false, now, now);
             case "ask" -> {
                 Machine machine = fleet.get(words[1]);
                 return List.of(
-                        machine.takesWork(now)
+                        machine.isSchedulable(now)
                                 ? "takes work"
-                                : machine.reborn()
+                                : machine.restarted()
                                         ? "began anew"
-                                        : machine.deaf() ? "deaf" : "no work");
+                                        : machine.hasReceiveFailure() ? "deaf" : "no work");
             }
             default -> throw new IllegalArgumentException(words[0]);
         }
-        if (fleet.newerTokenWanted()) {
-            said.add("a newer token is wanted");
+        if (fleet.needsNewerFencingToken()) {
+            events.add("a newer token is wanted");
         }
-        return List.copyOf(said);
+        return List.copyOf(events);
     }
 
     private static int task(String ref) {
@@ -130,20 +130,20 @@
     }
 
     /** MACHINE TENURE SERIAL TOKEN [TASK:TRY:STATE[:CAUSE]]... */
-    private static Report report(String[] words) {
-        List<Report.Line> lines = new ArrayList<>();
+    private static Heartbeat heartbeat(String[] words) {
+        List<Heartbeat.AttemptStatus> lines = new ArrayList<>();
         for (int i = 5; i < words.length; i++) {
             String[] part = words[i].split(":");
             lines.add(
-                    new Report.Line(
+                    new Heartbeat.AttemptStatus(
                             TaskRef.parse(part[0]),
                             Integer.parseInt(part[1]),
-                            Report.State.valueOf(part[2].toUpperCase(Locale.ROOT)),
+                            Heartbeat.State.valueOf(part[2].toUpperCase(Locale.ROOT)),
                             part.length > 3
-                                    ? Report.Cause.valueOf(part[3].toUpperCase(Locale.ROOT))
-                                    : Report.Cause.NONE));
+                                    ? Heartbeat.Cause.valueOf(part[3].toUpperCase(Locale.ROOT))
+                                    : Heartbeat.Cause.NONE));
         }
-        return new Report(
+        return new Heartbeat(
                 words[1],
                 "a:1",
                 "box",
@@ -157,15 +157,15 @@
     }
 
     @Override
-    public void started(Attempt attempt) {
-        said.add("started " + attempt.ref + " try " + attempt.number);
+    public void attemptStarted(Attempt attempt) {
+        events.add("started " + attempt.taskRef + " try " + attempt.number);
     }
 
     @Override
-    public void completed(Attempt attempt, double ranS) {
-        said.add(
+    public void attemptCompleted(Attempt attempt, double ranS) {
+        events.add(
                 "completed "
-                        + attempt.ref
+                        + attempt.taskRef
                         + " try "
                         + attempt.number
                         + (ranS > 0 ? " after " + Math.round(ranS) + " s" : ""));
@@ -173,13 +173,13 @@
     }
 
     @Override
-    public void gone(Attempt attempt, Report.Cause cause) {
-        said.add("gone " + attempt.ref + " try " + attempt.number + " " + cause);
+    public void attemptGone(Attempt attempt, Heartbeat.Cause cause) {
+        events.add("gone " + attempt.taskRef + " try " + attempt.number + " " + cause);
         job.requeue(attempt.task);
     }
 
     @Override
-    public void appeared(Machine machine) {
-        said.add("appeared " + machine.name);
+    public void machineAppeared(Machine machine) {
+        events.add("appeared " + machine.name);
     }
 }
--- a/src/test/java/io/pepperfield/forms/CloudForms.java
+++ b/src/test/java/io/pepperfield/forms/CloudForms.java
@@ -1,10 +1,10 @@
 package io.pepperfield.forms;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.pepperfield.cloud.Cloud.Listed;
-import io.pepperfield.cloud.Cloud.Rented;
-import io.pepperfield.cloud.HttpCloud;
-import io.pepperfield.cloud.TypesRecord;
+import io.pepperfield.cloud.CloudProvider.ListedInstance;
+import io.pepperfield.cloud.CloudProvider.RentalOutcome;
+import io.pepperfield.cloud.HttpCloudProvider;
+import io.pepperfield.cloud.MachineTypesRecord;
 import io.pepperfield.config.Settings.Address;
 import io.pepperfield.http.Json;
 import io.pepperfield.standin.SimulatedLoop;
@@ -17,12 +17,12 @@
     private final FormFile file;
     private final SimulatedLoop loop = new SimulatedLoop();
     private final RecordingSender sender;
-    private final HttpCloud cloud;
+    private final HttpCloudProvider cloud;
 
     private CloudForms(FormFile file) {
         this.file = file;
         sender = new RecordingSender(file);
-        cloud = new HttpCloud(loop, sender, new Address("10.2.0.2", 8443), 2);
+        cloud = new HttpCloudProvider(loop, sender, new Address("10.2.0.2", 8443), 2);
     }
 
     static void write(FormFile file) {
@@ -36,7 +36,8 @@
     private String types(JsonNode answer) {
         sender.answer(200, Json.write(answer));
         StringBuilder read = new StringBuilder();
-        cloud.types(types -> read.append(types == null ? "refused" : TypesRecord.write(types)));
+        cloud.listMachineTypes(
+                types -> read.append(types == null ? "refused" : MachineTypesRecord.encode(types)));
         loop.run(loop.now() + 10);
         return read.toString();
     }
@@ -45,14 +46,14 @@
     private String list(JsonNode answer) {
         sender.answer(200, Json.write(answer));
         StringBuilder read = new StringBuilder();
-        cloud.list(machines -> read.append(machines == null ? "refused" : told(machines)));
+        cloud.listInstances(machines -> read.append(machines == null ? "refused" : told(machines)));
         loop.run(loop.now() + 0.1);
         sender.answer(200, "{\"hosts\":[],\"truncated\":false}");
         loop.run(loop.now() + 10);
         return read.toString();
     }
 
-    private static String told(List<Listed> machines) {
+    private static String told(List<ListedInstance> machines) {
         return String.join(
                 ", ",
                 machines.stream()
@@ -79,7 +80,7 @@
 
     private void rent(int status, String answer) {
         sender.answer(status, answer.getBytes(StandardCharsets.UTF_8));
-        cloud.rent(
+        cloud.rentInstances(
                 "p41-1",
                 "lekker-big",
                 "west",
@@ -89,17 +90,19 @@
         loop.run(loop.now() + 10);
     }
 
-    private static String told(Rented result) {
-        if (result instanceof Rented.Machines machines) {
-            return "rented " + machines.names();
+    private static String told(RentalOutcome result) {
+        if (result instanceof RentalOutcome.Granted machines) {
+            return "rented " + machines.instanceNames();
         }
-        return result instanceof Rented.Failed failed ? "failed: " + failed.why() : "no capacity";
+        return result instanceof RentalOutcome.Failed failed
+                ? "failed: " + failed.reason()
+                : "no capacity";
     }
 
     private void release() {
         for (int status : new int[] {200, 503}) {
             sender.answer(status, "{}");
-            cloud.release(
+            cloud.releaseInstances(
                     List.of("host-000012", "host-000013"),
                     gone -> file.add("answered " + status, gone ? "gone" : "not known"));
             loop.run(loop.now() + 10);
--- a/src/test/java/io/pepperfield/forms/FormFile.java
+++ b/src/test/java/io/pepperfield/forms/FormFile.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Reply;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.UncheckedIOException;
@@ -53,7 +53,7 @@
     }
 
     /** Adds an answer with its status, and the seconds until a retry where it names them. */
-    public void add(String name, Reply reply) {
+    public void add(String name, HttpReply reply) {
         String later = reply.retryAfterS() > 0 ? " after " + reply.retryAfterS() + " s" : "";
         add(name, reply.status() + later + " " + new String(reply.body(), StandardCharsets.UTF_8));
     }
--- a/src/test/java/io/pepperfield/forms/HttpForms.java
+++ b/src/test/java/io/pepperfield/forms/HttpForms.java
@@ -5,9 +5,9 @@
 import io.netty.channel.nio.NioIoHandler;
 import io.pepperfield.cli.Main;
 import io.pepperfield.http.HttpClient;
+import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.HttpServer;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Reply;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -38,7 +38,7 @@
     private final FormFile file;
     private final EventLoopGroup network =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private volatile Reply answer;
+    private volatile HttpReply answer;
 
     private HttpForms(FormFile file) {
         this.file = file;
@@ -58,13 +58,13 @@
     private void answers() throws Exception {
         HttpServer server = new HttpServer(network, 8, (call, told) -> told.accept(answer));
         int port = server.start(HOST, 0);
-        for (Reply reply :
+        for (HttpReply reply :
                 List.of(
-                        Reply.json(201, Json.object().put("a", 1)),
-                        Reply.empty(200),
-                        Reply.error(404, "no such path"),
-                        Reply.later("not now", 7),
-                        Reply.later("not now").closing())) {
+                        HttpReply.json(201, Json.object().put("a", 1)),
+                        HttpReply.empty(200),
+                        HttpReply.error(404, "no such path"),
+                        HttpReply.unavailable("not now", 7),
+                        HttpReply.unavailable("not now").closingConnection())) {
             answer = reply;
             for (String connection : List.of("close", "keep-alive")) {
                 file.add("answer to " + connection, ask(port, connection));
@@ -134,7 +134,8 @@
         int port = server.start(HOST, 0);
         Path job = Files.write(Files.createTempFile("forms", ".json"), BODY);
         for (String command : COMMANDS) {
-            for (Reply reply : List.of(Reply.json(200, Json.object()), Reply.error(409, "no"))) {
+            for (HttpReply reply :
+                    List.of(HttpReply.json(200, Json.object()), HttpReply.error(409, "no"))) {
                 answer = reply;
                 String[] arguments =
                         (command.replace("FILE", job.toString()) + " --server " + HOST + ":" + port)
--- a/src/test/java/io/pepperfield/forms/ListenerForms.java
+++ b/src/test/java/io/pepperfield/forms/ListenerForms.java
@@ -1,9 +1,9 @@
 package io.pepperfield.forms;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Reply;
-import io.pepperfield.standin.Region;
+import io.pepperfield.standin.SimulatedRegion;
 import io.pepperfield.standin.Version;
 import java.util.Iterator;
 import java.util.List;
@@ -38,10 +38,10 @@
     private ListenerForms() {}
 
     static void write(FormFile file) {
-        Region region = Region.beforeRollout(1, Version.ROLLOUT);
-        file.add("a worker's report before anybody leads", region.report(0, "east"));
+        SimulatedRegion region = SimulatedRegion.beforeRollout(1, Version.ROLLOUT);
+        file.add("a worker's report before anybody leads", region.sendHeartbeat(0, "east"));
         region.world.run(20);
-        region.jobs.submitWide(1, 400, 8);
+        region.jobMix.submitWide(1, 400, 8);
         region.world.run(40);
         int leader = region.leaderIndex();
         int other = leader == 0 ? 1 : 0;
@@ -54,35 +54,38 @@
         addShape(file, "leader's overview", region.answer(leader, "GET", "/api/nodes"));
         addShape(file, "other's overview", region.answer(other, "GET", "/api/nodes"));
         addShape(file, "rollout", region.answer(other, "GET", "/api/rollout"));
-        Region admitting = Region.admitting(1, 3, 0);
+        SimulatedRegion admitting = SimulatedRegion.admitting(1, 3, 0);
         admitting.world.run(20);
-        admitting.jobs.submitWide(1, 40, 8);
+        admitting.jobMix.submitWide(1, 40, 8);
         admitting.world.run(40);
-        Reply overview = admitting.answer(admitting.leaderIndex(), "GET", "/api/nodes");
+        HttpReply overview = admitting.answer(admitting.leaderIndex(), "GET", "/api/nodes");
         addShape(file, "overview with admission", overview);
         file.add("rollout switched off", admitting.answer(0, "GET", "/api/rollout"));
     }
 
     /** Of a machine that belongs to one of the controllers; also cut off from the leader. */
-    private static void writeReports(FormFile file, Region region, int leader, int other) {
+    private static void writeReports(FormFile file, SimulatedRegion region, int leader, int other) {
         for (int i = 0; i < 2; i++) {
-            file.add("leader, report", region.report(leader, "east"));
-            file.add("other, report", region.report(other, "east"));
-            region.world.run(region.world.now() + 2 * Region.REPORT_S);
+            file.add("leader, report", region.sendHeartbeat(leader, "east"));
+            file.add("other, report", region.sendHeartbeat(other, "east"));
+            region.world.run(region.world.now() + 2 * SimulatedRegion.HEARTBEAT_INTERVAL_S);
         }
         double now = region.world.now();
-        region.world.cut("node-" + other, "10.0.0." + (leader + 1), now + 3 * Region.REPORT_S);
-        region.world.run(now + 2 * Region.REPORT_S);
-        file.add("other, cut off from the leader, report", region.report(other, "east"));
-        region.world.cut("node-" + other, "10.", now + 2 * Region.LEASE_S);
-        region.world.run(now + Region.LEASE_S);
-        file.add("other, cut off from all, report", region.report(other, "east"));
+        region.world.cut(
+                "node-" + other,
+                "10.0.0." + (leader + 1),
+                now + 3 * SimulatedRegion.HEARTBEAT_INTERVAL_S);
+        region.world.run(now + 2 * SimulatedRegion.HEARTBEAT_INTERVAL_S);
+        file.add("other, cut off from the leader, report", region.sendHeartbeat(other, "east"));
+        region.world.cut("node-" + other, "10.", now + 2 * SimulatedRegion.LEASE_S);
+        region.world.run(now + SimulatedRegion.LEASE_S);
+        file.add("other, cut off from all, report", region.sendHeartbeat(other, "east"));
         file.add("other, cut off from all, health", region.answer(other, "GET", "/up"));
-        region.world.run(now + 4 * Region.LEASE_S);
+        region.world.run(now + 4 * SimulatedRegion.LEASE_S);
     }
 
     /** All fields with their types: the values depend on the moment. */
-    private static void addShape(FormFile file, String name, Reply reply) {
+    private static void addShape(FormFile file, String name, HttpReply reply) {
         TreeSet<String> fields = new TreeSet<>();
         collect(Json.read(reply.body()), "", fields);
         fields.forEach(field -> file.add(name, field));
