--- a/src/test/java/io/pepperfield/forms/RecordingSender.java
+++ b/src/test/java/io/pepperfield/forms/RecordingSender.java
@@ -1,15 +1,15 @@
 package io.pepperfield.forms;
 
-import io.pepperfield.http.Outcome;
-import io.pepperfield.http.Sender;
+import io.pepperfield.http.HttpOutcome;
+import io.pepperfield.http.HttpSender;
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 
 /** Adds each request to a golden file, and answers it with what the test has set. */
-public final class RecordingSender implements Sender {
+public final class RecordingSender implements HttpSender {
 
     private final FormFile file;
-    private Outcome answer = new Outcome.NoAnswer("");
+    private HttpOutcome answer = new HttpOutcome.NoAnswer("");
 
     /** Creates a sender that answers nothing yet. */
     public RecordingSender(FormFile file) {
@@ -18,7 +18,7 @@
 
     /** Sets the answer to all requests from now on. */
     public RecordingSender answer(int status, byte[] body) {
-        answer = new Outcome.Answered(status, body);
+        answer = new HttpOutcome.Answered(status, body);
         return this;
     }
 
@@ -36,7 +36,7 @@
             String path,
             byte[] body,
             long deadlineMs,
-            Consumer<Outcome> done) {
+            Consumer<HttpOutcome> done) {
         String content = body == null ? "no body" : new String(body, StandardCharsets.UTF_8);
         file.add(
                 "request",
--- a/src/test/java/io/pepperfield/forms/SettingsForms.java
+++ b/src/test/java/io/pepperfield/forms/SettingsForms.java
@@ -2,8 +2,8 @@
 
 import io.pepperfield.config.AdmissionSettings;
 import io.pepperfield.config.Feature;
-import io.pepperfield.config.Operators;
-import io.pepperfield.config.OperatorsReader;
+import io.pepperfield.config.OperatorSettings;
+import io.pepperfield.config.OperatorSettingsReader;
 import io.pepperfield.config.Settings;
 import io.pepperfield.config.SettingsException;
 import io.pepperfield.config.SettingsReader;
@@ -48,7 +48,7 @@
         try {
             return told(
                     SettingsReader.parse(
-                            "settings.toml", String.join("\n", lines), Operators.DEFAULTS));
+                            "settings.toml", String.join("\n", lines), OperatorSettings.DEFAULTS));
         } catch (SettingsException e) {
             return e.getMessage();
         }
@@ -57,24 +57,40 @@
     private static String told(Settings settings) {
         Settings.Deployment deployment = settings.deployment();
         StringBuilder told = new StringBuilder();
-        add(told, settings.node(), settings.zone(), settings.bind(), settings.peerListen());
+        add(told, settings.node(), settings.zone(), settings.bindAddress(), settings.peerAddress());
         settings.members()
                 .forEach(member -> add(told, member.node(), member.zone(), member.address()));
-        add(told, settings.cloud(), settings.state(), deployment.size(), deployment.zones());
+        add(
+                told,
+                settings.cloudAddress(),
+                settings.storeAddress(),
+                deployment.controllerCount(),
+                deployment.zones());
         add(told, deployment.clockErrorMs());
         for (Settings.Team team : deployment.teams().values()) {
-            add(told, team.name(), team.cpus(), team.cpusMax(), team.gpus(), team.gpusMax());
+            add(
+                    told,
+                    team.name(),
+                    team.guaranteedCpus(),
+                    team.cpuLimit(),
+                    team.guaranteedGpus(),
+                    team.gpuLimit());
         }
         for (Settings.Objective aim : deployment.objectives()) {
             add(told, aim.kind(), aim.workload(), aim.withinS(), aim.share(), aim.times());
         }
-        Settings.Workers workers = deployment.workers();
-        add(told, workers.reportS(), workers.leaseS(), workers.cancelS());
-        Settings.State state = deployment.state();
-        add(told, state.rps(), state.writeRps(), state.valueKb(), state.txnOps());
-        add(told, deployment.cloud().rps(), deployment.cloud().listLagS());
-        Settings.Quota quota = deployment.quota();
-        add(told, quota.coreShare(), quota.memMb(), quota.sockets());
+        Settings.WorkerTimings workers = deployment.workerTimings();
+        add(told, workers.heartbeatIntervalS(), workers.leaseS(), workers.cancellationDeadlineS());
+        Settings.StoreLimits state = deployment.storeLimits();
+        add(
+                told,
+                state.requestsPerS(),
+                state.writesPerS(),
+                state.maxValueKib(),
+                state.maxTransactionOps());
+        add(told, deployment.cloudLimits().requestsPerS(), deployment.cloudLimits().listDelayS());
+        Settings.ProcessQuota quota = deployment.processQuota();
+        add(told, quota.coreShare(), quota.memoryMb(), quota.maxSockets());
         return told.toString();
     }
 
@@ -85,7 +101,7 @@
 
     /** With each element missing, with values at and beyond the bounds, and twice. */
     static void writeOperators(FormFile file) {
-        file.add("no file", told(Operators.DEFAULTS));
+        file.add("no file", told(OperatorSettings.DEFAULTS));
         file.add("empty file", operators(List.of("<pepperfield/>")));
         List<String> lines = lines("operators.xml");
         file.add("all", operators(lines));
@@ -110,21 +126,29 @@
     private static String operators(List<String> lines) {
         try {
             byte[] xml = String.join("\n", lines).getBytes(StandardCharsets.UTF_8);
-            return told(OperatorsReader.parse("operators.xml", xml));
+            return told(OperatorSettingsReader.parse("operators.xml", xml));
         } catch (SettingsException e) {
             return e.getMessage();
         }
     }
 
-    private static String told(Operators operators) {
+    private static String told(OperatorSettings operators) {
         StringBuilder told = new StringBuilder();
-        add(told, operators.chargeS(), operators.restartShare(), operators.partlyShare());
-        add(told, operators.headroom(), operators.steady(), operators.silentAtOnce());
-        add(told, "rollout", operators.enabled(Feature.ROLLOUT));
-        add(told, "admission", operators.enabled(Feature.ADMISSION));
+        add(
+                told,
+                operators.billingUnitS(),
+                operators.restartCostShare(),
+                operators.partialMachineShare());
+        add(
+                told,
+                operators.headroomQuantile(),
+                operators.steadyQuantile(),
+                operators.maxConcurrentSilentReleases());
+        add(told, "rollout", operators.isEnabled(Feature.ROLLOUT));
+        add(told, "admission", operators.isEnabled(Feature.ADMISSION));
         AdmissionSettings admission = operators.admission();
-        add(told, admission.acceptanceShare(), admission.reserveShare(), admission.band());
-        add(told, admission.waitingLimitS(), new TreeMap<>(admission.weights()));
+        add(told, admission.acceptanceShare(), admission.reserveShare(), admission.fairnessBand());
+        add(told, admission.maxPredictedWaitS(), new TreeMap<>(admission.weights()));
         return told.toString();
     }
 }
--- a/src/test/java/io/pepperfield/forms/StateServiceForms.java
+++ b/src/test/java/io/pepperfield/forms/StateServiceForms.java
@@ -4,12 +4,12 @@
 import io.pepperfield.config.Settings.Address;
 import io.pepperfield.http.Json;
 import io.pepperfield.standin.SimulatedLoop;
-import io.pepperfield.store.HttpStateService;
-import io.pepperfield.store.StateService.Change;
-import io.pepperfield.store.StateService.Guard;
-import io.pepperfield.store.StateService.ReadResult;
-import io.pepperfield.store.StateService.TxnResult;
-import io.pepperfield.store.StateService.Urgency;
+import io.pepperfield.store.HttpKeyValueStore;
+import io.pepperfield.store.KeyValueStore.CompareAndSwapOutcome;
+import io.pepperfield.store.KeyValueStore.Mutation;
+import io.pepperfield.store.KeyValueStore.Precondition;
+import io.pepperfield.store.KeyValueStore.ReadResult;
+import io.pepperfield.store.KeyValueStore.RequestPriority;
 import java.util.List;
 
 /** What is asked of the state service, and what is read of its answers. */
@@ -18,13 +18,13 @@
     private final FormFile file;
     private final SimulatedLoop loop = new SimulatedLoop();
     private final RecordingSender sender;
-    private final HttpStateService state;
+    private final HttpKeyValueStore state;
 
     private StateServiceForms(FormFile file) {
         this.file = file;
         sender = new RecordingSender(file);
-        state = new HttpStateService(loop, sender, new Address("10.2.0.1", 2379));
-        state.share(50, 20, 20);
+        state = new HttpKeyValueStore(loop, sender, new Address("10.2.0.1", 2379));
+        state.setRates(50, 20, 20);
         loop.run(1);
     }
 
@@ -46,24 +46,26 @@
 
     private void write(int status, String answer) {
         sender.answer(status, answer);
-        state.txn(
-                Urgency.RUN,
-                List.of(new Guard("pepperfield/leader", 41), new Guard("pepperfield/types", 0)),
+        state.compareAndSwap(
+                RequestPriority.LEADER_WRITE,
                 List.of(
-                        Change.set("pepperfield/types", Json.array()),
-                        new Change("pepperfield/leader", Json.object().put("node", "a"), 7),
-                        Change.delete("pepperfield/end/run-000001")),
+                        new Precondition("pepperfield/leader", 41),
+                        new Precondition("pepperfield/types", 0)),
+                List.of(
+                        Mutation.set("pepperfield/types", Json.array()),
+                        new Mutation("pepperfield/leader", Json.object().put("node", "a"), 7),
+                        Mutation.delete("pepperfield/end/run-000001")),
                 result -> file.add("answered " + status + " " + answer, told(result)));
         pass();
     }
 
-    private static String told(TxnResult result) {
-        if (result instanceof TxnResult.Committed committed) {
+    private static String told(CompareAndSwapOutcome result) {
+        if (result instanceof CompareAndSwapOutcome.Committed committed) {
             return "committed at " + committed.revision();
-        } else if (result instanceof TxnResult.Conflict conflict) {
-            return "conflict of " + conflict.failed();
+        } else if (result instanceof CompareAndSwapOutcome.Conflict conflict) {
+            return "conflict of " + conflict.failedKeys();
         }
-        return result instanceof TxnResult.Refused refused
+        return result instanceof CompareAndSwapOutcome.Refused refused
                 ? "refused with " + refused.status()
                 : "unknown";
     }
@@ -71,7 +73,7 @@
     private String range(JsonNode answer) {
         sender.answer(200, Json.write(answer));
         StringBuilder read = new StringBuilder();
-        state.range("pepperfield/job/run-000001", result -> read.append(told(result)));
+        state.readPage("pepperfield/job/run-000001", result -> read.append(told(result)));
         pass();
         return read.toString();
     }
@@ -79,7 +81,7 @@
     private String follow(JsonNode answer) {
         sender.answer(200, Json.write(answer));
         StringBuilder read = new StringBuilder();
-        state.follow(16, 2.5, result -> read.append(told(result)));
+        state.watch(16, 2.5, result -> read.append(told(result)));
         pass();
         return read.toString();
     }
@@ -87,25 +89,25 @@
     private static String told(ReadResult result) {
         if (result instanceof ReadResult.Read read) {
             StringBuilder items = new StringBuilder("read up to " + read.revision());
-            read.items()
+            read.entries()
                     .forEach(
                             item ->
                                     items.append(", ")
                                             .append(item.key())
                                             .append(" = ")
-                                            .append(item.data())
+                                            .append(item.value())
                                             .append(" at ")
-                                            .append(item.stamp()));
-            return items + (read.more() ? ", and there is more" : "");
+                                            .append(item.modRevision()));
+            return items + (read.hasMore() ? ", and there is more" : "");
         }
-        return result instanceof ReadResult.TooOld ? "too old" : "failed";
+        return result instanceof ReadResult.RevisionTooOld ? "too old" : "failed";
     }
 
     private void unread() {
         for (int status : new int[] {410, 503}) {
             sender.answer(status, "{}");
-            state.range("", result -> file.add("range answered " + status, told(result)));
-            state.follow(16, 0, result -> file.add("follow answered " + status, told(result)));
+            state.readPage("", result -> file.add("range answered " + status, told(result)));
+            state.watch(16, 0, result -> file.add("follow answered " + status, told(result)));
             pass();
         }
     }
@@ -113,17 +115,19 @@
     private void grants() {
         for (int status : new int[] {200, 404, 503}) {
             sender.answer(status, "{\"claim\":7}");
-            state.grant(
+            state.createGrant(
                     6.5,
                     result ->
                             file.add(
-                                    "grant answered " + status, result.id() + gone(result.gone())));
-            state.touch(
+                                    "grant answered " + status,
+                                    result.id() + gone(result.ended())));
+            state.renewGrant(
                     7,
                     result ->
                             file.add(
-                                    "touch answered " + status, result.id() + gone(result.gone())));
-            state.endGrant(7);
+                                    "touch answered " + status,
+                                    result.id() + gone(result.ended())));
+            state.revokeGrant(7);
             pass();
         }
     }
--- a/src/test/java/io/pepperfield/forms/StoredForms.java
+++ b/src/test/java/io/pepperfield/forms/StoredForms.java
@@ -1,10 +1,11 @@
 package io.pepperfield.forms;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.pepperfield.cloud.Cloud;
-import io.pepperfield.cloud.HttpCloud;
-import io.pepperfield.cloud.Renting;
-import io.pepperfield.cloud.TypesRecord;
+import io.pepperfield.capacity.InstancePool;
+import io.pepperfield.cloud.CloudProvider;
+import io.pepperfield.cloud.HttpCloudProvider;
+import io.pepperfield.cloud.InstanceLifecycle;
+import io.pepperfield.cloud.MachineTypesRecord;
 import io.pepperfield.config.Settings.Address;
 import io.pepperfield.fleet.Fleet;
 import io.pepperfield.fleet.MachineType;
@@ -12,22 +13,21 @@
 import io.pepperfield.jobs.Job;
 import io.pepperfield.jobs.JobMessages;
 import io.pepperfield.jobs.JobSpec;
-import io.pepperfield.jobs.RunRecord;
-import io.pepperfield.jobs.RunRecord.State;
-import io.pepperfield.jobs.SharedRecords;
+import io.pepperfield.jobs.SharedRunRecords;
 import io.pepperfield.jobs.Status;
+import io.pepperfield.jobs.TaskState;
+import io.pepperfield.jobs.TaskState.Phase;
 import io.pepperfield.leadership.Leadership;
 import io.pepperfield.standin.JobSpecBuilder;
-import io.pepperfield.standin.SilentCloud;
-import io.pepperfield.standin.SilentStateService;
+import io.pepperfield.standin.NoOpCloud;
+import io.pepperfield.standin.NoOpKeyValueStore;
 import io.pepperfield.standin.SimulatedLoop;
-import io.pepperfield.steering.Pool;
+import io.pepperfield.store.FencedWriter;
+import io.pepperfield.store.KeyValueStore.Precondition;
 import io.pepperfield.store.Keys;
 import io.pepperfield.store.Replica;
-import io.pepperfield.store.StateService.Guard;
-import io.pepperfield.store.Sync;
+import io.pepperfield.store.ReplicaSynchronizer;
 import io.pepperfield.store.TransactionLimits;
-import io.pepperfield.store.Writer;
 import java.lang.reflect.Field;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -40,13 +40,13 @@
 
     private static final String JOB_ID = "run-000412";
     private static final long DONE_MS = 1_790_000_000_123L;
-    private static final RunRecord LIVE = new RunRecord(0, 1, State.LIVE, "host-000012", 3);
-    private static final List<RunRecord> LINES =
+    private static final TaskState LIVE = new TaskState(0, 1, Phase.LIVE, "host-000012", 3);
+    private static final List<TaskState> LINES =
             List.of(
                     LIVE,
-                    new RunRecord(1, 2, State.DONE, "", 0),
-                    new RunRecord(2, 1, State.GONE, "", 0),
-                    new RunRecord(3, 4, State.FAILED, "", 0));
+                    new TaskState(1, 2, Phase.DONE, "", 0),
+                    new TaskState(2, 1, Phase.GONE, "", 0),
+                    new TaskState(3, 4, Phase.FAILED, "", 0));
 
     private StoredForms() {}
 
@@ -59,10 +59,10 @@
             }
         }
         names.forEach(name -> file.add("name", name));
-        file.add("run record", Keys.run(JOB_ID, 3));
+        file.add("run record", Keys.runRecord(JOB_ID, 3));
         JobSpec spec = new JobSpecBuilder().id(JOB_ID).tasks(25).chunk(10).build();
-        file.add("part of a run record", spec.partKey(1, 2));
-        file.add("shared run records", new SharedRecords(41, 64).keyOf(small(), false));
+        file.add("part of a run record", spec.splitRecordKey(1, 2));
+        file.add("shared run records", new SharedRunRecords(41, 64).recordKeyFor(small(), false));
     }
 
     private static Job small() {
@@ -70,27 +70,27 @@
     }
 
     static void write(FormFile file) {
-        file.addRewrittenByField("job", JobMessages.durable(fullJob()), StoredForms::rewriteJob);
+        file.addRewrittenByField("job", JobMessages.encodeSpec(fullJob()), StoredForms::rewriteJob);
         file.addRewritten(
                 "job of defaults",
-                JobMessages.durable(new JobSpecBuilder().id(JOB_ID).build()),
+                JobMessages.encodeSpec(new JobSpecBuilder().id(JOB_ID).build()),
                 StoredForms::rewriteJob);
         for (JobSpec.Shape shape : JobSpec.Shape.values()) {
             JobSpec job = new JobSpecBuilder().id(JOB_ID).shape(shape).build();
-            file.addRewritten("shape", JobMessages.durable(job), StoredForms::rewriteJob);
+            file.addRewritten("shape", JobMessages.encodeSpec(job), StoredForms::rewriteJob);
         }
-        for (JobSpec.Rank rank : JobSpec.Rank.values()) {
+        for (JobSpec.Priority rank : JobSpec.Priority.values()) {
             JobSpec job = new JobSpecBuilder().id(JOB_ID).rank(rank).build();
-            file.addRewritten("rank", JobMessages.durable(job), StoredForms::rewriteJob);
+            file.addRewritten("rank", JobMessages.encodeSpec(job), StoredForms::rewriteJob);
         }
-        file.addRewritten("run record", RunRecord.write(LINES), StoredForms::rewriteRunRecord);
+        file.addRewritten("run record", TaskState.encode(LINES), StoredForms::rewriteRunRecord);
         writeSharedRecords(file);
         for (Status end : List.of(Status.DONE, Status.CANCELLED)) {
-            file.addRewritten("end", JobMessages.durableEnd(end), StoredForms::rewriteEnd);
+            file.addRewritten("end", JobMessages.encodeFinalStatus(end), StoredForms::rewriteEnd);
         }
-        file.addRewrittenByField("end", JobMessages.durableDone(DONE_MS), StoredForms::rewriteEnd);
-        file.addRewritten("types", TypesRecord.write(types()), StoredForms::rewriteTypes);
-        JsonNode type = TypesRecord.write(types()).path(0);
+        file.addRewrittenByField("end", JobMessages.encodeDone(DONE_MS), StoredForms::rewriteEnd);
+        file.addRewritten("types", MachineTypesRecord.encode(types()), StoredForms::rewriteTypes);
+        JsonNode type = MachineTypesRecord.encode(types()).path(0);
         file.addRead("type", type, form -> rewriteTypes(Json.array().add(form)));
         file.addRead("leader", FormFile.json("leader.json"), StoredForms::leaderOf);
         writeRentals(file);
@@ -111,7 +111,7 @@
                 "recon",
                 "desk",
                 JobSpec.Shape.SERVICE,
-                JobSpec.Rank.URGENT,
+                JobSpec.Priority.URGENT,
                 60,
                 4,
                 1.5,
@@ -137,110 +137,112 @@
     }
 
     private static String rewriteJob(JsonNode form) {
-        return text(JobMessages.durable(JobMessages.fromDurable(JOB_ID, form)));
+        return text(JobMessages.encodeSpec(JobMessages.decodeSpec(JOB_ID, form)));
     }
 
     private static String rewriteRunRecord(JsonNode form) {
-        return text(RunRecord.write(RunRecord.read(form)));
+        return text(TaskState.encode(TaskState.decode(form)));
     }
 
     private static String rewriteTypes(JsonNode form) {
-        return text(TypesRecord.write(TypesRecord.read(form)));
+        return text(MachineTypesRecord.encode(MachineTypesRecord.decode(form)));
     }
 
     private static String rewriteEnd(JsonNode form) {
-        OptionalLong doneMs = JobMessages.doneMs(form);
+        OptionalLong doneMs = JobMessages.decodeDoneMs(form);
         return text(
                 doneMs.isPresent()
-                        ? JobMessages.durableDone(doneMs.getAsLong())
-                        : JobMessages.durableEnd(JobMessages.end(form)));
+                        ? JobMessages.encodeDone(doneMs.getAsLong())
+                        : JobMessages.encodeFinalStatus(JobMessages.decodeFinalStatus(form)));
     }
 
     /** Who leads under the key, and what a newcomer writes once the key is gone. */
     private static String leaderOf(JsonNode form) {
         StringBuilder told = new StringBuilder();
-        SilentStateService state =
-                new SilentStateService() {
+        NoOpKeyValueStore state =
+                new NoOpKeyValueStore() {
                     @Override
-                    public void grant(double ttlS, Consumer<GrantResult> done) {
+                    public void createGrant(double ttlS, Consumer<GrantResult> done) {
                         done.accept(new GrantResult(7, false));
                     }
 
                     @Override
-                    public void txn(
-                            Urgency urgency,
-                            List<Guard> guards,
-                            List<Change> changes,
-                            Consumer<TxnResult> done) {
+                    public void compareAndSwap(
+                            RequestPriority urgency,
+                            List<Precondition> guards,
+                            List<Mutation> changes,
+                            Consumer<CompareAndSwapOutcome> done) {
                         changes.forEach(
                                 change ->
                                         told.append(", then ")
                                                 .append(change.key())
                                                 .append(" = ")
-                                                .append(change.data())
+                                                .append(change.value())
                                                 .append(" under ")
                                                 .append(change.grant()));
                     }
                 };
         Leadership leadership = new Leadership(new SimulatedLoop(), state, "worker-2", 1, null);
-        leadership.leaderKey(form, 41);
-        told.append("led by ").append(leadership.leader());
-        told.append(" with ").append(leadership.leaderToken());
-        leadership.leaderKey(null, 42);
+        leadership.leaderKeyChanged(form, 41);
+        told.append("led by ").append(leadership.leaderNode());
+        told.append(" with ").append(leadership.highestFencingToken());
+        leadership.leaderKeyChanged(null, 42);
         return told.toString();
     }
 
     /** Read by the index of jobs, see the tests of the production version's values. */
     private static void writeSharedRecords(FormFile file) {
-        SharedRecords records = new SharedRecords(41, 64);
-        String key = records.keyOf(small(), false);
-        records.content(key, job -> LINES).forEach(file::add);
-        records.over(JOB_ID);
-        records.content(key, job -> LINES).forEach(file::add);
+        SharedRunRecords records = new SharedRunRecords(41, 64);
+        String key = records.recordKeyFor(small(), false);
+        records.encodeRecord(key, job -> LINES).forEach(file::add);
+        records.remove(JOB_ID);
+        records.encodeRecord(key, job -> LINES).forEach(file::add);
     }
 
     /** A rental before and after the cloud's answer, and what the next leader asks for. */
     private static void writeRentals(FormFile file) {
         SimulatedLoop loop = new SimulatedLoop();
-        SilentStateService state =
-                new SilentStateService() {
+        NoOpKeyValueStore state =
+                new NoOpKeyValueStore() {
                     @Override
-                    public void txn(
-                            Urgency urgency,
-                            List<Guard> guards,
-                            List<Change> changes,
-                            Consumer<TxnResult> done) {
-                        changes.forEach(change -> file.add(change.key(), change.data()));
-                        done.accept(new TxnResult.Committed(42));
+                    public void compareAndSwap(
+                            RequestPriority urgency,
+                            List<Precondition> guards,
+                            List<Mutation> changes,
+                            Consumer<CompareAndSwapOutcome> done) {
+                        changes.forEach(change -> file.add(change.key(), change.value()));
+                        done.accept(new CompareAndSwapOutcome.Committed(42));
                     }
                 };
-        Cloud cloud =
-                new SilentCloud() {
+        CloudProvider cloud =
+                new NoOpCloud() {
                     @Override
-                    public void rent(
+                    public void rentInstances(
                             String request,
                             String type,
                             String zone,
                             boolean spot,
                             int count,
-                            Consumer<Rented> done) {
-                        done.accept(new Rented.Machines(List.of("host-000012", "host-000013")));
+                            Consumer<RentalOutcome> done) {
+                        done.accept(
+                                new RentalOutcome.Granted(List.of("host-000012", "host-000013")));
                     }
                 };
         Replica replica = new Replica((key, data, stamp) -> {});
-        Writer writer =
-                new Writer(
+        FencedWriter writer =
+                new FencedWriter(
                         loop,
                         state,
                         replica,
-                        new Sync(loop, state, replica, 1, 1),
+                        new ReplicaSynchronizer(loop, state, replica, 1, 1),
                         new SureLead(),
                         TransactionLimits.all(8),
                         1,
                         2);
-        Renting renting =
-                new Renting(loop, cloud, writer, new Fleet(null, 41, 1), 41, 1, 1, () -> true);
-        renting.rent(new Pool("lekker-big", true), "west", 2);
+        InstanceLifecycle renting =
+                new InstanceLifecycle(
+                        loop, cloud, writer, new Fleet(null, 41, 1), 41, 1, 1, () -> true);
+        renting.rent(new InstancePool("lekker-big", true), "west", 2);
         writer.flush();
         loop.run(10);
         writer.flush();
@@ -249,9 +251,11 @@
     private static String restored(FormFile file, JsonNode form) {
         SimulatedLoop loop = new SimulatedLoop();
         RecordingSender sender = new RecordingSender(file);
-        HttpCloud cloud = new HttpCloud(loop, sender, new Address("10.2.0.2", 8443), 2);
+        HttpCloudProvider cloud =
+                new HttpCloudProvider(loop, sender, new Address("10.2.0.2", 8443), 2);
         Fleet fleet = new Fleet(null, 42, 1);
-        new Renting(loop, cloud, null, fleet, 42, 1, 1, () -> true).restore("p41-1", form);
+        new InstanceLifecycle(loop, cloud, null, fleet, 42, 1, 1, () -> true)
+                .restore("p41-1", form);
         StringBuilder expected = new StringBuilder("expects");
         fleet.machines()
                 .forEach(
@@ -268,15 +272,15 @@
     }
 
     /** A leader whose writes nothing hinders. */
-    private static final class SureLead implements Writer.Lead {
+    private static final class SureLead implements FencedWriter.Fence {
         @Override
-        public boolean confirmed() {
+        public boolean holdsValidLease() {
             return true;
         }
 
         @Override
-        public Guard guard() {
-            return new Guard(Keys.LEADER, 41);
+        public Precondition fencingPrecondition() {
+            return new Precondition(Keys.LEADER, 41);
         }
     }
 }
--- a/src/test/java/io/pepperfield/forms/UserAnswerForms.java
+++ b/src/test/java/io/pepperfield/forms/UserAnswerForms.java
@@ -2,25 +2,25 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.http.Json;
-import io.pepperfield.jobs.Catalog;
+import io.pepperfield.jobs.JobIndex;
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.jobs.SubmissionPolicy;
 import io.pepperfield.jobs.UserRequests;
-import io.pepperfield.standin.SilentStateService;
+import io.pepperfield.standin.NoOpKeyValueStore;
 import io.pepperfield.standin.SimulatedLoop;
 import io.pepperfield.store.Replica;
-import io.pepperfield.store.Sync;
+import io.pepperfield.store.ReplicaSynchronizer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 
 /** What a controller answers its users, word for word, with status and time to come back. */
-final class UserAnswerForms implements SilentStateService {
+final class UserAnswerForms implements NoOpKeyValueStore {
 
     private final FormFile file;
     private final SimulatedLoop loop = new SimulatedLoop();
-    private TxnResult written = new TxnResult.Committed(6);
+    private CompareAndSwapOutcome written = new CompareAndSwapOutcome.Committed(6);
     private ReadResult read = new ReadResult.Read(List.of(), false, 5);
     private SubmissionPolicy.Decision decision = SubmissionPolicy.ADMITTED;
     private final UserRequests users;
@@ -28,9 +28,9 @@
 
     private UserAnswerForms(FormFile file) {
         this.file = file;
-        Catalog catalog = new Catalog(() -> 0);
+        JobIndex catalog = new JobIndex(() -> 0);
         Replica replica = new Replica((key, data, stamp) -> catalog.changed(key, data));
-        Sync sync = new Sync(loop, this, replica, 1, 0.01);
+        ReplicaSynchronizer sync = new ReplicaSynchronizer(loop, this, replica, 1, 0.01);
         users =
                 new UserRequests(
                         loop,
@@ -49,9 +49,9 @@
         loop.run(1);
     }
 
-    private static String refusal(JobSpec job) throws UserRequests.Undecided {
+    private static String refusal(JobSpec job) throws UserRequests.UndecidedException {
         if (job.cpus() == 999) {
-            throw new UserRequests.Undecided();
+            throw new UserRequests.UndecidedException();
         }
         return job.cpus() > 64 ? "fits nowhere" : null;
     }
@@ -64,7 +64,7 @@
             }
 
             @Override
-            public void throttled() {
+            public void storeThrottled() {
                 file.add("counted", "as throttled");
             }
         };
@@ -100,9 +100,9 @@
     }
 
     private void withoutTheStateService() {
-        written = new TxnResult.Refused(429);
+        written = new CompareAndSwapOutcome.Refused(429);
         submit("throttled", body());
-        written = new TxnResult.Unknown();
+        written = new CompareAndSwapOutcome.Unknown();
         submit("no answer to the write", body());
         for (int i = 0; i < 5; i++) {
             users.submit(Json.write(body()), reply -> file.add("many at once", reply));
@@ -115,19 +115,20 @@
         users.query("run-777779", reply -> file.add("second unknown job at once", reply));
         settle();
         read = new ReadResult.Read(List.of(), false, 5);
-        written = new TxnResult.Committed(6);
+        written = new CompareAndSwapOutcome.Committed(6);
     }
 
     private void ofOneJob() {
         query("run-777777");
         cancel("run-777777");
-        Item job = new Item("pepperfield/job/run-000001", Json.object().put("n", 3), 7);
+        KeyValue job = new KeyValue("pepperfield/job/run-000001", Json.object().put("n", 3), 7);
         read = new ReadResult.Read(List.of(job), false, 7);
         query("run-000001");
         read = new ReadResult.Read(List.of(), false, 7);
         cancel("run-000001");
-        Item end = new Item("pepperfield/end/run-000001", Json.object().put("s", "done"), 8);
-        written = new TxnResult.Conflict(List.of("pepperfield/end/run-000001"));
+        KeyValue end =
+                new KeyValue("pepperfield/end/run-000001", Json.object().put("s", "done"), 8);
+        written = new CompareAndSwapOutcome.Conflict(List.of("pepperfield/end/run-000001"));
         read = new ReadResult.Read(List.of(end), false, 8);
         cancel("run-000001");
         query("run-000001");
@@ -166,18 +167,21 @@
     }
 
     @Override
-    public void txn(
-            Urgency urgency, List<Guard> guards, List<Change> changes, Consumer<TxnResult> done) {
+    public void compareAndSwap(
+            RequestPriority urgency,
+            List<Precondition> guards,
+            List<Mutation> changes,
+            Consumer<CompareAndSwapOutcome> done) {
         loop.after(0.1, () -> done.accept(written));
     }
 
     @Override
-    public void range(String after, Consumer<ReadResult> done) {
+    public void readPage(String after, Consumer<ReadResult> done) {
         done.accept(read);
     }
 
     @Override
-    public void follow(long since, double holdS, Consumer<ReadResult> done) {
+    public void watch(long since, double holdS, Consumer<ReadResult> done) {
         if (holdS == 0) {
             loop.after(0.1, () -> done.accept(read));
         }
--- a/src/test/java/io/pepperfield/forms/UserForms.java
+++ b/src/test/java/io/pepperfield/forms/UserForms.java
@@ -2,13 +2,13 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Reply;
-import io.pepperfield.jobs.Catalog;
+import io.pepperfield.jobs.JobIndex;
 import io.pepperfield.jobs.JobMessages;
-import io.pepperfield.jobs.RunRecord;
-import io.pepperfield.jobs.RunRecord.State;
 import io.pepperfield.jobs.Status;
+import io.pepperfield.jobs.TaskState;
+import io.pepperfield.jobs.TaskState.Phase;
 import io.pepperfield.standin.JobSpecBuilder;
 import io.pepperfield.store.Keys;
 import java.nio.charset.StandardCharsets;
@@ -37,20 +37,21 @@
             file.add("id " + id, String.valueOf(JobMessages.validId(id)));
         }
         for (Status status : Status.values()) {
-            file.add("state", JobMessages.state(ID, status, 3, 2));
-            file.add("brief state", JobMessages.brief(ID, status));
+            file.add("state", JobMessages.statusAnswer(ID, status, 3, 2));
+            file.add("brief state", JobMessages.briefStatusAnswer(ID, status));
         }
         writeAnswers(file);
-        file.add("answer without a body", Reply.empty(200));
-        file.add("error", Reply.error(404, "no such path"));
-        file.add("later", Reply.later("not now"));
-        file.add("later", Reply.later("not now", 7));
+        file.add("answer without a body", HttpReply.empty(200));
+        file.add("error", HttpReply.error(404, "no such path"));
+        file.add("later", HttpReply.unavailable("not now"));
+        file.add("later", HttpReply.unavailable("not now", 7));
     }
 
-    private static String accepted(JsonNode body) throws JobMessages.Malformed {
+    private static String accepted(JsonNode body) throws JobMessages.InvalidSubmissionException {
         return new String(
                 Json.write(
-                        JobMessages.durable(JobMessages.submission(body, NOW_MS, LINES_IN_RECORD))),
+                        JobMessages.encodeSpec(
+                                JobMessages.decodeSubmission(body, NOW_MS, LINES_IN_RECORD))),
                 StandardCharsets.UTF_8);
     }
 
@@ -58,38 +59,39 @@
         ObjectNode body = ((ObjectNode) submission.deepCopy()).put(field, value);
         try {
             return accepted(body);
-        } catch (JobMessages.Malformed e) {
+        } catch (JobMessages.InvalidSubmissionException e) {
             return "refused: " + e.getMessage();
         }
     }
 
     /** Of a job that waits for more others than are named, runs, fails in part, and is done. */
     private static void writeAnswers(FormFile file) {
-        Catalog catalog = new Catalog(() -> 0);
+        JobIndex catalog = new JobIndex(() -> 0);
         List<String> prerequisites =
                 IntStream.range(0, 18).mapToObj(i -> String.format("run-%06d", i)).toList();
         JsonNode job =
-                JobMessages.durable(
-                        new JobSpecBuilder().id(ID).tasks(4).awaits(prerequisites).build());
-        catalog.changed(Keys.JOB + ID, job);
-        file.add("waits for others", catalog.get(ID).answer());
+                JobMessages.encodeSpec(
+                        new JobSpecBuilder().id(ID).tasks(4).dependencies(prerequisites).build());
+        catalog.changed(Keys.JOB_PREFIX + ID, job);
+        file.add("waits for others", catalog.get(ID).statusAnswer());
         prerequisites.forEach(
                 id -> {
                     catalog.changed(
-                            Keys.JOB + id,
-                            JobMessages.durable(new JobSpecBuilder().id(id).build()));
-                    catalog.changed(Keys.END + id, JobMessages.durableDone(NOW_MS));
+                            Keys.JOB_PREFIX + id,
+                            JobMessages.encodeSpec(new JobSpecBuilder().id(id).build()));
+                    catalog.changed(Keys.FINAL_STATE_PREFIX + id, JobMessages.encodeDone(NOW_MS));
                 });
-        file.add("is ready", catalog.get(ID).answer());
+        file.add("is ready", catalog.get(ID).statusAnswer());
         catalog.changed(
-                Keys.run(ID, 0),
-                RunRecord.write(
+                Keys.runRecord(ID, 0),
+                TaskState.encode(
                         List.of(
-                                new RunRecord(0, 1, State.LIVE, "host-000012", 1),
-                                new RunRecord(1, 1, State.DONE, "", 0),
-                                new RunRecord(2, 3, State.FAILED, "", 0))));
-        file.add("runs", catalog.get(ID).answer());
-        catalog.changed(Keys.END + ID, JobMessages.durableEnd(Status.CANCELLED));
-        file.add("is cancelled", catalog.get(ID).answer());
+                                new TaskState(0, 1, Phase.LIVE, "host-000012", 1),
+                                new TaskState(1, 1, Phase.DONE, "", 0),
+                                new TaskState(2, 3, Phase.FAILED, "", 0))));
+        file.add("runs", catalog.get(ID).statusAnswer());
+        catalog.changed(
+                Keys.FINAL_STATE_PREFIX + ID, JobMessages.encodeFinalStatus(Status.CANCELLED));
+        file.add("is cancelled", catalog.get(ID).statusAnswer());
     }
 }
--- a/src/test/java/io/pepperfield/forms/WorkerForms.java
+++ b/src/test/java/io/pepperfield/forms/WorkerForms.java
@@ -2,11 +2,11 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pepperfield.fleet.HttpWorkers;
+import io.pepperfield.fleet.Heartbeat;
+import io.pepperfield.fleet.HttpWorkerClient;
 import io.pepperfield.fleet.Order;
-import io.pepperfield.fleet.Report;
 import io.pepperfield.fleet.TaskRef;
-import io.pepperfield.fleet.Workers;
+import io.pepperfield.fleet.WorkerClient;
 import io.pepperfield.standin.SimulatedLoop;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -30,9 +30,9 @@
                 List.of("done", "stopped", "error", "no_room", "busy", "no_such", "unheard-of")) {
             file.add("cause " + cause, read(withTask(report, "cause", cause)));
         }
-        file.add("answer", Order.reply(TOKEN, orders()));
-        file.add("answer without orders", Order.reply(TOKEN, List.of()));
-        file.add("message", Order.message(TOKEN, TENURE, orders()));
+        file.add("answer", Order.replyBody(TOKEN, orders()));
+        file.add("answer without orders", Order.replyBody(TOKEN, List.of()));
+        file.add("message", Order.directMessageBody(TOKEN, TENURE, orders()));
         writeRequests(file);
     }
 
@@ -44,16 +44,16 @@
     }
 
     /** What is read of a report; names of enum constants may change, their order may not. */
-    public static String read(Report report) {
+    public static String read(Heartbeat report) {
         if (report == null) {
             return "refused";
         }
         StringBuilder tasks = new StringBuilder();
-        for (Report.Line line : report.lines()) {
+        for (Heartbeat.AttemptStatus line : report.attempts()) {
             tasks.append(", task ")
-                    .append(line.ref())
+                    .append(line.taskRef())
                     .append(" attempt ")
-                    .append(line.attempt())
+                    .append(line.attemptNumber())
                     .append(" state ")
                     .append(line.state().ordinal())
                     .append(" cause ")
@@ -61,18 +61,18 @@
         }
         return String.join(" ", report.machine(), report.address(), report.type(), report.zone())
                 + (report.spot() ? " spot " : " ordinary ")
-                + report.tenure()
+                + report.incarnation()
                 + " "
-                + report.serial()
+                + report.sequence()
                 + " "
-                + report.token()
+                + report.fencingToken()
                 + " notice "
-                + report.noticeS()
+                + report.reclaimNoticeS()
                 + tasks;
     }
 
     private static String read(JsonNode message) {
-        return read(Report.read(message));
+        return read(Heartbeat.parse(message));
     }
 
     private static JsonNode withTask(JsonNode report, String field, String value) {
@@ -84,32 +84,32 @@
     private static void writeRequests(FormFile file) {
         SimulatedLoop loop = new SimulatedLoop();
         RecordingSender sender = new RecordingSender(file);
-        HttpWorkers workers = new HttpWorkers(loop, sender, 2.5);
+        HttpWorkerClient workers = new HttpWorkerClient(loop, sender, 2.5);
         byte[] report = FormFile.input("report.json");
         for (int status : new int[] {200, 409, 400}) {
             sender.answer(status, report);
-            workers.orders(
+            workers.sendOrders(
                     ADDRESS,
                     TOKEN,
                     TENURE,
                     orders(),
                     result -> file.add("orders answered " + status, told(result)));
-            workers.forward(
+            workers.forwardOrders(
                     ADDRESS,
                     TOKEN,
                     TENURE,
-                    Order.reply(TOKEN, orders()).path("orders"),
+                    Order.replyBody(TOKEN, orders()).path("orders"),
                     heard -> file.add("forwarded orders answered " + status, heard));
             workers.probe(ADDRESS, answer -> file.add("probe answered " + status, read(answer)));
             loop.run(loop.now() + 1);
         }
     }
 
-    private static String told(Workers.Result result) {
-        if (result instanceof Workers.Result.Heard heard) {
-            return (heard.executed() ? "executed, " : "not executed, ") + read(heard.report());
+    private static String told(WorkerClient.Result result) {
+        if (result instanceof WorkerClient.Result.Responded heard) {
+            return (heard.executed() ? "executed, " : "not executed, ") + read(heard.heartbeat());
         }
-        return result instanceof Workers.Result.NotSent ? "not sent" : "no answer";
+        return result instanceof WorkerClient.Result.NotSent ? "not sent" : "no answer";
     }
 
     /** A report as a worker sends it. */
--- a/src/test/java/io/pepperfield/node/FailureDetectorTest.java
+++ b/src/test/java/io/pepperfield/health/FailureDetectorTest.java
@@ -1,20 +1,24 @@
-package io.pepperfield.node;
+package io.pepperfield.health;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.pepperfield.cloud.Cloud;
-import io.pepperfield.cloud.Renting;
-import io.pepperfield.config.Aims;
+import io.pepperfield.cloud.CloudProvider;
+import io.pepperfield.cloud.InstanceLifecycle;
+import io.pepperfield.cluster.BootTracker;
+import io.pepperfield.cluster.ClusterState;
+import io.pepperfield.cluster.LatencyHistograms;
+import io.pepperfield.cluster.MachineTypes;
+import io.pepperfield.config.Objectives;
 import io.pepperfield.config.Settings;
 import io.pepperfield.fleet.Fleet;
-import io.pepperfield.fleet.HttpWorkers;
-import io.pepperfield.fleet.Ledger;
+import io.pepperfield.fleet.Heartbeat;
+import io.pepperfield.fleet.HttpWorkerClient;
+import io.pepperfield.fleet.LiveAttempts;
 import io.pepperfield.fleet.MachineType;
-import io.pepperfield.fleet.Report;
 import io.pepperfield.loop.Loop;
-import io.pepperfield.standin.SilentCloud;
-import io.pepperfield.standin.SilentFleetListener;
+import io.pepperfield.standin.NoOpCloud;
+import io.pepperfield.standin.NoOpFleetListener;
 import io.pepperfield.standin.SingleNodeSettings;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -28,7 +32,7 @@
  * Which silent machines are given up: twelve in the east and twelve in the west, reports every
  * second, leases of six.
  */
-class FailureDetectorTest implements Loop, SilentFleetListener {
+class FailureDetectorTest implements Loop, NoOpFleetListener {
 
     private final Settings settings =
             SingleNodeSettings.of(List.of("east", "west"), Map.of(), List.of());
@@ -46,33 +50,34 @@
                 List.of(
                         new MachineType(
                                 "box", 8, 0, 32, 20, 1, 1, 0.4, 5, List.of("east", "west"))));
-        Cloud cloud =
-                new SilentCloud() {
+        CloudProvider cloud =
+                new NoOpCloud() {
 
                     @Override
-                    public void release(List<String> names, Consumer<Boolean> done) {
+                    public void releaseInstances(List<String> names, Consumer<Boolean> done) {
                         released.addAll(names);
                         done.accept(true);
                     }
                 };
-        Renting renting = new Renting(this, cloud, null, fleet, 10, 1, 10, () -> true);
+        InstanceLifecycle renting =
+                new InstanceLifecycle(this, cloud, null, fleet, 10, 1, 10, () -> true);
         ClusterState cluster =
                 new ClusterState(
                         this,
                         settings,
-                        new Aims(List.of()),
+                        new Objectives(List.of()),
                         types,
                         fleet,
-                        new Ledger(),
+                        new LiveAttempts(),
                         new HashMap<>(),
                         renting,
                         boots,
-                        new Latencies());
+                        new LatencyHistograms());
         failureDetector =
                 new FailureDetector(
                         cluster,
                         null,
-                        new HttpWorkers(
+                        new HttpWorkerClient(
                                 this,
                                 (host,
                                         port,
@@ -104,9 +109,9 @@
     }
 
     private void report(String name, String zone) {
-        fleet.expect(name, "box", zone, false, 0, now);
-        fleet.beat(
-                new Report(
+        fleet.expectMachine(name, "box", zone, false, 0, now);
+        fleet.handleHeartbeat(
+                new Heartbeat(
                         name,
                         "a:1",
                         "box",
@@ -151,13 +156,13 @@
     void machinesOfASlowZoneAreWaitedForAndOneThatNeverComesIsNot() {
         // Nominal 5 s. In the west all come late; in the east all but one are up in time.
         for (int i = 0; i < 6; i++) {
-            fleet.expect("west" + i, "box", "west", false, 0, 0);
+            fleet.expectMachine("west" + i, "box", "west", false, 0, 0);
         }
-        fleet.expect("never", "box", "east", false, 0, 0);
+        fleet.expectMachine("never", "box", "east", false, 0, 0);
         for (int i = 0; i < 4; i++) {
             report("east" + i, "east");
             now = 6;
-            boots.reported(fleet.get("east" + i), now);
+            boots.machineBooted(fleet.get("east" + i), now);
         }
         for (now = 6; now < 19; now += 0.5) {
             boots.update(fleet, now);
@@ -166,11 +171,11 @@
             }
             tick();
             // Counted on or a second fleet would be rented for one that is about to come.
-            assertTrue(boots.coming(fleet.get("west0"), now), "at " + now);
+            assertTrue(boots.isStillExpected(fleet.get("west0"), now), "at " + now);
             assertTrue(
                     now <= 12
                             || fleet.get("never") == null
-                            || !boots.coming(fleet.get("never"), now));
+                            || !boots.isStillExpected(fleet.get("never"), now));
         }
         assertEquals(List.of("never"), new ArrayList<>(released));
         assertTrue(boots.late(types.get("box"), "west"));
@@ -178,21 +183,21 @@
         // few stragglers are no news.
         BootTracker next = new BootTracker(types, 60);
         for (int i = 0; i < 3; i++) {
-            fleet.expect("straggler" + i, "box", "east", false, 0, now);
+            fleet.expectMachine("straggler" + i, "box", "east", false, 0, now);
         }
         next.update(fleet, now);
         // Nor are three that died as they booted, where nothing else was rented since.
-        assertEquals(5, next.expected(types.get("box"), "east"));
+        assertEquals(5, next.expectedBootTime(types.get("box"), "east"));
         now += 20;
         next.update(fleet, now);
-        assertEquals(5, next.expected(types.get("box"), "east"));
+        assertEquals(5, next.expectedBootTime(types.get("box"), "east"));
         assertTrue(next.late(types.get("box"), "west"));
         // When the trouble ends, what comes in time is believed again.
         for (int i = 0; i < 6; i++) {
-            fleet.gone("west" + i);
+            fleet.confirmReleased("west" + i);
         }
         boots.update(fleet, now);
-        assertEquals(5, boots.expected(types.get("box"), "west"));
+        assertEquals(5, boots.expectedBootTime(types.get("box"), "west"));
     }
 
     @Override
--- a/src/test/java/io/pepperfield/node/LeaseRenewalTest.java
+++ b/src/test/java/io/pepperfield/health/LeaseRenewalTest.java
@@ -1,19 +1,19 @@
-package io.pepperfield.node;
+package io.pepperfield.health;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pepperfield.config.Settings;
+import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.Order;
-import io.pepperfield.fleet.Report;
 import io.pepperfield.fleet.TaskRef;
 import io.pepperfield.http.Json;
-import io.pepperfield.jobs.Catalog;
+import io.pepperfield.jobs.JobIndex;
 import io.pepperfield.jobs.JobMessages;
-import io.pepperfield.jobs.RunRecord;
 import io.pepperfield.jobs.Status;
-import io.pepperfield.peer.ReportForwarder;
+import io.pepperfield.jobs.TaskState;
+import io.pepperfield.peer.HeartbeatForwarder;
 import io.pepperfield.standin.JobSpecBuilder;
 import io.pepperfield.store.Keys;
 import java.util.List;
@@ -26,46 +26,48 @@
 class LeaseRenewalTest {
 
     private double knownUpTo = 60;
-    private final Catalog catalog = new Catalog(() -> knownUpTo);
+    private final JobIndex catalog = new JobIndex(() -> knownUpTo);
     private final LeaseRenewal renewal =
-            new LeaseRenewal(new Settings.Workers(4, 22, 47), catalog, () -> knownUpTo);
+            new LeaseRenewal(new Settings.WorkerTimings(4, 22, 47), catalog, () -> knownUpTo);
 
     private void accepted(String id, String... needed) {
         catalog.changed(
-                Keys.JOB + id,
-                JobMessages.durable(
+                Keys.JOB_PREFIX + id,
+                JobMessages.encodeSpec(
                         new JobSpecBuilder()
                                 .id(id)
                                 .tasks(2)
                                 .spot(true)
                                 .chunk(8)
-                                .awaits(List.of(needed))
+                                .dependencies(List.of(needed))
                                 .build()));
     }
 
     private void alive(String id, String machine) {
         catalog.changed(
-                Keys.run(id, 0),
-                RunRecord.write(List.of(new RunRecord(0, 3, RunRecord.State.LIVE, machine, 1))));
+                Keys.runRecord(id, 0),
+                TaskState.encode(List.of(new TaskState(0, 3, TaskState.Phase.LIVE, machine, 1))));
     }
 
     private void cancelled(String id) {
-        catalog.changed(Keys.END + id, JobMessages.durableEnd(Status.CANCELLED));
+        catalog.changed(
+                Keys.FINAL_STATE_PREFIX + id, JobMessages.encodeFinalStatus(Status.CANCELLED));
     }
 
-    private static Report report(String machine, Report.Line... lines) {
-        return new Report(machine, "a:1", "box", "east", false, 1, 9, 5, null, List.of(lines));
+    private static Heartbeat report(String machine, Heartbeat.AttemptStatus... lines) {
+        return new Heartbeat(machine, "a:1", "box", "east", false, 1, 9, 5, null, List.of(lines));
     }
 
-    private static Report.Line line(String id, int attempt, Report.State state) {
-        return new Report.Line(new TaskRef(id, 0), attempt, state, Report.Cause.NONE);
+    private static Heartbeat.AttemptStatus line(String id, int attempt, Heartbeat.State state) {
+        return new Heartbeat.AttemptStatus(
+                new TaskRef(id, 0), attempt, state, Heartbeat.Cause.NONE);
     }
 
     @Test
     void aLeaseEndsBeforeWhatIsCancelledAfterwardsMustBeGone() {
-        assertTrue(renewal.allowed(70, 94.4));
+        assertTrue(renewal.mayRenew(70, 94.4));
         // Renewed then, it would end at 116.6 by a clock that may be slow: too close to 70 + 47.
-        assertFalse(renewal.allowed(70, 94.6));
+        assertFalse(renewal.mayRenew(70, 94.6));
     }
 
     @Test
@@ -80,34 +82,34 @@
         knownUpTo = 70;
         // Its run order may be held back, and nobody here can call it off: the machine must end by
         // itself in time.
-        assertEquals(60, renewal.settledByOwnKnowledge(report("m1")));
-        assertEquals(List.of(), renewal.stops(report("m1")));
+        assertEquals(60, renewal.localCancellationWatermark(report("m1")));
+        assertEquals(List.of(), renewal.stopsForCancelled(report("m1")));
         // Another attempt of the same task says nothing about this one.
         assertEquals(
                 60,
-                renewal.settledByOwnKnowledge(
-                        report("m1", line("run-000001", 2, Report.State.ENDED))));
+                renewal.localCancellationWatermark(
+                        report("m1", line("run-000001", 2, Heartbeat.State.ENDED))));
         // Where it runs it is stopped with the answer; where it has ended, a late order does
         // nothing.
-        Report running =
+        Heartbeat running =
                 report(
                         "m1",
-                        line("run-000001", 3, Report.State.RUNNING),
-                        line("run-000002", 3, Report.State.RUNNING));
-        assertEquals(70, renewal.settledByOwnKnowledge(running));
+                        line("run-000001", 3, Heartbeat.State.RUNNING),
+                        line("run-000002", 3, Heartbeat.State.RUNNING));
+        assertEquals(70, renewal.localCancellationWatermark(running));
         assertEquals(
                 List.of(new Order.Stop(new TaskRef("run-000001", 0), 3, 0)),
-                renewal.stops(running));
-        Report ended = report("m1", line("run-000001", 3, Report.State.ENDED));
-        assertEquals(70, renewal.settledByOwnKnowledge(ended));
-        assertEquals(List.of(), renewal.stops(ended));
+                renewal.stopsForCancelled(running));
+        Heartbeat ended = report("m1", line("run-000001", 3, Heartbeat.State.ENDED));
+        assertEquals(70, renewal.localCancellationWatermark(ended));
+        assertEquals(List.of(), renewal.stopsForCancelled(ended));
         // Other machines go on.
-        assertEquals(70, renewal.settledByOwnKnowledge(report("m2")));
+        assertEquals(70, renewal.localCancellationWatermark(report("m2")));
         // Proven gone, as the leader has written meanwhile.
         catalog.changed(
-                Keys.run("run-000001", 0),
-                RunRecord.write(List.of(new RunRecord(0, 3, RunRecord.State.GONE, "", 0))));
-        assertEquals(70, renewal.settledByOwnKnowledge(report("m1")));
+                Keys.runRecord("run-000001", 0),
+                TaskState.encode(List.of(new TaskState(0, 3, TaskState.Phase.GONE, "", 0))));
+        assertEquals(70, renewal.localCancellationWatermark(report("m1")));
     }
 
     @Test
@@ -116,17 +118,20 @@
         cancelled("run-000001");
         alive("run-000001", "m1");
         knownUpTo = 70;
-        assertEquals(60, renewal.settledByOwnKnowledge(report("m1")));
+        assertEquals(60, renewal.localCancellationWatermark(report("m1")));
     }
 
     @Test
     void aLeadersAnswerThatStopsSomethingSettlesNothing() {
         // Whether it arrives nobody knows; the next one without a stop says that it did.
-        assertTrue(ReportForwarder.settledUpTo(true, 70) < 0);
-        assertEquals(70, ReportForwarder.settledUpTo(false, 70));
-        assertTrue(Order.anyStop(Json.read("[{\"verb\":\"run\"},{\"verb\":\"stop\"}]".getBytes())));
+        assertTrue(HeartbeatForwarder.cancellationWatermark(true, 70) < 0);
+        assertEquals(70, HeartbeatForwarder.cancellationWatermark(false, 70));
+        assertTrue(
+                Order.containsStop(
+                        Json.read("[{\"verb\":\"run\"},{\"verb\":\"stop\"}]".getBytes())));
         assertFalse(
-                Order.anyStop(Json.read("[{\"verb\":\"run\"},{\"verb\":\"clear\"}]".getBytes())));
+                Order.containsStop(
+                        Json.read("[{\"verb\":\"run\"},{\"verb\":\"clear\"}]".getBytes())));
     }
 
     /**
@@ -142,14 +147,14 @@
         // No leader starts anything of it; what a line calls alive all the same is waited for.
         alive("run-000003", "m1");
         knownUpTo = 70;
-        assertEquals(60, renewal.settledByOwnKnowledge(report("m1")));
-        Report running = report("m1", line("run-000003", 3, Report.State.RUNNING));
-        assertEquals(70, renewal.settledByOwnKnowledge(running));
+        assertEquals(60, renewal.localCancellationWatermark(report("m1")));
+        Heartbeat running = report("m1", line("run-000003", 3, Heartbeat.State.RUNNING));
+        assertEquals(70, renewal.localCancellationWatermark(running));
         assertEquals(
                 List.of(new Order.Stop(new TaskRef("run-000003", 0), 3, 0)),
-                renewal.stops(running));
+                renewal.stopsForCancelled(running));
         // Read again as its own cancellation: still open as of 60, not as of later.
         cancelled("run-000003");
-        assertEquals(60, renewal.settledByOwnKnowledge(report("m1")));
+        assertEquals(60, renewal.localCancellationWatermark(report("m1")));
     }
 }
--- a/src/test/java/io/pepperfield/http/PendingQueryLimitTest.java
+++ b/src/test/java/io/pepperfield/http/PendingQueryLimitTest.java
@@ -11,13 +11,13 @@
 /** Many times as many questions as usual. */
 class PendingQueryLimitTest {
 
-    private final List<Consumer<Reply>> waiting = new ArrayList<>();
-    private final List<Reply> said = new ArrayList<>();
+    private final List<Consumer<HttpReply>> waiting = new ArrayList<>();
+    private final List<HttpReply> said = new ArrayList<>();
     private final PendingQueryLimit admission =
             new PendingQueryLimit("/api/jobs/", 3, (call, answer) -> waiting.add(answer));
 
     private void call(String method, String path) {
-        admission.handle(Call.of(method, path, new byte[0]), said::add);
+        admission.handle(InboundRequest.of(method, path, new byte[0]), said::add);
     }
 
     @Test
@@ -33,7 +33,7 @@
         call("GET", "/up");
         call("POST", "/api/jobs/run-000001/cancel");
         assertEquals(6, waiting.size(), "reports, health and cancellations are not held up");
-        waiting.remove(0).accept(Reply.empty(200));
+        waiting.remove(0).accept(HttpReply.empty(200));
         call("GET", "/api/jobs/run-000001");
         assertEquals(6, waiting.size(), "an answer makes room for a question");
     }
--- a/src/test/java/io/pepperfield/http/SocketsTest.java
+++ b/src/test/java/io/pepperfield/http/SocketsTest.java
@@ -21,20 +21,20 @@
         network.shutdownGracefully();
     }
 
-    private Outcome ask(HttpClient client, int port, String path) {
-        CompletableFuture<Outcome> answer = new CompletableFuture<>();
+    private HttpOutcome ask(HttpClient client, int port, String path) {
+        CompletableFuture<HttpOutcome> answer = new CompletableFuture<>();
         client.send("127.0.0.1", port, 1, "GET", path, null, 5000, answer::complete);
         return answer.join();
     }
 
     private int server() throws InterruptedException {
-        return new HttpServer(network, 4, (call, answer) -> answer.accept(Reply.empty(200)))
-                .limit("/beat", 2)
+        return new HttpServer(network, 4, (call, answer) -> answer.accept(HttpReply.empty(200)))
+                .limitConnections("/beat", 2)
                 .start("127.0.0.1", 0);
     }
 
     private int status(HttpClient client, int port, String path) {
-        return ((Outcome.Answered) ask(client, port, path)).status();
+        return ((HttpOutcome.Answered) ask(client, port, path)).status();
     }
 
     @Test
@@ -45,10 +45,10 @@
                                 4,
                                 (call, answer) -> {
                                     if (!call.path().equals("/beat")) {
-                                        answer.accept(Reply.empty(200));
+                                        answer.accept(HttpReply.empty(200));
                                     }
                                 })
-                        .limit("/beat", 2)
+                        .limitConnections("/beat", 2)
                         .start("127.0.0.1", 0);
         HttpClient user = new HttpClient(network, 1 << 16);
         for (int i = 0; i < 2; i++) {
@@ -87,6 +87,6 @@
         int silent = new HttpServer(network, 4, (call, answer) -> {}).start("127.0.0.1", 0);
         int port = server();
         client.send("127.0.0.1", silent, 1, "GET", "/a", null, 60_000, outcome -> {});
-        assertInstanceOf(Outcome.NotSent.class, ask(client, port, "/a"));
+        assertInstanceOf(HttpOutcome.NotSent.class, ask(client, port, "/a"));
     }
 }
--- /dev/null
+++ b/src/test/java/io/pepperfield/jobs/CrashLoopingJobTest.java
@@ -0,0 +1,53 @@
+package io.pepperfield.jobs;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.pepperfield.standin.JobSpecBuilder;
+import org.junit.jupiter.api.Test;
+
+/** A job that was submitted with a mistake fails on every machine until its user cancels it. */
+class CrashLoopingJobTest {
+
+    private final Job job =
+            new Job(new JobSpecBuilder().tasks(40).cpus(4).spot(true).chunk(64).build(), 0);
+
+    @Test
+    void failuresOnOneMachineAreTheMachines() {
+        for (int i = 0; i < 4; i++) {
+            assertFalse(job.recordFailure("m1", 10, 2, 60));
+        }
+        assertEquals(40, job.startableTaskCount(true));
+        assertTrue(job.failedMachines().contains("m1"), "the next try goes elsewhere");
+    }
+
+    @Test
+    void failuresOnSeveralLetOneTaskGoAtATimeAfterGrowingPauses() {
+        job.recordFailure("m1", 10, 2, 60);
+        assertTrue(job.recordFailure("m2", 10, 2, 60), "said once");
+        assertEquals(12, job.startNotBefore());
+        assertEquals(1, job.startableTaskCount(false));
+        assertEquals(0, job.startableTaskCount(true));
+        assertFalse(job.recordFailure("m3", 20, 2, 60));
+        assertEquals(24, job.startNotBefore());
+        for (int i = 4; i < 40; i++) {
+            job.recordFailure("m" + i, 100, 2, 60);
+        }
+        assertEquals(160, job.startNotBefore());
+        assertTrue(job.failedMachines().size() < 10, "a small site has no other machines left");
+    }
+
+    @Test
+    void oneCompletedTaskClearsItAndADurableFailureIsRemembered() {
+        job.recordFailure("m1", 10, 2, 60);
+        job.recordFailure("m2", 10, 2, 60);
+        job.recordSuccess();
+        assertEquals(40, job.startableTaskCount(true));
+        assertEquals(0, job.startNotBefore());
+        // After a change of leader.
+        job.recordEarlierFailure();
+        job.recordEarlierFailure();
+        assertEquals(1, job.startableTaskCount(false));
+    }
+}
--- a/src/test/java/io/pepperfield/jobs/CreateIfAbsentTest.java
+++ b/src/test/java/io/pepperfield/jobs/CreateIfAbsentTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.pepperfield.http.Json;
-import io.pepperfield.standin.Transactions;
-import io.pepperfield.store.StateService.TxnResult;
-import io.pepperfield.store.StateService.Urgency;
+import io.pepperfield.standin.RecordingKeyValueStore;
+import io.pepperfield.store.KeyValueStore.CompareAndSwapOutcome;
+import io.pepperfield.store.KeyValueStore.RequestPriority;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -13,9 +13,10 @@
 /** Submissions beyond what can be written while their users wait. */
 class CreateIfAbsentTest {
 
-    private final Transactions state = new Transactions();
+    private final RecordingKeyValueStore state = new RecordingKeyValueStore();
     private final List<String> said = new ArrayList<>();
-    private final CreateIfAbsent once = new CreateIfAbsent(state, state, Urgency.JOB, 4, 40_000, 2);
+    private final CreateIfAbsent once =
+            new CreateIfAbsent(state, state, RequestPriority.SUBMISSION, 4, 40_000, 2);
 
     private void ask(String key) {
         once.create(key, Json.object(), result -> said.add(key + " " + result));
@@ -35,7 +36,7 @@
         // next, not their queue.
         state.now = 4;
         said.clear();
-        state.underWay.accept(new TxnResult.Committed(1));
+        state.pendingCallback.accept(new CompareAndSwapOutcome.Committed(1));
         assertEquals(
                 List.of(
                         "a CREATED",
@@ -47,7 +48,7 @@
                         "b5 TOO_MANY"),
                 said);
         ask("b7");
-        assertEquals(List.of(List.of("a"), List.of("b7")), state.written);
+        assertEquals(List.of(List.of("a"), List.of("b7")), state.writtenKeys);
     }
 
     @Test
@@ -55,10 +56,10 @@
         ask("a");
         ask("b");
         ask("b");
-        state.underWay.accept(new TxnResult.Committed(1));
-        state.underWay.accept(new TxnResult.Committed(2));
+        state.pendingCallback.accept(new CompareAndSwapOutcome.Committed(1));
+        state.pendingCallback.accept(new CompareAndSwapOutcome.Committed(2));
         assertEquals(List.of("a CREATED", "b CREATED", "b CREATED"), said);
-        assertEquals(List.of(List.of("a"), List.of("b")), state.written);
+        assertEquals(List.of(List.of("a"), List.of("b")), state.writtenKeys);
     }
 
     @Test
@@ -66,10 +67,10 @@
         ask("a");
         ask("b");
         ask("c");
-        state.underWay.accept(new TxnResult.Committed(1));
-        state.underWay.accept(new TxnResult.Conflict(List.of("b")));
+        state.pendingCallback.accept(new CompareAndSwapOutcome.Committed(1));
+        state.pendingCallback.accept(new CompareAndSwapOutcome.Conflict(List.of("b")));
         assertEquals(List.of("a CREATED", "b EXISTS"), said);
-        state.underWay.accept(new TxnResult.Committed(2));
+        state.pendingCallback.accept(new CompareAndSwapOutcome.Committed(2));
         assertEquals(List.of("a CREATED", "b EXISTS", "c CREATED"), said);
     }
 
@@ -85,10 +86,10 @@
                     result -> said.add(key + " " + result));
         }
         for (int i = 1; i <= 4; i++) {
-            state.underWay.accept(new TxnResult.Committed(i));
+            state.pendingCallback.accept(new CompareAndSwapOutcome.Committed(i));
         }
         assertEquals(
-                List.of(List.of("a"), List.of("b"), List.of("c"), List.of("d")), state.written);
+                List.of(List.of("a"), List.of("b"), List.of("c"), List.of("d")), state.writtenKeys);
         assertEquals(List.of("a CREATED", "b CREATED", "c CREATED", "d CREATED"), said);
     }
 }
--- a/src/test/java/io/pepperfield/jobs/FinalStateTraceTest.java
+++ b/src/test/java/io/pepperfield/jobs/FinalStateTraceTest.java
@@ -2,10 +2,10 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.http.Json;
-import io.pepperfield.standin.Trace;
+import io.pepperfield.standin.ReplayTrace;
+import io.pepperfield.store.KeyValueStore.KeyValue;
 import io.pepperfield.store.Keys;
 import io.pepperfield.store.Replica;
-import io.pepperfield.store.StateService.Item;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -14,7 +14,7 @@
 /** What a node tells about a job as the news of the state service reach it, in whatever order. */
 class FinalStateTraceTest {
 
-    private Catalog catalog = new Catalog(() -> 0);
+    private JobIndex catalog = new JobIndex(() -> 0);
     private Replica replica = replica();
 
     private Replica replica() {
@@ -23,27 +23,27 @@
 
     @Test
     void answers() throws IOException {
-        Trace.check("final-states.txt", this::play);
+        ReplayTrace.check("final-states.txt", this::play);
     }
 
     private List<String> play(String[] words) {
         switch (words[0]) {
             case "node" -> {
-                catalog = new Catalog(() -> 0);
+                catalog = new JobIndex(() -> 0);
                 replica = replica();
             }
-            case "news" -> replica.advance(items(words, 2), Long.parseLong(words[1]));
-            case "reading" -> replica.reset(items(words, 2), Long.parseLong(words[1]));
+            case "news" -> replica.applyChanges(items(words, 2), Long.parseLong(words[1]));
+            case "reading" -> replica.loadSnapshot(items(words, 2), Long.parseLong(words[1]));
             default -> {
-                Catalog.Record record = catalog.get(words[1]);
+                JobIndex.JobRecord record = catalog.get(words[1]);
                 return List.of(
                         record == null
                                 ? "unknown"
-                                : record.answer().path("status").asText()
+                                : record.statusAnswer().path("status").asText()
                                         + " "
-                                        + record.answer().path("done").asInt()
+                                        + record.statusAnswer().path("done").asInt()
                                         + " done "
-                                        + record.answer().path("running").asInt()
+                                        + record.statusAnswer().path("running").asInt()
                                         + " running");
             }
         }
@@ -54,36 +54,36 @@
      * STAMP:job | STAMP:done | STAMP:cancelled | STAMP:run=TASK.STATE,... (0 gone, 1 live, 2 done),
      * all of run-000001.
      */
-    private static List<Item> items(String[] words, int from) {
-        List<Item> items = new ArrayList<>();
+    private static List<KeyValue> items(String[] words, int from) {
+        List<KeyValue> items = new ArrayList<>();
         for (int i = from; i < words.length; i++) {
             String[] part = words[i].split(":");
             long stamp = Long.parseLong(part[0]);
             switch (part[1].split("=")[0]) {
                 case "job" ->
                         items.add(
-                                new Item(
-                                        Keys.JOB + "run-000001",
+                                new KeyValue(
+                                        Keys.JOB_PREFIX + "run-000001",
                                         Json.object().put("n", 3).put("k", 10),
                                         stamp));
                 case "run" -> {
-                    List<RunRecord> lines = new ArrayList<>();
+                    List<TaskState> lines = new ArrayList<>();
                     for (String line : part[1].substring(4).split(",")) {
                         lines.add(
-                                new RunRecord(
+                                new TaskState(
                                         line.charAt(0) - '0',
                                         1,
-                                        RunRecord.State.values()[line.charAt(2) - '0'],
+                                        TaskState.Phase.values()[line.charAt(2) - '0'],
                                         "m",
                                         1));
                     }
-                    JsonNode data = RunRecord.write(lines);
-                    items.add(new Item(Keys.run("run-000001", 0), data, stamp));
+                    JsonNode data = TaskState.encode(lines);
+                    items.add(new KeyValue(Keys.runRecord("run-000001", 0), data, stamp));
                 }
                 default ->
                         items.add(
-                                new Item(
-                                        Keys.END + "run-000001",
+                                new KeyValue(
+                                        Keys.FINAL_STATE_PREFIX + "run-000001",
                                         Json.object().put("s", part[1]),
                                         stamp));
             }
--- a/src/test/java/io/pepperfield/jobs/JobMessagesTest.java
+++ b/src/test/java/io/pepperfield/jobs/JobMessagesTest.java
@@ -21,15 +21,16 @@
                     + "\"site\":null,\"together\":true,\"spread\":false,\"reclaimable\":true,\"expectedS\":240.0,\"snapshotEveryS\":30.0,"
                     + "\"snapshotS\":4.0,\"dueS\":900.0}";
 
-    private static JobSpec read(String body) throws JobMessages.Malformed {
-        return JobMessages.submission(Json.read(body.getBytes(StandardCharsets.UTF_8)), 0, 64);
+    private static JobSpec read(String body) throws JobMessages.InvalidSubmissionException {
+        return JobMessages.decodeSubmission(
+                Json.read(body.getBytes(StandardCharsets.UTF_8)), 0, 64);
     }
 
     @Test
-    void whatIsAcceptedIsReadBackAsItWas() throws JobMessages.Malformed {
+    void whatIsAcceptedIsReadBackAsItWas() throws JobMessages.InvalidSubmissionException {
         JobSpec job = read(GOOD.replace("img-07", "b\u00fcndel \ud83d\ude00 \\\\\\\""));
-        JsonNode stored = Json.read(Json.write(JobMessages.durable(job)));
-        assertEquals(job, JobMessages.fromDurable("run-000412", stored));
+        JsonNode stored = Json.read(Json.write(JobMessages.encodeSpec(job)));
+        assertEquals(job, JobMessages.decodeSpec("run-000412", stored));
     }
 
     @ParameterizedTest
@@ -55,10 +56,10 @@
             })
     void aFieldThatLacksOrIsNull(String field) {
         assertThrows(
-                JobMessages.Malformed.class,
+                JobMessages.InvalidSubmissionException.class,
                 () -> read(GOOD.replace("\"" + field + "\":", "\"x" + field + "\":")));
         assertThrows(
-                JobMessages.Malformed.class,
+                JobMessages.InvalidSubmissionException.class,
                 () ->
                         read(
                                 GOOD.replace(
@@ -113,7 +114,8 @@
                 "g8, 'g\\ude008'"
             })
     void aValueThatIsNone(String from, String to) {
-        assertThrows(JobMessages.Malformed.class, () -> read(GOOD.replace(from, to)));
+        assertThrows(
+                JobMessages.InvalidSubmissionException.class, () -> read(GOOD.replace(from, to)));
     }
 
     private static String needing(String awaits) {
@@ -121,15 +123,15 @@
     }
 
     @Test
-    void whatAJobNeedsIsAListOfIdsEachOnce() throws JobMessages.Malformed {
+    void whatAJobNeedsIsAListOfIdsEachOnce() throws JobMessages.InvalidSubmissionException {
         JobSpec job = read(needing("[\"run-000398\",\"run-000405\",\"run-000398\"]"));
-        assertEquals(List.of("run-000398", "run-000405"), job.awaits());
+        assertEquals(List.of("run-000398", "run-000405"), job.dependencies());
         assertEquals(
                 job,
-                JobMessages.fromDurable(
-                        "run-000412", Json.read(Json.write(JobMessages.durable(job)))));
+                JobMessages.decodeSpec(
+                        "run-000412", Json.read(Json.write(JobMessages.encodeSpec(job)))));
         for (String none : List.of("[]", "null")) {
-            assertEquals(List.of(), read(needing(none)).awaits());
+            assertEquals(List.of(), read(needing(none)).dependencies());
         }
         for (String bad :
                 List.of(
@@ -143,16 +145,18 @@
                         "[\"run-1\"]",
                         "[\"\"]",
                         "[[]]")) {
-            assertThrows(JobMessages.Malformed.class, () -> read(needing(bad)), bad);
+            assertThrows(
+                    JobMessages.InvalidSubmissionException.class, () -> read(needing(bad)), bad);
         }
     }
 
     @Test
     void nestingWithoutEnd() {
         assertThrows(
-                JobMessages.Malformed.class,
+                JobMessages.InvalidSubmissionException.class,
                 () -> read("{\"nameId\":" + "[".repeat(30_000) + "]".repeat(30_000) + "}"));
         assertThrows(
-                JobMessages.Malformed.class, () -> read(GOOD.replace("16", "1".repeat(30_000))));
+                JobMessages.InvalidSubmissionException.class,
+                () -> read(GOOD.replace("16", "1".repeat(30_000))));
     }
 }
--- a/src/test/java/io/pepperfield/jobs/PipelineTest.java
+++ b/src/test/java/io/pepperfield/jobs/PipelineTest.java
@@ -17,7 +17,7 @@
 /** What a node knows of jobs that need others, as the news of the state service reach it. */
 class PipelineTest {
 
-    private final Catalog catalog = new Catalog(() -> 0);
+    private final JobIndex catalog = new JobIndex(() -> 0);
 
     private static String id(int number) {
         return JobMessages.validId("run-" + number)
@@ -30,15 +30,16 @@
         for (int other : needed) {
             job.withArray("aw").add(id(other));
         }
-        catalog.changed(Keys.JOB + id(number), job);
+        catalog.changed(Keys.JOB_PREFIX + id(number), job);
     }
 
     private void ended(int number, Status status) {
-        catalog.changed(Keys.END + id(number), JobMessages.durableEnd(status));
+        catalog.changed(
+                Keys.FINAL_STATE_PREFIX + id(number), JobMessages.encodeFinalStatus(status));
     }
 
     private Status end(int number) {
-        return catalog.get(id(number)).end();
+        return catalog.get(id(number)).finalStatus();
     }
 
     @Test
@@ -46,18 +47,18 @@
         accepted(1);
         accepted(2);
         accepted(3, 1, 2);
-        assertEquals(List.of(id(1), id(2)), catalog.get(id(3)).awaited());
-        assertEquals("pending", catalog.get(id(3)).answer().path("status").asText());
-        assertEquals(2, catalog.get(id(3)).answer().path("waitsFor").size());
-        catalog.takeAffected();
+        assertEquals(List.of(id(1), id(2)), catalog.get(id(3)).unfinishedDependencies());
+        assertEquals("pending", catalog.get(id(3)).statusAnswer().path("status").asText());
+        assertEquals(2, catalog.get(id(3)).statusAnswer().path("waitsFor").size());
+        catalog.drainAffectedJobs();
         ended(1, Status.DONE);
         assertFalse(catalog.get(id(3)).ready());
         ended(2, Status.DONE);
         assertTrue(catalog.get(id(3)).ready());
-        assertEquals(List.of(id(3)), catalog.takeAffected());
+        assertEquals(List.of(id(3)), catalog.drainAffectedJobs());
         // Submitted when all that it needs is over.
         accepted(4, 1, 3);
-        assertEquals(List.of(id(3)), catalog.get(id(4)).awaited());
+        assertEquals(List.of(id(3)), catalog.get(id(4)).unfinishedDependencies());
     }
 
     @Test
@@ -71,7 +72,7 @@
         ended(2, Status.CANCELLED);
         assertEquals(Status.CANCELLED, end(4));
         assertNull(end(3));
-        assertEquals("cancelled", catalog.get(id(4)).answer().path("status").asText());
+        assertEquals("cancelled", catalog.get(id(4)).statusAnswer().path("status").asText());
         accepted(6, 5, 4);
         assertEquals(Status.CANCELLED, end(6));
         // Its own cancellation, asked for meanwhile, says the same.
@@ -112,22 +113,23 @@
     @Test
     void aDescriptionOfTheVersionBeforeNeedsNothingAndTheFieldIsKept() {
         JobSpec old =
-                JobMessages.fromDurable(
+                JobMessages.decodeSpec(
                         id(1),
                         Json.read(
                                 "{\"w\":\"w\",\"o\":\"t\",\"s\":0,\"r\":2,\"n\":3,\"c\":1.0,\"k\":68}"
                                         .getBytes()));
-        assertEquals(List.of(), old.awaits());
-        assertFalse(JobMessages.durable(old).has("aw"));
+        assertEquals(List.of(), old.dependencies());
+        assertFalse(JobMessages.encodeSpec(old).has("aw"));
         accepted(1);
         accepted(2, 1);
         JobSpec spec = catalog.get(id(2)).spec();
         assertEquals(
-                List.of(id(1)), JobMessages.fromDurable(id(2), JobMessages.durable(spec)).awaits());
+                List.of(id(1)),
+                JobMessages.decodeSpec(id(2), JobMessages.encodeSpec(spec)).dependencies());
     }
 
     private void done(int number, long atMs) {
-        catalog.changed(Keys.END + id(number), JobMessages.durableDone(atMs));
+        catalog.changed(Keys.FINAL_STATE_PREFIX + id(number), JobMessages.encodeDone(atMs));
     }
 
     private OptionalLong readyMs(int number) {
@@ -146,7 +148,7 @@
         accepted(4, 1, 2);
         assertEquals(OptionalLong.of(9_000), readyMs(4));
         catalog.changed(
-                Keys.JOB + id(5),
+                Keys.JOB_PREFIX + id(5),
                 Json.object().put("at", 11_000).set("aw", Json.array().add(id(1))));
         assertEquals(OptionalLong.of(11_000), readyMs(5));
         // An end by the version before does not say when.
@@ -172,18 +174,20 @@
         for (int number = 250; number < 500; number++) {
             accepted(number);
         }
-        Catalog.Record record = catalog.get(id(1000));
+        JobIndex.JobRecord record = catalog.get(id(1000));
         for (int number : many) {
             // The same object, not an equal one.
-            assertSame(catalog.get(id(number)).spec().id(), record.spec().awaits().get(number));
+            assertSame(
+                    catalog.get(id(number)).spec().id(), record.spec().dependencies().get(number));
         }
-        assertTrue(Json.write(record.answer()).length < 500, record.answer().toString());
-        assertEquals(id(0), record.answer().path("waitsFor").path(0).asText());
-        assertEquals(484, record.answer().path("waitsForMore").asInt());
+        assertTrue(
+                Json.write(record.statusAnswer()).length < 500, record.statusAnswer().toString());
+        assertEquals(id(0), record.statusAnswer().path("waitsFor").path(0).asText());
+        assertEquals(484, record.statusAnswer().path("waitsForMore").asInt());
         for (int number : many) {
             ended(number, Status.DONE);
         }
         assertTrue(record.ready());
-        assertFalse(record.answer().has("waitsFor"));
+        assertFalse(record.statusAnswer().has("waitsFor"));
     }
 }
--- a/src/test/java/io/pepperfield/jobs/RankInheritanceTest.java
+++ b/src/test/java/io/pepperfield/jobs/PriorityInheritanceTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pepperfield.http.Json;
-import io.pepperfield.jobs.JobSpec.Rank;
+import io.pepperfield.jobs.JobSpec.Priority;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
@@ -14,50 +14,50 @@
 import org.junit.jupiter.api.Test;
 
 /** Which rank the jobs of a pipeline are placed by, while jobs come and go. */
-class RankInheritanceTest {
+class PriorityInheritanceTest {
 
-    private final Map<String, Rank> placed = new HashMap<>();
-    private final RankInheritance ranks = new RankInheritance(placed::put);
+    private final Map<String, Priority> placed = new HashMap<>();
+    private final PriorityInheritance ranks = new PriorityInheritance(placed::put);
 
-    private static JobSpec job(int number, Rank rank, int... needed) {
+    private static JobSpec job(int number, Priority rank, int... needed) {
         var durable = Json.object().put("n", 1).put("k", 10).put("r", rank.ordinal());
         for (int other : needed) {
             durable.withArray("aw").add(id(other));
         }
-        return JobMessages.fromDurable(id(number), durable);
+        return JobMessages.decodeSpec(id(number), durable);
     }
 
     private static String id(int number) {
         return String.format("run-%06d", number);
     }
 
-    private Rank rank(int number) {
+    private Priority rank(int number) {
         return placed.get(id(number));
     }
 
     @Test
     void aRankReachesAllThatIsNeededAndLeavesWithTheJobThatLentIt() {
-        JobSpec standard = job(3, Rank.STANDARD, 2);
-        JobSpec urgent = job(4, Rank.URGENT, 2);
-        ranks.added(job(1, Rank.BEST_EFFORT));
-        ranks.added(job(2, Rank.BEST_EFFORT, 1));
+        JobSpec standard = job(3, Priority.STANDARD, 2);
+        JobSpec urgent = job(4, Priority.URGENT, 2);
+        ranks.added(job(1, Priority.BEST_EFFORT));
+        ranks.added(job(2, Priority.BEST_EFFORT, 1));
         ranks.added(standard);
-        assertEquals(Rank.STANDARD, rank(1));
+        assertEquals(Priority.STANDARD, rank(1));
         ranks.added(urgent);
-        assertEquals(Rank.URGENT, rank(1));
-        assertEquals(Rank.URGENT, rank(2));
+        assertEquals(Priority.URGENT, rank(1));
+        assertEquals(Priority.URGENT, rank(2));
         ranks.removed(urgent);
-        assertEquals(Rank.STANDARD, rank(1));
-        assertEquals(Rank.STANDARD, rank(2));
+        assertEquals(Priority.STANDARD, rank(1));
+        assertEquals(Priority.STANDARD, rank(2));
         ranks.removed(standard);
-        assertEquals(Rank.BEST_EFFORT, rank(1));
-        assertEquals(Rank.BEST_EFFORT, rank(2));
+        assertEquals(Priority.BEST_EFFORT, rank(1));
+        assertEquals(Priority.BEST_EFFORT, rank(2));
     }
 
     @Test
     void aJobKeepsItsOwnRankWhereThatIsHigher() {
-        JobSpec last = job(2, Rank.BEST_EFFORT, 1);
-        ranks.added(job(1, Rank.PRODUCTION));
+        JobSpec last = job(2, Priority.BEST_EFFORT, 1);
+        ranks.added(job(1, Priority.PRODUCTION));
         ranks.added(last);
         ranks.removed(last);
         assertEquals(Map.of(), placed);
@@ -72,22 +72,22 @@
             for (int n = 0; n < needed.length; n++) {
                 needed[n] = random.nextInt(i);
             }
-            jobs.add(job(i, Rank.values()[random.nextInt(4)], needed));
+            jobs.add(job(i, Priority.values()[random.nextInt(4)], needed));
         }
         jobs.forEach(ranks::added);
         List<JobSpec> gone =
                 jobs.subList(30, 60).stream().filter(j -> random.nextBoolean()).toList();
         gone.forEach(ranks::removed);
-        Map<String, Rank> afterwards = new HashMap<>();
-        RankInheritance newLeaders = new RankInheritance(afterwards::put);
+        Map<String, Priority> afterwards = new HashMap<>();
+        PriorityInheritance newLeaders = new PriorityInheritance(afterwards::put);
         List<JobSpec> left = new ArrayList<>(jobs);
         left.removeAll(gone);
         Collections.shuffle(left, random);
         left.forEach(newLeaders::added);
         for (JobSpec job : left) {
             assertEquals(
-                    placed.getOrDefault(job.id(), job.rank()),
-                    afterwards.getOrDefault(job.id(), job.rank()),
+                    placed.getOrDefault(job.id(), job.priority()),
+                    afterwards.getOrDefault(job.id(), job.priority()),
                     job.id());
         }
     }
@@ -95,14 +95,14 @@
     @Test
     void workGrowsWithTheEdgesAndNothingIsKeptOfWhatIsOver() {
         int many = 20_000;
-        List<JobSpec> jobs = new ArrayList<>(List.of(job(0, Rank.BEST_EFFORT)));
+        List<JobSpec> jobs = new ArrayList<>(List.of(job(0, Priority.BEST_EFFORT)));
         for (int i = 1; i < many; i++) {
             // A chain on which a fan hangs.
-            jobs.add(job(i, Rank.BEST_EFFORT, i % 2 == 0 ? i - 2 : 0));
+            jobs.add(job(i, Priority.BEST_EFFORT, i % 2 == 0 ? i - 2 : 0));
         }
-        jobs.add(job(many, Rank.URGENT, many - 2));
+        jobs.add(job(many, Priority.URGENT, many - 2));
         jobs.forEach(ranks::added);
-        assertEquals(Rank.URGENT, rank(0));
+        assertEquals(Priority.URGENT, rank(0));
         assertTrue(ranks.steps() < 5L * many, "steps " + ranks.steps());
         // All are cancelled with the first one.
         jobs.forEach(ranks::removed);
--- a/src/test/java/io/pepperfield/jobs/UserAnswersTraceTest.java
+++ b/src/test/java/io/pepperfield/jobs/UserAnswersTraceTest.java
@@ -2,14 +2,14 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Reply;
-import io.pepperfield.standin.SilentStateService;
+import io.pepperfield.standin.NoOpKeyValueStore;
+import io.pepperfield.standin.ReplayTrace;
 import io.pepperfield.standin.SimulatedLoop;
-import io.pepperfield.standin.Trace;
 import io.pepperfield.store.Keys;
 import io.pepperfield.store.Replica;
-import io.pepperfield.store.Sync;
+import io.pepperfield.store.ReplicaSynchronizer;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -22,19 +22,19 @@
  * What one node tells its users, and what it asks the state service before, which here answers when
  * the trace says so.
  */
-class UserAnswersTraceTest implements SilentStateService {
+class UserAnswersTraceTest implements NoOpKeyValueStore {
 
     private final List<String> decisions = new ArrayList<>();
     private SimulatedLoop loop;
     private Consumer<ReadResult> reading;
     private Consumer<ReadResult> question;
-    private Consumer<TxnResult> transaction;
+    private Consumer<CompareAndSwapOutcome> transaction;
     private List<String> keys;
     private UserRequests users;
 
     @Test
     void answers() throws IOException {
-        Trace.check("user-answers.txt", this::play);
+        ReplayTrace.check("user-answers.txt", this::play);
     }
 
     private List<String> play(String[] words) {
@@ -44,9 +44,9 @@
             case "time" -> loop.run(Double.parseDouble(words[1]));
             case "reading" -> reading.accept(read(words));
             case "answer" -> question.accept(read(words));
-            case "written" -> transaction.accept(new TxnResult.Committed(0));
-            case "exists" -> transaction.accept(new TxnResult.Conflict(keys));
-            case "lost" -> transaction.accept(new TxnResult.Unknown());
+            case "written" -> transaction.accept(new CompareAndSwapOutcome.Committed(0));
+            case "exists" -> transaction.accept(new CompareAndSwapOutcome.Conflict(keys));
+            case "lost" -> transaction.accept(new CompareAndSwapOutcome.Unknown());
             case "submit" ->
                     users.submit(Json.write(submission(words)), reply -> say(words, reply));
             case "cancel" -> users.cancel("run-00000" + words[1], reply -> say(words, reply));
@@ -56,7 +56,7 @@
         return List.copyOf(decisions);
     }
 
-    private void say(String[] words, Reply reply) {
+    private void say(String[] words, HttpReply reply) {
         JsonNode body = Json.read(reply.body());
         boolean tellsWhy = words.length > 2 && List.of("awaits", "full").contains(words[2]);
         String said = body.path("status").asText(tellsWhy ? body.path("error").asText() : "");
@@ -65,9 +65,9 @@
 
     private void begin() {
         loop = new SimulatedLoop();
-        Catalog catalog = new Catalog(() -> 0);
+        JobIndex catalog = new JobIndex(() -> 0);
         Replica replica = new Replica((key, data, stamp) -> catalog.changed(key, data));
-        Sync sync = new Sync(loop, this, replica, 1, 0.1);
+        ReplicaSynchronizer sync = new ReplicaSynchronizer(loop, this, replica, 1, 0.1);
         users =
                 new UserRequests(
                         loop,
@@ -76,7 +76,7 @@
                         this,
                         job -> {
                             if (job.cpus() == 999) {
-                                throw new UserRequests.Undecided();
+                                throw new UserRequests.UndecidedException();
                             }
                             return job.cpus() > 64 ? "fits nowhere" : null;
                         },
@@ -132,9 +132,9 @@
             return new ReadResult.Failed();
         }
         if (words[1].equals("gone")) {
-            return new ReadResult.TooOld();
+            return new ReadResult.RevisionTooOld();
         }
-        List<Item> items =
+        List<KeyValue> items =
                 Arrays.stream(words)
                         .skip(2)
                         .map(
@@ -142,12 +142,12 @@
                                     String[] part = word.split("[:=]");
                                     String id = "run-00000" + part[2];
                                     return part[1].equals("job")
-                                            ? new Item(
-                                                    Keys.JOB + id,
+                                            ? new KeyValue(
+                                                    Keys.JOB_PREFIX + id,
                                                     Json.object().put("n", 3).put("k", 10),
                                                     Long.parseLong(part[0]))
-                                            : new Item(
-                                                    Keys.END + id,
+                                            : new KeyValue(
+                                                    Keys.FINAL_STATE_PREFIX + id,
                                                     Json.object().put("s", part[1]),
                                                     Long.parseLong(part[0]));
                                 })
@@ -156,21 +156,24 @@
     }
 
     @Override
-    public void txn(
-            Urgency urgency, List<Guard> guards, List<Change> changes, Consumer<TxnResult> done) {
-        keys = changes.stream().map(Change::key).toList();
+    public void compareAndSwap(
+            RequestPriority urgency,
+            List<Precondition> guards,
+            List<Mutation> changes,
+            Consumer<CompareAndSwapOutcome> done) {
+        keys = changes.stream().map(Mutation::key).toList();
         decisions.add("writes " + String.join(" ", keys).replace(Keys.ROOT, ""));
         transaction = done;
     }
 
     @Override
-    public void range(String after, Consumer<ReadResult> done) {
+    public void readPage(String after, Consumer<ReadResult> done) {
         decisions.add("reads all");
         reading = done;
     }
 
     @Override
-    public void follow(long since, double holdS, Consumer<ReadResult> done) {
+    public void watch(long since, double holdS, Consumer<ReadResult> done) {
         // The long follow is silent here: nothing may rest on it.
         if (holdS == 0) {
             decisions.add("asks since " + since);
--- a/src/test/java/io/pepperfield/leadership/ElectionTest.java
+++ b/src/test/java/io/pepperfield/leadership/LeadershipElectionTest.java
@@ -3,14 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pepperfield.http.Json;
-import io.pepperfield.standin.SilentStateService;
+import io.pepperfield.standin.NoOpKeyValueStore;
 import io.pepperfield.standin.SimulatedLoop;
 import java.util.List;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
 /** How often a candidate stands while another has the leader key. */
-class ElectionTest implements SilentStateService, Leadership.Listener {
+class LeadershipElectionTest implements NoOpKeyValueStore, Leadership.Listener {
 
     private static final double TTL_S = 1;
     private static final double TICK_S = 0.05;
@@ -20,14 +20,17 @@
     private int elections;
 
     @Override
-    public void grant(double ttlS, Consumer<GrantResult> done) {
+    public void createGrant(double ttlS, Consumer<GrantResult> done) {
         done.accept(new GrantResult(++elections, false));
     }
 
     @Override
-    public void txn(
-            Urgency urgency, List<Guard> guards, List<Change> changes, Consumer<TxnResult> done) {
-        done.accept(new TxnResult.Conflict(List.of("pepperfield/leader")));
+    public void compareAndSwap(
+            RequestPriority urgency,
+            List<Precondition> guards,
+            List<Mutation> changes,
+            Consumer<CompareAndSwapOutcome> done) {
+        done.accept(new CompareAndSwapOutcome.Conflict(List.of("pepperfield/leader")));
     }
 
     private void tickUntil(double until) {
@@ -52,8 +55,8 @@
         leadership.replicaLoaded();
         tickUntil(2 * TICK_S);
         int before = elections;
-        leadership.leaderKey(Json.object().put("node", "node-2").put("grant", 7), 40);
-        leadership.leaderKey(null, 41);
+        leadership.leaderKeyChanged(Json.object().put("node", "node-2").put("grant", 7), 40);
+        leadership.leaderKeyChanged(null, 41);
         tickUntil(loop.now() + TTL_S / 5);
         assertTrue(elections > before, "does not stand");
     }
@@ -62,8 +65,8 @@
     public void elected(long token) {}
 
     @Override
-    public void renewedToken(long token) {}
+    public void fencingTokenRenewed(long token) {}
 
     @Override
-    public void deposed(String why) {}
+    public void leadershipLost(String why) {}
 }
--- a/src/test/java/io/pepperfield/peer/PartitionsTest.java
+++ b/src/test/java/io/pepperfield/peer/PartitionsTest.java
@@ -48,8 +48,8 @@
                 "{\"node\":\"worker-1\",\"life\":\"a\",\"seq\":1,\"epoch\":7,\"beats\":[[\"host-1\",1,2,3,7]],\"more\":{}}";
         assertEquals(
                 1,
-                ForwardingMessages.batch(Json.read(good.getBytes(StandardCharsets.UTF_8)))
-                        .beats()
+                PeerMessages.readBatch(Json.read(good.getBytes(StandardCharsets.UTF_8)))
+                        .heartbeats()
                         .size());
         for (String bad :
                 List.of(
@@ -61,7 +61,7 @@
                         good.replace("\"seq\":1", "\"seq\":\"1\""),
                         good.substring(0, 40))) {
             assertNull(
-                    ForwardingMessages.batch(Json.read(bad.getBytes(StandardCharsets.UTF_8))), bad);
+                    PeerMessages.readBatch(Json.read(bad.getBytes(StandardCharsets.UTF_8))), bad);
         }
     }
 
@@ -69,9 +69,8 @@
     void aReportInAnotherEncodingDoesNotSpoilTheOthers() {
         String text = "{\"host\":\"host-1\"}";
         assertEquals(
-                text, ForwardingMessages.raw(text.getBytes(StandardCharsets.UTF_16BE)).rawValue());
-        assertEquals(
-                text, ForwardingMessages.raw(text.getBytes(StandardCharsets.UTF_8)).rawValue());
+                text, PeerMessages.embedded(text.getBytes(StandardCharsets.UTF_16BE)).rawValue());
+        assertEquals(text, PeerMessages.embedded(text.getBytes(StandardCharsets.UTF_8)).rawValue());
     }
 
     /**
@@ -84,7 +83,8 @@
             owners = reachability.owners(FIVE, now);
             for (int i = 0; i < 30; i++) {
                 String owner = Partitions.owner(machine(i), owners);
-                reachability.report(machine(i), owner, owner.equals(cut) ? "worker-4" : owner, now);
+                reachability.recordHeartbeat(
+                        machine(i), owner, owner.equals(cut) ? "worker-4" : owner, now);
             }
         }
         return owners;
@@ -127,7 +127,7 @@
         reports(reachability, 0, 20, "nobody");
         reports(reachability, 20, 24, "worker-3");
         for (double now = 24; now < 34; now += 0.5) {
-            reachability.paused();
+            reachability.restartObservation();
             assertEquals(FIVE, reachability.owners(FIVE, now));
         }
         assertEquals(FIVE, reports(reachability, 34, 38, "worker-3"));
@@ -146,15 +146,16 @@
 
     @Test
     void aLateMessageOfAnEarlierProcessIsNotTheNewOnes() {
-        Members members = new Members("worker-0", 2);
-        assertTrue(members.heard("worker-1", "first", 7, 10));
-        assertFalse(members.heard("worker-1", "first", 7, 10.1), "a copy");
+        Membership members = new Membership("worker-0", 2);
+        assertTrue(members.recordMessage("worker-1", "first", 7, 10));
+        assertFalse(members.recordMessage("worker-1", "first", 7, 10.1), "a copy");
         assertTrue(
-                members.heard("worker-1", "second", 1, 10.2), "back within a fraction of a second");
-        assertFalse(members.heard("worker-1", "first", 8, 30), "held back until now");
-        assertEquals(Set.of("worker-0"), members.live(30));
-        assertTrue(members.heard("worker-1", "second", 2, 31));
-        assertEquals(Set.of("worker-0", "worker-1"), members.live(32));
-        assertEquals(Set.of("worker-0"), members.live(33.5));
+                members.recordMessage("worker-1", "second", 1, 10.2),
+                "back within a fraction of a second");
+        assertFalse(members.recordMessage("worker-1", "first", 8, 30), "held back until now");
+        assertEquals(Set.of("worker-0"), members.liveMembers(30));
+        assertTrue(members.recordMessage("worker-1", "second", 2, 31));
+        assertEquals(Set.of("worker-0", "worker-1"), members.liveMembers(32));
+        assertEquals(Set.of("worker-0"), members.liveMembers(33.5));
     }
 }
--- a/src/test/java/io/pepperfield/peer/PeerForms.java
+++ b/src/test/java/io/pepperfield/peer/PeerForms.java
@@ -2,19 +2,19 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.config.Settings;
-import io.pepperfield.fleet.HttpWorkers;
+import io.pepperfield.fleet.Heartbeat;
+import io.pepperfield.fleet.HttpWorkerClient;
 import io.pepperfield.fleet.Order;
-import io.pepperfield.fleet.Report;
 import io.pepperfield.forms.FormFile;
 import io.pepperfield.forms.RecordingSender;
 import io.pepperfield.forms.WorkerForms;
-import io.pepperfield.http.Call;
+import io.pepperfield.http.HttpReply;
+import io.pepperfield.http.InboundRequest;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Reply;
-import io.pepperfield.peer.ForwardingMessages.Answer;
-import io.pepperfield.peer.ForwardingMessages.Batch;
-import io.pepperfield.peer.ForwardingMessages.Beat;
-import io.pepperfield.peer.ForwardingMessages.Verdict;
+import io.pepperfield.peer.PeerMessages.ForwardedHeartbeat;
+import io.pepperfield.peer.PeerMessages.HeartbeatBatch;
+import io.pepperfield.peer.PeerMessages.HeartbeatBatchReply;
+import io.pepperfield.peer.PeerMessages.LeaderVerdict;
 import io.pepperfield.standin.RegionSettings;
 import io.pepperfield.standin.SimulatedLoop;
 import java.nio.charset.StandardCharsets;
@@ -27,7 +27,7 @@
 
     private static final long TOKEN = 41;
     private static final Settings SETTINGS =
-            RegionSettings.of(0, 3, new Settings.State(150, 60, 8, 32));
+            RegionSettings.of(0, 3, new Settings.StoreLimits(150, 60, 8, 32));
 
     private final FormFile file;
     private final SimulatedLoop loop = new SimulatedLoop();
@@ -44,50 +44,55 @@
     /** Adds them. */
     public static void write(FormFile file) {
         byte[] batch = batch();
-        file.addRead("batch", Json.read(batch), form -> told(ForwardingMessages.batch(form)));
-        List<Verdict> verdicts =
+        file.addRead("batch", Json.read(batch), form -> told(PeerMessages.readBatch(form)));
+        List<LeaderVerdict> verdicts =
                 List.of(
-                        new Verdict.Orders(Order.reply(TOKEN, WorkerForms.orders()).path("orders")),
-                        new Verdict.WantsWhole(),
-                        new Verdict.Refused());
+                        new LeaderVerdict.Orders(
+                                Order.replyBody(TOKEN, WorkerForms.orders()).path("orders")),
+                        new LeaderVerdict.FullHeartbeatRequired(),
+                        new LeaderVerdict.Refused());
         file.addRewrittenByField(
                 "answer",
-                ForwardingMessages.answer(TOKEN, 0.25, List.of("node-0", "node-1"), verdicts),
+                PeerMessages.writeBatchReply(TOKEN, 0.25, List.of("node-0", "node-1"), verdicts),
                 PeerForms::rewriteAnswer);
         file.addRewrittenByField(
                 "orders",
-                ForwardingMessages.direct(
+                PeerMessages.writeDirectOrders(
                         TOKEN,
                         List.of(
-                                new ForwardingMessages.Direct(
+                                new PeerMessages.DirectOrderMessage(
                                         "10.1.0.14:9000",
                                         3,
-                                        Order.reply(TOKEN, WorkerForms.orders()).path("orders")))),
+                                        Order.replyBody(TOKEN, WorkerForms.orders())
+                                                .path("orders")))),
                 form ->
                         text(
-                                ForwardingMessages.direct(
+                                PeerMessages.writeDirectOrders(
                                         form.path("epoch").longValue(),
-                                        ForwardingMessages.readDirect(form))));
+                                        PeerMessages.readDirectOrders(form))));
         file.addRewrittenByField(
                 "cancelled",
-                ForwardingMessages.cancelled(List.of("run-000412", "run-000413")),
-                form -> text(ForwardingMessages.cancelled(ForwardingMessages.readCancelled(form))));
+                PeerMessages.writeCancelledJobs(List.of("run-000412", "run-000413")),
+                form ->
+                        text(
+                                PeerMessages.writeCancelledJobs(
+                                        PeerMessages.readCancelledJobs(form))));
         PeerForms forms = new PeerForms(file);
         forms.send(batch);
         forms.receive(batch);
     }
 
     private static byte[] batch() {
-        Report report = Report.read(Json.read(WorkerForms.report()));
-        ForwardedBatch batch = new ForwardedBatch("node-0", "a-process", 7, TOKEN);
-        batch.addReport(WorkerForms.report());
+        Heartbeat report = Heartbeat.parse(Json.read(WorkerForms.report()));
+        HeartbeatBatchBuilder batch = new HeartbeatBatchBuilder("node-0", "a-process", 7, TOKEN);
+        batch.addFull(WorkerForms.report());
         batch.addRepeated(report, report);
-        batch.addAnswer(WorkerForms.report());
-        batch.addRemembered(WorkerForms.report(), 0.7);
+        batch.addDirectOrderReply(WorkerForms.report());
+        batch.addCached(WorkerForms.report(), 0.7);
         return batch.write();
     }
 
-    private static String told(Batch batch) {
+    private static String told(HeartbeatBatch batch) {
         if (batch == null) {
             return "refused";
         }
@@ -95,47 +100,48 @@
                 new StringBuilder(
                         String.join(
                                 " ",
-                                batch.node(),
-                                batch.life(),
+                                batch.sender(),
+                                batch.incarnation(),
                                 String.valueOf(batch.sequence()),
-                                String.valueOf(batch.token())));
-        batch.beats().forEach(beat -> told.append("; ").append(told(beat)));
-        batch.heard().forEach(report -> told.append("; ").append(WorkerForms.read(report)));
-        batch.kept()
+                                String.valueOf(batch.fencingToken())));
+        batch.heartbeats().forEach(beat -> told.append("; ").append(told(beat)));
+        batch.directOrderReplies()
+                .forEach(report -> told.append("; ").append(WorkerForms.read(report)));
+        batch.cachedHeartbeats()
                 .forEach(
                         kept ->
                                 told.append("; of ")
                                         .append(kept.ageS())
                                         .append(" s before ")
-                                        .append(WorkerForms.read(kept.report())));
+                                        .append(WorkerForms.read(kept.heartbeat())));
         return told.toString();
     }
 
-    private static String told(Beat beat) {
-        if (beat instanceof Beat.Whole whole) {
-            return WorkerForms.read(whole.report());
+    private static String told(ForwardedHeartbeat beat) {
+        if (beat instanceof ForwardedHeartbeat.Full whole) {
+            return WorkerForms.read(whole.heartbeat());
         }
-        Beat.Same same = (Beat.Same) beat;
+        ForwardedHeartbeat.Repeated same = (ForwardedHeartbeat.Repeated) beat;
         return same.machine()
                 + " "
-                + same.tenure()
+                + same.incarnation()
                 + " repeats "
-                + same.base()
+                + same.baseSerial()
                 + " as "
                 + same.serial()
                 + " with "
-                + same.token();
+                + same.fencingToken();
     }
 
     private static String rewriteAnswer(JsonNode form) {
-        Answer answer = ForwardingMessages.readAnswer(form, 3);
+        HeartbeatBatchReply answer = PeerMessages.readBatchReply(form, 3);
         return answer == null
                 ? null
                 : text(
-                        ForwardingMessages.answer(
-                                answer.token(),
-                                answer.contactAgoS(),
-                                answer.live(),
+                        PeerMessages.writeBatchReply(
+                                answer.fencingToken(),
+                                answer.stateContactAgeS(),
+                                answer.partitionOwners(),
                                 answer.verdicts()));
     }
 
@@ -147,16 +153,17 @@
         sender.answer(200, "{\"contactAgoMs\":250,\"epoch\":41}");
         loop.run(10);
         peers.tick(10, 5, TOKEN);
-        peers.cancelled(List.of("run-000412"));
-        peers.ask(SETTINGS.members().get(0), "/peer/path", batch, 1.5, outcome -> {});
-        PartitionOrders orders =
-                new PartitionOrders(new HttpWorkers(loop, sender, 1), peers, SETTINGS);
+        peers.announceCancelled(List.of("run-000412"));
+        peers.send(SETTINGS.members().get(0), "/peer/path", batch, 1.5, outcome -> {});
+        PartitionOrderRouter orders =
+                new PartitionOrderRouter(new HttpWorkerClient(loop, sender, 1), peers, SETTINGS);
         for (String through : List.of("node-1", "node-2", "")) {
-            orders.orders(through, "10.1.0.14:9000", TOKEN, 3, WorkerForms.orders(), result -> {});
+            orders.sendOrders(
+                    through, "10.1.0.14:9000", TOKEN, 3, WorkerForms.orders(), result -> {});
         }
         orders.flush();
-        ReportForwarder forwarder =
-                new ReportForwarder(
+        HeartbeatForwarder forwarder =
+                new HeartbeatForwarder(
                         loop,
                         (host, port, connections, method, path, body, deadlineMs, done) ->
                                 file.add(
@@ -165,7 +172,7 @@
                         SETTINGS);
         forwarder.leader("node-1");
         byte[] report = WorkerForms.report();
-        forwarder.submit(Report.read(Json.read(report)), report, verdict -> {});
+        forwarder.submit(Heartbeat.parse(Json.read(report)), report, verdict -> {});
         forwarder.flush();
     }
 
@@ -183,32 +190,32 @@
         receive("POST", "/peer/cancelled", FormFile.input("peer-cancelled.json"));
         receive("POST", "/peer/unknown", new byte[0]);
         receive("GET", "/peer/relay", new byte[0]);
-        peers.serve("/peer/path", (call, answer) -> answer.accept(Reply.empty(200)));
+        peers.addEndpoint("/peer/path", (call, answer) -> answer.accept(HttpReply.empty(200)));
         receive("POST", "/peer/path", new byte[0]);
         receive("GET", "/peer/path", new byte[0]);
     }
 
     private void receive(String method, String path, byte[] body) {
         peers.handle(
-                new Call(method, path, Map.of(), body),
+                new InboundRequest(method, path, Map.of(), body),
                 reply -> file.add(method + " " + path + " answered", reply));
     }
 
     @Override
-    public void forwarded(Batch batch, Consumer<Reply> answer) {
+    public void heartbeatBatchReceived(HeartbeatBatch batch, Consumer<HttpReply> answer) {
         file.add("received", told(batch));
-        answer.accept(Reply.empty(200));
+        answer.accept(HttpReply.empty(200));
     }
 
     @Override
-    public void direct(long token, ForwardingMessages.Direct message) {
+    public void directOrdersReceived(long token, PeerMessages.DirectOrderMessage message) {
         file.add(
                 "received orders of " + token,
-                message.address() + " " + message.tenure() + " " + message.orders());
+                message.address() + " " + message.incarnation() + " " + message.orders());
     }
 
     @Override
-    public void cancelled(List<String> ids) {
+    public void jobsCancelled(List<String> ids) {
         file.add("received as cancelled", ids.toString());
     }
 }
--- a/src/test/java/io/pepperfield/peer/VersionsTest.java
+++ b/src/test/java/io/pepperfield/peer/VersionsTest.java
@@ -2,19 +2,19 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pepperfield.cloud.Cloud;
-import io.pepperfield.cloud.Renting;
-import io.pepperfield.cloud.TypesRecord;
+import io.pepperfield.cloud.CloudProvider;
+import io.pepperfield.cloud.InstanceLifecycle;
+import io.pepperfield.cloud.MachineTypesRecord;
 import io.pepperfield.fleet.Fleet;
 import io.pepperfield.fleet.MachineType;
 import io.pepperfield.http.Json;
-import io.pepperfield.jobs.Catalog;
+import io.pepperfield.jobs.JobIndex;
 import io.pepperfield.jobs.JobMessages;
-import io.pepperfield.jobs.RunRecord;
 import io.pepperfield.jobs.Status;
+import io.pepperfield.jobs.TaskState;
 import io.pepperfield.leadership.Leadership;
-import io.pepperfield.standin.Trace;
-import io.pepperfield.standin.Transactions;
+import io.pepperfield.standin.RecordingKeyValueStore;
+import io.pepperfield.standin.ReplayTrace;
 import io.pepperfield.store.Keys;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -35,7 +35,7 @@
 
     @Test
     void bothUnderstandEachOther() throws IOException {
-        Trace.check("production-version.txt", VersionsTest::play);
+        ReplayTrace.check("production-version.txt", VersionsTest::play);
     }
 
     /** What is understood of it, and whether it would be written in the same way now. */
@@ -44,96 +44,97 @@
         JsonNode said = Json.read(text.getBytes(StandardCharsets.UTF_8));
         return switch (words[0]) {
             case "job" -> {
-                var job = JobMessages.fromDurable("run-000001", said);
+                var job = JobMessages.decodeSpec("run-000001", said);
                 yield told(
-                        job.tasks() + " tasks, needs " + job.awaits(),
-                        JobMessages.durable(job),
+                        job.tasks() + " tasks, needs " + job.dependencies(),
+                        JobMessages.encodeSpec(job),
                         text);
             }
             case "end" ->
                     told(
-                            JobMessages.end(said).word(),
-                            JobMessages.durableEnd(Status.valueOf(JobMessages.end(said).name())),
+                            JobMessages.decodeFinalStatus(said).wireName(),
+                            JobMessages.encodeFinalStatus(
+                                    Status.valueOf(JobMessages.decodeFinalStatus(said).name())),
                             text);
             case "end-now" -> {
-                OptionalLong doneMs = JobMessages.doneMs(said);
+                OptionalLong doneMs = JobMessages.decodeDoneMs(said);
                 List<String> lines =
                         new ArrayList<>(
                                 told(
-                                        JobMessages.end(said).word()
+                                        JobMessages.decodeFinalStatus(said).wireName()
                                                 + " at "
                                                 + (doneMs.isPresent()
                                                         ? doneMs.getAsLong()
                                                         : "an unknown time"),
                                         doneMs.isPresent()
-                                                ? JobMessages.durableDone(doneMs.getAsLong())
-                                                : JobMessages.durableEnd(Status.DONE),
+                                                ? JobMessages.encodeDone(doneMs.getAsLong())
+                                                : JobMessages.encodeFinalStatus(Status.DONE),
                                         text));
-                lines.add("the recorded version reads " + endAsRecorded(said).word());
+                lines.add("the recorded version reads " + endAsRecorded(said).wireName());
                 yield lines;
             }
             case "run" ->
                     told(
-                            RunRecord.read(said).stream()
-                                    .map(line -> line.task() + " " + line.state())
+                            TaskState.decode(said).stream()
+                                    .map(line -> line.task() + " " + line.phase())
                                     .toList()
                                     .toString(),
-                            RunRecord.write(RunRecord.read(said)),
+                            TaskState.encode(TaskState.decode(said)),
                             text);
             case "shared" -> shared(said, text);
             case "hire" -> hire(said);
             case "types" -> {
-                List<MachineType> types = TypesRecord.read(said);
+                List<MachineType> types = MachineTypesRecord.decode(said);
                 yield told(
                         types.stream()
                                 .map(type -> type.name() + " " + type.zones())
                                 .toList()
                                 .toString(),
-                        TypesRecord.write(types),
+                        MachineTypesRecord.encode(types),
                         text);
             }
             case "leader" -> leader(said);
             case "relay" -> {
-                ForwardingMessages.Batch batch = ForwardingMessages.batch(said);
+                PeerMessages.HeartbeatBatch batch = PeerMessages.readBatch(said);
                 yield List.of(
-                        batch.node()
+                        batch.sender()
                                 + " "
-                                + batch.beats().size()
+                                + batch.heartbeats().size()
                                 + " reports, "
-                                + batch.kept().size()
+                                + batch.cachedHeartbeats().size()
                                 + " kept");
             }
             case "answer" -> {
-                ForwardingMessages.Answer answer = ForwardingMessages.readAnswer(said, 3);
+                PeerMessages.HeartbeatBatchReply answer = PeerMessages.readBatchReply(said, 3);
                 yield told(
-                        answer.token()
+                        answer.fencingToken()
                                 + " "
-                                + answer.live()
+                                + answer.partitionOwners()
                                 + " "
                                 + answer.verdicts().size()
                                 + " verdicts",
                         Json.read(
-                                ForwardingMessages.answer(
-                                        answer.token(),
-                                        answer.contactAgoS(),
-                                        answer.live(),
+                                PeerMessages.writeBatchReply(
+                                        answer.fencingToken(),
+                                        answer.stateContactAgeS(),
+                                        answer.partitionOwners(),
                                         answer.verdicts())),
                         text);
             }
             case "orders" ->
                     told(
-                            ForwardingMessages.readDirect(said).size() + " messages",
+                            PeerMessages.readDirectOrders(said).size() + " messages",
                             Json.read(
-                                    ForwardingMessages.direct(
+                                    PeerMessages.writeDirectOrders(
                                             said.path("epoch").longValue(),
-                                            ForwardingMessages.readDirect(said))),
+                                            PeerMessages.readDirectOrders(said))),
                             text);
             case "cancelled" ->
                     told(
-                            ForwardingMessages.readCancelled(said).toString(),
+                            PeerMessages.readCancelledJobs(said).toString(),
                             Json.read(
-                                    ForwardingMessages.cancelled(
-                                            ForwardingMessages.readCancelled(said))),
+                                    PeerMessages.writeCancelledJobs(
+                                            PeerMessages.readCancelledJobs(said))),
                             text);
             default -> throw new IllegalArgumentException(words[0]);
         };
@@ -141,18 +142,18 @@
 
     /** As the catalog reads it, and as its jobs' lines are written again. */
     private static List<String> shared(JsonNode said, String text) {
-        Catalog catalog = new Catalog(() -> 0);
+        JobIndex catalog = new JobIndex(() -> 0);
         ObjectNode again = Json.object();
         List<String> read = new ArrayList<>();
         said.fieldNames()
                 .forEachRemaining(
                         id -> {
-                            catalog.changed(Keys.JOB + id, Json.object().put("n", 4));
-                            catalog.changed(Keys.SHARED + "41-1", said);
-                            List<RunRecord> lines = List.copyOf(catalog.get(id).lines());
-                            again.set(id, RunRecord.write(lines));
+                            catalog.changed(Keys.JOB_PREFIX + id, Json.object().put("n", 4));
+                            catalog.changed(Keys.SHARED_RUN_RECORD_PREFIX + "41-1", said);
+                            List<TaskState> lines = List.copyOf(catalog.get(id).taskStates());
+                            again.set(id, TaskState.encode(lines));
                             lines.forEach(
-                                    line -> read.add(id + "/" + line.task() + " " + line.state()));
+                                    line -> read.add(id + "/" + line.task() + " " + line.phase()));
                         });
         return told(read.toString(), again, text);
     }
@@ -162,28 +163,29 @@
      */
     private static List<String> hire(JsonNode said) {
         List<String> read = new ArrayList<>();
-        Transactions state = new Transactions();
+        RecordingKeyValueStore state = new RecordingKeyValueStore();
         Fleet fleet = new Fleet(null, 42, 1);
-        Cloud cloud = new AskedCloud(read);
-        Renting renting = new Renting(state, cloud, null, fleet, 42, 1, 1, () -> true);
+        CloudProvider cloud = new AskedCloud(read);
+        InstanceLifecycle renting =
+                new InstanceLifecycle(state, cloud, null, fleet, 42, 1, 1, () -> true);
         renting.restore("p41-1", said);
         fleet.machines().forEach(m -> read.add("expects " + m.name + " " + m.type()));
         return read;
     }
 
     /** Notes which rentals it is asked for, and answers nothing. */
-    private record AskedCloud(List<String> asked) implements Cloud {
+    private record AskedCloud(List<String> asked) implements CloudProvider {
         @Override
-        public void types(Consumer<List<MachineType>> done) {}
+        public void listMachineTypes(Consumer<List<MachineType>> done) {}
 
         @Override
-        public void rent(
+        public void rentInstances(
                 String request,
                 String type,
                 String zone,
                 boolean spot,
                 int count,
-                Consumer<Rented> done) {
+                Consumer<RentalOutcome> done) {
             asked.add(
                     "asks for "
                             + request
@@ -198,23 +200,27 @@
         }
 
         @Override
-        public void release(List<String> names, Consumer<Boolean> done) {}
+        public void releaseInstances(List<String> names, Consumer<Boolean> done) {}
 
         @Override
-        public void list(Consumer<List<Listed>> done) {}
+        public void listInstances(Consumer<List<ListedInstance>> done) {}
     }
 
     /** Leads under the key that it wrote itself, and follows under another's. */
     private static List<String> leader(JsonNode said) {
-        Transactions state = new Transactions();
+        RecordingKeyValueStore state = new RecordingKeyValueStore();
         Leadership leadership = new Leadership(state, state, "worker-9", 1, null);
-        leadership.leaderKey(said, 41);
-        return List.of("led by " + leadership.leader() + " with token " + leadership.leaderToken());
+        leadership.leaderKeyChanged(said, 41);
+        return List.of(
+                "led by "
+                        + leadership.leaderNode()
+                        + " with token "
+                        + leadership.highestFencingToken());
     }
 
     /** As {@code JobMessages.end} of the recorded version c7a624d; nothing else reads the value. */
     private static Status endAsRecorded(JsonNode durable) {
-        return durable.path("s").asText().equals(Status.DONE.word())
+        return durable.path("s").asText().equals(Status.DONE.wireName())
                 ? Status.DONE
                 : Status.CANCELLED;
     }
--- a/src/test/java/io/pepperfield/placement/PlacerTest.java
+++ b/src/test/java/io/pepperfield/placement/BinPackerTest.java
@@ -2,10 +2,10 @@
 
 import io.pepperfield.config.Settings;
 import io.pepperfield.jobs.JobSpec;
-import io.pepperfield.jobs.JobSpec.Rank;
+import io.pepperfield.jobs.JobSpec.Priority;
 import io.pepperfield.jobs.JobSpec.Shape;
 import io.pepperfield.standin.JobSpecBuilder;
-import io.pepperfield.standin.Trace;
+import io.pepperfield.standin.ReplayTrace;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -19,15 +19,15 @@
 import org.junit.jupiter.api.Test;
 
 /** Plays kept traces of placement and compares the choices. */
-class PlacerTest {
+class BinPackerTest {
 
     private final List<PlacementRequest> requests = new ArrayList<>();
-    private final List<Room> rooms = new ArrayList<>();
-    private final Map<String, Share> shares = new HashMap<>();
+    private final List<FreeCapacity> freeCapacities = new ArrayList<>();
+    private final Map<String, QuotaUsage> quotaUsages = new HashMap<>();
 
     @Test
     void choices() throws IOException {
-        Trace.check("placement.txt", this::play);
+        ReplayTrace.check("placement.txt", this::play);
     }
 
     private List<String> play(String[] words) {
@@ -42,13 +42,13 @@
         switch (words[0]) {
             case "new" -> {
                 requests.clear();
-                rooms.clear();
-                shares.clear();
+                freeCapacities.clear();
+                quotaUsages.clear();
             }
             case "team" ->
-                    shares.put(
+                    quotaUsages.put(
                             words[1],
-                            new Share(
+                            new QuotaUsage(
                                     new Settings.Team(
                                             words[1],
                                             number(f, "guaranteed", 0),
@@ -60,8 +60,8 @@
                                     number(f, "lasting", 0),
                                     0));
             case "machine" ->
-                    rooms.add(
-                            new Room(
+                    freeCapacities.add(
+                            new FreeCapacity(
                                     words[1],
                                     "box",
                                     f.getOrDefault("zone", "east"),
@@ -85,7 +85,7 @@
                                 .team(f.getOrDefault("team", "red"))
                                 .shape(shape)
                                 .rank(
-                                        Rank.valueOf(
+                                        Priority.valueOf(
                                                 f.getOrDefault("rank", "standard")
                                                         .toUpperCase(Locale.ROOT)))
                                 .tasks((int) number(f, "tasks", waiting))
@@ -109,15 +109,19 @@
                                 perZone,
                                 avoid);
                 request.overdue(f.containsKey("overdue"));
-                request.promised(f.containsKey("promised"));
-                request.waited(number(f, "waited", 0));
+                request.reserved(f.containsKey("promised"));
+                request.waitingTime(number(f, "waited", 0));
                 requests.add(request);
             }
             default -> {
                 Map<String, Integer> counts = new LinkedHashMap<>();
-                Placer.place(requests, rooms, shares)
+                BinPacker.place(requests, freeCapacities, quotaUsages)
                         .forEach(
-                                c -> counts.merge(c.job() + " on " + c.machine(), 1, Integer::sum));
+                                c ->
+                                        counts.merge(
+                                                c.jobId() + " on " + c.machineName(),
+                                                1,
+                                                Integer::sum));
                 return counts.entrySet().stream()
                         .map(e -> e.getValue() + " of " + e.getKey())
                         .toList();
--- a/src/test/java/io/pepperfield/predict/ReadyTimesTest.java
+++ b/src/test/java/io/pepperfield/predict/ReadinessPredictorTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** When the jobs of a workflow become ready, from how long each still takes. */
-class ReadyTimesTest {
+class ReadinessPredictorTest {
 
     @Test
     void theLongestWayCounts() {
@@ -26,7 +26,7 @@
                         List.of("short", "long"));
         Map<String, Double> remaining =
                 Map.of("first", 5.0, "short", 1.0, "long", 8.0, "last", 2.0);
-        ReadyTimes times = new ReadyTimes(needs::get, remaining::get);
+        ReadinessPredictor times = new ReadinessPredictor(needs::get, remaining::get);
         assertEquals(0, times.readyIn("first"));
         assertEquals(5, times.readyIn("short"));
         assertEquals(13, times.readyIn("last"));
@@ -40,7 +40,7 @@
         }
         List<String> all = new ArrayList<>(needs.keySet());
         needs.put("fan", all);
-        assertEquals(20_001, new ReadyTimes(needs::get, job -> 1).readyIn("fan"));
+        assertEquals(20_001, new ReadinessPredictor(needs::get, job -> 1).readyIn("fan"));
     }
 
     @Test
@@ -59,8 +59,8 @@
         }
         int[] predicted = new int[1];
         int[] lookedUp = new int[1];
-        ReadyTimes times =
-                new ReadyTimes(
+        ReadinessPredictor times =
+                new ReadinessPredictor(
                         job -> {
                             lookedUp[0]++;
                             return needs.get(job);
--- a/src/test/java/io/pepperfield/predict/PredictorTest.java
+++ b/src/test/java/io/pepperfield/predict/RunTimePredictorTest.java
@@ -1,6 +1,6 @@
 package io.pepperfield.predict;
 
-import io.pepperfield.standin.Trace;
+import io.pepperfield.standin.ReplayTrace;
 import it.unimi.dsi.fastutil.doubles.DoubleArrayList;
 import java.io.IOException;
 import java.util.List;
@@ -9,20 +9,20 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests of the run time prediction by WIRE's policies. */
-class PredictorTest {
+class RunTimePredictorTest {
 
-    private PeerTimes times = new PeerTimes();
+    private PeerRunTimes times = new PeerRunTimes();
     private final DoubleArrayList running = new DoubleArrayList();
 
     @Test
     void policies() throws IOException {
-        Trace.check("predictor.txt", this::play);
+        ReplayTrace.check("predictor.txt", this::play);
     }
 
     private List<String> play(String[] words) {
         switch (words[0]) {
             case "job" -> {
-                times = new PeerTimes();
+                times = new PeerRunTimes();
                 running.clear();
             }
             case "running" -> {
@@ -32,10 +32,11 @@
                 }
             }
             case "finished" -> times.finished(Double.parseDouble(words[1]), size(words, 2));
-            case "interval" -> times.learn();
+            case "interval" -> times.updateModel();
             default -> {
                 double predicted =
-                        Predictor.runTime(times, running, words[0].equals("ready"), size(words, 1));
+                        RunTimePredictor.predictRunTime(
+                                times, running, words[0].equals("ready"), size(words, 1));
                 return List.of(String.format(Locale.ROOT, "%.2f", predicted));
             }
         }
--- a/src/test/java/io/pepperfield/recovery/ArchiveForms.java
+++ b/src/test/java/io/pepperfield/recovery/ArchiveForms.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.forms.FormFile;
 import io.pepperfield.http.Json;
-import io.pepperfield.store.StateService.Item;
+import io.pepperfield.store.KeyValueStore.KeyValue;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
@@ -15,12 +15,13 @@
     /** Adds them. */
     public static void write(FormFile file) {
         byte[] page =
-                ArchiveItems.write(
+                ArchiveItemsCodec.write(
                         List.of(
-                                new Item("pepperfield/leader", Json.object().put("node", "a"), 41),
-                                new Item("pepperfield/types", null, 42)));
-        file.add("name of a page", StateExport.pageName(12));
-        file.add("name of the changes", StateExport.CHANGES);
+                                new KeyValue(
+                                        "pepperfield/leader", Json.object().put("node", "a"), 41),
+                                new KeyValue("pepperfield/types", null, 42)));
+        file.add("name of a page", ArchiveWriter.pageName(12));
+        file.add("name of the changes", ArchiveWriter.CHANGES_ENTRY);
         file.add("name of the manifest", ArchiveManifest.NAME);
         file.addRewritten("page", page, ArchiveForms::rewriteItems);
         file.addRead("key", Json.read(page).path(0), form -> rewriteItems(Json.array().add(form)));
@@ -30,17 +31,17 @@
                         List.of("node-0", "node-1"),
                         List.of(
                                 new ArchiveManifest.Entry(
-                                        StateExport.pageName(1),
+                                        ArchiveWriter.pageName(1),
                                         page.length,
-                                        StateExport.sha256(page))));
+                                        ArchiveWriter.sha256(page))));
         file.addRewrittenByField(
                 "manifest",
                 manifest.write(),
                 form -> text(ArchiveManifest.read(Json.write(form)).write()));
     }
 
-    private static String rewriteItems(JsonNode form) throws ArchiveFault {
-        return text(ArchiveItems.write(ArchiveItems.read("page", Json.write(form))));
+    private static String rewriteItems(JsonNode form) throws ArchiveException {
+        return text(ArchiveItemsCodec.write(ArchiveItemsCodec.read("page", Json.write(form))));
     }
 
     private static String text(byte[] form) {
--- a/src/test/java/io/pepperfield/recovery/StateArchiveTest.java
+++ b/src/test/java/io/pepperfield/recovery/StateArchiveTest.java
@@ -7,7 +7,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.http.Json;
-import io.pepperfield.store.StateService.Item;
+import io.pepperfield.store.KeyValueStore.KeyValue;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.FileAlreadyExistsException;
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** An archive is what the state service held at one revision, or it is none. */
-class StateArchiveTest implements StateSource {
+class StateArchiveTest implements SnapshotSource {
 
     private static final int PAGE = 3;
 
@@ -33,7 +33,7 @@
     @TempDir private Path directory;
 
     private final TreeMap<String, Entry> keys = new TreeMap<>();
-    private final List<Item> events = new ArrayList<>();
+    private final List<KeyValue> events = new ArrayList<>();
     private final List<Runnable> betweenPages = new ArrayList<>();
     private long revision;
     private int forgotten;
@@ -52,29 +52,29 @@
     private void set(String key, String data) {
         String name = "pepperfield/" + key;
         keys.put(name, new Entry(data, ++revision));
-        events.add(new Item(name, Json.object().put("x", data), revision));
+        events.add(new KeyValue(name, Json.object().put("x", data), revision));
     }
 
     private void delete(String key) {
         keys.remove("pepperfield/" + key);
-        events.add(new Item("pepperfield/" + key, null, ++revision));
+        events.add(new KeyValue("pepperfield/" + key, null, ++revision));
     }
 
     @Override
-    public Page page(String after) throws IOException {
+    public Page readPage(String after) throws IOException {
         if (!after.isEmpty() && !betweenPages.isEmpty()) {
             betweenPages.remove(0).run();
         }
         if (fails && !after.isEmpty()) {
             throw new IOException("does not answer");
         }
-        List<Item> items = new ArrayList<>();
+        List<KeyValue> items = new ArrayList<>();
         for (Map.Entry<String, Entry> entry : keys.tailMap(after, after.isEmpty()).entrySet()) {
             if (items.size() == PAGE) {
                 return new Page(items, true, revision);
             }
             JsonNode data = Json.object().put("x", entry.getValue().data);
-            items.add(new Item(entry.getKey(), data, entry.getValue().stamp));
+            items.add(new KeyValue(entry.getKey(), data, entry.getValue().stamp));
         }
         return new Page(items, false, revision);
     }
@@ -83,33 +83,33 @@
     public Page changesSince(long since) throws IOException {
         if (forgotten > 0) {
             forgotten--;
-            throw new ChangesForgotten(since);
+            throw new ChangesCompactedException(since);
         }
-        List<Item> news = events.stream().filter(event -> event.stamp() > since).toList();
+        List<KeyValue> news = events.stream().filter(event -> event.modRevision() > since).toList();
         return new Page(news, false, revision);
     }
 
     private long export() throws IOException {
-        return new StateExport(this, List.of("node-0", "node-1")).write(file);
+        return new ArchiveWriter(this, List.of("node-0", "node-1")).write(file);
     }
 
     /** What the pages with the changes amount to. */
-    private static Map<String, Long> content(Path archive) throws ArchiveFault {
+    private static Map<String, Long> content(Path archive) throws ArchiveException {
         Map<String, Long> stamps = new TreeMap<>();
         StateArchive.visit(
                 archive,
                 new StateArchive.Visitor() {
                     @Override
-                    public void item(Item item) {
-                        stamps.put(item.key(), item.stamp());
+                    public void item(KeyValue item) {
+                        stamps.put(item.key(), item.modRevision());
                     }
 
                     @Override
-                    public void change(Item item) {
-                        if (item.data() == null) {
+                    public void change(KeyValue item) {
+                        if (item.value() == null) {
                             stamps.remove(item.key());
                         } else {
-                            stamps.put(item.key(), item.stamp());
+                            stamps.put(item.key(), item.modRevision());
                         }
                     }
                 });
@@ -136,7 +136,7 @@
         assertEquals(revision, of);
         assertEquals(now(), content(file));
         StateArchive archive = StateArchive.inspect(file);
-        assertEquals(Map.of("job", 6, "end", 1, "leader", 1, "run", 1), archive.keys());
+        assertEquals(Map.of("job", 6, "end", 1, "leader", 1, "run", 1), archive.keyCounts());
         assertEquals(List.of("node-0", "node-1"), archive.controllers());
     }
 
@@ -161,7 +161,8 @@
 
     private String faultOf(byte[] bytes) throws IOException {
         Path damaged = Files.write(directory.resolve("damaged.tar"), bytes);
-        return assertThrows(ArchiveFault.class, () -> StateArchive.inspect(damaged)).getMessage();
+        return assertThrows(ArchiveException.class, () -> StateArchive.inspect(damaged))
+                .getMessage();
     }
 
     @Test
--- a/src/test/java/io/pepperfield/rollout/CompactRunRecordsTest.java
+++ b/src/test/java/io/pepperfield/rollout/CompactRunRecordsTest.java
@@ -6,8 +6,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.http.Json;
-import io.pepperfield.jobs.RunRecord;
-import io.pepperfield.jobs.RunRecord.State;
+import io.pepperfield.jobs.TaskState;
+import io.pepperfield.jobs.TaskState.Phase;
 import io.pepperfield.rollout.CompactRunRecords.UnreadableRecord;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -42,19 +42,19 @@
     void anyRecordComesBackAsItWas() throws UnreadableRecord {
         Random random = new Random(1);
         for (int round = 0; round < 500; round++) {
-            JsonNode first = RunRecord.write(lines(random));
+            JsonNode first = TaskState.encode(lines(random));
             JsonNode second = Json.read(Json.write(CompactRunRecords.encode(first)));
             assertEquals(first, CompactRunRecords.decode(second));
         }
     }
 
-    private static List<RunRecord> lines(Random random) {
-        List<RunRecord> lines = new ArrayList<>();
+    private static List<TaskState> lines(Random random) {
+        List<TaskState> lines = new ArrayList<>();
         for (int task = random.nextInt(200); lines.size() < 136; task += 1 + random.nextInt(2)) {
-            State state = State.values()[random.nextInt(State.values().length)];
-            boolean live = state == State.LIVE;
+            Phase state = Phase.values()[random.nextInt(Phase.values().length)];
+            boolean live = state == Phase.LIVE;
             lines.add(
-                    new RunRecord(
+                    new TaskState(
                             task,
                             1 + random.nextInt(3),
                             state,
@@ -66,12 +66,12 @@
 
     @Test
     void aFullRecordOfManyMachinesIsSmallerThanTheFirstFormOfHalfAsManyTasks() {
-        List<RunRecord> lines = new ArrayList<>();
+        List<TaskState> lines = new ArrayList<>();
         for (int task = 0; task < 136; task++) {
-            lines.add(new RunRecord(task, 1, State.LIVE, "host-" + (100_000 + task / 4), 1));
+            lines.add(new TaskState(task, 1, Phase.LIVE, "host-" + (100_000 + task / 4), 1));
         }
-        int second = Json.write(CompactRunRecords.encode(RunRecord.write(lines))).length;
-        int first = Json.write(RunRecord.write(lines.subList(0, 68))).length;
+        int second = Json.write(CompactRunRecords.encode(TaskState.encode(lines))).length;
+        int first = Json.write(TaskState.encode(lines.subList(0, 68))).length;
         assertTrue(second < first, second + " bytes, and " + first);
     }
 
--- a/src/test/java/io/pepperfield/rollout/RecordedVersionFencedTest.java
+++ b/src/test/java/io/pepperfield/rollout/RecordedVersionFencedTest.java
@@ -1,10 +1,10 @@
 package io.pepperfield.rollout;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Reply;
-import io.pepperfield.standin.Region;
-import io.pepperfield.standin.Trace;
+import io.pepperfield.standin.ReplayTrace;
+import io.pepperfield.standin.SimulatedRegion;
 import io.pepperfield.standin.Version;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -35,23 +35,23 @@
 
     @Test
     void writesNothingAndLeadsNobody() throws IOException {
-        Trace.check("recorded-version-fenced.txt", RecordedVersionFencedTest::play);
+        ReplayTrace.check("recorded-version-fenced.txt", RecordedVersionFencedTest::play);
     }
 
     private static List<String> play(String[] words) {
-        Region region = Region.beforeRollout(1, Version.RECORDED);
+        SimulatedRegion region = SimulatedRegion.beforeRollout(1, Version.RECORDED);
         if (words[0].equals("while-one-leads")) {
             region.world.run(15);
         }
-        region.write("pepperfield/leader", VersionedStateService.fence());
+        region.write("pepperfield/leader", VersionedKeyValueStore.fenceValue());
         KEYS.forEach((key, data) -> region.write(key, json(data)));
-        int changes = region.changes();
+        int changes = region.storedMutations();
         region.world.run(region.world.now() + 40);
         String led = region.leader().equals("node-0") ? "nobody of them leads" : region.leader();
-        String first = led + ", " + (region.changes() - changes) + " changes in 40 s";
+        String first = led + ", " + (region.storedMutations() - changes) + " changes in 40 s";
         String job = state(region);
-        Reply up = region.answer(0, "GET", "/up");
-        Reply beat = region.report(0, "east");
+        HttpReply up = region.answer(0, "GET", "/up");
+        HttpReply beat = region.sendHeartbeat(0, "east");
         region.write("pepperfield/end/run-000001", json("{\"s\":\"done\"}"));
         region.world.run(region.world.now() + 2);
         return List.of(
@@ -65,8 +65,8 @@
                 "asked about the job once it is done: " + state(region));
     }
 
-    private static String state(Region region) {
-        Reply reply = region.answer(0, "GET", "/api/jobs/run-000001");
+    private static String state(SimulatedRegion region) {
+        HttpReply reply = region.answer(0, "GET", "/api/jobs/run-000001");
         return reply.status() + " " + Json.read(reply.body()).path("status").asText();
     }
 }
--- a/src/test/java/io/pepperfield/rollout/RolloutCommandsTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutCommandsTest.java
@@ -8,24 +8,24 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.config.Settings;
+import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Reply;
 import io.pepperfield.jobs.JobSpec;
-import io.pepperfield.jobs.RunRecord;
+import io.pepperfield.jobs.TaskState;
 import io.pepperfield.leadership.LeaderClaim;
-import io.pepperfield.standin.DirectState;
+import io.pepperfield.standin.InMemoryKeyValueStore;
 import io.pepperfield.standin.JobSpecBuilder;
 import io.pepperfield.standin.RegionSettings;
 import io.pepperfield.standin.SimWorld;
 import io.pepperfield.standin.SimulatedLoop;
+import io.pepperfield.store.KeyValueStore.CompareAndSwapOutcome;
+import io.pepperfield.store.KeyValueStore.KeyValue;
+import io.pepperfield.store.KeyValueStore.Mutation;
+import io.pepperfield.store.KeyValueStore.Precondition;
+import io.pepperfield.store.KeyValueStore.ReadResult;
+import io.pepperfield.store.KeyValueStore.RequestPriority;
 import io.pepperfield.store.Keys;
 import io.pepperfield.store.Replica;
-import io.pepperfield.store.StateService.Change;
-import io.pepperfield.store.StateService.Guard;
-import io.pepperfield.store.StateService.Item;
-import io.pepperfield.store.StateService.ReadResult;
-import io.pepperfield.store.StateService.TxnResult;
-import io.pepperfield.store.StateService.Urgency;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -37,7 +37,7 @@
 /** Operators' commands and late, repeated and contradictory writes around them, one at a time. */
 class RolloutCommandsTest {
 
-    private static final String RECORD = Keys.run("run-000001", 0);
+    private static final String RECORD = Keys.runRecord("run-000001", 0);
     private static final String ACTIVATE = "{\"olderReleasesRetired\":true}";
     private static final JsonNode LINES = Json.read(bytes("[[0,1,1,\"host-1\",1],[1,1,2]]"));
     private static final JsonNode LATER = Json.read(bytes("[[0,1,2],[1,1,2]]"));
@@ -46,7 +46,7 @@
 
     private JobSpec spec;
     private final SimulatedLoop loop = new SimulatedLoop();
-    private final DirectState state = new DirectState();
+    private final InMemoryKeyValueStore state = new InMemoryKeyValueStore();
 
     /** A controller as far as the rollout is concerned; it leads if it is told that it does. */
     private final class Node implements LeaderClaim {
@@ -64,43 +64,43 @@
         private void changed(String key, JsonNode data, long stamp) {
             stamps.put(key, stamp);
             seen.put(key, data);
-            if (key.startsWith(Keys.ROLLOUT)) {
+            if (key.startsWith(Keys.ROLLOUT_PREFIX)) {
                 rollout.changed(key, data, stamp);
             }
         }
 
         /** Hears all that has been written, and does what is due. */
         void hear() {
-            rollout.state()
-                    .follow(
+            rollout.keyValueStore()
+                    .watch(
                             replica.revision(),
                             0,
                             result -> {
                                 ReadResult.Read read = (ReadResult.Read) result;
-                                replica.advance(read.items(), read.revision());
+                                replica.applyChanges(read.entries(), read.revision());
                             });
             rollout.tick();
         }
 
-        TxnResult write(JsonNode lines) {
+        CompareAndSwapOutcome write(JsonNode lines) {
             return write(RECORD, lines);
         }
 
-        TxnResult write(String record, JsonNode lines) {
-            TxnResult[] got = new TxnResult[1];
-            rollout.state()
-                    .txn(
-                            Urgency.RUN,
+        CompareAndSwapOutcome write(String record, JsonNode lines) {
+            CompareAndSwapOutcome[] got = new CompareAndSwapOutcome[1];
+            rollout.keyValueStore()
+                    .compareAndSwap(
+                            RequestPriority.LEADER_WRITE,
                             List.of(
-                                    new Guard(Keys.LEADER, token()),
-                                    new Guard(record, stamps.getOrDefault(record, 0L))),
-                            List.of(Change.set(record, lines)),
+                                    new Precondition(Keys.LEADER, fencingToken()),
+                                    new Precondition(record, stamps.getOrDefault(record, 0L))),
+                            List.of(Mutation.set(record, lines)),
                             result -> got[0] = result);
             return got[0];
         }
 
-        Reply command(String name, String body) {
-            Reply[] got = new Reply[1];
+        HttpReply command(String name, String body) {
+            HttpReply[] got = new HttpReply[1];
             rollout.handle(
                     SimWorld.call("POST", "/api/rollout/" + name, bytes(body)),
                     reply -> got[0] = reply);
@@ -108,12 +108,12 @@
         }
 
         @Override
-        public boolean confirmed() {
+        public boolean holdsValidLease() {
             return leads;
         }
 
         @Override
-        public long token() {
+        public long fencingToken() {
             return stamps.getOrDefault(Keys.LEADER, 0L);
         }
 
@@ -123,12 +123,12 @@
         }
 
         @Override
-        public JsonNode value() {
+        public JsonNode leaderKeyValue() {
             return Json.object().put("node", "node-0").put("grant", 1);
         }
 
         @Override
-        public String leader() {
+        public String leaderNode() {
             return "node-0";
         }
     }
@@ -141,7 +141,7 @@
     }
 
     private static Settings settings(int index) {
-        return RegionSettings.of(index, 2, new Settings.State(100, 50, 8, 8));
+        return RegionSettings.of(index, 2, new Settings.StoreLimits(100, 50, 8, 8));
     }
 
     @BeforeEach
@@ -172,7 +172,7 @@
         hearAll();
     }
 
-    private static String why(Reply reply) {
+    private static String why(HttpReply reply) {
         return Json.read(reply.body()).path("error").asText();
     }
 
@@ -184,26 +184,28 @@
 
     @Test
     void aWriteOfBeforeTheActivationIsRefusedWheneverItArrives() {
-        state.holds = true;
+        state.holdsTransactions = true;
         leader.write(LINES);
-        state.holds = false;
+        state.holdsTransactions = false;
         activate();
-        assertInstanceOf(TxnResult.Conflict.class, state.deliver().get(0));
+        assertInstanceOf(CompareAndSwapOutcome.Conflict.class, state.carryOutHeld().get(0));
         assertNull(state.get(RECORD));
     }
 
     @Test
     void aWriterThatHasNotHeardOfTheActivationIsToldToTryAgain() {
         assertEquals(200, leader.command("activate", ACTIVATE).status());
-        assertEquals(new TxnResult.Refused(409), other.write(LINES));
+        assertEquals(new CompareAndSwapOutcome.Refused(409), other.write(LINES));
         hearAll();
-        assertInstanceOf(TxnResult.Committed.class, leader.write(LINES));
+        assertInstanceOf(CompareAndSwapOutcome.Committed.class, leader.write(LINES));
     }
 
     @Test
     void anOldProcessThatDeclaresItselfInTheLastMomentHoldsUpTheActivation() {
         // The leader has not heard of it yet.
-        state.put(Keys.ROLLOUT_MEMBER + "node-1", new MemberRelease(GATED, "another", 0).write());
+        state.put(
+                Keys.ROLLOUT_MEMBER_PREFIX + "node-1",
+                new MemberRelease(GATED, "another", 0).write());
         assertEquals(503, leader.command("activate", ACTIVATE).status());
         assertNull(state.get(Keys.ROLLOUT_VERSION));
         leader.hear();
@@ -224,8 +226,8 @@
         activate();
         Node old = new Node(1, GATED);
         old.hear();
-        assertFalse(old.rollout.gate().serves());
-        assertEquals(new TxnResult.Refused(503), old.write(LINES));
+        assertFalse(old.rollout.gate().mayServe());
+        assertEquals(new CompareAndSwapOutcome.Refused(503), old.write(LINES));
         old.leads = true;
         assertEquals(
                 "serving nobody: stored-state version 2 is in use, and release gated reads 1 to 1",
@@ -239,36 +241,40 @@
         leader.command("rollback", "{}");
         Node old = new Node(1, GATED);
         old.hear();
-        assertFalse(old.rollout.gate().serves());
+        assertFalse(old.rollout.gate().mayServe());
         passTime();
         old.hear();
-        assertTrue(old.rollout.gate().serves());
+        assertTrue(old.rollout.gate().mayServe());
         assertEquals(LINES.toString(), old.seen.get(RECORD).toString());
     }
 
     @Test
     void aFullTransactionThatChangesTheFormOfAllItsRecordsIsNotTooLarge() {
-        state.mostChanges = 8;
-        assertEquals(8, leader.rollout.limits().changes());
-        assertEquals(4 * 8 - 1, leader.rollout.limits().guards());
-        List<Guard> guards = new ArrayList<>(List.of(new Guard(Keys.LEADER, leader.token())));
+        state.maxMutations = 8;
+        assertEquals(8, leader.rollout.transactionLimits().maxMutations());
+        assertEquals(4 * 8 - 1, leader.rollout.transactionLimits().maxPreconditions());
+        List<Precondition> guards =
+                new ArrayList<>(List.of(new Precondition(Keys.LEADER, leader.fencingToken())));
         for (int job = 1; job <= 4; job++) {
-            leader.write(Keys.run("run-00000" + job, 0), LINES);
+            leader.write(Keys.runRecord("run-00000" + job, 0), LINES);
         }
         leader.hear();
         activate();
-        int most = leader.rollout.limits().changes();
-        List<Change> changes = new ArrayList<>();
+        int most = leader.rollout.transactionLimits().maxMutations();
+        List<Mutation> changes = new ArrayList<>();
         for (int job = 1; job <= most; job++) {
-            String key = Keys.run("run-00000" + job, 0);
-            guards.add(new Guard(key, leader.stamps.getOrDefault(key, 0L)));
-            changes.add(Change.set(key, LATER));
+            String key = Keys.runRecord("run-00000" + job, 0);
+            guards.add(new Precondition(key, leader.stamps.getOrDefault(key, 0L)));
+            changes.add(Mutation.set(key, LATER));
         }
-        guards.set(0, new Guard(Keys.LEADER, leader.token()));
-        TxnResult[] got = new TxnResult[1];
-        leader.rollout.state().txn(Urgency.RUN, guards, changes, result -> got[0] = result);
-        assertInstanceOf(TxnResult.Committed.class, got[0]);
-        assertTrue(leader.rollout.limits().guards() <= 4 * 8 - 1 - most);
+        guards.set(0, new Precondition(Keys.LEADER, leader.fencingToken()));
+        CompareAndSwapOutcome[] got = new CompareAndSwapOutcome[1];
+        leader.rollout
+                .keyValueStore()
+                .compareAndSwap(
+                        RequestPriority.LEADER_WRITE, guards, changes, result -> got[0] = result);
+        assertInstanceOf(CompareAndSwapOutcome.Committed.class, got[0]);
+        assertTrue(leader.rollout.transactionLimits().maxPreconditions() <= 4 * 8 - 1 - most);
     }
 
     @Test
@@ -278,11 +284,11 @@
         leader.hear();
         leader.command("rollback", "{}");
         // The rewriting reads the record, and its transaction is carried out late.
-        state.holds = true;
+        state.holdsTransactions = true;
         leader.hear();
-        state.holds = false;
-        assertInstanceOf(TxnResult.Committed.class, leader.write(LATER));
-        assertInstanceOf(TxnResult.Conflict.class, state.deliver().get(0));
+        state.holdsTransactions = false;
+        assertInstanceOf(CompareAndSwapOutcome.Committed.class, leader.write(LATER));
+        assertInstanceOf(CompareAndSwapOutcome.Conflict.class, state.carryOutHeld().get(0));
         passTime();
         assertEquals(LATER, state.get(RECORD));
     }
@@ -297,13 +303,13 @@
         leader.hear();
         leader.write(LATER);
         assertNull(state.get(RECORD));
-        assertEquals(2, state.get(VersionedStateService.compactKey(RECORD)).path("v").asInt());
+        assertEquals(2, state.get(VersionedKeyValueStore.compactKey(RECORD)).path("v").asInt());
         hearAll();
         assertEquals(LATER, other.seen.get(RECORD));
         leader.command("rollback", "{}");
         passTime();
         assertEquals(LATER, state.get(RECORD));
-        assertEquals(0, state.count(Keys.SECOND_RUN));
+        assertEquals(0, state.count(Keys.SECOND_FORM_RUN_RECORD_PREFIX));
         assertEquals(ClusterVersion.INITIAL, version());
         assertEquals(LATER, other.seen.get(RECORD));
     }
@@ -312,12 +318,12 @@
     void aRecordOfAnotherVersionIsPassedOnAsSuchAndNeverRewritten() {
         activate();
         JsonNode unknown = Json.object().put("v", 3);
-        state.put(VersionedStateService.compactKey(RECORD), unknown);
+        state.put(VersionedKeyValueStore.compactKey(RECORD), unknown);
         hearAll();
-        assertEquals(RunRecord.UNREADABLE, leader.seen.get(RECORD));
+        assertEquals(TaskState.UNREADABLE_RECORD, leader.seen.get(RECORD));
         leader.command("rollback", "{}");
         passTime();
-        assertEquals(unknown, state.get(VersionedStateService.compactKey(RECORD)));
+        assertEquals(unknown, state.get(VersionedKeyValueStore.compactKey(RECORD)));
         assertEquals(ClusterVersion.Phase.ROLLING_BACK, version().phase());
     }
 
@@ -326,27 +332,28 @@
         activate();
         for (int job = 1; job <= 6; job++) {
             assertInstanceOf(
-                    TxnResult.Committed.class, leader.write(Keys.run("run-00000" + job, 0), LINES));
+                    CompareAndSwapOutcome.Committed.class,
+                    leader.write(Keys.runRecord("run-00000" + job, 0), LINES));
         }
         hearAll();
         leader.command("rollback", "{}");
         leader.hear();
-        assertEquals(2, state.count(Keys.SECOND_RUN), "not rewritten yet");
+        assertEquals(2, state.count(Keys.SECOND_FORM_RUN_RECORD_PREFIX), "not rewritten yet");
         assertEquals(200, leader.command("activate", ACTIVATE).status());
         hearAll();
         // Compact once more, before the place that the rewriting had reached.
-        assertInstanceOf(TxnResult.Committed.class, leader.write(LATER));
+        assertInstanceOf(CompareAndSwapOutcome.Committed.class, leader.write(LATER));
         leader.command("rollback", "{}");
         passTime();
-        assertEquals(0, state.count(Keys.SECOND_RUN));
+        assertEquals(0, state.count(Keys.SECOND_FORM_RUN_RECORD_PREFIX));
         assertEquals(LATER, state.get(RECORD));
         assertEquals(ClusterVersion.INITIAL, version());
     }
 
-    private static List<RunRecord> longLines() {
-        List<RunRecord> lines = new ArrayList<>();
+    private static List<TaskState> longLines() {
+        List<TaskState> lines = new ArrayList<>();
         for (int task = 0; task < 100; task++) {
-            lines.add(new RunRecord(task, 1, RunRecord.State.LIVE, "host-" + task / 2, 1));
+            lines.add(new TaskState(task, 1, TaskState.Phase.LIVE, "host-" + task / 2, 1));
         }
         return lines;
     }
@@ -354,37 +361,37 @@
     @Test
     void aRecordThatNoLongerFitsInTheFirstFormIsDivided() {
         spec = new JobSpecBuilder().id("run-000001").tasks(100).chunk(100).build();
-        List<RunRecord> lines = longLines();
+        List<TaskState> lines = longLines();
         activate();
-        leader.write(RunRecord.write(lines));
+        leader.write(TaskState.encode(lines));
         leader.hear();
-        leader.write(Keys.run("run-000002", 0), LINES);
+        leader.write(Keys.runRecord("run-000002", 0), LINES);
         leader.hear();
-        state.mostValueBytes = 1024;
+        state.maxValueBytes = 1024;
         leader.command("rollback", "{}");
         passTime();
         assertEquals(ClusterVersion.INITIAL, version());
-        List<RunRecord> found = new ArrayList<>();
-        for (int part = 0; part < RunRecord.PARTS; part++) {
-            found.addAll(RunRecord.read(state.get(spec.partKey(0, part))));
+        List<TaskState> found = new ArrayList<>();
+        for (int part = 0; part < TaskState.SPLIT_PARTS; part++) {
+            found.addAll(TaskState.decode(state.get(spec.splitRecordKey(0, part))));
         }
         assertEquals(lines, found);
-        assertEquals(LINES.toString(), state.get(Keys.run("run-000002", 0)).toString());
+        assertEquals(LINES.toString(), state.get(Keys.runRecord("run-000002", 0)).toString());
     }
 
     @Test
     void aRecordThatCannotBeRewrittenKeepsNoOtherFromIt() {
         activate();
-        leader.write(RunRecord.write(longLines()));
+        leader.write(TaskState.encode(longLines()));
         leader.hear();
-        leader.write(Keys.run("run-000002", 0), LINES);
+        leader.write(Keys.runRecord("run-000002", 0), LINES);
         leader.hear();
         // It does not fit any more, and its job, which says how to divide it, is not known.
-        state.mostValueBytes = 1024;
+        state.maxValueBytes = 1024;
         leader.command("rollback", "{}");
         passTime();
-        assertEquals(LINES.toString(), String.valueOf(state.get(Keys.run("run-000002", 0))));
-        assertEquals(1, state.count(Keys.SECOND_RUN));
+        assertEquals(LINES.toString(), String.valueOf(state.get(Keys.runRecord("run-000002", 0))));
+        assertEquals(1, state.count(Keys.SECOND_FORM_RUN_RECORD_PREFIX));
         assertEquals(ClusterVersion.Phase.ROLLING_BACK, version().phase());
     }
 
@@ -423,7 +430,7 @@
 
     @Test
     void refusesWhatCannotBeAndWritesNothing() {
-        int before = state.changes;
+        int before = state.mutations;
         assertEquals(
                 "version 3 is not known to this release, which writes 2",
                 why(leader.command("activate", "{\"to\":3,\"olderReleasesRetired\":true}")));
@@ -443,7 +450,7 @@
                 "an operator's word");
         assertEquals(404, leader.command("frob", "{}").status());
         assertEquals("not the leader, which is node-0", why(other.command("activate", ACTIVATE)));
-        assertEquals(before, state.changes);
+        assertEquals(before, state.mutations);
     }
 
     @Test
@@ -451,30 +458,31 @@
         Node alone = new Node(0, Release.CURRENT);
         alone.leads = true;
         alone.hear();
-        state.put(Keys.ROLLOUT_MEMBER + "node-1", Json.object());
+        state.put(Keys.ROLLOUT_MEMBER_PREFIX + "node-1", Json.object());
         alone.hear();
         assertEquals(
                 "waits for: node-1 has declared no release",
                 why(alone.command("activate", ACTIVATE)));
         String without = "{\"without\":[\"node-1\"],\"olderReleasesRetired\":true}";
         assertEquals(200, alone.command("activate", without).status());
-        assertEquals(List.of("node-1"), version().removed());
+        assertEquals(List.of("node-1"), version().removedControllers());
     }
 
     @Test
     void aVersionRecordThatIsGoneOrUnreadableLetsNobodyServe() {
         activate();
         leader.rollout.changed(Keys.ROLLOUT_VERSION, null, 90);
-        assertFalse(leader.rollout.gate().serves());
+        assertFalse(leader.rollout.gate().mayServe());
         other.rollout.changed(Keys.ROLLOUT_VERSION, Json.object().put("writes", 1), 90);
-        assertFalse(other.rollout.gate().serves());
+        assertFalse(other.rollout.gate().mayServe());
     }
 
     @Test
     void whoLooksAtTheKeysWithoutAGateFindsAnotherLeader() {
         activate();
-        Item fence = new Item(Keys.LEADER, state.get(Keys.LEADER), state.stamp(Keys.LEADER));
-        assertEquals("stored-version-fence", fence.data().path("node").asText());
+        KeyValue fence =
+                new KeyValue(Keys.LEADER, state.get(Keys.LEADER), state.modRevision(Keys.LEADER));
+        assertEquals("stored-version-fence", fence.value().path("node").asText());
         leader.command("rollback", "{}");
         passTime();
         assertEquals("node-0", state.get(Keys.LEADER).path("node").asText());
--- a/src/test/java/io/pepperfield/rollout/RolloutForms.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutForms.java
@@ -3,14 +3,14 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.forms.FormFile;
 import io.pepperfield.http.Json;
-import io.pepperfield.jobs.RunRecord;
-import io.pepperfield.jobs.RunRecord.State;
-import io.pepperfield.standin.SilentStateService;
+import io.pepperfield.jobs.TaskState;
+import io.pepperfield.jobs.TaskState.Phase;
+import io.pepperfield.standin.NoOpKeyValueStore;
+import io.pepperfield.store.KeyValueStore;
+import io.pepperfield.store.KeyValueStore.Mutation;
+import io.pepperfield.store.KeyValueStore.Precondition;
+import io.pepperfield.store.KeyValueStore.RequestPriority;
 import io.pepperfield.store.Keys;
-import io.pepperfield.store.StateService;
-import io.pepperfield.store.StateService.Change;
-import io.pepperfield.store.StateService.Guard;
-import io.pepperfield.store.StateService.Urgency;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.function.Consumer;
@@ -30,7 +30,7 @@
                 List.of(
                         ClusterVersion.INITIAL,
                         ACTIVE,
-                        ACTIVE.asFinal(),
+                        ACTIVE.asFinalized(),
                         ACTIVE.rollingBack(),
                         ACTIVE.rolledBack())) {
             file.add("phase", version.phase().name());
@@ -39,11 +39,13 @@
         file.addRead("version", ACTIVE.write(), RolloutForms::rewriteVersion);
         MemberRelease member = new MemberRelease(new Release("9.1.0", 1, 3, 2), "a-process", 9);
         file.addRewrittenByField("member", member.write(), RolloutForms::rewriteMember);
-        file.add("fence", VersionedStateService.fence());
-        String key = Keys.run("run-000412", 3);
-        file.add("key of a compact run record", VersionedStateService.compactKey(key));
-        file.add("and back", VersionedStateService.firstKey(VersionedStateService.compactKey(key)));
-        JsonNode first = RunRecord.write(lines());
+        file.add("fence", VersionedKeyValueStore.fenceValue());
+        String key = Keys.runRecord("run-000412", 3);
+        file.add("key of a compact run record", VersionedKeyValueStore.compactKey(key));
+        file.add(
+                "and back",
+                VersionedKeyValueStore.firstFormKey(VersionedKeyValueStore.compactKey(key)));
+        JsonNode first = TaskState.encode(lines());
         file.add("run record", first);
         file.addRewritten(
                 "compact run record",
@@ -54,21 +56,21 @@
                 CompactRunRecords.encode(first),
                 form -> text(CompactRunRecords.decode(form)));
         writeTransactions(file);
-        file.add("done", new RolloutAnswer.Done("version 2 is active").reply());
-        file.add("refused", new RolloutAnswer.Refused("a rollback is under way").reply());
-        file.add("to be repeated", new RolloutAnswer.Repeat("not the leader").reply());
+        file.add("done", new RolloutResult.Completed("version 2 is active").toReply());
+        file.add("refused", new RolloutResult.Refused("a rollback is under way").toReply());
+        file.add("to be repeated", new RolloutResult.RetryLater("not the leader").toReply());
     }
 
-    private static List<RunRecord> lines() {
+    private static List<TaskState> lines() {
         return List.of(
-                new RunRecord(0, 1, State.DONE, "", 0),
-                new RunRecord(1, 1, State.DONE, "", 0),
-                new RunRecord(2, 2, State.DONE, "", 0),
-                new RunRecord(3, 1, State.LIVE, "host-000012", 4),
-                new RunRecord(4, 1, State.LIVE, "host-000012", 4),
-                new RunRecord(5, 1, State.LIVE, "host-000013", 1),
-                new RunRecord(6, 1, State.GONE, "", 0),
-                new RunRecord(8, 3, State.FAILED, "", 0));
+                new TaskState(0, 1, Phase.DONE, "", 0),
+                new TaskState(1, 1, Phase.DONE, "", 0),
+                new TaskState(2, 2, Phase.DONE, "", 0),
+                new TaskState(3, 1, Phase.LIVE, "host-000012", 4),
+                new TaskState(4, 1, Phase.LIVE, "host-000012", 4),
+                new TaskState(5, 1, Phase.LIVE, "host-000013", 1),
+                new TaskState(6, 1, Phase.GONE, "", 0),
+                new TaskState(8, 3, Phase.FAILED, "", 0));
     }
 
     private static String rewriteVersion(JsonNode form) {
@@ -83,21 +85,24 @@
 
     /** How the transactions of the rest of the program are stored in each version. */
     private static void writeTransactions(FormFile file) {
-        StateService raw = new RecordingStateService(file);
+        KeyValueStore raw = new RecordingStateService(file);
         for (ClusterVersion version : List.of(ClusterVersion.INITIAL, ACTIVE)) {
             VersionGate gate = new VersionGate(Release.CURRENT);
             gate.changed(version.write(), 17);
-            gate.loaded();
-            new VersionedStateService(raw, gate)
-                    .txn(
-                            Urgency.RUN,
+            gate.replicaLoaded();
+            new VersionedKeyValueStore(raw, gate)
+                    .compareAndSwap(
+                            RequestPriority.LEADER_WRITE,
                             List.of(
-                                    new Guard(Keys.LEADER, 41),
-                                    new Guard(Keys.run("run-000412", 0), 0)),
+                                    new Precondition(Keys.LEADER, 41),
+                                    new Precondition(Keys.runRecord("run-000412", 0), 0)),
                             List.of(
-                                    Change.set(Keys.run("run-000412", 0), RunRecord.write(lines())),
-                                    Change.set(Keys.SHARED + "41-1", Json.object()),
-                                    Change.delete(Keys.TYPES)),
+                                    Mutation.set(
+                                            Keys.runRecord("run-000412", 0),
+                                            TaskState.encode(lines())),
+                                    Mutation.set(
+                                            Keys.SHARED_RUN_RECORD_PREFIX + "41-1", Json.object()),
+                                    Mutation.delete(Keys.MACHINE_TYPES)),
                             result -> {});
         }
     }
@@ -107,16 +112,16 @@
     }
 
     /** Adds each transaction as it reaches the state service. */
-    private record RecordingStateService(FormFile file) implements SilentStateService {
+    private record RecordingStateService(FormFile file) implements NoOpKeyValueStore {
         @Override
-        public void txn(
-                Urgency urgency,
-                List<Guard> guards,
-                List<Change> changes,
-                Consumer<TxnResult> done) {
-            guards.forEach(guard -> file.add("guard " + guard.key(), "at " + guard.stamp()));
+        public void compareAndSwap(
+                RequestPriority urgency,
+                List<Precondition> guards,
+                List<Mutation> changes,
+                Consumer<CompareAndSwapOutcome> done) {
+            guards.forEach(guard -> file.add("guard " + guard.key(), "at " + guard.modRevision()));
             changes.forEach(
-                    change -> file.add("change " + change.key(), String.valueOf(change.data())));
+                    change -> file.add("change " + change.key(), String.valueOf(change.value())));
         }
     }
 }
--- a/src/test/java/io/pepperfield/rollout/RolloutLoopbackTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutLoopbackTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.pepperfield.http.HttpOutcome;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Outcome;
 import io.pepperfield.rollout.ClusterVersion.Phase;
 import io.pepperfield.standin.ControllerProcess;
 import io.pepperfield.standin.LoopbackRegion;
@@ -91,7 +91,7 @@
                 "GET", "/api/rollout", null, answer -> release.equals(declared(answer, node)));
     }
 
-    private static String declared(Outcome.Answered answer, int node) {
+    private static String declared(HttpOutcome.Answered answer, int node) {
         return answer.json()
                 .path("controllers")
                 .path(node)
@@ -100,7 +100,7 @@
                 .asText();
     }
 
-    private static boolean isDone(Outcome.Answered answer) {
+    private static boolean isDone(HttpOutcome.Answered answer) {
         return answer.json().path("status").asText().equals("done");
     }
 
@@ -152,14 +152,14 @@
                 region.until(node, "GET", "/api/jobs/" + id, null, RolloutLoopbackTest::isDone);
             }
         }
-        assertEquals(List.of(), region.broken);
+        assertEquals(List.of(), region.violations);
         command("rollback", NOTHING);
         region.untilAny(
                 "GET",
                 "/api/rollout",
                 null,
                 answer -> answer.json().path("highest").asInt() == StoredVersions.FIRST);
-        assertEquals(List.of(), region.broken);
-        assertTrue(version().removed().isEmpty());
+        assertEquals(List.of(), region.violations);
+        assertTrue(version().removedControllers().isEmpty());
     }
 }
--- a/src/test/java/io/pepperfield/rollout/RolloutMeasurement.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutMeasurement.java
@@ -3,17 +3,17 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.config.Settings;
 import io.pepperfield.http.Json;
-import io.pepperfield.jobs.RunRecord;
-import io.pepperfield.jobs.RunRecord.State;
+import io.pepperfield.jobs.TaskState;
+import io.pepperfield.jobs.TaskState.Phase;
 import io.pepperfield.leadership.LeaderClaim;
-import io.pepperfield.standin.DirectState;
-import io.pepperfield.standin.Region;
+import io.pepperfield.standin.Fault.LargeArrays;
+import io.pepperfield.standin.Fault.OperatorCommand;
+import io.pepperfield.standin.InMemoryKeyValueStore;
 import io.pepperfield.standin.RegionSettings;
 import io.pepperfield.standin.Scenario;
 import io.pepperfield.standin.SimOperator.Command;
 import io.pepperfield.standin.SimulatedLoop;
-import io.pepperfield.standin.Trouble.LargeArrays;
-import io.pepperfield.standin.Trouble.OperatorAsks;
+import io.pepperfield.standin.SimulatedRegion;
 import io.pepperfield.standin.Version;
 import io.pepperfield.store.Keys;
 import java.util.ArrayList;
@@ -33,15 +33,15 @@
     private RolloutMeasurement() {}
 
     /** A leader that is never replaced. */
-    private record Lead(DirectState state) implements LeaderClaim {
+    private record Lead(InMemoryKeyValueStore state) implements LeaderClaim {
         @Override
-        public boolean confirmed() {
+        public boolean holdsValidLease() {
             return true;
         }
 
         @Override
-        public long token() {
-            return state.stamp(Keys.SECOND_LEADER);
+        public long fencingToken() {
+            return state.modRevision(Keys.SECOND_FORM_LEADER);
         }
 
         @Override
@@ -50,12 +50,12 @@
         }
 
         @Override
-        public JsonNode value() {
+        public JsonNode leaderKeyValue() {
             return Json.object().put("node", "node-0").put("grant", 1);
         }
 
         @Override
-        public String leader() {
+        public String leaderNode() {
             return "node-0";
         }
     }
@@ -72,44 +72,45 @@
 
     private static void rollback() {
         SimulatedLoop loop = new SimulatedLoop();
-        DirectState state = new DirectState();
-        JsonNode record = CompactRunRecords.encode(RunRecord.write(lines()));
+        InMemoryKeyValueStore state = new InMemoryKeyValueStore();
+        JsonNode record = CompactRunRecords.encode(TaskState.encode(lines()));
         for (int job = 0; job < RECORDS; job++) {
-            state.put(Keys.SECOND_RUN + String.format("run-%06d/0", job), record);
+            state.put(
+                    Keys.SECOND_FORM_RUN_RECORD_PREFIX + String.format("run-%06d/0", job), record);
         }
         ClusterVersion active = ClusterVersion.INITIAL.activated(2, List.of());
-        state.put(Keys.SECOND_LEADER, new Lead(state).value());
+        state.put(Keys.SECOND_FORM_LEADER, new Lead(state).leaderKeyValue());
         state.put(Keys.ROLLOUT_VERSION, active.rollingBack().write());
-        Settings settings = RegionSettings.of(0, 1, new Settings.State(150, 50, 8, 40));
+        Settings settings = RegionSettings.of(0, 1, new Settings.StoreLimits(150, 50, 8, 40));
         Rollout rollout = new Rollout(loop, settings, state, Release.CURRENT);
         rollout.attach(new Lead(state), id -> null);
         rollout.changed(
                 Keys.ROLLOUT_VERSION,
                 state.get(Keys.ROLLOUT_VERSION),
-                state.stamp(Keys.ROLLOUT_VERSION));
+                state.modRevision(Keys.ROLLOUT_VERSION));
         int transactions = state.transactions;
-        int changes = state.changes;
+        int changes = state.mutations;
         while (state.get(Keys.ROLLOUT_VERSION).path("highest").asInt() > 1) {
             loop.run(loop.now() + 0.1);
             rollout.tick();
         }
         System.out.printf(
                 "rollback of %d records: %.0f s at 50 changes/s, %d transactions, %d changes%n",
-                RECORDS, loop.now(), state.transactions - transactions, state.changes - changes);
+                RECORDS, loop.now(), state.transactions - transactions, state.mutations - changes);
         System.out.printf(
                 "a record of %d lines: %d bytes compact, %d in the first form%n",
-                LINES, Json.write(record).length, Json.write(RunRecord.write(lines())).length);
+                LINES, Json.write(record).length, Json.write(TaskState.encode(lines())).length);
     }
 
-    private static List<RunRecord> lines() {
-        List<RunRecord> lines = new ArrayList<>();
+    private static List<TaskState> lines() {
+        List<TaskState> lines = new ArrayList<>();
         for (int task = 0; task < LINES; task++) {
             boolean done = task < LINES / 2;
             lines.add(
-                    new RunRecord(
+                    new TaskState(
                             task,
                             1,
-                            done ? State.DONE : State.LIVE,
+                            done ? Phase.DONE : Phase.LIVE,
                             done ? "" : "host-" + (100_000 + task / 4),
                             done ? 0 : 1));
         }
@@ -118,12 +119,12 @@
 
     /** What users see who submit a job every 50 ms while an operator's command is carried out. */
     private static void submissionsAround(Command command) {
-        Region region = Region.beforeRollout(2, Version.ROLLOUT);
+        SimulatedRegion region = SimulatedRegion.beforeRollout(2, Version.ROLLOUT);
         Scenario day = Scenario.jobs(1, 1);
         if (command == Command.ROLLBACK) {
-            day = day.at(10, new OperatorAsks(Command.ACTIVATE, 5));
+            day = day.at(10, new OperatorCommand(Command.ACTIVATE, 5));
         }
-        region.play(day.at(20, new OperatorAsks(command, 5)));
+        region.play(day.at(20, new OperatorCommand(command, 5)));
         int[] refused = new int[2];
         double[] longest = new double[2];
         for (int i = 0; i < 200; i++) {
@@ -150,22 +151,22 @@
 
     /** The same arrays under either version. */
     private static void starts(boolean compact) {
-        Region region = Region.beforeRollout(1, Version.ROLLOUT);
+        SimulatedRegion region = SimulatedRegion.beforeRollout(1, Version.ROLLOUT);
         Scenario day = Scenario.jobs(1, 1);
         if (compact) {
-            day = day.at(10, new OperatorAsks(Command.ACTIVATE, 10));
+            day = day.at(10, new OperatorCommand(Command.ACTIVATE, 10));
         }
         day = day.at(20, new LargeArrays(ARRAYS, TASKS, 20));
         region.play(day);
         region.world.run(19);
-        int changes = region.changes();
+        int changes = region.storedMutations();
         long bytes = region.bytesWritten();
         region.world.run(400);
         System.out.printf(
                 "%s form: %d starts, %d changes, %d bytes of values%n",
                 compact ? "compact" : "first",
-                region.starts(),
-                region.changes() - changes,
+                region.taskStarts(),
+                region.storedMutations() - changes,
                 region.bytesWritten() - bytes);
     }
 }
