--- a/src/test/java/io/pepperfield/rollout/RolloutSimulationTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutSimulationTest.java
@@ -6,24 +6,24 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.rollout.ClusterVersion.Phase;
-import io.pepperfield.standin.Region;
+import io.pepperfield.standin.Fault.CancelNow;
+import io.pepperfield.standin.Fault.ControllerCrash;
+import io.pepperfield.standin.Fault.ControllerPause;
+import io.pepperfield.standin.Fault.ControllerSelector;
+import io.pepperfield.standin.Fault.DelayedWrites;
+import io.pepperfield.standin.Fault.LargeArrays;
+import io.pepperfield.standin.Fault.LeaderChanges;
+import io.pepperfield.standin.Fault.MachineReboot;
+import io.pepperfield.standin.Fault.MachineSelector;
+import io.pepperfield.standin.Fault.OperatorCommand;
+import io.pepperfield.standin.Fault.Pipelines;
+import io.pepperfield.standin.Fault.Replace;
+import io.pepperfield.standin.Fault.StoreLimitsReduction;
+import io.pepperfield.standin.Fault.StoreOutage;
+import io.pepperfield.standin.Fault.Upgrade;
 import io.pepperfield.standin.Scenario;
 import io.pepperfield.standin.SimOperator.Command;
-import io.pepperfield.standin.Trouble.CancelNow;
-import io.pepperfield.standin.Trouble.Controllers;
-import io.pepperfield.standin.Trouble.LargeArrays;
-import io.pepperfield.standin.Trouble.LateWrites;
-import io.pepperfield.standin.Trouble.LeaderChanges;
-import io.pepperfield.standin.Trouble.LimitsFall;
-import io.pepperfield.standin.Trouble.MachineReboot;
-import io.pepperfield.standin.Trouble.Machines;
-import io.pepperfield.standin.Trouble.NodeCrash;
-import io.pepperfield.standin.Trouble.NodeFreeze;
-import io.pepperfield.standin.Trouble.OperatorAsks;
-import io.pepperfield.standin.Trouble.Pipelines;
-import io.pepperfield.standin.Trouble.Replace;
-import io.pepperfield.standin.Trouble.StateOutage;
-import io.pepperfield.standin.Trouble.Upgrade;
+import io.pepperfield.standin.SimulatedRegion;
 import io.pepperfield.standin.Version;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -37,24 +37,24 @@
  */
 class RolloutSimulationTest {
 
-    private static Region play(Scenario scenario, long seed) {
-        Region region = Region.beforeRollout(seed, Version.GATED);
+    private static SimulatedRegion play(Scenario scenario, long seed) {
+        SimulatedRegion region = SimulatedRegion.beforeRollout(seed, Version.GATED);
         region.play(scenario);
         region.world.run(scenario.endsAt());
         return region;
     }
 
-    private static void checkEnd(Region region, Phase phase, String day) {
-        assertEquals(List.of(), region.broken, day);
+    private static void checkEnd(SimulatedRegion region, Phase phase, String day) {
+        assertEquals(List.of(), region.violations, day);
         assertEquals(phase, version(region).phase(), day);
-        assertEquals(List.of(), region.unfinished(), day);
-        assertEquals(List.of(), region.unanswered(), day);
-        assertEquals(List.of(), region.leftOver(), day);
+        assertEquals(List.of(), region.unfinishedJobs(), day);
+        assertEquals(List.of(), region.unansweredQueries(), day);
+        assertEquals(List.of(), region.leftoverJobs(), day);
         assertEquals(List.of(), region.reusedRentalNames(), day);
         assertEquals(List.of(), region.alteredJobs(), day);
     }
 
-    private static ClusterVersion version(Region region) {
+    private static ClusterVersion version(SimulatedRegion region) {
         JsonNode record = region.durable("pepperfield/rollout/version");
         return record == null ? ClusterVersion.INITIAL : ClusterVersion.read(record);
     }
@@ -62,7 +62,7 @@
     private static void playEach(Scenario scenario, long seed, Phase phase) {
         for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
             long drawn = seed + 1000L * more;
-            Region region = play(scenario, drawn);
+            SimulatedRegion region = play(scenario, drawn);
             checkEnd(region, phase, "seed " + drawn + " of " + scenario);
         }
     }
@@ -71,7 +71,7 @@
         return Scenario.jobs(jobs, 2)
                 .at(20, new Upgrade(20, Version.ROLLOUT))
                 .at(24, new LargeArrays(3, 150, 6))
-                .at(26, new OperatorAsks(Command.ACTIVATE, 60));
+                .at(26, new OperatorCommand(Command.ACTIVATE, 60));
     }
 
     @ParameterizedTest
@@ -80,7 +80,7 @@
         playEach(
                 upgraded(40)
                         .at(60, new LargeArrays(3, 150, 6))
-                        .at(75, new OperatorAsks(Command.ROLLBACK, 30))
+                        .at(75, new OperatorCommand(Command.ROLLBACK, 30))
                         .at(85, new Pipelines(4, 10)),
                 seed,
                 Phase.FINALIZED);
@@ -91,18 +91,18 @@
     void processesEndAndComeBackOldWhileVersionsChange(long seed) {
         Scenario day =
                 upgraded(50)
-                        .at(25, new NodeCrash(Controllers.LEADER, 0.2))
-                        .at(32, new Replace(Controllers.node(1), Version.GATED, 0.2))
+                        .at(25, new ControllerCrash(ControllerSelector.LEADER, 0.2))
+                        .at(32, new Replace(ControllerSelector.node(1), Version.GATED, 0.2))
                         .at(36, new LeaderChanges(6, 24))
-                        .at(38, new LateWrites(0.2, 30, false))
-                        .at(44, new Replace(Controllers.node(1), Version.ROLLOUT, 0.3))
-                        .at(58, new Replace(Controllers.node(2), Version.GATED, 0.2))
+                        .at(38, new DelayedWrites(0.2, 30, false))
+                        .at(44, new Replace(ControllerSelector.node(1), Version.ROLLOUT, 0.3))
+                        .at(58, new Replace(ControllerSelector.node(2), Version.GATED, 0.2))
                         .at(60, new LargeArrays(2, 150, 8), new CancelNow(4, 0))
-                        .at(64, new OperatorAsks(Command.ROLLBACK, 30))
-                        .at(65, new NodeCrash(Controllers.LEADER, 1))
-                        .at(66, new Replace(Controllers.node(2), Version.ROLLOUT, 1))
-                        .at(67, new OperatorAsks(Command.ACTIVATE, 40))
-                        .at(70, new LateWrites(0.2, 20, true))
+                        .at(64, new OperatorCommand(Command.ROLLBACK, 30))
+                        .at(65, new ControllerCrash(ControllerSelector.LEADER, 1))
+                        .at(66, new Replace(ControllerSelector.node(2), Version.ROLLOUT, 1))
+                        .at(67, new OperatorCommand(Command.ACTIVATE, 40))
+                        .at(70, new DelayedWrites(0.2, 20, true))
                         .at(90, new Pipelines(4, 10));
         playEach(day, seed, Phase.ACTIVE);
     }
@@ -112,11 +112,11 @@
     void theLimitsFallAndTheStateServiceIsAwayMidway(long seed) {
         playEach(
                 upgraded(40)
-                        .at(45, new LimitsFall())
+                        .at(45, new StoreLimitsReduction())
                         .at(50, new LargeArrays(2, 136, 10))
-                        .at(56, new OperatorAsks(Command.ROLLBACK, 60))
-                        .at(56.5, new StateOutage(5))
-                        .at(63, new NodeFreeze(Controllers.LEADER, 8)),
+                        .at(56, new OperatorCommand(Command.ROLLBACK, 60))
+                        .at(56.5, new StoreOutage(5))
+                        .at(63, new ControllerPause(ControllerSelector.LEADER, 8)),
                 seed,
                 Phase.FINALIZED);
     }
@@ -126,17 +126,18 @@
     @ValueSource(longs = {1, 2, 3})
     void whatNoLongerFitsInTheFirstFormIsDividedOnTheWayBack(long seed) {
         for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
-            Region region = Region.beforeRollout(seed + 1000L * more, Version.RECORDED);
+            SimulatedRegion region =
+                    SimulatedRegion.beforeRollout(seed + 1000L * more, Version.RECORDED);
             Scenario day =
                     Scenario.jobs(10, 2)
                             .at(10, new LargeArrays(2, 136, 70))
                             .at(14, new Upgrade(10, Version.ROLLOUT))
-                            .at(26, new OperatorAsks(Command.ACTIVATE, 10))
+                            .at(26, new OperatorCommand(Command.ACTIVATE, 10))
                             // Their tasks begin once more, and so their lines are written.
-                            .at(38, new MachineReboot(Machines.share(1)))
-                            .at(60, new LimitsFall())
-                            .at(61, new OperatorAsks(Command.ROLLBACK, 10))
-                            .at(62, new NodeCrash(Controllers.LEADER, 2));
+                            .at(38, new MachineReboot(MachineSelector.share(1)))
+                            .at(60, new StoreLimitsReduction())
+                            .at(61, new OperatorCommand(Command.ROLLBACK, 10))
+                            .at(62, new ControllerCrash(ControllerSelector.LEADER, 2));
             region.play(day);
             region.world.run(59);
             assertNotNull(region.durable("pepperfield/v2/run/run-800000/0"), "seed " + seed);
@@ -157,22 +158,22 @@
     }
 
     private static void troubledRollout(long seed) {
-        Region region = Region.beforeRollout(seed, Version.GATED);
-        region.world.lost = 0.01;
-        region.world.late = 0.005;
-        region.world.copies = 0.01;
+        SimulatedRegion region = SimulatedRegion.beforeRollout(seed, Version.GATED);
+        region.world.messageLossShare = 0.01;
+        region.world.lateDeliveryShare = 0.005;
+        region.world.duplicateDeliveryShare = 0.01;
         Scenario day =
                 Scenario.jobs(45, 4)
                         .at(30, new Upgrade(40, Version.ROLLOUT))
-                        .at(40, new OperatorAsks(Command.ACTIVATE, 90))
+                        .at(40, new OperatorCommand(Command.ACTIVATE, 90))
                         .at(60, new LargeArrays(2, 150, 5))
-                        .at(120, new OperatorAsks(Command.ROLLBACK, 60))
+                        .at(120, new OperatorCommand(Command.ROLLBACK, 60))
                         .at(125, new LargeArrays(2, 150, 5))
-                        .at(135, new OperatorAsks(Command.ACTIVATE, 60))
+                        .at(135, new OperatorCommand(Command.ACTIVATE, 60))
                         .at(150, new Pipelines(4, 20));
         region.play(day);
         for (int i = 0; i < 14; i++) {
-            region.world.at(20 + 11 * i, region::trouble);
+            region.world.at(20 + 11 * i, region::injectRandomFault);
         }
         for (int i = 0; i < 4; i++) {
             int node = region.world.random.nextInt(5);
@@ -182,10 +183,10 @@
         }
         region.world.run(440);
         String what = "seed " + seed;
-        assertEquals(List.of(), region.broken, what);
-        assertEquals(List.of(), region.unfinished(), what);
+        assertEquals(List.of(), region.violations, what);
+        assertEquals(List.of(), region.unfinishedJobs(), what);
         assertTrue(region.allRun(Version.ROLLOUT), what);
-        assertEquals(List.of(), region.unanswered(), what);
+        assertEquals(List.of(), region.unansweredQueries(), what);
         assertEquals(List.of(), region.alteredJobs(), what);
         assertTrue(region.accepted() >= 45, what + " accepted " + region.accepted());
         assertTrue(region.operator.confirmed.contains(Command.ACTIVATE), what);
@@ -193,8 +194,8 @@
 
     @Test
     void aControllerOnOldCodeHoldsUpTheActivationUntilItIsNamed() {
-        Region region = Region.beforeRollout(7, Version.ROLLOUT);
-        Scenario day = Scenario.jobs(10, 2).at(20, new OperatorAsks(Command.ACTIVATE, 5));
+        SimulatedRegion region = SimulatedRegion.beforeRollout(7, Version.ROLLOUT);
+        Scenario day = Scenario.jobs(10, 2).at(20, new OperatorCommand(Command.ACTIVATE, 5));
         region.play(day);
         region.world.run(12);
         region.replace(3, Version.GATED, 0.2);
@@ -209,16 +210,16 @@
 
     @Test
     void finalLeavesNoWayBack() {
-        Region region =
+        SimulatedRegion region =
                 play(
                         Scenario.jobs(10, 2)
                                 .at(10, new Upgrade(5, Version.ROLLOUT))
-                                .at(20, new OperatorAsks(Command.ACTIVATE, 20))
-                                .at(45, new OperatorAsks(Command.FINALIZE, 5))
-                                .at(55, new OperatorAsks(Command.ROLLBACK, 2)),
+                                .at(20, new OperatorCommand(Command.ACTIVATE, 20))
+                                .at(45, new OperatorCommand(Command.FINALIZE, 5))
+                                .at(55, new OperatorCommand(Command.ROLLBACK, 2)),
                         8);
         checkEnd(region, Phase.FINALIZED, "final");
-        assertEquals(2, version(region).writes());
+        assertEquals(2, version(region).writeVersion());
         assertTrue(
                 region.operator.refusals.contains("version 2 is final: there is no way back"),
                 region.operator.refusals.toString());
@@ -230,17 +231,17 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void theRecordedVersionIsKeptFromLeadingOnceAnotherIsActive(long seed) {
-        Region region = Region.beforeRollout(seed, Version.ROLLOUT);
+        SimulatedRegion region = SimulatedRegion.beforeRollout(seed, Version.ROLLOUT);
         Scenario day =
                 Scenario.jobs(30, 2)
-                        .at(15, new OperatorAsks(Command.ACTIVATE, 10))
+                        .at(15, new OperatorCommand(Command.ACTIVATE, 10))
                         .at(24, new LargeArrays(2, 150, 6))
-                        .at(30, new Replace(Controllers.node(0), Version.RECORDED, 0.2))
-                        .at(32, new Replace(Controllers.node(1), Version.RECORDED, 0.2))
+                        .at(30, new Replace(ControllerSelector.node(0), Version.RECORDED, 0.2))
+                        .at(32, new Replace(ControllerSelector.node(1), Version.RECORDED, 0.2))
                         .at(34, new LeaderChanges(4, 12))
-                        .at(50, new Replace(Controllers.node(0), Version.ROLLOUT, 0.2))
-                        .at(51, new Replace(Controllers.node(1), Version.ROLLOUT, 0.2))
-                        .at(60, new OperatorAsks(Command.ROLLBACK, 10));
+                        .at(50, new Replace(ControllerSelector.node(0), Version.ROLLOUT, 0.2))
+                        .at(51, new Replace(ControllerSelector.node(1), Version.ROLLOUT, 0.2))
+                        .at(60, new OperatorCommand(Command.ROLLBACK, 10));
         region.play(day);
         for (double at = 35; at < 50; at += 0.5) {
             region.world.run(at);
--- a/src/test/java/io/pepperfield/standin/AdmissionLoad.java
+++ b/src/test/java/io/pepperfield/standin/AdmissionLoad.java
@@ -1,7 +1,7 @@
 package io.pepperfield.standin;
 
+import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Reply;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -15,16 +15,16 @@
 public final class AdmissionLoad {
 
     private static final double GIVE_UP_S = 60;
-    private static final int MOST_HEEDED_S = 30;
+    private static final int MAX_HEEDED_RETRY_S = 30;
     private static final int FIRST_ID = 100_000;
     private static final double WATCH_S = 0.05;
 
     /**
      * Who submits.
      *
-     * @param heedless retries after a second, whatever it is told
+     * @param ignoresRetryAfter retries after a second, whatever it is told
      */
-    public record Stream(String team, String workload, double perS, boolean heedless) {}
+    public record Stream(String team, String workload, double perS, boolean ignoresRetryAfter) {}
 
     /** One submission; {@code acceptedAt} is infinite while it is not accepted. */
     public static final class Submission {
@@ -78,7 +78,7 @@
                         true);
         Submission submission = new Submission(stream, world.now());
         submissions.add(submission);
-        ask(new SimJob(plan), submission, stream.heedless);
+        ask(new SimJob(plan), submission, stream.ignoresRetryAfter);
         world.after(1 / stream.perS, () -> submit(stream, until));
     }
 
@@ -114,16 +114,16 @@
                 });
     }
 
-    private void answered(SimJob job, Submission submission, boolean heedless, Reply reply) {
+    private void answered(SimJob job, Submission submission, boolean heedless, HttpReply reply) {
         if (reply.status() == 201 || reply.status() == 200) {
             submission.acceptedAt = world.now();
             job.accepted = true;
-            job.answeredAt = world.now();
-            job.waitsSince = world.now();
+            job.lastAnswerAt = world.now();
+            job.waitingSince = world.now();
             users.poll(job, true);
             return;
         }
-        double wait = Math.max(1, Math.min(MOST_HEEDED_S, reply.retryAfterS()));
+        double wait = Math.max(1, Math.min(MAX_HEEDED_RETRY_S, reply.retryAfterS()));
         world.after(heedless ? 1 : wait, () -> ask(job, submission, heedless));
     }
 
--- a/src/test/java/io/pepperfield/standin/CloudStandIn.java
+++ b/src/test/java/io/pepperfield/standin/CloudStandIn.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pepperfield.http.Call;
+import io.pepperfield.http.HttpReply;
+import io.pepperfield.http.InboundRequest;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Reply;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -32,19 +32,19 @@
     private final int capacity;
     private final Map<String, List<String>> requests = new LinkedHashMap<>();
     private final Map<String, Rented> rented = new LinkedHashMap<>();
-    private final Map<String, String> asked = new LinkedHashMap<>();
+    private final Map<String, String> askedRentals = new LinkedHashMap<>();
 
     /**
      * Names that were used for two requests: the cloud would take the second for a repeat of the
      * first.
      */
-    public final List<String> reused = new ArrayList<>();
+    public final List<String> reusedNames = new ArrayList<>();
 
     /** Told of every new request for machines and of every machine given back. */
     Consumer<Decision> decided = decision -> {};
 
     private int next;
-    private boolean out;
+    private boolean outage;
 
     public CloudStandIn(DoubleSupplier clock, int capacity, Machines machines) {
         this.clock = clock;
@@ -57,12 +57,12 @@
     }
 
     public void outage(boolean begins) {
-        out = begins;
+        outage = begins;
     }
 
-    public Reply handle(Call call) {
-        if (out) {
-            return Reply.error(503, "trouble");
+    public HttpReply handle(InboundRequest call) {
+        if (outage) {
+            return HttpReply.error(503, "trouble");
         }
         JsonNode body = Json.read(call.body());
         switch (call.path()) {
@@ -81,7 +81,7 @@
                                 .put("spotPrice", 0.4)
                                 .put("readyS", 5);
                 type.putArray("sites").add("east").add("west");
-                return Reply.json(200, types);
+                return HttpReply.json(200, types);
             }
             case "/rentals/release" -> {
                 body.path("hosts")
@@ -92,22 +92,22 @@
                                         machines.delete(host.asText());
                                     }
                                 });
-                return Reply.json(200, Json.object());
+                return HttpReply.json(200, Json.object());
             }
             case "/rentals" -> {
                 return call.method().equals("POST") ? rent(body) : list();
             }
             default -> {
-                return Reply.empty(400);
+                return HttpReply.empty(400);
             }
         }
     }
 
-    private Reply rent(JsonNode body) {
+    private HttpReply rent(JsonNode body) {
         String request = body.path("hire").asText();
         String wanted = body.toString();
-        if (!asked.computeIfAbsent(request, r -> wanted).equals(wanted)) {
-            reused.add(request);
+        if (!askedRentals.computeIfAbsent(request, r -> wanted).equals(wanted)) {
+            reusedNames.add(request);
         }
         List<String> names = requests.get(request);
         if (names == null) {
@@ -137,17 +137,17 @@
                             body.path("reclaimable").asBoolean(),
                             names));
             if (names.isEmpty()) {
-                return Reply.error(503, "no capacity");
+                return HttpReply.error(503, "no capacity");
             }
             requests.put(request, names);
         }
         ObjectNode reply = Json.object();
         ArrayNode hosts = reply.putArray("hosts");
         names.forEach(hosts::add);
-        return Reply.json(200, reply);
+        return HttpReply.json(200, reply);
     }
 
-    private Reply list() {
+    private HttpReply list() {
         ObjectNode reply = Json.object().put("truncated", false);
         ArrayNode hosts = reply.putArray("hosts");
         for (Rented r : rented.values()) {
@@ -163,6 +163,6 @@
                         .put("ageS", age);
             }
         }
-        return Reply.json(200, reply);
+        return HttpReply.json(200, reply);
     }
 }
--- a/src/test/java/io/pepperfield/standin/ControllerProcess.java
+++ b/src/test/java/io/pepperfield/standin/ControllerProcess.java
@@ -1,10 +1,10 @@
 package io.pepperfield.standin;
 
 import io.pepperfield.config.Feature;
-import io.pepperfield.config.Operators;
+import io.pepperfield.config.OperatorSettings;
 import io.pepperfield.config.Settings;
 import io.pepperfield.config.SettingsReader;
-import io.pepperfield.node.Service;
+import io.pepperfield.controller.ControllerServer;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -67,19 +67,20 @@
 
     /** The process: a settings file, the name of a version and that of a feature. */
     public static void main(String[] arguments) throws Exception {
-        Operators defaults = Operators.DEFAULTS;
-        Operators operators =
-                new Operators(
-                        defaults.chargeS(),
-                        defaults.restartShare(),
-                        defaults.partlyShare(),
-                        defaults.headroom(),
-                        defaults.steady(),
-                        defaults.silentAtOnce(),
+        OperatorSettings defaults = OperatorSettings.DEFAULTS;
+        OperatorSettings operators =
+                new OperatorSettings(
+                        defaults.billingUnitS(),
+                        defaults.restartCostShare(),
+                        defaults.partialMachineShare(),
+                        defaults.headroomQuantile(),
+                        defaults.steadyQuantile(),
+                        defaults.maxConcurrentSilentReleases(),
                         Set.of(Feature.valueOf(arguments[2])),
                         defaults.admission());
         Settings settings = SettingsReader.read(Path.of(arguments[0]), operators);
-        Service service = new Service(settings, Version.valueOf(arguments[1]).release());
+        ControllerServer service =
+                new ControllerServer(settings, Version.valueOf(arguments[1]).release());
         // A test that is killed must not leave controllers behind.
         ProcessHandle.current()
                 .parent()
--- a/src/test/java/io/pepperfield/standin/Trouble.java
+++ b/src/test/java/io/pepperfield/standin/Fault.java
@@ -7,7 +7,7 @@
  * Something that goes wrong in a region: who is hit, and for how long. When it begins is the
  * scenario's.
  */
-public sealed interface Trouble {
+public sealed interface Fault {
 
     /** How long it lasts. */
     double forS();
@@ -38,7 +38,7 @@
      * Controllers, chosen when the trouble begins: the leader, others in their order after it, one
      * by its index, or all.
      */
-    record Controllers(Kind kind, int index) {
+    record ControllerSelector(Kind kind, int index) {
 
         /** Which controllers a trouble is aimed at. */
         private enum Kind {
@@ -48,15 +48,15 @@
             ALL
         }
 
-        public static final Controllers LEADER = new Controllers(Kind.LEADER, 0);
-        public static final Controllers ALL = new Controllers(Kind.ALL, 0);
+        public static final ControllerSelector LEADER = new ControllerSelector(Kind.LEADER, 0);
+        public static final ControllerSelector ALL = new ControllerSelector(Kind.ALL, 0);
 
-        public static Controllers afterLeader(int places) {
-            return new Controllers(Kind.AFTER_LEADER, places);
+        public static ControllerSelector afterLeader(int places) {
+            return new ControllerSelector(Kind.AFTER_LEADER, places);
         }
 
-        public static Controllers node(int index) {
-            return new Controllers(Kind.INDEX, index);
+        public static ControllerSelector node(int index) {
+            return new ControllerSelector(Kind.INDEX, index);
         }
 
         int[] of(int leader, int nodes) {
@@ -73,37 +73,37 @@
      * Machines, chosen when the trouble begins, those with tasks first: so many, that share of all,
      * or a zone's.
      */
-    record Machines(int count, double share, String zone) {
+    record MachineSelector(int count, double share, String zone) {
 
-        public static Machines count(int count) {
-            return new Machines(count, 0, null);
+        public static MachineSelector count(int count) {
+            return new MachineSelector(count, 0, null);
         }
 
-        public static Machines share(double share) {
-            return new Machines(0, share, null);
+        public static MachineSelector share(double share) {
+            return new MachineSelector(0, share, null);
         }
 
-        public static Machines zone(String zone) {
-            return new Machines(0, 1, zone);
+        public static MachineSelector zone(String zone) {
+            return new MachineSelector(0, 1, zone);
         }
     }
 
     /** The state service answers everybody 503. */
-    record StateOutage(double forS) implements Trouble {}
+    record StoreOutage(double forS) implements Fault {}
 
     /**
      * The state service is lost to these controllers alone: held back, or 503 while their open
      * watches wait and grants run out.
      */
-    record StateCut(Controllers who, Way way, double forS) implements Trouble {}
+    record StorePartition(ControllerSelector who, Way way, double forS) implements Fault {}
 
     /** Each answer of the state service comes so much later. */
-    record StateSlow(double byS, double forS) implements Trouble {}
+    record StoreLatency(double byS, double forS) implements Fault {}
 
     /**
      * That share of transactions gets no answer, and is carried out 2 to 12 s later, or at once.
      */
-    record LateWrites(double share, double forS, boolean atOnce) implements Trouble {
+    record DelayedWrites(double share, double forS, boolean atOnce) implements Fault {
         static final double LEAST_S = 2;
         static final double MOST_S = 12;
 
@@ -117,9 +117,9 @@
      * Of that share of reports a copy comes to every controller, 2 s to well over a lease later, or
      * once a new leader leads.
      */
-    record LateReports(double share, double forS, boolean forNext) implements Trouble {
+    record ReplayedHeartbeats(double share, double forS, boolean forNext) implements Fault {
         static final double LEAST_S = 2;
-        static final double MOST_S = 3 * Region.LEASE_S;
+        static final double MOST_S = 3 * SimulatedRegion.LEASE_S;
 
         @Override
         public double aftermathS() {
@@ -128,19 +128,19 @@
     }
 
     /** Reports leave; neither their answers nor direct commands arrive. */
-    record MachineDeaf(Machines which, double forS) implements Trouble {}
+    record MachineReceiveFailure(MachineSelector which, double forS) implements Fault {}
 
     /** No controller is reached; direct commands and questions arrive and are answered. */
-    record MachineMute(Machines which, double forS) implements Trouble {}
+    record MachineSendFailure(MachineSelector which, double forS) implements Fault {}
 
     /** Nothing is done; what comes is taken up at the end. */
-    record MachineHang(Machines which, double forS) implements Trouble {}
+    record MachineHang(MachineSelector which, double forS) implements Fault {}
 
     /** Cut off from everything; what is under way is held back. */
-    record MachineCut(Machines which, double forS) implements Trouble {}
+    record MachinePartition(MachineSelector which, double forS) implements Fault {}
 
     /** Lost with all that is on it, though it stays rented. */
-    record MachineDie(Machines which) implements Trouble {
+    record MachineLoss(MachineSelector which) implements Fault {
         @Override
         public double forS() {
             return 0;
@@ -148,7 +148,7 @@
     }
 
     /** Lost with all that is on it, and back at once with a worker that knows nothing of before. */
-    record MachineReboot(Machines which) implements Trouble {
+    record MachineReboot(MachineSelector which) implements Fault {
         @Override
         public double forS() {
             return 0;
@@ -159,7 +159,7 @@
      * Direct commands to these machines are held up so long, and then carried out if token and
      * session still match.
      */
-    record CommandsHeld(Machines which, double heldS, double forS) implements Trouble {
+    record DelayedOrders(MachineSelector which, double heldS, double forS) implements Fault {
         @Override
         public double aftermathS() {
             return heldS;
@@ -167,19 +167,20 @@
     }
 
     /** A zone's machines and the controllers inside are cut off, and go on with each other. */
-    record ZoneCut(String zone, Controllers inside, double forS) implements Trouble {}
+    record ZonePartition(String zone, ControllerSelector inside, double forS) implements Fault {}
 
     /**
      * Controllers lose some of those they talk to. Refused by the state service means 503, by
      * others a refused connection.
      */
-    record NodeCut(Controllers who, Set<Side> from, Way way, double forS) implements Trouble {}
+    record ControllerPartition(ControllerSelector who, Set<Side> from, Way way, double forS)
+            implements Fault {}
 
     /** Controllers end, and are back after that time. */
-    record NodeCrash(Controllers who, double forS) implements Trouble {}
+    record ControllerCrash(ControllerSelector who, double forS) implements Fault {}
 
     /** So many times within that time whoever leads ends, and is back after 0.1 to 3 s. */
-    record LeaderChanges(int times, double forS) implements Trouble {
+    record LeaderChanges(int times, double forS) implements Fault {
         static final double LEAST_DOWN_S = 0.1;
         static final double MOST_DOWN_S = 3;
 
@@ -190,13 +191,13 @@
     }
 
     /** Processes stand still while their clocks run on. */
-    record NodeFreeze(Controllers who, double forS) implements Trouble {}
+    record ControllerPause(ControllerSelector who, double forS) implements Fault {}
 
     /**
      * Up to that many running jobs are cancelled within a fifth of a second; where hangS is
      * positive, up to eight of their machines hang.
      */
-    record CancelNow(int count, double hangS) implements Trouble {
+    record CancelNow(int count, double hangS) implements Fault {
         static final double WITHIN_S = 0.2;
         static final int MOST_HUNG = 8;
 
@@ -207,43 +208,43 @@
     }
 
     /** That share of the jobs that end is cancelled the moment their last task ends. */
-    record CancelAtEnd(double share, double forS) implements Trouble {}
+    record CancelAtEnd(double share, double forS) implements Fault {}
 
     /**
      * Users ask at all nodes within milliseconds after a job was accepted, ended or cancelled, and
      * submit it again.
      */
-    record ReadAfterWriteChecks(double forS) implements Trouble {}
+    record ReadAfterWriteChecks(double forS) implements Fault {}
 
     /**
      * Repeated submissions, also with another body, cancellations of what is over or unknown, and
      * jobs that can't be accepted.
      */
-    record InvalidRequests(double forS) implements Trouble {}
+    record InvalidRequests(double forS) implements Fault {}
 
     /** Machines are up within two seconds. */
-    record QuickBoots(double forS) implements Trouble {}
+    record QuickBoots(double forS) implements Fault {}
 
     /** So many one-task jobs a second, a quarter of them cancelled. */
-    record Swarm(double perS, double forS) implements Trouble {}
+    record SubmissionFlood(double perS, double forS) implements Fault {}
 
     /** So many pipelines of dependent jobs at even intervals. */
-    record Pipelines(int count, double forS) implements Trouble {}
+    record Pipelines(int count, double forS) implements Fault {}
 
     /** Every message takes so much longer. */
-    record SlowLinks(double byS, double forS) implements Trouble {}
+    record NetworkLatency(double byS, double forS) implements Fault {}
 
     /** Users ask eight times as often. */
-    record ManyQuestions(double forS) implements Trouble {}
+    record QueryFlood(double forS) implements Fault {}
 
     /** The cloud answers everybody 503. */
-    record CloudOutage(double forS) implements Trouble {}
+    record CloudOutage(double forS) implements Fault {}
 
     /**
      * Controllers are replaced by that version in random order, one or two at a time, within that
      * time.
      */
-    record Upgrade(double forS, Version by) implements Trouble {
+    record Upgrade(double forS, Version by) implements Fault {
         static final int MOST_AT_ONCE = 2;
         static final double DOWN_S = 5;
 
@@ -258,13 +259,13 @@
     }
 
     /** An operator repeats a rollout command until it is confirmed, for at most that time. */
-    record OperatorAsks(SimOperator.Command command, double forS) implements Trouble {}
+    record OperatorCommand(SimOperator.Command command, double forS) implements Fault {}
 
     /** Controllers end and come back as that version. */
-    record Replace(Controllers who, Version by, double forS) implements Trouble {}
+    record Replace(ControllerSelector who, Version by, double forS) implements Fault {}
 
     /** The state service has its lower limits from now on. */
-    record LimitsFall() implements Trouble {
+    record StoreLimitsReduction() implements Fault {
         @Override
         public double forS() {
             return 0;
@@ -272,10 +273,10 @@
     }
 
     /** Every request about grants is refused as beyond the rate. */
-    record GrantsRefused(double forS) implements Trouble {}
+    record GrantsRefused(double forS) implements Fault {}
 
     /** Arrays of many small tasks of a team without a limit, one a second. */
-    record LargeArrays(int count, int tasks, double runS) implements Trouble {
+    record LargeArrays(int count, int tasks, double runS) implements Fault {
         @Override
         public double forS() {
             return count;
--- a/src/test/java/io/pepperfield/standin/TroublePlayer.java
+++ b/src/test/java/io/pepperfield/standin/FaultInjector.java
@@ -1,33 +1,33 @@
 package io.pepperfield.standin;
 
-import io.pepperfield.standin.Trouble.Side;
-import io.pepperfield.standin.Trouble.Way;
+import io.pepperfield.standin.Fault.Side;
+import io.pepperfield.standin.Fault.Way;
 import java.util.function.Consumer;
 
 /** Makes the troubles of a scenario happen in a region. */
-final class TroublePlayer {
+final class FaultInjector {
 
-    private final Region region;
+    private final SimulatedRegion region;
     private final SimWorld world;
     private final SimMachines machines;
     private final SimUsers users;
-    private int swarms;
+    private int submissionFloods;
     private int largeArrays;
 
-    TroublePlayer(Region region, SimMachines machines, SimUsers users) {
+    FaultInjector(SimulatedRegion region, SimMachines machines, SimUsers users) {
         this.region = region;
         this.world = region.world;
         this.machines = machines;
         this.users = users;
     }
 
-    void begin(Trouble trouble) {
+    void inject(Fault trouble) {
         double until = world.now() + trouble.forS();
         boolean begun =
-                beginForServices(trouble, until)
-                        || beginForMachines(trouble, until)
-                        || beginForControllers(trouble, until)
-                        || beginForUsers(trouble, until);
+                injectIntoServices(trouble, until)
+                        || injectIntoMachines(trouble, until)
+                        || injectIntoControllers(trouble, until)
+                        || injectIntoUsers(trouble, until);
         if (!begun) {
             throw new IllegalArgumentException(trouble.toString());
         }
@@ -37,24 +37,24 @@
      * The state service, the cloud, and the network between all. False where the trouble is of
      * another kind.
      */
-    private boolean beginForServices(Trouble trouble, double until) {
-        if (trouble instanceof Trouble.StateOutage) {
-            region.stateOutage(until);
-        } else if (trouble instanceof Trouble.CloudOutage) {
+    private boolean injectIntoServices(Fault trouble, double until) {
+        if (trouble instanceof Fault.StoreOutage) {
+            region.storeOutage(until);
+        } else if (trouble instanceof Fault.CloudOutage) {
             region.cloudOutage(until);
-        } else if (trouble instanceof Trouble.StateCut cut) {
+        } else if (trouble instanceof Fault.StorePartition cut) {
             each(cut.who(), node -> cut(node, Side.STATE, cut.way(), until));
-        } else if (trouble instanceof Trouble.StateSlow slow) {
-            region.stateLink.slow(slow.byS(), until);
-        } else if (trouble instanceof Trouble.LateWrites late) {
-            region.stateLink.late(late.share(), until, late.atOnce());
-        } else if (trouble instanceof Trouble.LateReports late) {
-            region.copies.copy(late.share(), until, late.forNext());
-        } else if (trouble instanceof Trouble.SlowLinks slow) {
+        } else if (trouble instanceof Fault.StoreLatency slow) {
+            region.storeLink.slow(slow.byS(), until);
+        } else if (trouble instanceof Fault.DelayedWrites late) {
+            region.storeLink.late(late.share(), until, late.atOnce());
+        } else if (trouble instanceof Fault.ReplayedHeartbeats late) {
+            region.heartbeatReplays.copy(late.share(), until, late.forNext());
+        } else if (trouble instanceof Fault.NetworkLatency slow) {
             world.slow(slow.byS(), until);
-        } else if (trouble instanceof Trouble.LimitsFall) {
-            region.limitsFall();
-        } else if (trouble instanceof Trouble.GrantsRefused) {
+        } else if (trouble instanceof Fault.StoreLimitsReduction) {
+            region.reduceStoreLimits();
+        } else if (trouble instanceof Fault.GrantsRefused) {
             region.refuseGrants(until);
         } else {
             return false;
@@ -63,28 +63,28 @@
     }
 
     /** Machines and their workers. False where the trouble is of another kind. */
-    private boolean beginForMachines(Trouble trouble, double until) {
-        if (trouble instanceof Trouble.MachineDeaf deaf) {
-            each(deaf.which(), worker -> worker.deafen(until));
-        } else if (trouble instanceof Trouble.MachineMute mute) {
-            each(mute.which(), worker -> machines.mute(worker, until));
-        } else if (trouble instanceof Trouble.MachineHang hang) {
+    private boolean injectIntoMachines(Fault trouble, double until) {
+        if (trouble instanceof Fault.MachineReceiveFailure deaf) {
+            each(deaf.which(), worker -> worker.failReceiving(until));
+        } else if (trouble instanceof Fault.MachineSendFailure mute) {
+            each(mute.which(), worker -> machines.failSending(worker, until));
+        } else if (trouble instanceof Fault.MachineHang hang) {
             each(hang.which(), worker -> worker.hang(until));
-        } else if (trouble instanceof Trouble.MachineCut cut) {
+        } else if (trouble instanceof Fault.MachinePartition cut) {
             each(
                     cut.which(),
                     worker -> {
                         world.cut(worker.name, "10.", until);
                         world.cut("node-", worker.address, until);
                     });
-        } else if (trouble instanceof Trouble.MachineDie die) {
-            each(die.which(), WorkerStandIn::die);
-        } else if (trouble instanceof Trouble.MachineReboot reboot) {
+        } else if (trouble instanceof Fault.MachineLoss die) {
+            each(die.which(), WorkerStandIn::losePower);
+        } else if (trouble instanceof Fault.MachineReboot reboot) {
             each(reboot.which(), machines::reboot);
-        } else if (trouble instanceof Trouble.CommandsHeld held) {
-            each(held.which(), worker -> machines.holdCommands(worker, held.heldS(), until));
-        } else if (trouble instanceof Trouble.QuickBoots) {
-            machines.boots(0.3, 0, until);
+        } else if (trouble instanceof Fault.DelayedOrders held) {
+            each(held.which(), worker -> machines.delayOrders(worker, held.heldS(), until));
+        } else if (trouble instanceof Fault.QuickBoots) {
+            machines.slowBoots(0.3, 0, until);
         } else {
             return false;
         }
@@ -92,26 +92,26 @@
     }
 
     /** Controllers. False where the trouble is of another kind. */
-    private boolean beginForControllers(Trouble trouble, double until) {
-        if (trouble instanceof Trouble.ZoneCut cut) {
-            each(cut.inside(), node -> region.cuts.zone(cut.zone(), node, until));
-        } else if (trouble instanceof Trouble.NodeCut cut) {
+    private boolean injectIntoControllers(Fault trouble, double until) {
+        if (trouble instanceof Fault.ZonePartition cut) {
+            each(cut.inside(), node -> region.networkCuts.zone(cut.zone(), node, until));
+        } else if (trouble instanceof Fault.ControllerPartition cut) {
             each(cut.who(), node -> cut.from().forEach(side -> cut(node, side, cut.way(), until)));
-        } else if (trouble instanceof Trouble.NodeCrash crash) {
+        } else if (trouble instanceof Fault.ControllerCrash crash) {
             each(crash.who(), node -> region.crash(node, crash.forS()));
-        } else if (trouble instanceof Trouble.LeaderChanges changes) {
+        } else if (trouble instanceof Fault.LeaderChanges changes) {
             for (int i = 0; i < changes.times(); i++) {
                 world.after(
                         i * changes.forS() / changes.times(),
                         () -> region.crash(region.lastLeader(), downS()));
             }
-        } else if (trouble instanceof Trouble.NodeFreeze freeze) {
-            each(freeze.who(), node -> region.freeze(node, until));
-        } else if (trouble instanceof Trouble.Upgrade upgrade) {
+        } else if (trouble instanceof Fault.ControllerPause freeze) {
+            each(freeze.who(), node -> region.pause(node, until));
+        } else if (trouble instanceof Fault.Upgrade upgrade) {
             new RollingUpgrade(region, region.nodeCount(), upgrade.by()).begin(upgrade);
-        } else if (trouble instanceof Trouble.OperatorAsks asks) {
+        } else if (trouble instanceof Fault.OperatorCommand asks) {
             region.operator.repeat(asks.command(), until);
-        } else if (trouble instanceof Trouble.Replace replace) {
+        } else if (trouble instanceof Fault.Replace replace) {
             each(replace.who(), node -> region.replace(node, replace.by(), replace.forS()));
         } else {
             return false;
@@ -120,39 +120,39 @@
     }
 
     /** Users and what they ask for. False where the trouble is of another kind. */
-    private boolean beginForUsers(Trouble trouble, double until) {
-        if (trouble instanceof Trouble.CancelNow cancel) {
-            users.cancelRunning(cancel.count(), Trouble.CancelNow.WITHIN_S).stream()
-                    .limit(cancel.hangS() > 0 ? Trouble.CancelNow.MOST_HUNG : 0)
+    private boolean injectIntoUsers(Fault trouble, double until) {
+        if (trouble instanceof Fault.CancelNow cancel) {
+            users.cancelRunning(cancel.count(), Fault.CancelNow.WITHIN_S).stream()
+                    .limit(cancel.hangS() > 0 ? Fault.CancelNow.MOST_HUNG : 0)
                     .forEach(worker -> worker.hang(world.now() + cancel.hangS()));
-        } else if (trouble instanceof Trouble.CancelAtEnd cancel) {
+        } else if (trouble instanceof Fault.CancelAtEnd cancel) {
             users.cancelAtEnd(cancel.share(), until);
-        } else if (trouble instanceof Trouble.ReadAfterWriteChecks) {
+        } else if (trouble instanceof Fault.ReadAfterWriteChecks) {
             users.checkReadsAfterWrites(until);
-        } else if (trouble instanceof Trouble.InvalidRequests invalid) {
+        } else if (trouble instanceof Fault.InvalidRequests invalid) {
             for (int i = 0; i < invalid.forS() * 4; i++) {
                 world.after(i / 4.0, users::invalidRequest);
             }
-        } else if (trouble instanceof Trouble.Swarm swarm) {
-            int first = 100_000 * ++swarms;
+        } else if (trouble instanceof Fault.SubmissionFlood swarm) {
+            int first = 100_000 * ++submissionFloods;
             for (int i = 0; i < swarm.perS() * swarm.forS(); i++) {
                 int number = first + i;
-                world.after(i / swarm.perS(), () -> region.jobs.submitSingle(number));
+                world.after(i / swarm.perS(), () -> region.jobMix.submitSingle(number));
             }
-        } else if (trouble instanceof Trouble.Pipelines pipelines) {
+        } else if (trouble instanceof Fault.Pipelines pipelines) {
             for (int i = 0; i < pipelines.count(); i++) {
                 int number = 700_000 + 10 * i;
                 world.after(
                         i * pipelines.forS() / pipelines.count(),
                         () -> region.pipelines.submitAny(number));
             }
-        } else if (trouble instanceof Trouble.ManyQuestions) {
-            users.askMore(until);
-        } else if (trouble instanceof Trouble.LargeArrays arrays) {
+        } else if (trouble instanceof Fault.QueryFlood) {
+            users.queryMoreOften(until);
+        } else if (trouble instanceof Fault.LargeArrays arrays) {
             for (int i = 0; i < arrays.count(); i++) {
                 int number = 800_000 + largeArrays++;
                 world.after(
-                        i, () -> region.jobs.submitGuests(number, arrays.tasks(), arrays.runS()));
+                        i, () -> region.jobMix.submitGuests(number, arrays.tasks(), arrays.runS()));
             }
         } else {
             return false;
@@ -161,18 +161,18 @@
     }
 
     private double downS() {
-        return Trouble.LeaderChanges.LEAST_DOWN_S
+        return Fault.LeaderChanges.LEAST_DOWN_S
                 + world.random.nextDouble()
-                        * (Trouble.LeaderChanges.MOST_DOWN_S - Trouble.LeaderChanges.LEAST_DOWN_S);
+                        * (Fault.LeaderChanges.MOST_DOWN_S - Fault.LeaderChanges.LEAST_DOWN_S);
     }
 
-    private void each(Trouble.Controllers who, Consumer<Integer> then) {
+    private void each(Fault.ControllerSelector who, Consumer<Integer> then) {
         for (int node : who.of(region.lastLeader(), region.nodeCount())) {
             then.accept(node);
         }
     }
 
-    private void each(Trouble.Machines which, Consumer<WorkerStandIn> then) {
+    private void each(Fault.MachineSelector which, Consumer<WorkerStandIn> then) {
         machines.choose(which).forEach(then);
     }
 
@@ -182,7 +182,7 @@
         switch (side) {
             case STATE -> {
                 if (way == Way.REFUSE) {
-                    region.state.refuse(name, until);
+                    region.store.refuse(name, until);
                 } else {
                     world.cut(name, "10.2.0.1", until);
                 }
--- a/src/test/java/io/pepperfield/standin/ReportCopies.java
+++ b/src/test/java/io/pepperfield/standin/HeartbeatReplays.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** Copies of workers' reports that come to every controller long after the reports themselves. */
-final class ReportCopies {
+final class HeartbeatReplays {
 
     private final SimWorld world;
     private final List<SimNode> nodes;
@@ -13,7 +13,7 @@
     private double until;
     private boolean forNext;
 
-    ReportCopies(SimWorld world, List<SimNode> nodes) {
+    HeartbeatReplays(SimWorld world, List<SimNode> nodes) {
         this.world = world;
         this.nodes = nodes;
     }
@@ -32,9 +32,10 @@
             kept.add(body);
         } else {
             world.after(
-                    Trouble.LateReports.LEAST_S
+                    Fault.ReplayedHeartbeats.LEAST_S
                             + world.random.nextDouble()
-                                    * (Trouble.LateReports.MOST_S - Trouble.LateReports.LEAST_S),
+                                    * (Fault.ReplayedHeartbeats.MOST_S
+                                            - Fault.ReplayedHeartbeats.LEAST_S),
                     () -> deliver(body));
         }
     }
--- a/src/test/java/io/pepperfield/standin/JobMix.java
+++ b/src/test/java/io/pepperfield/standin/JobMix.java
@@ -138,10 +138,10 @@
     }
 
     /** An array whose tasks fail on every machine until its user cancels it. */
-    public void submitMistake(int number, double cancelAt) {
+    public void submitFailing(int number, double cancelAt) {
         users.submit(
                 JobPlan.array(number, "batch", "red", "standard", 12, 2, List.of(1.0), true)
-                        .withMistake()
+                        .failing()
                         .cancelledAt(cancelAt));
     }
 }
--- a/src/test/java/io/pepperfield/standin/JobPlan.java
+++ b/src/test/java/io/pepperfield/standin/JobPlan.java
@@ -8,10 +8,10 @@
 /**
  * A job as its user submits it, and what its tasks do.
  *
- * @param runS run times of the tasks in turn; a service's tasks run until it is cancelled
- * @param mistaken submitted with a mistake: its tasks fail wherever they run
+ * @param runDurationsS run times of the tasks in turn; a service's tasks run until it is cancelled
+ * @param alwaysFails submitted with a mistake: its tasks fail wherever they run
  * @param cancelAt when its user cancels it, or {@link #NEVER}
- * @param awaits jobs that must be done before any of its tasks starts
+ * @param dependencies jobs that must be done before any of its tasks starts
  */
 record JobPlan(
         String id,
@@ -21,14 +21,14 @@
         boolean service,
         int tasks,
         double cpus,
-        List<Double> runS,
+        List<Double> runDurationsS,
         boolean spot,
         boolean spread,
-        boolean together,
+        boolean oneZone,
         String zone,
-        boolean mistaken,
+        boolean alwaysFails,
         double cancelAt,
-        List<String> awaits) {
+        List<String> dependencies) {
 
     static final double NEVER = Double.MAX_VALUE;
 
@@ -66,32 +66,97 @@
 
     JobPlan cancelledAt(double at) {
         return new JobPlan(
-                id, workload, team, rank, service, tasks, cpus, runS, spot, spread, together, zone,
-                mistaken, at, awaits);
+                id,
+                workload,
+                team,
+                rank,
+                service,
+                tasks,
+                cpus,
+                runDurationsS,
+                spot,
+                spread,
+                oneZone,
+                zone,
+                alwaysFails,
+                at,
+                dependencies);
     }
 
-    JobPlan after(List<String> needed) {
+    JobPlan dependingOn(List<String> needed) {
         return new JobPlan(
-                id, workload, team, rank, service, tasks, cpus, runS, spot, spread, together, zone,
-                mistaken, cancelAt, needed);
+                id,
+                workload,
+                team,
+                rank,
+                service,
+                tasks,
+                cpus,
+                runDurationsS,
+                spot,
+                spread,
+                oneZone,
+                zone,
+                alwaysFails,
+                cancelAt,
+                needed);
     }
 
     JobPlan inOneZone() {
         return new JobPlan(
-                id, workload, team, rank, service, tasks, cpus, runS, spot, spread, true, zone,
-                mistaken, cancelAt, awaits);
+                id,
+                workload,
+                team,
+                rank,
+                service,
+                tasks,
+                cpus,
+                runDurationsS,
+                spot,
+                spread,
+                true,
+                zone,
+                alwaysFails,
+                cancelAt,
+                dependencies);
     }
 
     JobPlan boundTo(String only) {
         return new JobPlan(
-                id, workload, team, rank, service, tasks, cpus, runS, spot, spread, together, only,
-                mistaken, cancelAt, awaits);
+                id,
+                workload,
+                team,
+                rank,
+                service,
+                tasks,
+                cpus,
+                runDurationsS,
+                spot,
+                spread,
+                oneZone,
+                only,
+                alwaysFails,
+                cancelAt,
+                dependencies);
     }
 
-    JobPlan withMistake() {
+    JobPlan failing() {
         return new JobPlan(
-                id, workload, team, rank, service, tasks, cpus, runS, spot, spread, together, zone,
-                true, cancelAt, awaits);
+                id,
+                workload,
+                team,
+                rank,
+                service,
+                tasks,
+                cpus,
+                runDurationsS,
+                spot,
+                spread,
+                oneZone,
+                zone,
+                true,
+                cancelAt,
+                dependencies);
     }
 
     ObjectNode body() {
@@ -108,15 +173,15 @@
                         .put("memGb", cpus)
                         .put("bundle", "img-1")
                         .put("pullGb", 0.4)
-                        .put("together", together)
+                        .put("together", oneZone)
                         .put("spread", spread)
                         .put("site", zone)
                         .put("reclaimable", spot)
                         .put("expectedS", 5.0)
                         .put("snapshotEveryS", 0.0)
                         .put("snapshotS", 0.0);
-        if (!awaits.isEmpty()) {
-            awaits.forEach(body.putArray("awaits")::add);
+        if (!dependencies.isEmpty()) {
+            dependencies.forEach(body.putArray("awaits")::add);
         }
         return body;
     }
--- a/src/test/java/io/pepperfield/standin/JobSpecBuilder.java
+++ b/src/test/java/io/pepperfield/standin/JobSpecBuilder.java
@@ -13,7 +13,7 @@
     private String workload = "w";
     private String team = "t";
     private JobSpec.Shape shape = JobSpec.Shape.ARRAY;
-    private JobSpec.Rank rank = JobSpec.Rank.STANDARD;
+    private JobSpec.Priority rank = JobSpec.Priority.STANDARD;
     private int tasks = 1;
     private double cpus = 1;
     private String image = "i";
@@ -22,7 +22,7 @@
     private boolean oneZone;
     private boolean spread;
     private boolean spot;
-    private List<String> awaits = List.of();
+    private List<String> dependencies = List.of();
     private double expectedS = 1;
     private int chunk = 10;
 
@@ -46,7 +46,7 @@
         return this;
     }
 
-    public JobSpecBuilder rank(JobSpec.Rank value) {
+    public JobSpecBuilder rank(JobSpec.Priority value) {
         rank = value;
         return this;
     }
@@ -101,14 +101,35 @@
         return this;
     }
 
-    public JobSpecBuilder awaits(List<String> value) {
-        awaits = value;
+    public JobSpecBuilder dependencies(List<String> value) {
+        dependencies = value;
         return this;
     }
 
     public JobSpec build() {
         return new JobSpec(
-                id, workload, team, shape, rank, tasks, cpus, 0, 1, image, imageGb, null, zone,
-                oneZone, spread, spot, expectedS, 0, 0, null, 0, chunk, awaits);
+                id,
+                workload,
+                team,
+                shape,
+                rank,
+                tasks,
+                cpus,
+                0,
+                1,
+                image,
+                imageGb,
+                null,
+                zone,
+                oneZone,
+                spread,
+                spot,
+                expectedS,
+                0,
+                0,
+                null,
+                0,
+                chunk,
+                dependencies);
     }
 }
--- a/src/test/java/io/pepperfield/standin/LoopbackRegion.java
+++ b/src/test/java/io/pepperfield/standin/LoopbackRegion.java
@@ -5,13 +5,13 @@
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
-import io.pepperfield.http.Call;
 import io.pepperfield.http.HttpClient;
+import io.pepperfield.http.HttpOutcome;
+import io.pepperfield.http.HttpReply;
+import io.pepperfield.http.HttpSender;
 import io.pepperfield.http.HttpServer;
+import io.pepperfield.http.InboundRequest;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Outcome;
-import io.pepperfield.http.Reply;
-import io.pepperfield.http.Sender;
 import java.io.IOException;
 import java.net.ServerSocket;
 import java.util.ArrayList;
@@ -33,9 +33,9 @@
 
 /**
  * Stand-ins of everything that controllers talk to, behind real sockets on this machine. What
- * breaks a rule is kept in {@link #broken}.
+ * breaks a rule is kept in {@link #violations}.
  */
-public final class LoopbackRegion implements WorkerStandIn.Truth, AutoCloseable {
+public final class LoopbackRegion implements WorkerStandIn.TaskOracle, AutoCloseable {
 
     private static final double REPORT_S = 0.5;
     private static final double LEASE_S = 4;
@@ -48,20 +48,20 @@
 
     /** Answers a request that arrived over a socket. */
     private interface Handler {
-        void handle(Call call, Consumer<Reply> answer);
+        void handle(InboundRequest call, Consumer<HttpReply> answer);
     }
 
-    public final List<String> broken = new CopyOnWriteArrayList<>();
+    public final List<String> violations = new CopyOnWriteArrayList<>();
 
     private final EventLoopGroup network =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final HttpClient client = new HttpClient(network, 1 << 20);
-    private final ScheduledExecutorService region = Executors.newSingleThreadScheduledExecutor();
-    private final long zero = System.nanoTime();
+    private final ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor();
+    private final long startNanos = System.nanoTime();
     private final Map<String, WorkerStandIn> workers = new LinkedHashMap<>();
-    private final Map<String, WorkerStandIn> running = new HashMap<>();
-    private final Set<String> done = new HashSet<>();
-    private final StateStandIn state = new StateStandIn(this::now, 10_000);
+    private final Map<String, WorkerStandIn> runningTasks = new HashMap<>();
+    private final Set<String> completedTasks = new HashSet<>();
+    private final StoreStandIn state = new StoreStandIn(this::now, 10_000);
     private final List<Integer> ports = new ArrayList<>();
     private final List<Integer> peerPorts = new ArrayList<>();
     private final int statePort;
@@ -71,7 +71,7 @@
         CloudStandIn cloud = new CloudStandIn(this::now, 2 * controllers, new Machines());
         statePort = listen(state::handle);
         cloudPort = listen((call, answer) -> answer.accept(cloud.handle(call)));
-        region.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+        scheduler.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         List<Integer> free = freePorts(2 * controllers);
         ports.addAll(free.subList(0, controllers));
         peerPorts.addAll(free.subList(controllers, 2 * controllers));
@@ -79,11 +79,11 @@
 
     /** Checks that stored-state versions change as they must. */
     public void checkRollout() {
-        region.execute(() -> state.rolloutRules = new RolloutRules(this::now, broken));
+        scheduler.execute(() -> state.rolloutRules = new RolloutRules(this::now, violations));
     }
 
     private double now() {
-        return (System.nanoTime() - zero) / 1e9;
+        return (System.nanoTime() - startNanos) / 1e9;
     }
 
     private void tick() {
@@ -95,7 +95,7 @@
         return new HttpServer(
                         network,
                         200,
-                        (call, answer) -> region.execute(() -> handler.handle(call, answer)))
+                        (call, answer) -> scheduler.execute(() -> handler.handle(call, answer)))
                 .start("127.0.0.1", 0);
     }
 
@@ -180,7 +180,7 @@
             CompletableFuture.supplyAsync(() -> bind(handler))
                     .thenAccept(
                             port ->
-                                    region.execute(
+                                    scheduler.execute(
                                             () -> {
                                                 made[0] = worker(name, type, zone, spot, port);
                                                 workers.put(name, made[0]);
@@ -191,8 +191,8 @@
         public void delete(String name) {
             WorkerStandIn gone = workers.remove(name);
             if (gone != null) {
-                gone.die();
-                running.values().removeIf(worker -> worker == gone);
+                gone.losePower();
+                runningTasks.values().removeIf(worker -> worker == gone);
             }
         }
     }
@@ -209,7 +209,7 @@
         List<String> names =
                 IntStream.range(0, ports.size()).mapToObj(node -> "node-" + node).toList();
         List<String> addresses = ports.stream().map(p -> "127.0.0.1:" + p).toList();
-        Sender sender =
+        HttpSender sender =
                 (host, to, connections, method, path, body, deadlineMs, finish) ->
                         client.send(
                                 host,
@@ -219,7 +219,7 @@
                                 path,
                                 body,
                                 deadlineMs,
-                                outcome -> region.execute(() -> finish.accept(outcome)));
+                                outcome -> scheduler.execute(() -> finish.accept(outcome)));
         return new WorkerStandIn(
                 name,
                 type,
@@ -236,39 +236,39 @@
     }
 
     @Override
-    public double runS(String task) {
+    public double runDurationS(String task) {
         return TASK_S;
     }
 
     @Override
-    public void begins(WorkerStandIn worker, String task) {
-        WorkerStandIn other = running.put(task, worker);
+    public void taskStarted(WorkerStandIn worker, String task) {
+        WorkerStandIn other = runningTasks.put(task, worker);
         if (other != null && other != worker) {
-            broken.add(now() + " ran_twice: " + task);
+            violations.add(now() + " ran_twice: " + task);
         }
     }
 
     @Override
-    public void ends(WorkerStandIn worker, String task, boolean completed) {
-        running.remove(task, worker);
+    public void taskEnded(WorkerStandIn worker, String task, boolean completed) {
+        runningTasks.remove(task, worker);
         if (completed) {
-            done.add(task);
+            completedTasks.add(task);
         }
     }
 
     @Override
-    public boolean fails(String task) {
+    public boolean failsAtEnd(String task) {
         return false;
     }
 
     @Override
     public boolean isDone(String task) {
-        return done.contains(task);
+        return completedTasks.contains(task);
     }
 
     /** The value under a key, or null. */
     public JsonNode durable(String key) throws Exception {
-        return region.submit(() -> state.get(key)).get(PATIENCE_S, TimeUnit.SECONDS);
+        return scheduler.submit(() -> state.get(key)).get(PATIENCE_S, TimeUnit.SECONDS);
     }
 
     // ---- users
@@ -295,22 +295,26 @@
                 .put("snapshotS", 0.0);
     }
 
-    public Outcome.Answered ask(int node, String method, String path, byte[] body) {
-        CompletableFuture<Outcome> future = new CompletableFuture<>();
+    public HttpOutcome.Answered ask(int node, String method, String path, byte[] body) {
+        CompletableFuture<HttpOutcome> future = new CompletableFuture<>();
         client.send("127.0.0.1", ports.get(node), 4, method, path, body, 5000, future::complete);
-        return (Outcome.Answered) future.join();
+        return (HttpOutcome.Answered) future.join();
     }
 
     /** The status of a controller's answer, or 0 where none comes. */
     public int status(int node, String method, String path, byte[] body) {
-        CompletableFuture<Outcome> future = new CompletableFuture<>();
+        CompletableFuture<HttpOutcome> future = new CompletableFuture<>();
         client.send("127.0.0.1", ports.get(node), 4, method, path, body, 2000, future::complete);
-        return future.join() instanceof Outcome.Answered answer ? answer.status() : 0;
+        return future.join() instanceof HttpOutcome.Answered answer ? answer.status() : 0;
     }
 
     /** Asks again and again, as users do, until the answer is as wanted. */
     public JsonNode until(
-            int node, String method, String path, byte[] body, Predicate<Outcome.Answered> wanted)
+            int node,
+            String method,
+            String path,
+            byte[] body,
+            Predicate<HttpOutcome.Answered> wanted)
             throws Exception {
         CompletableFuture<JsonNode> found = new CompletableFuture<>();
         again(List.of(node), 0, method, path, body, wanted, found);
@@ -319,7 +323,7 @@
 
     /** The same of all controllers in turn. */
     public JsonNode untilAny(
-            String method, String path, byte[] body, Predicate<Outcome.Answered> wanted)
+            String method, String path, byte[] body, Predicate<HttpOutcome.Answered> wanted)
             throws Exception {
         CompletableFuture<JsonNode> found = new CompletableFuture<>();
         List<Integer> all = IntStream.range(0, ports.size()).boxed().toList();
@@ -333,7 +337,7 @@
             String method,
             String path,
             byte[] body,
-            Predicate<Outcome.Answered> wanted,
+            Predicate<HttpOutcome.Answered> wanted,
             CompletableFuture<JsonNode> found) {
         client.send(
                 "127.0.0.1",
@@ -344,10 +348,10 @@
                 body,
                 5000,
                 outcome -> {
-                    if (outcome instanceof Outcome.Answered answer && wanted.test(answer)) {
+                    if (outcome instanceof HttpOutcome.Answered answer && wanted.test(answer)) {
                         found.complete(answer.json());
                     } else if (!found.isDone()) {
-                        region.schedule(
+                        scheduler.schedule(
                                 () -> again(nodes, turn + 1, method, path, body, wanted, found),
                                 AGAIN_MS,
                                 TimeUnit.MILLISECONDS);
@@ -357,7 +361,7 @@
 
     @Override
     public void close() {
-        region.shutdownNow();
+        scheduler.shutdownNow();
         network.shutdownGracefully();
     }
 }
--- a/src/test/java/io/pepperfield/standin/NetworkCuts.java
+++ b/src/test/java/io/pepperfield/standin/NetworkPartitions.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /** Cuts between the hosts of a simulated region; what is sent meanwhile is held back. */
-public final class NetworkCuts {
+public final class NetworkPartitions {
 
     private final SimWorld world;
     private final SimMachines machines;
     private final int nodeCount;
 
-    NetworkCuts(SimWorld world, SimMachines machines, int nodeCount) {
+    NetworkPartitions(SimWorld world, SimMachines machines, int nodeCount) {
         this.world = world;
         this.machines = machines;
         this.nodeCount = nodeCount;
--- a/src/test/java/io/pepperfield/standin/SilentCloud.java
+++ b/src/test/java/io/pepperfield/standin/NoOpCloud.java
@@ -1,28 +1,28 @@
 package io.pepperfield.standin;
 
-import io.pepperfield.cloud.Cloud;
+import io.pepperfield.cloud.CloudProvider;
 import io.pepperfield.fleet.MachineType;
 import java.util.List;
 import java.util.function.Consumer;
 
 /** A cloud that answers nothing; a test overrides the calls that matter to it. */
-public interface SilentCloud extends Cloud {
+public interface NoOpCloud extends CloudProvider {
 
     @Override
-    default void types(Consumer<List<MachineType>> done) {}
+    default void listMachineTypes(Consumer<List<MachineType>> done) {}
 
     @Override
-    default void rent(
+    default void rentInstances(
             String request,
             String type,
             String zone,
             boolean spot,
             int count,
-            Consumer<Rented> done) {}
+            Consumer<RentalOutcome> done) {}
 
     @Override
-    default void release(List<String> names, Consumer<Boolean> done) {}
+    default void releaseInstances(List<String> names, Consumer<Boolean> done) {}
 
     @Override
-    default void list(Consumer<List<Listed>> done) {}
+    default void listInstances(Consumer<List<ListedInstance>> done) {}
 }
--- /dev/null
+++ b/src/test/java/io/pepperfield/standin/NoOpFleetListener.java
@@ -0,0 +1,22 @@
+package io.pepperfield.standin;
+
+import io.pepperfield.fleet.Attempt;
+import io.pepperfield.fleet.Fleet;
+import io.pepperfield.fleet.Heartbeat;
+import io.pepperfield.fleet.Machine;
+
+/** Ignores what happens in the fleet, for tests that look at the fleet itself. */
+public interface NoOpFleetListener extends Fleet.Listener {
+
+    @Override
+    default void attemptStarted(Attempt attempt) {}
+
+    @Override
+    default void attemptCompleted(Attempt attempt, double ranS) {}
+
+    @Override
+    default void attemptGone(Attempt attempt, Heartbeat.Cause cause) {}
+
+    @Override
+    default void machineAppeared(Machine machine) {}
+}
--- a/src/test/java/io/pepperfield/standin/PipelineRules.java
+++ b/src/test/java/io/pepperfield/standin/PipelineRules.java
@@ -12,7 +12,7 @@
 final class PipelineRules {
 
     private final SimWorld world;
-    private final List<String> broken;
+    private final List<String> violations;
     private final Map<String, SimJob> jobs;
     private final Predicate<String> durablyDone;
 
@@ -25,23 +25,23 @@
             Map<String, SimJob> jobs,
             Predicate<String> durablyDone) {
         this.world = world;
-        this.broken = broken;
+        this.violations = broken;
         this.jobs = jobs;
         this.durablyDone = durablyDone;
     }
 
-    private void says(String what) {
-        broken.add(world.now() + " " + what);
+    private void violation(String what) {
+        violations.add(world.now() + " " + what);
     }
 
     /**
      * A task starts. That the tasks of a needed job are completed is not enough: a final state that
      * is not durable may still become {@code cancelled}.
      */
-    void begins(SimJob job, String task) {
-        for (String needed : job.plan.awaits()) {
-            if (!jobs.get(needed).complete() || !durablyDone.test(needed)) {
-                says("too_early: " + task + " before " + needed + " is durably done");
+    void taskStarted(SimJob job, String task) {
+        for (String needed : job.plan.dependencies()) {
+            if (!jobs.get(needed).isComplete() || !durablyDone.test(needed)) {
+                violation("too_early: " + task + " before " + needed + " is durably done");
             }
         }
     }
@@ -79,7 +79,7 @@
         ArrayDeque<SimJob> open = new ArrayDeque<>(List.of(job));
         Set<String> seen = new HashSet<>();
         while (!open.isEmpty()) {
-            for (String needed : open.poll().plan.awaits()) {
+            for (String needed : open.poll().plan.dependencies()) {
                 if (seen.add(needed)) {
                     visit.accept(jobs.get(needed));
                     open.add(jobs.get(needed));
@@ -95,16 +95,21 @@
      */
     void answered(SimJob job, String status, double askedAt, double ancestorCancelledAt) {
         String told = job.plan.id() + " is " + status + ", asked at " + askedAt;
-        if (!SimJob.isFinal(status) && askedAt > Region.CANCEL_S + ancestorCancelledAt) {
-            says("orphaned: " + told);
+        if (!SimJob.isFinal(status)
+                && askedAt > SimulatedRegion.CANCELLATION_DEADLINE_S + ancestorCancelledAt) {
+            violation("orphaned: " + told);
         }
         // Beyond the letter, which leaves cancel_s for it: no answer is older than what a user was
         // told of a job before it.
         if (!SimJob.isFinal(status) && askedAt > ancestorCancelledAt) {
-            says("went_back: " + told + ", one before it was cancelled at " + ancestorCancelledAt);
+            violation(
+                    "went_back: "
+                            + told
+                            + ", one before it was cancelled at "
+                            + ancestorCancelledAt);
         }
         if (status.equals("done") && ancestorCancelledAt(job) < Double.POSITIVE_INFINITY) {
-            says("went_back: " + told + ", but one before it is cancelled");
+            violation("went_back: " + told + ", but one before it is cancelled");
         }
     }
 }
--- a/src/test/java/io/pepperfield/standin/PipelineShape.java
+++ b/src/test/java/io/pepperfield/standin/PipelineShape.java
@@ -8,17 +8,17 @@
     /** Two need the first, one needs both, and the last needs that and the first. */
     MIXED(new int[][] {{}, {0}, {0}, {1, 2}, {0, 3}});
 
-    private final int[][] needs;
+    private final int[][] dependencies;
 
     PipelineShape(int[][] needs) {
-        this.needs = needs;
+        this.dependencies = needs;
     }
 
     public int jobs() {
-        return needs.length;
+        return dependencies.length;
     }
 
-    int[] needs(int job) {
-        return needs[job];
+    int[] dependencies(int job) {
+        return dependencies[job];
     }
 }
--- a/src/test/java/io/pepperfield/standin/Pipelines.java
+++ b/src/test/java/io/pepperfield/standin/Pipelines.java
@@ -47,7 +47,7 @@
             int number, String rank, int tasks, double cpus, double runS, int... needed) {
         users.submit(
                 JobPlan.array(number, "batch", "red", rank, tasks, cpus, List.of(runS), true)
-                        .after(Arrays.stream(needed).mapToObj(JobPlan::id).toList()));
+                        .dependingOn(Arrays.stream(needed).mapToObj(JobPlan::id).toList()));
     }
 
     public void cancel(int number, int node) {
@@ -63,7 +63,9 @@
         String of = team.get();
         for (int i = 0; i < shape.jobs(); i++) {
             List<String> needed =
-                    Arrays.stream(shape.needs(i)).mapToObj(n -> JobPlan.id(number + n)).toList();
+                    Arrays.stream(shape.dependencies(i))
+                            .mapToObj(n -> JobPlan.id(number + n))
+                            .toList();
             plans.add(
                     JobPlan.array(
                                     number + i,
@@ -74,7 +76,7 @@
                                     2,
                                     List.of(2 + 4 * world.random.nextDouble()),
                                     true)
-                            .after(needed));
+                            .dependingOn(needed));
         }
         return plans;
     }
--- a/src/test/java/io/pepperfield/standin/DrawnTrouble.java
+++ b/src/test/java/io/pepperfield/standin/RandomFault.java
@@ -4,19 +4,19 @@
 import java.util.stream.IntStream;
 
 /** A trouble of any kind, drawn from a region's seed. */
-final class DrawnTrouble {
+final class RandomFault {
 
-    private final Region region;
+    private final SimulatedRegion region;
     private final SimWorld world;
     private final SimMachines machines;
 
-    DrawnTrouble(Region region, SimMachines machines) {
+    RandomFault(SimulatedRegion region, SimMachines machines) {
         this.region = region;
         this.world = region.world;
         this.machines = machines;
     }
 
-    void begin() {
+    void inject() {
         double now = world.now();
         double until = now + 1 + 14 * world.random.nextDouble();
         int node = world.random.nextInt(region.nodeCount());
@@ -26,7 +26,7 @@
             case 0 -> region.crash(node, world.random.nextBoolean() ? 0.2 : 3);
             case 1 ->
                     everyNode().forEach(i -> region.crash(i, 0.5 + 2 * world.random.nextDouble()));
-            case 2 -> region.stateOutage(until);
+            case 2 -> region.storeOutage(until);
             case 3 -> region.cloudOutage(until);
             case 4 -> world.cut("node-" + node, "10.2.0.1", until);
             case 5 -> cutFromWorkers(node, until);
@@ -38,25 +38,25 @@
             }
             case 8 -> {
                 if (worker != null) {
-                    worker.deafen(until + Region.LEASE_S);
+                    worker.failReceiving(until + SimulatedRegion.LEASE_S);
                 }
             }
-            case 9 -> region.cuts.isolate(node, until);
+            case 9 -> region.networkCuts.isolate(node, until);
             case 10 -> world.cut("node-", "10.0.", until);
             case 11 -> {
                 if (worker != null) {
                     machines.reboot(worker);
                 }
             }
-            case 12 -> region.freeze(node, until);
-            case 13 -> region.cuts.zone("east", node, until);
-            case 14 -> region.hangSome(until);
-            case 16 -> region.boots(0.05, 0, until);
-            case 17 -> region.boots(4, 0.3, until);
-            case 18 -> region.askMore(until);
-            case 19 -> region.freeze(node, until + 2 * Region.LEASE_S);
+            case 12 -> region.pause(node, until);
+            case 13 -> region.networkCuts.zone("east", node, until);
+            case 14 -> region.hangSomeMachines(until);
+            case 16 -> region.slowBoots(0.05, 0, until);
+            case 17 -> region.slowBoots(4, 0.3, until);
+            case 18 -> region.queryMoreOften(until);
+            case 19 -> region.pause(node, until + 2 * SimulatedRegion.LEASE_S);
             case 15 -> {
-                region.stateOutage(until);
+                region.storeOutage(until);
                 world.after(
                         1,
                         () ->
@@ -72,7 +72,7 @@
             }
             default -> {
                 if (worker != null) {
-                    worker.die();
+                    worker.losePower();
                 }
             }
         }
--- a/src/test/java/io/pepperfield/standin/RecordedVersion.java
+++ b/src/test/java/io/pepperfield/standin/RecordedVersion.java
@@ -2,16 +2,16 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pepperfield.http.HttpOutcome;
+import io.pepperfield.http.HttpSender;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Outcome;
-import io.pepperfield.http.Sender;
 import java.util.Iterator;
 
 /**
  * The habits of the recorded version (c7a624d) as filters around a controller of today: what that
  * version does not know never reaches it, and what it cannot tell apart is made alike. Its record
- * sizes follow from its settings, which lack {@code state.next}; see {@link Region}. The messages
- * between controllers are the same in both.
+ * sizes follow from its settings, which lack {@code state.next}; see {@link SimulatedRegion}. The
+ * messages between controllers are the same in both.
  */
 final class RecordedVersion {
 
@@ -35,7 +35,7 @@
     }
 
     /** The way to the state service as that version uses and understands it. */
-    static Sender around(Sender sender) {
+    static HttpSender around(HttpSender sender) {
         return (host, port, connections, method, path, body, deadlineMs, done) ->
                 sender.send(
                         host,
@@ -47,15 +47,15 @@
                         deadlineMs,
                         outcome ->
                                 done.accept(
-                                        outcome instanceof Outcome.Answered answer
+                                        outcome instanceof HttpOutcome.Answered answer
                                                 ? understood(path, answer)
                                                 : outcome));
     }
 
-    private static Outcome understood(String path, Outcome.Answered answer) {
+    private static HttpOutcome understood(String path, HttpOutcome.Answered answer) {
         if (path.equals("/txn") && answer.status() == MALFORMED) {
             // It knows no refusal for good: the same transaction is tried again and again.
-            return new Outcome.Answered(UNAVAILABLE, answer.body());
+            return new HttpOutcome.Answered(UNAVAILABLE, answer.body());
         }
         if (answer.status() != 200 || !path.startsWith("/kv?") && !path.startsWith("/follow?")) {
             return answer;
@@ -66,7 +66,7 @@
         // It reads them, and no part of it asks for them.
         forgetRollout(body.path("pairs"), "k");
         forgetRollout(body.path("events"), "set");
-        return new Outcome.Answered(answer.status(), Json.write(body));
+        return new HttpOutcome.Answered(answer.status(), Json.write(body));
     }
 
     private static void forgetRollout(JsonNode items, String keyField) {
--- a/src/test/java/io/pepperfield/standin/Transactions.java
+++ b/src/test/java/io/pepperfield/standin/RecordingKeyValueStore.java
@@ -9,27 +9,34 @@
  * A state service that only takes transactions, which the test answers when it likes, and a clock
  * that the test sets.
  */
-public final class Transactions implements SilentStateService, Loop {
+public final class RecordingKeyValueStore implements NoOpKeyValueStore, Loop {
 
     /** The keys of each transaction. */
-    public final List<List<String>> written = new ArrayList<>();
+    public final List<List<String>> writtenKeys = new ArrayList<>();
 
     /** The keys that each of them wants not to exist. */
-    public final List<List<String>> absent = new ArrayList<>();
+    public final List<List<String>> absentKeys = new ArrayList<>();
 
     private final List<Runnable> waiting = new ArrayList<>();
 
     /** To be called with the answer to the last one. */
-    public Consumer<TxnResult> underWay;
+    public Consumer<CompareAndSwapOutcome> pendingCallback;
 
     public double now;
 
     @Override
-    public void txn(
-            Urgency urgency, List<Guard> guards, List<Change> changes, Consumer<TxnResult> done) {
-        written.add(changes.stream().map(Change::key).toList());
-        absent.add(guards.stream().filter(guard -> guard.stamp() == 0).map(Guard::key).toList());
-        underWay = done;
+    public void compareAndSwap(
+            RequestPriority urgency,
+            List<Precondition> guards,
+            List<Mutation> changes,
+            Consumer<CompareAndSwapOutcome> done) {
+        writtenKeys.add(changes.stream().map(Mutation::key).toList());
+        absentKeys.add(
+                guards.stream()
+                        .filter(guard -> guard.modRevision() == 0)
+                        .map(Precondition::key)
+                        .toList());
+        pendingCallback = done;
     }
 
     @Override
--- a/src/test/java/io/pepperfield/standin/RegionSettings.java
+++ b/src/test/java/io/pepperfield/standin/RegionSettings.java
@@ -2,7 +2,7 @@
 
 import io.pepperfield.config.AdmissionSettings;
 import io.pepperfield.config.Feature;
-import io.pepperfield.config.Operators;
+import io.pepperfield.config.OperatorSettings;
 import io.pepperfield.config.Settings;
 import io.pepperfield.config.Settings.Address;
 import java.util.ArrayList;
@@ -18,13 +18,13 @@
             Map.of("red", 24.0, "blue", 24.0, "guests", Double.POSITIVE_INFINITY);
 
     /** What the state service allows at first. */
-    static final Settings.State LIMITS_NOW = new Settings.State(150, 60, 8, 32);
+    static final Settings.StoreLimits LIMITS_NOW = new Settings.StoreLimits(150, 60, 8, 32);
 
     /** What it allows from some moment after an upgrade. */
-    static final Settings.State LIMITS_NEXT = new Settings.State(100, 30, 1, 8);
+    static final Settings.StoreLimits LIMITS_NEXT = new Settings.StoreLimits(100, 30, 1, 8);
 
     /** What a fleet of thousands of machines comes with. */
-    static final Settings.State LIMITS_LARGE = new Settings.State(600, 300, 8, 40);
+    static final Settings.StoreLimits LIMITS_LARGE = new Settings.StoreLimits(600, 300, 8, 40);
 
     private RegionSettings() {}
 
@@ -37,12 +37,13 @@
      * Of the controller with that index among so many, which keeps these limits of the state
      * service.
      */
-    public static Settings of(int index, int nodes, Settings.State limits) {
+    public static Settings of(int index, int nodes, Settings.StoreLimits limits) {
         return of(index, nodes, limits, Set.of());
     }
 
     /** The same with features switched on. */
-    public static Settings of(int index, int nodes, Settings.State limits, Set<Feature> features) {
+    public static Settings of(
+            int index, int nodes, Settings.StoreLimits limits, Set<Feature> features) {
         List<Settings.Member> members = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
             if (i != index) {
@@ -65,12 +66,16 @@
                         // Services should find their image, so that placing and stopping have their
                         // second way to go.
                         List.of(new Settings.Objective("wait", "gate", 0.5, 0.9, 0)),
-                        new Settings.Workers(Region.REPORT_S, Region.LEASE_S, Region.CANCEL_S),
+                        new Settings.WorkerTimings(
+                                SimulatedRegion.HEARTBEAT_INTERVAL_S,
+                                SimulatedRegion.LEASE_S,
+                                SimulatedRegion.CANCELLATION_DEADLINE_S),
                         limits,
-                        new Settings.Cloud(20, 2),
-                        new Settings.Quota(1, 256, 1000));
-        Operators operators =
-                new Operators(10, 0.2, 0.2, 0.85, 0.85, 3, features, AdmissionSettings.DEFAULTS);
+                        new Settings.CloudLimits(20, 2),
+                        new Settings.ProcessQuota(1, 256, 1000));
+        OperatorSettings operators =
+                new OperatorSettings(
+                        10, 0.2, 0.2, 0.85, 0.85, 3, features, AdmissionSettings.DEFAULTS);
         return new Settings(
                 "node-" + index,
                 "east",
--- a/src/test/java/io/pepperfield/standin/Trace.java
+++ b/src/test/java/io/pepperfield/standin/ReplayTrace.java
@@ -14,15 +14,15 @@
  * A kept trace: lines that begin with ">" are events, the lines with "=" after each are the
  * decisions they must lead to.
  */
-public final class Trace {
+public final class ReplayTrace {
 
-    private Trace() {}
+    private ReplayTrace() {}
 
     /** Plays the trace; {@code play} gets the words of an event and gives its decisions. */
     public static void check(String name, Function<String[], List<String>> play)
             throws IOException {
         String text;
-        try (InputStream in = Trace.class.getResourceAsStream("/traces/" + name)) {
+        try (InputStream in = ReplayTrace.class.getResourceAsStream("/traces/" + name)) {
             assertNotNull(in, name);
             text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
--- a/src/test/java/io/pepperfield/standin/RollingUpgrade.java
+++ b/src/test/java/io/pepperfield/standin/RollingUpgrade.java
@@ -9,12 +9,12 @@
  */
 final class RollingUpgrade {
 
-    private final Region region;
+    private final SimulatedRegion region;
     private final SimWorld world;
     private final Version by;
     private final List<Integer> left = new ArrayList<>();
 
-    RollingUpgrade(Region region, int nodes, Version by) {
+    RollingUpgrade(SimulatedRegion region, int nodes, Version by) {
         this.region = region;
         this.by = by;
         this.world = region.world;
@@ -23,16 +23,16 @@
         }
     }
 
-    void begin(Trouble.Upgrade upgrade) {
+    void begin(Fault.Upgrade upgrade) {
         Collections.shuffle(left, world.random);
         double everyS = upgrade.forS() / left.size();
         replaceNext(everyS);
     }
 
     private void replaceNext(double everyS) {
-        int count = Math.min(left.size(), 1 + world.random.nextInt(Trouble.Upgrade.MOST_AT_ONCE));
+        int count = Math.min(left.size(), 1 + world.random.nextInt(Fault.Upgrade.MOST_AT_ONCE));
         for (int i = 0; i < count; i++) {
-            region.replace(left.remove(0), by, Trouble.Upgrade.DOWN_S);
+            region.replace(left.remove(0), by, Fault.Upgrade.DOWN_S);
         }
         if (!left.isEmpty()) {
             world.after(everyS * count, () -> replaceNext(everyS));
--- a/src/test/java/io/pepperfield/standin/RolloutRules.java
+++ b/src/test/java/io/pepperfield/standin/RolloutRules.java
@@ -26,7 +26,7 @@
     private static final Set<String> FIRST_FORM_FOR_EVER = Set.of(ROOT + "job/", ROOT + "end/");
 
     private final DoubleSupplier clock;
-    private final List<String> broken;
+    private final List<String> violations;
 
     /** Records of the second form since the version last changed. */
     private final Set<String> known = new HashSet<>();
@@ -35,7 +35,7 @@
 
     RolloutRules(DoubleSupplier clock, List<String> broken) {
         this.clock = clock;
-        this.broken = broken;
+        this.violations = broken;
     }
 
     static boolean isFence(JsonNode leader) {
@@ -56,7 +56,7 @@
         for (JsonNode change : transaction.path("apply")) {
             String key = change.path(change.has("set") ? "set" : "delete").asText();
             if (!guarded && fenced && !mayBeUnguarded(key)) {
-                fault("written without the version's guard", key);
+                violation("written without the version's guard", key);
             }
             if (change.has("delete")) {
                 known.remove(key);
@@ -67,7 +67,7 @@
             } else if (key.startsWith(FIRST_RUN)) {
                 String second = SECOND_RUN + key.substring(FIRST_RUN.length());
                 if (keys.contains(second)) {
-                    fault("in two forms", key);
+                    violation("in two forms", key);
                 }
             }
         }
@@ -88,13 +88,13 @@
 
     private void secondForm(String key, int writes, JsonNode change, NavigableSet<String> keys) {
         if (keys.contains(FIRST_RUN + key.substring(SECOND_RUN.length()))) {
-            fault("in two forms", key);
+            violation("in two forms", key);
         }
         if (change.path("data").path("v").asInt() != 2) {
-            fault("without its version", key);
+            violation("without its version", key);
         }
         if (writes < 2 && !known.contains(key)) {
-            fault("newly in the second form while the first is written", key);
+            violation("newly in the second form while the first is written", key);
         }
         known.add(key);
     }
@@ -106,15 +106,15 @@
             Function<String, JsonNode> get) {
         int nowFinal = version.path("finalized").asInt();
         if (nowFinal < finalized) {
-            fault("no longer final", version.toString());
+            violation("no longer final", version.toString());
         }
         finalized = nowFinal;
         if (isFence(get.apply(ROOT + "leader")) != fenced) {
-            fault("the leader key is not where the version says", version.toString());
+            violation("the leader key is not where the version says", version.toString());
         }
         String record = keys.ceiling(SECOND_RUN);
         if (!fenced && record != null && record.startsWith(SECOND_RUN)) {
-            fault("left in the second form by a rollback", record);
+            violation("left in the second form by a rollback", record);
         }
         known.clear();
         keys.tailSet(SECOND_RUN).stream()
@@ -122,7 +122,7 @@
                 .forEach(known::add);
     }
 
-    private void fault(String what, String where) {
-        broken.add(clock.getAsDouble() + " " + what + ": " + where);
+    private void violation(String what, String where) {
+        violations.add(clock.getAsDouble() + " " + what + ": " + where);
     }
 }
--- a/src/test/java/io/pepperfield/standin/Scenario.java
+++ b/src/test/java/io/pepperfield/standin/Scenario.java
@@ -5,12 +5,12 @@
 
 /**
  * A day in a region: jobs of all kinds at even intervals, and troubles at their times. Played by
- * {@link Region#play}, and fully told by it and a seed.
+ * {@link SimulatedRegion#play}, and fully told by it and a seed.
  */
-public record Scenario(int jobs, double everyS, List<Planned> troubles) {
+public record Scenario(int jobs, double everyS, List<PlannedFault> faults) {
 
     /** A trouble and when it begins. */
-    public record Planned(double at, Trouble trouble) {}
+    public record PlannedFault(double at, Fault fault) {}
 
     /** The first job comes then: a leader leads and knows the machine types. */
     public static final double FIRST_JOB_S = 8;
@@ -19,7 +19,7 @@
     private static final double CALM_S = 130;
 
     public Scenario {
-        troubles = List.copyOf(troubles);
+        faults = List.copyOf(faults);
     }
 
     public static Scenario jobs(int jobs, double everyS) {
@@ -27,10 +27,10 @@
     }
 
     /** The same with these troubles too, all beginning at that time. */
-    public Scenario at(double time, Trouble... more) {
-        List<Planned> all = new ArrayList<>(troubles);
-        for (Trouble trouble : more) {
-            all.add(new Planned(time, trouble));
+    public Scenario at(double time, Fault... more) {
+        List<PlannedFault> all = new ArrayList<>(faults);
+        for (Fault trouble : more) {
+            all.add(new PlannedFault(time, trouble));
         }
         return new Scenario(jobs, everyS, all);
     }
@@ -38,11 +38,8 @@
     /** When all troubles are over and the last job has come. */
     public double calmAt() {
         double calm = FIRST_JOB_S + jobs * everyS;
-        for (Planned planned : troubles) {
-            calm =
-                    Math.max(
-                            calm,
-                            planned.at + planned.trouble.forS() + planned.trouble.aftermathS());
+        for (PlannedFault planned : faults) {
+            calm = Math.max(calm, planned.at + planned.fault.forS() + planned.fault.aftermathS());
         }
         return calm;
     }
--- a/src/test/java/io/pepperfield/standin/SimJob.java
+++ b/src/test/java/io/pepperfield/standin/SimJob.java
@@ -16,39 +16,39 @@
     double cancelledAt = Double.NaN;
 
     /** The last status that its user heard; a final one stays. */
-    String last = "";
+    String lastStatus = "";
 
-    double answeredAt;
-    boolean saidForgotten;
-    boolean saidRanCancelled;
+    double lastAnswerAt;
+    boolean forgottenReported;
+    boolean ranCancelledReported;
 
     /**
      * Since when it has waited although there was room, or when it was seen without need to wait.
      */
-    double waitsSince;
+    double waitingSince;
 
-    final Set<Integer> completed = new HashSet<>();
+    final Set<Integer> completedTasks = new HashSet<>();
 
     /** Where its tasks are now, by their numbers. */
-    final Map<Integer, WorkerStandIn> on = new TreeMap<>();
+    final Map<Integer, WorkerStandIn> workersByTask = new TreeMap<>();
 
     SimJob(JobPlan plan) {
         this.plan = plan;
     }
 
-    boolean over() {
-        return isFinal(last);
+    boolean isOver() {
+        return isFinal(lastStatus);
     }
 
     static boolean isFinal(String status) {
         return status.equals("done") || status.equals("cancelled");
     }
 
-    boolean complete() {
-        return completed.size() == plan.tasks();
+    boolean isComplete() {
+        return completedTasks.size() == plan.tasks();
     }
 
-    static int number(String task) {
+    static int taskNumber(String task) {
         return Integer.parseInt(task.substring(task.indexOf('/') + 1));
     }
 
--- a/src/test/java/io/pepperfield/standin/SimMachines.java
+++ b/src/test/java/io/pepperfield/standin/SimMachines.java
@@ -1,10 +1,10 @@
 package io.pepperfield.standin;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import io.pepperfield.http.HttpOutcome;
+import io.pepperfield.http.HttpReply;
+import io.pepperfield.http.HttpSender;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Outcome;
-import io.pepperfield.http.Reply;
-import io.pepperfield.http.Sender;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
@@ -16,47 +16,47 @@
 import java.util.function.Consumer;
 
 /** The rented machines: their boots, their links, and the rules that hold for what runs on them. */
-final class SimMachines implements WorkerStandIn.Truth, CloudStandIn.Machines {
+final class SimMachines implements WorkerStandIn.TaskOracle, CloudStandIn.Machines {
 
     static final double CPUS = 8;
-    private static final double SLACK = 1e-6;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
     private static final List<String> NAMES = List.of("node-0", "node-1", "node-2");
     private static final List<String> ADDRESSES =
             List.of("10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080");
 
     /** Until when orders to a machine are held back, and for how many seconds each. */
-    private record Held(double until, double forS) {}
+    private record OrderDelay(double until, double forS) {}
 
     private final SimWorld world;
-    private final List<String> broken;
+    private final List<String> violations;
     private final Map<String, SimJob> jobs;
     private final PipelineRules rules;
     private final Map<String, WorkerStandIn> workers = new TreeMap<>();
     private final Set<String> deleted = new HashSet<>();
-    private final Map<String, Double> mutedUntil = new HashMap<>();
-    private final Map<String, Held> held = new HashMap<>();
+    private final Map<String, Double> sendFailureUntil = new HashMap<>();
+    private final Map<String, OrderDelay> orderDelays = new HashMap<>();
     private int port = 9000;
-    private double bootsUntil;
+    private double slowBootsUntil;
     private double bootFactor;
-    private double neverBoots;
+    private double bootFailureShare;
 
     /** Told of every report that leaves a machine. */
-    Consumer<byte[]> reported = body -> {};
+    Consumer<byte[]> onHeartbeatSent = body -> {};
 
     /** Told of every order that a worker carries out. */
     Consumer<Decision> decided = decision -> {};
 
     /** Told of every job whose last task has ended. */
-    Consumer<SimJob> completed = job -> {};
+    Consumer<SimJob> onJobCompleted = job -> {};
 
-    int starts;
-    int startsAfterCancel;
+    int taskStarts;
+    int taskStartsAfterCancel;
     int lostTasks;
 
     SimMachines(
             SimWorld world, List<String> broken, Map<String, SimJob> jobs, PipelineRules rules) {
         this.world = world;
-        this.broken = broken;
+        this.violations = broken;
         this.jobs = jobs;
         this.rules = rules;
     }
@@ -66,7 +66,7 @@
     }
 
     int runningTasks() {
-        return jobs.values().stream().mapToInt(job -> job.on.size()).sum();
+        return jobs.values().stream().mapToInt(job -> job.workersByTask.size()).sum();
     }
 
     // ---- machines come and go
@@ -74,23 +74,23 @@
     @Override
     public void boot(String name, String type, String zone, boolean spot) {
         String address = "10.1.0.1:" + port++;
-        boolean trouble = world.now() < bootsUntil;
-        if (trouble && world.random.nextDouble() < neverBoots) {
+        boolean trouble = world.now() < slowBootsUntil;
+        if (trouble && world.random.nextDouble() < bootFailureShare) {
             return;
         }
         world.after(
                 (1 + 5 * world.random.nextDouble()) * (trouble ? bootFactor : 1),
-                () -> begin(name, type, zone, spot, address));
+                () -> startWorker(name, type, zone, spot, address));
     }
 
     /**
      * Machines that are rented until then take so many times as long to boot, and that part of them
      * never comes up.
      */
-    void boots(double factor, double never, double until) {
-        bootsUntil = until;
+    void slowBoots(double factor, double never, double until) {
+        slowBootsUntil = until;
         bootFactor = factor;
-        neverBoots = never;
+        bootFailureShare = never;
     }
 
     @Override
@@ -98,19 +98,25 @@
         deleted.add(name);
         WorkerStandIn worker = workers.remove(name);
         if (worker != null) {
-            worker.die();
+            worker.losePower();
         }
     }
 
     /** The machine loses power and is back at once, with a worker that knows nothing of before. */
     void reboot(WorkerStandIn worker) {
-        worker.die();
+        worker.losePower();
         world.after(
                 0.3,
-                () -> begin(worker.name, worker.type, worker.zone, worker.spot, worker.address));
+                () ->
+                        startWorker(
+                                worker.name,
+                                worker.type,
+                                worker.zone,
+                                worker.spot,
+                                worker.address));
     }
 
-    private void begin(String name, String type, String zone, boolean spot, String address) {
+    private void startWorker(String name, String type, String zone, boolean spot, String address) {
         if (deleted.contains(name)) {
             return;
         }
@@ -122,11 +128,11 @@
                         spot,
                         address,
                         world::now,
-                        reports(name),
+                        heartbeatSender(name),
                         NAMES,
                         ADDRESSES,
-                        Region.REPORT_S,
-                        Region.LEASE_S,
+                        SimulatedRegion.HEARTBEAT_INTERVAL_S,
+                        SimulatedRegion.LEASE_S,
                         this);
         workers.put(name, worker);
         world.listen(
@@ -138,8 +144,8 @@
                             String method,
                             String path,
                             byte[] body,
-                            Consumer<Reply> answer) {
-                        Held hold = held.get(name);
+                            Consumer<HttpReply> answer) {
+                        OrderDelay hold = orderDelays.get(name);
                         if (hold != null && world.now() < hold.until && path.equals("/orders")) {
                             world.after(hold.forS, () -> deliver(worker, path, body, answer));
                         } else {
@@ -149,52 +155,53 @@
 
                     @Override
                     public boolean alive() {
-                        return worker.alive();
+                        return worker.isAlive();
                     }
                 });
     }
 
-    private void deliver(WorkerStandIn worker, String path, byte[] body, Consumer<Reply> answer) {
-        if (worker.hung()) {
+    private void deliver(
+            WorkerStandIn worker, String path, byte[] body, Consumer<HttpReply> answer) {
+        if (worker.isHung()) {
             world.after(1, () -> deliver(worker, path, body, answer));
-        } else if (worker.alive() && !worker.deaf()) {
+        } else if (worker.isAlive() && !worker.isReceiveFailing()) {
             worker.handle(path, body, answer);
         }
     }
 
     /** A worker's way to the controllers. */
-    private Sender reports(String name) {
-        Sender out = world.from(name);
+    private HttpSender heartbeatSender(String name) {
+        HttpSender out = world.from(name);
         return (host, at, connections, method, path, body, deadlineMs, done) -> {
-            if (world.now() < mutedUntil.getOrDefault(name, 0.0)) {
+            if (world.now() < sendFailureUntil.getOrDefault(name, 0.0)) {
                 // No connection comes about, and one that was given up never does later.
                 world.after(
                         deadlineMs / 1000.0,
-                        () -> done.accept(new Outcome.NotSent("no connection")));
+                        () -> done.accept(new HttpOutcome.NotSent("no connection")));
                 return;
             }
-            reported.accept(body);
+            onHeartbeatSent.accept(body);
             out.send(host, at, connections, method, path, body, deadlineMs, done);
         };
     }
 
-    void mute(WorkerStandIn worker, double until) {
-        mutedUntil.merge(worker.name, until, Math::max);
+    void failSending(WorkerStandIn worker, double until) {
+        sendFailureUntil.merge(worker.name, until, Math::max);
     }
 
-    void holdCommands(WorkerStandIn worker, double forS, double until) {
-        held.put(worker.name, new Held(until, forS));
+    void delayOrders(WorkerStandIn worker, double forS, double until) {
+        orderDelays.put(worker.name, new OrderDelay(until, forS));
     }
 
-    List<WorkerStandIn> choose(Trouble.Machines which) {
+    List<WorkerStandIn> choose(Fault.MachineSelector which) {
         List<WorkerStandIn> there =
                 new ArrayList<>(
                         workers.values().stream()
-                                .filter(WorkerStandIn::alive)
+                                .filter(WorkerStandIn::isAlive)
                                 .filter(w -> which.zone() == null || w.zone.equals(which.zone()))
                                 .toList());
         Collections.shuffle(there, world.random);
-        there.sort((a, b) -> Boolean.compare(b.busy(), a.busy()));
+        there.sort((a, b) -> Boolean.compare(b.isBusy(), a.isBusy()));
         int count =
                 which.count() > 0 ? which.count() : (int) Math.ceil(which.share() * there.size());
         return there.subList(0, Math.min(count, there.size()));
@@ -206,23 +213,23 @@
 
     // ---- what happens on them
 
-    private SimJob of(String task) {
+    private SimJob jobOf(String task) {
         return jobs.get(SimJob.idOf(task));
     }
 
     @Override
-    public double runS(String task) {
-        SimJob job = of(task);
+    public double runDurationS(String task) {
+        SimJob job = jobOf(task);
         if (job == null) {
             return Double.NaN;
         }
-        List<Double> times = job.plan.runS();
-        return job.plan.service() ? -1 : times.get(SimJob.number(task) % times.size());
+        List<Double> times = job.plan.runDurationsS();
+        return job.plan.service() ? -1 : times.get(SimJob.taskNumber(task) % times.size());
     }
 
     @Override
-    public boolean fails(String task) {
-        return of(task).plan.mistaken();
+    public boolean failsAtEnd(String task) {
+        return jobOf(task).plan.alwaysFails();
     }
 
     @Override
@@ -232,61 +239,67 @@
 
     @Override
     public boolean isDone(String task) {
-        return of(task).completed.contains(SimJob.number(task));
+        return jobOf(task).completedTasks.contains(SimJob.taskNumber(task));
     }
 
     @Override
-    public void begins(WorkerStandIn worker, String task) {
-        SimJob job = of(task);
+    public void taskStarted(WorkerStandIn worker, String task) {
+        SimJob job = jobOf(task);
         JobPlan plan = job.plan;
-        starts++;
+        taskStarts++;
         if (!Double.isNaN(job.cancelledAt)) {
-            startsAfterCancel++;
+            taskStartsAfterCancel++;
         }
-        rules.begins(job, task);
-        WorkerStandIn other = job.on.put(SimJob.number(task), worker);
-        if (other != null && other.alive()) {
-            says("ran_twice: " + task + " on " + other.name + " and " + worker.name);
+        rules.taskStarted(job, task);
+        WorkerStandIn other = job.workersByTask.put(SimJob.taskNumber(task), worker);
+        if (other != null && other.isAlive()) {
+            violation("ran_twice: " + task + " on " + other.name + " and " + worker.name);
         }
         if (worker.spot && !plan.spot()) {
-            says("wrong_place: " + task + " on the spot machine " + worker.name);
+            violation("wrong_place: " + task + " on the spot machine " + worker.name);
         }
         if (plan.zone() != null && !plan.zone().equals(worker.zone)) {
-            says("wrong_place: " + task + " in " + worker.zone + ", wants " + plan.zone());
+            violation("wrong_place: " + task + " in " + worker.zone + ", wants " + plan.zone());
         }
-        long here = job.on.values().stream().filter(w -> w.zone.equals(worker.zone)).count();
+        long here =
+                job.workersByTask.values().stream().filter(w -> w.zone.equals(worker.zone)).count();
         if (plan.spread() && here > (plan.tasks() + 1) / 2) {
-            says("wrong_place: " + here + " of " + plan.id() + " in " + worker.zone);
+            violation("wrong_place: " + here + " of " + plan.id() + " in " + worker.zone);
         }
-        if (plan.together() && here < job.on.size()) {
-            says("wrong_place: " + task + " in " + worker.zone + ", others of its job elsewhere");
+        if (plan.oneZone() && here < job.workersByTask.size()) {
+            violation(
+                    "wrong_place: "
+                            + task
+                            + " in "
+                            + worker.zone
+                            + ", others of its job elsewhere");
         }
-        double used = used(plan.team());
-        if (used > RegionSettings.limit(plan.team()) + SLACK) {
-            says("quota: " + plan.team() + " uses " + used + " with " + task);
+        double used = cpusUsedBy(plan.team());
+        if (used > RegionSettings.limit(plan.team()) + ROUNDING_TOLERANCE) {
+            violation("quota: " + plan.team() + " uses " + used + " with " + task);
         }
     }
 
     /** What tasks of that team take of the machines that they are on. */
-    private double used(String team) {
+    private double cpusUsedBy(String team) {
         return jobs.values().stream()
                 .filter(job -> job.plan.team().equals(team))
-                .mapToDouble(job -> job.on.size() * job.plan.cpus())
+                .mapToDouble(job -> job.workersByTask.size() * job.plan.cpus())
                 .sum();
     }
 
     @Override
-    public void ends(WorkerStandIn worker, String task, boolean done) {
-        SimJob job = of(task);
-        job.on.remove(SimJob.number(task), worker);
+    public void taskEnded(WorkerStandIn worker, String task, boolean done) {
+        SimJob job = jobOf(task);
+        job.workersByTask.remove(SimJob.taskNumber(task), worker);
         lostTasks += done || job.cancelAsked ? 0 : 1;
-        if (done && job.completed.add(SimJob.number(task)) && job.complete()) {
-            completed.accept(job);
+        if (done && job.completedTasks.add(SimJob.taskNumber(task)) && job.isComplete()) {
+            onJobCompleted.accept(job);
         }
     }
 
-    private void says(String what) {
-        broken.add(world.now() + " " + what);
+    private void violation(String what) {
+        violations.add(world.now() + " " + what);
     }
 
     /**
@@ -295,17 +308,18 @@
      */
     void check() {
         for (SimJob job : jobs.values()) {
-            if (!job.saidRanCancelled
-                    && !job.on.isEmpty()
-                    && world.now() > rules.cancelledAt(job) + Region.CANCEL_S) {
-                says(
+            if (!job.ranCancelledReported
+                    && !job.workersByTask.isEmpty()
+                    && world.now()
+                            > rules.cancelledAt(job) + SimulatedRegion.CANCELLATION_DEADLINE_S) {
+                violation(
                         "ran_cancelled: "
                                 + job.plan.id()
                                 + " "
-                                + job.on.keySet()
+                                + job.workersByTask.keySet()
                                 + ", cancelled at "
                                 + rules.cancelledAt(job));
-                job.saidRanCancelled = true;
+                job.ranCancelledReported = true;
             }
         }
     }
@@ -316,33 +330,37 @@
      */
     boolean fits(SimJob job) {
         JobPlan plan = job.plan;
-        if (used(plan.team()) + plan.cpus() > RegionSettings.limit(plan.team()) + SLACK) {
+        if (cpusUsedBy(plan.team()) + plan.cpus()
+                > RegionSettings.limit(plan.team()) + ROUNDING_TOLERANCE) {
             return false;
         }
         for (WorkerStandIn worker : workers.values()) {
-            long here = job.on.values().stream().filter(w -> w.zone.equals(worker.zone)).count();
+            long here =
+                    job.workersByTask.values().stream()
+                            .filter(w -> w.zone.equals(worker.zone))
+                            .count();
             boolean may =
                     (plan.spot() || !worker.spot)
                             && (plan.zone() == null || plan.zone().equals(worker.zone))
                             && !(plan.spread() && here >= (plan.tasks() + 1) / 2)
-                            && !(plan.together() && here < job.on.size());
-            if (may && worker.alive() && free(worker) + SLACK >= plan.cpus()) {
+                            && !(plan.oneZone() && here < job.workersByTask.size());
+            if (may && worker.isAlive() && freeCpus(worker) + ROUNDING_TOLERANCE >= plan.cpus()) {
                 return true;
             }
         }
         return false;
     }
 
-    private double free(WorkerStandIn worker) {
+    private double freeCpus(WorkerStandIn worker) {
         return CPUS
                 - worker.tasks().stream()
-                        .map(this::of)
+                        .map(this::jobOf)
                         .mapToDouble(job -> job == null ? 0 : job.plan.cpus())
                         .sum();
     }
 
     /** The report of an idle machine that there is not. */
-    static byte[] madeUpReport(String zone, int serial) {
+    static byte[] madeUpHeartbeat(String zone, int serial) {
         JsonNode report =
                 Json.object()
                         .put("host", "made-up-" + zone)
--- a/src/test/java/io/pepperfield/standin/SimNode.java
+++ b/src/test/java/io/pepperfield/standin/SimNode.java
@@ -1,21 +1,21 @@
 package io.pepperfield.standin;
 
 import io.pepperfield.admission.Admission;
-import io.pepperfield.cloud.HttpCloud;
+import io.pepperfield.cloud.HttpCloudProvider;
 import io.pepperfield.config.Feature;
 import io.pepperfield.config.Settings;
-import io.pepperfield.fleet.HttpWorkers;
-import io.pepperfield.http.Call;
+import io.pepperfield.controller.Controller;
+import io.pepperfield.fleet.HttpWorkerClient;
+import io.pepperfield.http.HttpOutcome;
+import io.pepperfield.http.HttpReply;
+import io.pepperfield.http.HttpSender;
+import io.pepperfield.http.InboundRequest;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Outcome;
-import io.pepperfield.http.Reply;
-import io.pepperfield.http.Sender;
 import io.pepperfield.loop.Loop;
-import io.pepperfield.node.Controller;
+import io.pepperfield.peer.HeartbeatForwarder;
 import io.pepperfield.peer.Peers;
-import io.pepperfield.peer.ReportForwarder;
 import io.pepperfield.rollout.Rollout;
-import io.pepperfield.store.HttpStateService;
+import io.pepperfield.store.HttpKeyValueStore;
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.Function;
@@ -25,19 +25,19 @@
 
     /** Answers a request to a simulated controller. */
     private interface Handler {
-        void handle(Call call, Consumer<Reply> answer);
+        void handle(InboundRequest call, Consumer<HttpReply> answer);
     }
 
     final int index;
     private final SimWorld world;
     private final Function<Version, Settings> settingsOf;
-    private final List<String> broken;
+    private final List<String> violations;
     private Version version;
     private boolean alive;
     private Controller controller;
     private Peers peers;
-    private int life;
-    private double frozenUntil;
+    private int processIncarnation;
+    private double pausedUntil;
 
     /** When it last sent something that the state service or another controller has answered. */
     private double heardOf;
@@ -52,12 +52,12 @@
         this.world = world;
         this.version = version;
         this.settingsOf = settingsOf;
-        this.broken = broken;
+        this.violations = broken;
     }
 
     void start() {
         alive = true;
-        int mine = ++life;
+        int mine = ++processIncarnation;
         Loop loop =
                 new Loop() {
                     @Override
@@ -90,8 +90,8 @@
                 };
         heardOf = world.now();
         Settings settings = settingsOf.apply(version);
-        Sender out = world.from("node-" + index);
-        Sender sender =
+        HttpSender out = world.from("node-" + index);
+        HttpSender sender =
                 (host, port, connections, method, path, body, deadlineMs, done) -> {
                     if (method.equals("POST")
                             && (path.endsWith("/orders") || path.startsWith("/rentals"))) {
@@ -108,7 +108,7 @@
                             body,
                             deadlineMs,
                             outcome -> {
-                                if (outcome instanceof Outcome.Answered answer
+                                if (outcome instanceof HttpOutcome.Answered answer
                                         && answer.status() == 200
                                         && (port == 2379 || port == 8081)) {
                                     heardOf = Math.max(heardOf, sent);
@@ -116,8 +116,8 @@
                                 done.accept(outcome);
                             });
                 };
-        Sender toState = version == Version.RECORDED ? RecordedVersion.around(sender) : sender;
-        HttpStateService state = new HttpStateService(loop, toState, settings.state());
+        HttpSender toState = version == Version.RECORDED ? RecordedVersion.around(sender) : sender;
+        HttpKeyValueStore state = new HttpKeyValueStore(loop, toState, settings.storeAddress());
         peers = new Peers(loop, settings, sender);
         Rollout rollout =
                 version.release() == null
@@ -127,12 +127,12 @@
                 new Controller(
                         loop,
                         settings,
-                        rollout == null ? state : rollout.state(),
-                        new HttpCloud(loop, sender, settings.cloud(), 20),
-                        new HttpWorkers(loop, sender, Region.REPORT_S),
+                        rollout == null ? state : rollout.keyValueStore(),
+                        new HttpCloudProvider(loop, sender, settings.cloudAddress(), 20),
+                        new HttpWorkerClient(loop, sender, SimulatedRegion.HEARTBEAT_INTERVAL_S),
                         peers,
-                        new ReportForwarder(loop, sender, settings),
-                        state::share,
+                        new HeartbeatForwarder(loop, sender, settings),
+                        state::setRates,
                         rollout);
         controller.start();
     }
@@ -156,13 +156,13 @@
     }
 
     /** The process stands still while its clocks run on; what comes for it waits. */
-    void freeze(double until) {
-        frozenUntil = until;
+    void pause(double until) {
+        pausedUntil = until;
     }
 
     @Override
     public void request(
-            String from, String method, String path, byte[] body, Consumer<Reply> answer) {
+            String from, String method, String path, byte[] body, Consumer<HttpReply> answer) {
         byte[] known =
                 version == Version.RECORDED ? RecordedVersion.withoutAwaits(path, body) : body;
         take(controller::handle, SimWorld.call(method, path, known), answer);
@@ -170,15 +170,15 @@
 
     /** After a pause longer than a grant nothing may rest on what it knew before. */
     private void mustBeAwake(String what) {
-        if (frozenUntil > heardOf) {
-            broken.add(
+        if (pausedUntil > heardOf) {
+            violations.add(
                     world.now()
                             + " asleep: node-"
                             + index
                             + " "
                             + what
                             + " without a word since "
-                            + frozenUntil);
+                            + pausedUntil);
         }
     }
 
@@ -188,11 +188,11 @@
      */
     private void awake(int in, Runnable then) {
         // A process that was killed does nothing more, whatever still comes for it.
-        if (!alive || life != in) {
+        if (!alive || processIncarnation != in) {
             return;
         }
-        if (world.now() < frozenUntil) {
-            world.at(frozenUntil, () -> awake(in, then));
+        if (world.now() < pausedUntil) {
+            world.at(pausedUntil, () -> awake(in, then));
         } else {
             then.run();
         }
@@ -207,8 +207,12 @@
         return new SimWorld.Host() {
             @Override
             public void request(
-                    String from, String method, String path, byte[] body, Consumer<Reply> answer) {
-                Call call = SimWorld.call(method, path, body);
+                    String from,
+                    String method,
+                    String path,
+                    byte[] body,
+                    Consumer<HttpReply> answer) {
+                InboundRequest call = SimWorld.call(method, path, body);
                 checkForm(isKnown(call), call);
                 take(
                         peers::handle,
@@ -230,38 +234,40 @@
     }
 
     /** A feature's messages are known to nobody else; who sends them is checked at the sender. */
-    private static boolean isKnown(Call call) {
+    private static boolean isKnown(InboundRequest call) {
         return call.path().equals(Admission.PATH)
                 || RecordedForms.request(call.method(), call.path(), Json.read(call.body()));
     }
 
     private void mustHaveFeature(Settings settings, String path) {
-        if (path.equals(Admission.PATH) && !settings.operators().enabled(Feature.ADMISSION)) {
-            broken.add(world.now() + " node-" + index + " has no admission and sends " + path);
+        if (path.equals(Admission.PATH) && !settings.operators().isEnabled(Feature.ADMISSION)) {
+            violations.add(world.now() + " node-" + index + " has no admission and sends " + path);
         }
     }
 
     /** The admissions per minute that it may use at this moment; none while it is down. */
     int admissionsPerMinute() {
-        return alive && controller.admission() != null ? controller.admission().perMinute() : 0;
+        return alive && controller.admission() != null
+                ? controller.admission().admissionsPerMinute()
+                : 0;
     }
 
-    private void checkForm(boolean known, Call call) {
+    private void checkForm(boolean known, InboundRequest call) {
         if (!known) {
-            broken.add(world.now() + " of another form: " + call.path() + " to node-" + index);
+            violations.add(world.now() + " of another form: " + call.path() + " to node-" + index);
         }
     }
 
     /** An answer of a process that has ended meanwhile never leaves. */
-    private void take(Handler by, Call call, Consumer<Reply> answer) {
-        int mine = life;
+    private void take(Handler by, InboundRequest call, Consumer<HttpReply> answer) {
+        int mine = processIncarnation;
         awake(
                 mine,
                 () -> {
                     by.handle(
                             call,
                             reply -> {
-                                if (alive && life == mine) {
+                                if (alive && processIncarnation == mine) {
                                     if (call.path().equals("/agent/beat")
                                             && reply.status() == 200) {
                                         mustBeAwake("renews a lease");
--- a/src/test/java/io/pepperfield/standin/SimOperator.java
+++ b/src/test/java/io/pepperfield/standin/SimOperator.java
@@ -1,7 +1,7 @@
 package io.pepperfield.standin;
 
+import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Reply;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -70,7 +70,7 @@
         world.after(EVERY_S, this::askAgain);
     }
 
-    private void answered(Task task, Reply reply) {
+    private void answered(Task task, HttpReply reply) {
         if (reply.status() != 200) {
             refusals.add(Json.read(reply.body()).path("error").asText());
         } else if (tasks.peek() == task) {
--- a/src/test/java/io/pepperfield/standin/SimPipeline.java
+++ b/src/test/java/io/pepperfield/standin/SimPipeline.java
@@ -40,13 +40,14 @@
         while (submitted < plans.size() && acceptedBefore(submitted)) {
             JobPlan next = plans.get(submitted++);
             users.submit(next);
-            named |= next.awaits().contains(plans.get(cancelled).id());
+            named |= next.dependencies().contains(plans.get(cancelled).id());
         }
         if (!cancelAsked && submitted > cancelled && job(cancelled).accepted && due(named)) {
             cancelAsked = true;
             users.cancel(job(cancelled));
         }
-        if (submitted < plans.size() || !cancelAsked && !job(cancelled).last.equals("cancelled")) {
+        if (submitted < plans.size()
+                || !cancelAsked && !job(cancelled).lastStatus.equals("cancelled")) {
             world.after(STEP_S, this::step);
         }
     }
@@ -56,7 +57,7 @@
     }
 
     private boolean acceptedBefore(int index) {
-        return plans.get(index).awaits().stream().allMatch(id -> users.jobs.get(id).accepted);
+        return plans.get(index).dependencies().stream().allMatch(id -> users.jobs.get(id).accepted);
     }
 
     private boolean due(boolean named) {
@@ -64,14 +65,14 @@
         return switch (moment) {
             case ACCEPTED -> true;
             case NAMED -> named || cancelled == plans.size() - 1;
-            case RUNNING -> !job.on.isEmpty() || job.complete();
-            case COMPLETE -> job.complete();
-            case DONE -> job.last.equals("done");
+            case RUNNING -> !job.workersByTask.isEmpty() || job.isComplete();
+            case COMPLETE -> job.isComplete();
+            case DONE -> job.lastStatus.equals("done");
         };
     }
 
     boolean wasCancelled() {
-        return job(cancelled).last.equals("cancelled");
+        return job(cancelled).lastStatus.equals("cancelled");
     }
 
     /** Jobs that are not cancelled though one before them is, or are though nobody asked. */
@@ -80,15 +81,15 @@
         Set<Integer> lost = new TreeSet<>();
         for (int i = 0; i < plans.size(); i++) {
             boolean needsLost = false;
-            for (int needed : shape.needs(i)) {
+            for (int needed : shape.dependencies(i)) {
                 needsLost |= lost.contains(needed);
             }
-            if (needsLost || job(i).cancelAsked && job(i).last.equals("cancelled")) {
+            if (needsLost || job(i).cancelAsked && job(i).lastStatus.equals("cancelled")) {
                 lost.add(i);
             }
             String want = lost.contains(i) ? "cancelled" : "done";
-            if (!job(i).last.equals(want)) {
-                wrong.add(plans.get(i).id() + " is " + job(i).last + ", not " + want);
+            if (!job(i).lastStatus.equals(want)) {
+                wrong.add(plans.get(i).id() + " is " + job(i).lastStatus + ", not " + want);
             }
         }
         return wrong;
--- a/src/test/java/io/pepperfield/standin/SimUserExpectations.java
+++ b/src/test/java/io/pepperfield/standin/SimUserExpectations.java
@@ -8,13 +8,13 @@
 final class SimUserExpectations {
 
     /** A job of which nothing is heard for so long once all is well counts as forgotten. */
-    private static final double FORGOTTEN_S = 75;
+    private static final double MAX_UNANSWERED_S = 75;
 
     /** A job may wait so long although there is room for it. */
-    private static final double WAIT_S = 90;
+    private static final double MAX_WAIT_S = 90;
 
     private final SimWorld world;
-    private final List<String> broken;
+    private final List<String> violations;
     private final SimMachines machines;
     private final Map<String, SimJob> jobs;
     private final List<String> leftWaiting = new ArrayList<>();
@@ -22,13 +22,13 @@
     SimUserExpectations(
             SimWorld world, List<String> broken, SimMachines machines, Map<String, SimJob> jobs) {
         this.world = world;
-        this.broken = broken;
+        this.violations = broken;
         this.machines = machines;
         this.jobs = jobs;
     }
 
-    private void says(String what) {
-        broken.add(world.now() + " " + what);
+    private void violation(String what) {
+        violations.add(world.now() + " " + what);
     }
 
     /**
@@ -42,30 +42,35 @@
             if (!job.accepted) {
                 continue;
             }
-            if (now - Math.max(calmAt, job.answeredAt) > FORGOTTEN_S && !job.saidForgotten) {
-                says(
+            if (now - Math.max(calmAt, job.lastAnswerAt) > MAX_UNANSWERED_S
+                    && !job.forgottenReported) {
+                violation(
                         "forgotten: no question about "
                                 + job.plan.id()
                                 + " answered since "
-                                + job.answeredAt);
-                job.saidForgotten = true;
+                                + job.lastAnswerAt);
+                job.forgottenReported = true;
             }
             boolean ready =
-                    job.plan.awaits().stream().allMatch(needed -> jobs.get(needed).complete());
+                    job.plan.dependencies().stream()
+                            .allMatch(needed -> jobs.get(needed).isComplete());
             boolean waits =
                     now > calmAt
                             && ready
-                            && !job.over()
-                            && !job.plan.mistaken()
-                            && !job.complete()
-                            && job.on.isEmpty()
+                            && !job.isOver()
+                            && !job.plan.alwaysFails()
+                            && !job.isComplete()
+                            && job.workersByTask.isEmpty()
                             && machines.fits(job);
             if (!waits) {
-                job.waitsSince = now;
-            } else if (now - job.waitsSince > WAIT_S) {
+                job.waitingSince = now;
+            } else if (now - job.waitingSince > MAX_WAIT_S) {
                 leftWaiting.add(
-                        job.plan.id() + " waits since " + job.waitsSince + " though there is room");
-                job.waitsSince = Double.POSITIVE_INFINITY;
+                        job.plan.id()
+                                + " waits since "
+                                + job.waitingSince
+                                + " though there is room");
+                job.waitingSince = Double.POSITIVE_INFINITY;
             }
         }
     }
@@ -73,24 +78,24 @@
     /**
      * Jobs that are neither over nor running, and those that waited too long though there was room.
      */
-    List<String> leftOver() {
+    List<String> leftoverJobs() {
         List<String> left = new ArrayList<>(leftWaiting);
         jobs.values().stream()
-                .filter(job -> job.accepted && !job.over() && job.on.isEmpty())
-                .forEach(job -> left.add(job.plan.id() + " is " + job.last + " at the end"));
+                .filter(job -> job.accepted && !job.isOver() && job.workersByTask.isEmpty())
+                .forEach(job -> left.add(job.plan.id() + " is " + job.lastStatus + " at the end"));
         return left;
     }
 
-    List<String> unfinished() {
+    List<String> unfinishedJobs() {
         return jobs.values().stream()
-                .filter(job -> !job.over())
+                .filter(job -> !job.isOver())
                 .map(
                         job ->
                                 job.plan.id()
                                         + " "
-                                        + job.last
+                                        + job.lastStatus
                                         + " "
-                                        + job.completed.size()
+                                        + job.completedTasks.size()
                                         + "/"
                                         + job.plan.tasks())
                 .toList();
--- a/src/test/java/io/pepperfield/standin/SimUsers.java
+++ b/src/test/java/io/pepperfield/standin/SimUsers.java
@@ -1,8 +1,8 @@
 package io.pepperfield.standin;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pepperfield.http.HttpOutcome;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Outcome;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.LinkedHashMap;
@@ -14,21 +14,23 @@
 final class SimUsers {
 
     /** Ids from here on are never accepted. */
-    private static final int NOBODYS = 900_000;
+    private static final int FIRST_REFUSABLE_ID = 900_000;
 
-    private static final double[] LOOKS_S = {0, 0.001, 0.004, 0.015, 0.06, 0.25, 1, 3};
+    private static final double[] READ_AFTER_WRITE_DELAYS_S = {
+        0, 0.001, 0.004, 0.015, 0.06, 0.25, 1, 3
+    };
 
     private final SimWorld world;
-    private final List<String> broken;
+    private final List<String> violations;
     private final SimMachines machines;
     final Map<String, SimJob> jobs;
     private final PipelineRules rules;
     private final SimUserExpectations expectations;
-    private double stormUntil;
-    private double looksUntil;
+    private double queryFloodUntil;
+    private double readAfterWriteChecksUntil;
     private double cancelAtEndUntil;
     private double cancelAtEndShare;
-    private int refusable = NOBODYS;
+    private int nextRefusableId = FIRST_REFUSABLE_ID;
 
     /** When all troubles are over; only then users expect to be served. */
     double calmAt = Double.POSITIVE_INFINITY;
@@ -44,16 +46,16 @@
             int nodeCount) {
         this.nodeCount = nodeCount;
         this.world = world;
-        this.broken = broken;
+        this.violations = broken;
         this.machines = machines;
         this.jobs = jobs;
         this.rules = rules;
         this.expectations = new SimUserExpectations(world, broken, machines, jobs);
-        machines.completed = this::ended;
+        machines.onJobCompleted = this::onJobEnded;
     }
 
-    private void says(String what) {
-        broken.add(world.now() + " " + what);
+    private void violation(String what) {
+        violations.add(world.now() + " " + what);
     }
 
     // ---- jobs
@@ -68,13 +70,13 @@
                 Json.write(plan.body()),
                 () -> {
                     job.accepted = true;
-                    job.waitsSince = world.now();
+                    job.waitingSince = world.now();
                     poll(job, false);
                     if (plan.cancelAt() < JobPlan.NEVER) {
                         world.at(Math.max(plan.cancelAt(), world.now()), () -> cancel(job));
                     }
-                    if (world.now() < looksUntil) {
-                        look(job);
+                    if (world.now() < readAfterWriteChecksUntil) {
+                        checkReadAfterWrite(job);
                         if (world.random.nextInt(8) == 0) {
                             cancel(job);
                         }
@@ -90,9 +92,9 @@
         JobPlan next = plans.get(0);
         boolean late = lastIsLate && plans.size() == 1;
         boolean may =
-                next.awaits().stream()
+                next.dependencies().stream()
                         .map(jobs::get)
-                        .allMatch(job -> late ? job.over() : job.accepted);
+                        .allMatch(job -> late ? job.isOver() : job.accepted);
         if (may) {
             submit(next);
         }
@@ -117,18 +119,18 @@
                 "/api/jobs/" + job.plan.id() + "/cancel",
                 new byte[0],
                 () -> {
-                    if (world.now() < looksUntil) {
-                        look(job);
+                    if (world.now() < readAfterWriteChecksUntil) {
+                        checkReadAfterWrite(job);
                     }
                 });
     }
 
-    private void ended(SimJob job) {
+    private void onJobEnded(SimJob job) {
         if (world.now() < cancelAtEndUntil && world.random.nextDouble() < cancelAtEndShare) {
             cancel(job);
         }
-        if (world.now() < looksUntil) {
-            look(job);
+        if (world.now() < readAfterWriteChecksUntil) {
+            checkReadAfterWrite(job);
         }
     }
 
@@ -136,7 +138,7 @@
     private void repeat(SimJob job, String method, String path, byte[] body, Runnable done) {
         ask(
                 job,
-                any(),
+                randomNode(),
                 method,
                 path,
                 body,
@@ -156,16 +158,16 @@
     void poll(SimJob job, boolean untilOver) {
         ask(
                 job,
-                any(),
+                randomNode(),
                 "GET",
                 "/api/jobs/" + job.plan.id(),
                 null,
                 2000,
                 status -> {
-                    if (!untilOver || !job.over()) {
+                    if (!untilOver || !job.isOver()) {
                         world.after(
                                 (2 + world.random.nextDouble())
-                                        / (world.now() < stormUntil ? 8 : 1),
+                                        / (world.now() < queryFloodUntil ? 8 : 1),
                                 () -> poll(job, untilOver));
                     }
                 });
@@ -175,8 +177,8 @@
      * At all nodes again and again, from within a millisecond on; the submission is repeated among
      * the questions.
      */
-    private void look(SimJob job) {
-        for (double after : LOOKS_S) {
+    private void checkReadAfterWrite(SimJob job) {
+        for (double after : READ_AFTER_WRITE_DELAYS_S) {
             world.after(
                     after,
                     () -> {
@@ -192,7 +194,7 @@
                         }
                         ask(
                                 job,
-                                any(),
+                                randomNode(),
                                 "POST",
                                 "/api/jobs",
                                 Json.write(job.plan.body()),
@@ -202,7 +204,7 @@
         }
     }
 
-    private int any() {
+    private int randomNode() {
         return world.random.nextInt(nodeCount);
     }
 
@@ -219,7 +221,7 @@
             long deadlineMs,
             Consumer<Integer> then) {
         boolean accepted = job.accepted;
-        String before = job.last;
+        String before = job.lastStatus;
         double askedAt = world.now();
         double ancestorCancelledAt = rules.ancestorCancelledAt(job);
         String asked =
@@ -237,11 +239,11 @@
                     }
                     int status = answer.status();
                     if (status == 404 && accepted || status == 400 || status == 422) {
-                        says("forgotten: " + job.plan.id() + " got " + status + ", " + asked);
+                        violation("forgotten: " + job.plan.id() + " got " + status + ", " + asked);
                     } else if (status == 200 || status == 201) {
                         String told = answer.json().path("status").asText();
                         if (SimJob.isFinal(before) && !told.equals(before)) {
-                            says(
+                            violation(
                                     "went_back: "
                                             + job.plan.id()
                                             + " was "
@@ -254,7 +256,7 @@
                         if (status == 200) {
                             rules.answered(job, told, askedAt, ancestorCancelledAt);
                         }
-                        heard(job, told);
+                        recordStatus(job, told);
                     }
                     then.accept(status);
                 });
@@ -266,7 +268,7 @@
             String path,
             byte[] body,
             long deadlineMs,
-            Consumer<Outcome.Answered> done) {
+            Consumer<HttpOutcome.Answered> done) {
         world.from("users")
                 .send(
                         "10.0.0." + (1 + node),
@@ -278,40 +280,40 @@
                         deadlineMs,
                         outcome ->
                                 done.accept(
-                                        outcome instanceof Outcome.Answered answer
+                                        outcome instanceof HttpOutcome.Answered answer
                                                 ? answer
                                                 : null));
     }
 
-    private void heard(SimJob job, String status) {
-        job.answeredAt = world.now();
-        if (status.equals("done") && !job.complete()) {
-            says("not_done: " + job.plan.id() + " has completed " + job.completed);
+    private void recordStatus(SimJob job, String status) {
+        job.lastAnswerAt = world.now();
+        if (status.equals("done") && !job.isComplete()) {
+            violation("not_done: " + job.plan.id() + " has completed " + job.completedTasks);
         }
         if (status.equals("cancelled")) {
             if (!rules.mayBeCancelled(job)) {
-                says("went_back: " + job.plan.id() + " is cancelled and nobody asked");
+                violation("went_back: " + job.plan.id() + " is cancelled and nobody asked");
             }
             if (Double.isNaN(job.cancelledAt)) {
                 job.cancelledAt = world.now();
             }
         }
-        if (!job.over()) {
-            job.last = status;
-        } else if (SimJob.isFinal(status) && !status.equals(job.last)) {
+        if (!job.isOver()) {
+            job.lastStatus = status;
+        } else if (SimJob.isFinal(status) && !status.equals(job.lastStatus)) {
             // Whenever the two were asked: at most one of them is true.
-            says("went_back: " + job.plan.id() + " is " + job.last + " and " + status);
+            violation("went_back: " + job.plan.id() + " is " + job.lastStatus + " and " + status);
         }
     }
 
     // ---- troubles that users make
 
-    void askMore(double until) {
-        stormUntil = until;
+    void queryMoreOften(double until) {
+        queryFloodUntil = until;
     }
 
     void checkReadsAfterWrites(double until) {
-        looksUntil = Math.max(looksUntil, until);
+        readAfterWriteChecksUntil = Math.max(readAfterWriteChecksUntil, until);
     }
 
     void cancelAtEnd(double share, double until) {
@@ -321,7 +323,7 @@
 
     void cancelAll() {
         jobs.values().stream()
-                .filter(job -> job.accepted && !job.last.equals("done"))
+                .filter(job -> job.accepted && !job.lastStatus.equals("done"))
                 .toList()
                 .forEach(this::cancel);
     }
@@ -334,16 +336,23 @@
         List<SimJob> running =
                 new ArrayList<>(
                         jobs.values().stream()
-                                .filter(j -> j.accepted && !j.cancelAsked && !j.on.isEmpty())
+                                .filter(
+                                        j ->
+                                                j.accepted
+                                                        && !j.cancelAsked
+                                                        && !j.workersByTask.isEmpty())
                                 .toList());
         Collections.shuffle(running, world.random);
         List<SimJob> chosen = running.subList(0, Math.min(count, running.size()));
         chosen.forEach(job -> world.after(withinS * world.random.nextDouble(), () -> cancel(job)));
-        return chosen.stream().flatMap(job -> job.on.values().stream()).distinct().toList();
+        return chosen.stream()
+                .flatMap(job -> job.workersByTask.values().stream())
+                .distinct()
+                .toList();
     }
 
     /** Asks about a job that nobody submitted. */
-    void askForNothing() {
+    void queryUnknownJob() {
         expect("GET", "/api/jobs/run-999999", null, 404, "invented");
     }
 
@@ -352,14 +361,22 @@
         List<SimJob> known = jobs.values().stream().filter(job -> job.accepted).toList();
         SimJob job = known.isEmpty() ? null : known.get(world.random.nextInt(known.size()));
         ObjectNode good =
-                JobPlan.array(refusable++, "batch", "red", "standard", 1, 1, List.of(1.0), true)
+                JobPlan.array(
+                                nextRefusableId++,
+                                "batch",
+                                "red",
+                                "standard",
+                                1,
+                                1,
+                                List.of(1.0),
+                                true)
                         .body();
         switch (world.random.nextInt(9)) {
             case 0, 1 -> {
                 if (job != null) {
                     ask(
                             job,
-                            any(),
+                            randomNode(),
                             "POST",
                             "/api/jobs",
                             Json.write(job.plan.body()),
@@ -371,14 +388,21 @@
                 if (job != null) {
                     ObjectNode other = job.plan.body();
                     other.put("vcpus", 1000).remove(world.random.nextBoolean() ? "rank" : "dueS");
-                    ask(job, any(), "POST", "/api/jobs", Json.write(other), 5000, status -> {});
+                    ask(
+                            job,
+                            randomNode(),
+                            "POST",
+                            "/api/jobs",
+                            Json.write(other),
+                            5000,
+                            status -> {});
                 }
             }
             case 3 -> {
-                if (job != null && job.over()) {
+                if (job != null && job.isOver()) {
                     ask(
                             job,
-                            any(),
+                            randomNode(),
                             "POST",
                             "/api/jobs/" + job.plan.id() + "/cancel",
                             new byte[0],
@@ -393,15 +417,15 @@
                             new byte[0],
                             404,
                             "invented");
-            case 5 -> askForNothing();
-            case 6 -> refuse(good.put("vcpus", SimMachines.CPUS + 1), 422);
-            case 7 -> refuse(good.put("owner", "nobody"), 422);
-            default -> refuse(good.without(List.of("shards")), 400);
+            case 5 -> queryUnknownJob();
+            case 6 -> expectRefusal(good.put("vcpus", SimMachines.CPUS + 1), 422);
+            case 7 -> expectRefusal(good.put("owner", "nobody"), 422);
+            default -> expectRefusal(good.without(List.of("shards")), 400);
         }
     }
 
     /** A job that must not be accepted, and that nobody may know afterwards. */
-    private void refuse(ObjectNode body, int status) {
+    private void expectRefusal(ObjectNode body, int status) {
         expect("POST", "/api/jobs", Json.write(body), status, "wrongly_accepted");
         world.after(
                 2,
@@ -416,7 +440,7 @@
 
     /** Any other answer breaks a rule, but for those that ask the user to come back. */
     private void expect(String method, String path, byte[] body, int status, String rule) {
-        int node = any();
+        int node = randomNode();
         send(
                 node,
                 method,
@@ -425,7 +449,7 @@
                 5000,
                 answer -> {
                     if (answer != null && answer.status() != status && answer.status() < 429) {
-                        says(
+                        violation(
                                 (answer.status() < 300 ? rule : "wrong_answer")
                                         + ": "
                                         + answer.status()
@@ -449,19 +473,19 @@
     /**
      * Jobs that are neither over nor running, and those that waited too long though there was room.
      */
-    List<String> leftOver() {
-        return expectations.leftOver();
+    List<String> leftoverJobs() {
+        return expectations.leftoverJobs();
     }
 
-    List<String> unfinished() {
-        return expectations.unfinished();
+    List<String> unfinishedJobs() {
+        return expectations.unfinishedJobs();
     }
 
     /**
      * Asks every node about every accepted job; what was not answered with 200 within the time that
      * users wait.
      */
-    List<String> unanswered() {
+    List<String> unansweredQueries() {
         Map<String, SimJob> open = new LinkedHashMap<>();
         for (SimJob job : jobs.values()) {
             for (int node = 0; node < nodeCount && job.accepted; node++) {
--- a/src/test/java/io/pepperfield/standin/SimWorld.java
+++ b/src/test/java/io/pepperfield/standin/SimWorld.java
@@ -1,9 +1,9 @@
 package io.pepperfield.standin;
 
-import io.pepperfield.http.Call;
-import io.pepperfield.http.Outcome;
-import io.pepperfield.http.Reply;
-import io.pepperfield.http.Sender;
+import io.pepperfield.http.HttpOutcome;
+import io.pepperfield.http.HttpReply;
+import io.pepperfield.http.HttpSender;
+import io.pepperfield.http.InboundRequest;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -20,7 +20,8 @@
     /** Whatever listens at an address. */
     public interface Host {
         /** A request of the host {@code from}; an answer may never come. */
-        void request(String from, String method, String path, byte[] body, Consumer<Reply> answer);
+        void request(
+                String from, String method, String path, byte[] body, Consumer<HttpReply> answer);
 
         /** Connections are refused while this is false. */
         boolean alive();
@@ -45,12 +46,12 @@
     private double slowUntil;
 
     /** Parts of all requests whose answer is lost, or which arrive only much later. */
-    public double lost;
+    public double messageLossShare;
 
-    public double late;
+    public double lateDeliveryShare;
 
     /** Part of all reports of which a copy comes once more, seconds to well over a lease later. */
-    public double copies;
+    public double duplicateDeliveryShare;
 
     public SimWorld(long seed) {
         this.random = new Random(seed);
@@ -113,7 +114,7 @@
     }
 
     /** A request as it is handed to whoever handles it. */
-    public static Call call(String method, String uri, byte[] body) {
+    public static InboundRequest call(String method, String uri, byte[] body) {
         Map<String, List<String>> query = new HashMap<>();
         int mark = uri.indexOf('?');
         if (mark >= 0) {
@@ -123,7 +124,7 @@
                         List.of(pair.substring(pair.indexOf('=') + 1)));
             }
         }
-        return new Call(
+        return new InboundRequest(
                 method,
                 mark < 0 ? uri : uri.substring(0, mark),
                 query,
@@ -141,11 +142,11 @@
     }
 
     /** The way out of one host. */
-    public Sender from(String name) {
+    public HttpSender from(String name) {
         return (host, port, connections, method, path, body, deadlineMs, done) -> {
             String to = host + ":" + port;
             boolean[] over = new boolean[1];
-            Consumer<Outcome> finish =
+            Consumer<HttpOutcome> finish =
                     outcome -> {
                         if (!over[0]) {
                             over[0] = true;
@@ -156,13 +157,18 @@
             Host target = hosts.get(to);
             if (held <= now && (target == null || !target.alive())
                     || last(refusedUntil, name, to) > now) {
-                after(delay(), () -> finish.accept(new Outcome.NotSent("refused")));
+                after(delay(), () -> finish.accept(new HttpOutcome.NotSent("refused")));
                 return;
             }
             boolean[] sent = new boolean[1];
-            after(deadlineMs / 1000.0, () -> finish.accept(new Outcome.NoAnswer("deadline")));
-            double wait = random.nextDouble() < late ? 5 + random.nextDouble() * 60 : delay();
-            if (copies > 0 && path.equals("/agent/beat") && random.nextDouble() < copies) {
+            after(deadlineMs / 1000.0, () -> finish.accept(new HttpOutcome.NoAnswer("deadline")));
+            double wait =
+                    random.nextDouble() < lateDeliveryShare
+                            ? 5 + random.nextDouble() * 60
+                            : delay();
+            if (duplicateDeliveryShare > 0
+                    && path.equals("/agent/beat")
+                    && random.nextDouble() < duplicateDeliveryShare) {
                 after(
                         2 + random.nextDouble() * 58,
                         () -> {
@@ -186,12 +192,12 @@
                                 path,
                                 body,
                                 reply -> {
-                                    if (random.nextDouble() >= lost) {
+                                    if (random.nextDouble() >= messageLossShare) {
                                         at(
                                                 Math.max(heldUntil(name, to), now) + delay(),
                                                 () ->
                                                         finish.accept(
-                                                                new Outcome.Answered(
+                                                                new HttpOutcome.Answered(
                                                                         reply.status(),
                                                                         reply.body())));
                                     }
--- a/src/test/java/io/pepperfield/standin/Region.java
+++ b/src/test/java/io/pepperfield/standin/SimulatedRegion.java
@@ -4,9 +4,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.config.Feature;
 import io.pepperfield.config.Settings;
-import io.pepperfield.http.Call;
+import io.pepperfield.http.HttpReply;
+import io.pepperfield.http.InboundRequest;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Reply;
 import io.pepperfield.peer.Partitions;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -20,13 +20,13 @@
 /**
  * A simulated region: three real controllers over stand-ins of everything else, in simulated time.
  * Every rule of the protocol is checked as things happen; what breaks one is kept in {@link
- * #broken}.
+ * #violations}.
  */
-public final class Region {
+public final class SimulatedRegion {
 
-    public static final double REPORT_S = 1;
+    public static final double HEARTBEAT_INTERVAL_S = 1;
     public static final double LEASE_S = 6;
-    public static final double CANCEL_S = 20;
+    public static final double CANCELLATION_DEADLINE_S = 20;
     private static final int FEW_NODES = 3;
 
     private static final int FEW_MACHINES = 14;
@@ -36,39 +36,39 @@
 
     /** Answers a simulated node's requests. */
     private interface Handler {
-        void handle(String from, Call call, Consumer<Reply> answer);
+        void handle(String from, InboundRequest call, Consumer<HttpReply> answer);
     }
 
     public final SimWorld world;
-    public final List<String> broken = new ArrayList<>();
+    public final List<String> violations = new ArrayList<>();
     public final Pipelines pipelines;
-    public final JobMix jobs;
-    public final AdmissionLoad load;
-    public final NetworkCuts cuts;
+    public final JobMix jobMix;
+    public final AdmissionLoad admissionLoad;
+    public final NetworkPartitions networkCuts;
     public final DecisionLog decisions;
-    final StateStandIn state;
-    final StateLink stateLink;
-    final ReportCopies copies;
+    final StoreStandIn store;
+    final StoreLink storeLink;
+    final HeartbeatReplays heartbeatReplays;
     public final SimOperator operator;
     private final CloudStandIn cloud;
     private final List<SimNode> nodes = new ArrayList<>();
     private final SimMachines machines;
     private final SimUsers users;
-    private final TroublePlayer troubles;
-    private double stateOutUntil;
-    private double cloudOutUntil;
+    private final FaultInjector faultInjector;
+    private double storeOutageUntil;
+    private double cloudOutageUntil;
     private long lastGrant;
     private int lastLeader;
-    private int madeUp;
+    private int madeUpHeartbeats;
     private int leaderChanges;
 
-    public Region(long seed) {
+    public SimulatedRegion(long seed) {
         this(seed, Version.CURRENT, RegionSettings.LIMITS_NOW, FEW_NODES, FEW_MACHINES);
     }
 
     /** A region of so many controllers that divide admission, without the last few. */
-    public static Region admitting(long seed, int nodes, int without) {
-        return new Region(
+    public static SimulatedRegion admitting(long seed, int nodes, int without) {
+        return new SimulatedRegion(
                 seed,
                 Version.CURRENT,
                 RegionSettings.LIMITS_NOW,
@@ -78,64 +78,66 @@
     }
 
     /** A region that has so many machines to rent. */
-    public static Region large(long seed, int machinesToRent) {
-        return new Region(
+    public static SimulatedRegion large(long seed, int machinesToRent) {
+        return new SimulatedRegion(
                 seed, Version.CURRENT, RegionSettings.LIMITS_LARGE, FEW_NODES, machinesToRent);
     }
 
     /** A region of five controllers that know stored-state versions, or are going to. */
-    public static Region beforeRollout(long seed, Version version) {
-        Region region =
-                new Region(seed, version, RegionSettings.LIMITS_NEXT, MANY_NODES, FEW_MACHINES);
-        region.state.rolloutRules = new RolloutRules(region.world::now, region.broken);
+    public static SimulatedRegion beforeRollout(long seed, Version version) {
+        SimulatedRegion region =
+                new SimulatedRegion(
+                        seed, version, RegionSettings.LIMITS_NEXT, MANY_NODES, FEW_MACHINES);
+        region.store.rolloutRules = new RolloutRules(region.world::now, region.violations);
         return region;
     }
 
     /** A region before its upgrade: the recorded version runs, and the limits are going to fall. */
-    public static Region beforeUpgrade(long seed) {
-        return new Region(
+    public static SimulatedRegion beforeUpgrade(long seed) {
+        return new SimulatedRegion(
                 seed, Version.RECORDED, RegionSettings.LIMITS_NEXT, FEW_NODES, FEW_MACHINES);
     }
 
     /**
      * @param next the limits that this version knows of
      */
-    private Region(long seed, Version version, Settings.State next, int nodeCount, int capacity) {
+    private SimulatedRegion(
+            long seed, Version version, Settings.StoreLimits next, int nodeCount, int capacity) {
         this(seed, version, next, nodeCount, capacity, index -> Set.of());
     }
 
-    private Region(
+    private SimulatedRegion(
             long seed,
             Version version,
-            Settings.State next,
+            Settings.StoreLimits next,
             int nodeCount,
             int capacity,
             IntFunction<Set<Feature>> features) {
         world = new SimWorld(seed);
         decisions = new DecisionLog(world::now);
-        state = new StateStandIn(world::now, 10_000);
-        state.broken = broken;
-        state.decided = decisions::add;
-        state.limits =
-                new StateLimits(
+        store = new StoreStandIn(world::now, 10_000);
+        store.violations = violations;
+        store.decided = decisions::add;
+        store.limits =
+                new StoreLimitsStandIn(
                         next == RegionSettings.LIMITS_LARGE ? next : RegionSettings.LIMITS_NOW,
                         world.now());
-        stateLink = new StateLink(world, state);
+        storeLink = new StoreLink(world, store);
         Map<String, SimJob> submitted = new LinkedHashMap<>();
-        PipelineRules rules = new PipelineRules(world, broken, submitted, this::durablyDone);
-        machines = new SimMachines(world, broken, submitted, rules);
-        users = new SimUsers(world, broken, machines, submitted, rules, nodeCount);
-        jobs = new JobMix(world, users);
-        load = new AdmissionLoad(world, users, nodes);
-        cuts = new NetworkCuts(world, machines, nodeCount);
-        pipelines = new Pipelines(world, users, jobs::team);
-        troubles = new TroublePlayer(this, machines, users);
-        copies = new ReportCopies(world, nodes);
-        machines.reported = copies::reported;
+        PipelineRules rules = new PipelineRules(world, violations, submitted, this::durablyDone);
+        machines = new SimMachines(world, violations, submitted, rules);
+        users = new SimUsers(world, violations, machines, submitted, rules, nodeCount);
+        jobMix = new JobMix(world, users);
+        admissionLoad = new AdmissionLoad(world, users, nodes);
+        networkCuts = new NetworkPartitions(world, machines, nodeCount);
+        pipelines = new Pipelines(world, users, jobMix::team);
+        faultInjector = new FaultInjector(this, machines, users);
+        heartbeatReplays = new HeartbeatReplays(world, nodes);
+        machines.onHeartbeatSent = heartbeatReplays::reported;
         machines.decided = decisions::add;
         cloud = new CloudStandIn(world::now, capacity, machines);
         cloud.decided = decisions::add;
-        world.listen("10.2.0.1:2379", host(stateLink::handle));
+        world.listen("10.2.0.1:2379", host(storeLink::handle));
         world.listen(
                 "10.2.0.2:8443", host((from, call, answer) -> answer.accept(cloud.handle(call))));
         operator = new SimOperator(world, nodes);
@@ -154,7 +156,7 @@
                                                     ? RegionSettings.LIMITS_NOW
                                                     : next,
                                             features.apply(index)),
-                            broken);
+                            violations);
             nodes.add(node);
             world.listen("10.0.0." + (i + 1) + ":8080", node);
             world.listen("10.0.0." + (i + 1) + ":8081", node.peerSide());
@@ -163,7 +165,7 @@
         everySoOften(
                 0.05,
                 () -> {
-                    state.tick();
+                    store.tick();
                     machines.tick();
                     machines.check();
                     watchLeader();
@@ -175,7 +177,11 @@
         return new SimWorld.Host() {
             @Override
             public void request(
-                    String from, String method, String path, byte[] body, Consumer<Reply> answer) {
+                    String from,
+                    String method,
+                    String path,
+                    byte[] body,
+                    Consumer<HttpReply> answer) {
                 handler.handle(from, SimWorld.call(method, path, body), answer);
             }
 
@@ -203,11 +209,13 @@
             int number = i + 1;
             world.at(
                     Scenario.FIRST_JOB_S + i * scenario.everyS(),
-                    () -> jobs.submitOneOfAll(number));
+                    () -> jobMix.submitOneOfAll(number));
         }
-        scenario.troubles()
+        scenario.faults()
                 .forEach(
-                        planned -> world.at(planned.at(), () -> troubles.begin(planned.trouble())));
+                        planned ->
+                                world.at(
+                                        planned.at(), () -> faultInjector.inject(planned.fault())));
         users.calmAt = scenario.calmAt();
     }
 
@@ -218,23 +226,23 @@
         ObjectNode body = Json.object();
         body.putArray("guards");
         body.putArray("apply").addObject().put("set", key).set("data", data);
-        state.handle(SimWorld.call("POST", "/txn", Json.write(body)), reply -> {});
+        store.handle(SimWorld.call("POST", "/txn", Json.write(body)), reply -> {});
     }
 
     /** Submits a small job once, at that node and without the network between. */
-    public void submitAt(int node, int number, Consumer<Reply> answer) {
+    public void submitAt(int node, int number, Consumer<HttpReply> answer) {
         JobPlan plan = JobPlan.array(number, "batch", "red", "standard", 1, 1, List.of(1.0), true);
         nodes.get(node).request("users", "POST", "/api/jobs", Json.write(plan.body()), answer);
     }
 
     /** Asks about a job that nobody submitted. */
-    public void askForNothing() {
-        users.askForNothing();
+    public void queryUnknownJob() {
+        users.queryUnknownJob();
     }
 
     /** Users ask eight times as often until then. */
-    public void askMore(double until) {
-        users.askMore(until);
+    public void queryMoreOften(double until) {
+        users.queryMoreOften(until);
     }
 
     /** Every user whose job is not over cancels it now. */
@@ -245,16 +253,16 @@
     // ---- troubles
 
     /** One trouble drawn from the seed. */
-    public void trouble() {
-        new DrawnTrouble(this, machines).begin();
+    public void injectRandomFault() {
+        new RandomFault(this, machines).inject();
     }
 
     /**
      * Machines that are rented until then take so many times as long to boot, and that part of them
      * never comes up.
      */
-    public void boots(double factor, double never, double until) {
-        machines.boots(factor, never, until);
+    public void slowBoots(double factor, double never, double until) {
+        machines.slowBoots(factor, never, until);
     }
 
     public void crash(int index, double forS) {
@@ -262,12 +270,12 @@
     }
 
     /** The process stands still while its clocks run on; what comes for it waits. */
-    public void freeze(int index, double until) {
-        nodes.get(index).freeze(until);
+    public void pause(int index, double until) {
+        nodes.get(index).pause(until);
     }
 
     /** A third of the machines hang, as when a rack stands still. */
-    public void hangSome(double until) {
+    public void hangSomeMachines(double until) {
         machines.all().stream()
                 .filter(w -> world.random.nextInt(3) == 0)
                 .forEach(w -> w.hang(until));
@@ -277,33 +285,33 @@
      * The leader ends for good, and until then nobody else can be elected, although the state
      * service answers.
      */
-    public void nobodyLeads(double until) {
+    public void preventElection(double until) {
         int leader = leaderIndex();
-        state.noGrants = true;
+        store.grantsStalled = true;
         crash(leader, until - world.now());
-        world.at(until, () -> state.noGrants = false);
+        world.at(until, () -> store.grantsStalled = false);
     }
 
-    public void stateOutage(double until) {
-        state.outage(true);
-        stateOutUntil = Math.max(stateOutUntil, until);
+    public void storeOutage(double until) {
+        store.outage(true);
+        storeOutageUntil = Math.max(storeOutageUntil, until);
         world.at(
                 until,
                 () -> {
-                    if (world.now() >= stateOutUntil) {
-                        state.outage(false);
+                    if (world.now() >= storeOutageUntil) {
+                        store.outage(false);
                     }
                 });
     }
 
     /** From now on the state service has its lower limits. */
-    public void limitsFall() {
-        state.limits = new StateLimits(RegionSettings.LIMITS_NEXT, world.now());
+    public void reduceStoreLimits() {
+        store.limits = new StoreLimitsStandIn(RegionSettings.LIMITS_NEXT, world.now());
     }
 
     /** Until then every request about grants is refused as beyond the rate. */
     public void refuseGrants(double until) {
-        state.grantsRefusedUntil = Math.max(state.grantsRefusedUntil, until);
+        store.grantsRefusedUntil = Math.max(store.grantsRefusedUntil, until);
     }
 
     /** Ends a controller's process, which comes back as that version. */
@@ -313,11 +321,11 @@
 
     void cloudOutage(double until) {
         cloud.outage(true);
-        cloudOutUntil = Math.max(cloudOutUntil, until);
+        cloudOutageUntil = Math.max(cloudOutageUntil, until);
         world.at(
                 until,
                 () -> {
-                    if (world.now() >= cloudOutUntil) {
+                    if (world.now() >= cloudOutageUntil) {
                         cloud.outage(false);
                     }
                 });
@@ -333,12 +341,12 @@
 
     /** The leader key that is in use, or null where nobody leads. */
     private JsonNode leaderKey() {
-        JsonNode first = state.get("pepperfield/leader");
-        return RolloutRules.isFence(first) ? state.get("pepperfield/v2/leader") : first;
+        JsonNode first = store.get("pepperfield/leader");
+        return RolloutRules.isFence(first) ? store.get("pepperfield/v2/leader") : first;
     }
 
     /** How many machines are in that node's partition while all take part. */
-    public long partition(int index) {
+    public long partitionSize(int index) {
         Set<String> all =
                 nodes.stream().map(node -> "node-" + node.index).collect(Collectors.toSet());
         return machines.all().stream()
@@ -382,7 +390,7 @@
             lastGrant = key.path("grant").longValue();
             lastLeader = leaderIndex();
             leaderChanges++;
-            copies.newLeader();
+            heartbeatReplays.newLeader();
         }
     }
 
@@ -394,26 +402,26 @@
     }
 
     /** How often a task has begun on a machine so far. */
-    public int starts() {
-        return machines.starts;
+    public int taskStarts() {
+        return machines.taskStarts;
     }
 
     /**
      * How often a task has begun after its user was told that its job is cancelled: commands under
      * way may do that for a while.
      */
-    public int startsAfterCancel() {
-        return machines.startsAfterCancel;
+    public int taskStartsAfterCancel() {
+        return machines.taskStartsAfterCancel;
     }
 
     /** Changes that the state service has taken so far. */
-    public int changes() {
-        return state.changes;
+    public int storedMutations() {
+        return store.mutations;
     }
 
     /** Bytes of all values that the state service has taken so far. */
     public long bytesWritten() {
-        return state.bytesWritten;
+        return store.bytesWritten;
     }
 
     /** Tasks that were killed with their machine or its lease, or stopped for others. */
@@ -435,23 +443,23 @@
 
     /** The durable record under a key, or null. */
     public JsonNode durable(String key) {
-        return state.get(key);
+        return store.get(key);
     }
 
     private boolean durablyDone(String id) {
-        JsonNode end = state.get("pepperfield/end/" + id);
+        JsonNode end = store.get("pepperfield/end/" + id);
         return end != null && end.path("s").asText().equals("done");
     }
 
     public List<String> reusedRentalNames() {
-        return cloud.reused;
+        return cloud.reusedNames;
     }
 
     /**
      * What a node answers, without the network between; null where it has said nothing within two
      * seconds.
      */
-    public Reply answer(int node, String method, String path) {
+    public HttpReply answer(int node, String method, String path) {
         return answer(node, method, path, null);
     }
 
@@ -459,7 +467,7 @@
      * So many questions at once about jobs that nobody submitted: how many got 404, and how many
      * were told to come back.
      */
-    public List<Integer> floodOfUnknown(int node, int questions) {
+    public List<Integer> floodWithUnknownJobs(int node, int questions) {
         int[] got = new int[600];
         for (int i = 0; i < questions; i++) {
             nodes.get(node)
@@ -475,12 +483,13 @@
     }
 
     /** What a node answers to the report of an idle machine of that zone, of which there is one. */
-    public Reply report(int node, String zone) {
-        return answer(node, "POST", "/agent/beat", SimMachines.madeUpReport(zone, ++madeUp));
+    public HttpReply sendHeartbeat(int node, String zone) {
+        return answer(
+                node, "POST", "/agent/beat", SimMachines.madeUpHeartbeat(zone, ++madeUpHeartbeats));
     }
 
-    private Reply answer(int node, String method, String path, byte[] body) {
-        Reply[] got = new Reply[1];
+    private HttpReply answer(int node, String method, String path, byte[] body) {
+        HttpReply[] got = new HttpReply[1];
         nodes.get(node).request("users", method, path, body, reply -> got[0] = reply);
         for (int step = 0; step < 40 && got[0] == null; step++) {
             world.run(world.now() + 0.05);
@@ -493,14 +502,14 @@
         List<String> altered = new ArrayList<>();
         users.jobs.values().stream()
                 .filter(job -> job.accepted)
-                .filter(job -> !job.plan.awaits().equals(state.awaits(job.plan.id())))
+                .filter(job -> !job.plan.dependencies().equals(store.dependencies(job.plan.id())))
                 .forEach(job -> altered.add(job.plan.id()));
         return altered;
     }
 
     /** How many transactions were refused for their size since the limits last changed. */
     public int refusedForSize() {
-        return state.limits.malformed;
+        return store.limits.malformed;
     }
 
     // ---- what is left at the end
@@ -509,22 +518,22 @@
      * Asks every node about every accepted job; what was not answered with 200 within the time that
      * users wait.
      */
-    public List<String> unanswered() {
-        world.lost = 0;
-        world.late = 0;
-        return users.unanswered();
+    public List<String> unansweredQueries() {
+        world.messageLossShare = 0;
+        world.lateDeliveryShare = 0;
+        return users.unansweredQueries();
     }
 
     /** Jobs that should be over by now and are not, as their users see it. */
-    public List<String> unfinished() {
-        return users.unfinished();
+    public List<String> unfinishedJobs() {
+        return users.unfinishedJobs();
     }
 
     /**
      * Accepted jobs that are neither over nor running, and those that waited for 90 s of calm
      * though there was room for them.
      */
-    public List<String> leftOver() {
-        return users.leftOver();
+    public List<String> leftoverJobs() {
+        return users.leftoverJobs();
     }
 }
--- a/src/test/java/io/pepperfield/standin/SingleNodeSettings.java
+++ b/src/test/java/io/pepperfield/standin/SingleNodeSettings.java
@@ -1,6 +1,6 @@
 package io.pepperfield.standin;
 
-import io.pepperfield.config.Operators;
+import io.pepperfield.config.OperatorSettings;
 import io.pepperfield.config.Settings;
 import java.util.List;
 import java.util.Map;
@@ -32,10 +32,10 @@
                         5,
                         teams,
                         objectives,
-                        new Settings.Workers(1, 6, 20),
-                        new Settings.State(100, 50, 8, 32),
-                        new Settings.Cloud(2, 2),
-                        new Settings.Quota(1, 256, 1000)),
-                Operators.DEFAULTS);
+                        new Settings.WorkerTimings(1, 6, 20),
+                        new Settings.StoreLimits(100, 50, 8, 32),
+                        new Settings.CloudLimits(2, 2),
+                        new Settings.ProcessQuota(1, 256, 1000)),
+                OperatorSettings.DEFAULTS);
     }
 }
--- a/src/test/java/io/pepperfield/standin/StateLimits.java
+++ b/src/test/java/io/pepperfield/standin/StoreLimitsStandIn.java
@@ -2,22 +2,22 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.config.Settings;
-import io.pepperfield.http.Call;
+import io.pepperfield.http.InboundRequest;
 import io.pepperfield.http.Json;
 
 /**
  * What the state service allows: a larger value or transaction gets 400, what is beyond the rates
  * 429. Both rates allow bursts of one second's worth.
  */
-final class StateLimits {
+final class StoreLimitsStandIn {
 
     static final int MALFORMED = 400;
     static final int TOO_MANY = 429;
     static final int ALLOWED = 0;
-    private static final int MOST_BYTES = 64 * 1024;
-    private static final int GUARDS_PER_CHANGE = 4;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final int PRECONDITIONS_PER_MUTATION = 4;
 
-    private final Settings.State limits;
+    private final Settings.StoreLimits limits;
     private double requests;
     private double changes;
     private double filledAt;
@@ -27,17 +27,19 @@
 
     int tooMany;
 
-    StateLimits(Settings.State limits, double now) {
+    StoreLimitsStandIn(Settings.StoreLimits limits, double now) {
         this.limits = limits;
-        this.requests = limits.rps();
-        this.changes = limits.writeRps();
+        this.requests = limits.requestsPerS();
+        this.changes = limits.writesPerS();
         this.filledAt = now;
     }
 
     /** The status with which a request is refused, or {@link #ALLOWED}. */
-    int refusal(Call call, double now) {
-        requests = Math.min(limits.rps(), requests + (now - filledAt) * limits.rps());
-        changes = Math.min(limits.writeRps(), changes + (now - filledAt) * limits.writeRps());
+    int refusal(InboundRequest call, double now) {
+        requests =
+                Math.min(
+                        limits.requestsPerS(), requests + (now - filledAt) * limits.requestsPerS());
+        changes = Math.min(limits.writesPerS(), changes + (now - filledAt) * limits.writesPerS());
         filledAt = now;
         boolean transaction = call.path().equals("/txn");
         JsonNode body = transaction ? Json.read(call.body()) : null;
@@ -56,14 +58,15 @@
     }
 
     private boolean tooLarge(JsonNode transaction, int bytes) {
-        if (bytes > MOST_BYTES
-                || transaction.path("apply").size() > limits.txnOps()
-                || transaction.path("guards").size() > GUARDS_PER_CHANGE * limits.txnOps()) {
+        if (bytes > MAX_BODY_BYTES
+                || transaction.path("apply").size() > limits.maxTransactionOps()
+                || transaction.path("guards").size()
+                        > PRECONDITIONS_PER_MUTATION * limits.maxTransactionOps()) {
             return true;
         }
         for (JsonNode change : transaction.path("apply")) {
             if (change.has("data")
-                    && Json.write(change.get("data")).length > limits.valueKb() * 1024) {
+                    && Json.write(change.get("data")).length > limits.maxValueKib() * 1024) {
                 return true;
             }
         }
--- a/src/test/java/io/pepperfield/standin/StateLink.java
+++ b/src/test/java/io/pepperfield/standin/StoreLink.java
@@ -1,21 +1,21 @@
 package io.pepperfield.standin;
 
-import io.pepperfield.http.Call;
-import io.pepperfield.http.Reply;
+import io.pepperfield.http.HttpReply;
+import io.pepperfield.http.InboundRequest;
 import java.util.function.Consumer;
 
 /** The way to the state service, on which answers come late or get lost. */
-final class StateLink {
+final class StoreLink {
 
     private final SimWorld world;
-    private final StateStandIn state;
+    private final StoreStandIn state;
     private double slowByS;
     private double slowUntil;
     private double lateShare;
     private double lateUntil;
     private boolean atOnce;
 
-    StateLink(SimWorld world, StateStandIn state) {
+    StoreLink(SimWorld world, StoreStandIn state) {
         this.world = world;
         this.state = state;
     }
@@ -35,17 +35,17 @@
         atOnce = carriedOutAtOnce;
     }
 
-    void handle(String from, Call call, Consumer<Reply> answer) {
+    void handle(String from, InboundRequest call, Consumer<HttpReply> answer) {
         if (call.path().equals("/txn")
                 && world.now() < lateUntil
                 && world.random.nextDouble() < lateShare) {
             double after =
                     atOnce
                             ? 0
-                            : Trouble.LateWrites.LEAST_S
+                            : Fault.DelayedWrites.LEAST_S
                                     + world.random.nextDouble()
-                                            * (Trouble.LateWrites.MOST_S
-                                                    - Trouble.LateWrites.LEAST_S);
+                                            * (Fault.DelayedWrites.MOST_S
+                                                    - Fault.DelayedWrites.LEAST_S);
             world.after(after, () -> state.handle(from, call, lost -> {}));
         } else if (world.now() < slowUntil) {
             double by = slowByS;
