--- a/src/test/java/io/pepperfield/standin/StateStandIn.java
+++ b/src/test/java/io/pepperfield/standin/StoreStandIn.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.pepperfield.http.Call;
+import io.pepperfield.http.HttpReply;
+import io.pepperfield.http.InboundRequest;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Reply;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -19,17 +19,17 @@
  * The state service by its published protocol, in memory. Not thread-safe: its host calls it from
  * one thread.
  */
-public final class StateStandIn {
+public final class StoreStandIn {
 
     /** A key's value, the revision that wrote it and the grant it is tied to. */
-    private record Entry(JsonNode data, long stamp, long grant) {}
+    private record Entry(JsonNode data, long modRevision, long grant) {}
 
     /** A change of a key; null data for a deletion. */
-    private record Event(String key, JsonNode data, long stamp) {}
+    private record Event(String key, JsonNode data, long modRevision) {}
 
     /** A follow request that waits for changes. */
     private record Watch(
-            String from, String prefix, long since, double until, Consumer<Reply> answer) {}
+            String from, String prefix, long since, double until, Consumer<HttpReply> answer) {}
 
     /** The lifetime of a grant and the time at which it ends. */
     private static final class Grant {
@@ -45,45 +45,45 @@
     private static final String FINAL_STATES = "pepperfield/end/";
 
     private final DoubleSupplier clock;
-    private final int kept;
+    private final int eventsKept;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
     private final List<Event> events = new ArrayList<>();
     private final Map<Long, Grant> grants = new HashMap<>();
     private final List<Watch> watches = new ArrayList<>();
-    private long generation;
+    private long revision;
 
     /** Single keys written or deleted. */
-    public int changes;
+    public int mutations;
 
     /** Bytes of all values written. */
     long bytesWritten;
 
     private long nextGrant = 1;
-    private long forgottenUpTo;
-    private boolean out;
+    private long compactedRevision;
+    private boolean outageActive;
 
     /** Until when each of these gets 503, alone. */
     private final Map<String, Double> refusedUntil = new HashMap<>();
 
-    public StateStandIn(DoubleSupplier clock, int kept) {
+    public StoreStandIn(DoubleSupplier clock, int kept) {
         this.clock = clock;
-        this.kept = kept;
+        this.eventsKept = kept;
     }
 
     /** While true nobody gets a new grant, so that nobody can be elected. */
-    public boolean noGrants;
+    public boolean grantsStalled;
 
     /** Until then every request about grants gets 429. */
     double grantsRefusedUntil;
 
     /** What it allows; null for everything. */
-    StateLimits limits;
+    StoreLimitsStandIn limits;
 
     /**
      * What no controller may ever write: an accepted job a second time, and what the recorded
      * version could not read.
      */
-    List<String> broken = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
 
     /** Told of every final state of a job that is stored. */
     Consumer<Decision> decided = decision -> {};
@@ -93,7 +93,7 @@
 
     /** Begins or ends an outage; at its end every grant has its full time again. */
     public void outage(boolean begins) {
-        out = begins;
+        outageActive = begins;
         if (!begins) {
             grants.values().forEach(g -> g.until = clock.getAsDouble() + g.ttl);
         }
@@ -122,19 +122,19 @@
 
     /** To be called often: ends grants and watches whose time is over. */
     public void tick() {
-        if (out) {
+        if (outageActive) {
             return;
         }
         double now = clock.getAsDouble();
         for (Long id : List.copyOf(grants.keySet())) {
             if (grants.get(id).until <= now) {
-                end(id);
+                expireGrant(id);
             }
         }
-        wake(now);
+        answerWatches(now);
     }
 
-    private void end(long id) {
+    private void expireGrant(long id) {
         grants.remove(id);
         List<String> gone =
                 entries.entrySet().stream()
@@ -142,16 +142,16 @@
                         .map(Map.Entry::getKey)
                         .toList();
         if (!gone.isEmpty()) {
-            generation++;
+            revision++;
             gone.forEach(
                     key -> {
                         entries.remove(key);
-                        events.add(new Event(key, null, generation));
+                        events.add(new Event(key, null, revision));
                     });
         }
     }
 
-    private void wake(double now) {
+    private void answerWatches(double now) {
         for (Iterator<Watch> it = watches.iterator(); it.hasNext(); ) {
             Watch watch = it.next();
             if (refused(watch.from)) {
@@ -159,7 +159,10 @@
             }
             boolean news =
                     events.stream()
-                            .anyMatch(e -> e.stamp > watch.since && e.key.startsWith(watch.prefix));
+                            .anyMatch(
+                                    e ->
+                                            e.modRevision > watch.since
+                                                    && e.key.startsWith(watch.prefix));
             if (news || watch.until <= now) {
                 it.remove();
                 watch.answer.accept(since(watch.prefix, watch.since));
@@ -167,125 +170,125 @@
         }
     }
 
-    private Reply since(String prefix, long since) {
-        if (since < forgottenUpTo) {
-            return Reply.empty(410);
+    private HttpReply since(String prefix, long since) {
+        if (since < compactedRevision) {
+            return HttpReply.empty(410);
         }
-        ObjectNode body = Json.object().put("generation", generation);
+        ObjectNode body = Json.object().put("generation", revision);
         ArrayNode all = body.putArray("events");
         for (Event event : events) {
-            if (event.stamp > since && event.key.startsWith(prefix)) {
+            if (event.modRevision > since && event.key.startsWith(prefix)) {
                 ObjectNode node = all.addObject();
                 if (event.data == null) {
                     node.put("delete", event.key);
                 } else {
                     node.put("set", event.key).set("data", event.data);
                 }
-                node.put("stamp", event.stamp);
+                node.put("stamp", event.modRevision);
             }
         }
-        return Reply.json(200, body);
+        return HttpReply.json(200, body);
     }
 
-    public void handle(Call call, Consumer<Reply> answer) {
+    public void handle(InboundRequest call, Consumer<HttpReply> answer) {
         handle("", call, answer);
     }
 
-    public void handle(String from, Call call, Consumer<Reply> answer) {
+    public void handle(String from, InboundRequest call, Consumer<HttpReply> answer) {
         if (refused(from)) {
-            answer.accept(Reply.empty(503));
+            answer.accept(HttpReply.empty(503));
             return;
         }
-        int refusal = out ? StateLimits.ALLOWED : refusal(call);
-        if (refusal != StateLimits.ALLOWED) {
-            answer.accept(Reply.empty(refusal));
+        int refusal = outageActive ? StoreLimitsStandIn.ALLOWED : refusal(call);
+        if (refusal != StoreLimitsStandIn.ALLOWED) {
+            answer.accept(HttpReply.empty(refusal));
         } else if (call.path().equals("/follow")) {
-            String prefix = call.parameter("starts", "");
-            long since = Long.parseLong(call.parameter("since", "0"));
-            double hold = Double.parseDouble(call.parameter("holdMs", "0")) / 1000;
-            if (out && hold == 0) {
-                answer.accept(Reply.empty(503));
+            String prefix = call.queryParameter("starts", "");
+            long since = Long.parseLong(call.queryParameter("since", "0"));
+            double hold = Double.parseDouble(call.queryParameter("holdMs", "0")) / 1000;
+            if (outageActive && hold == 0) {
+                answer.accept(HttpReply.empty(503));
                 return;
             }
             watches.add(new Watch(from, prefix, since, clock.getAsDouble() + hold, answer));
         } else {
-            answer.accept(out ? Reply.empty(503) : now(call));
+            answer.accept(outageActive ? HttpReply.empty(503) : now(call));
         }
-        if (!out) {
-            wake(clock.getAsDouble());
+        if (!outageActive) {
+            answerWatches(clock.getAsDouble());
         }
     }
 
-    private int refusal(Call call) {
+    private int refusal(InboundRequest call) {
         double now = clock.getAsDouble();
         if (call.path().startsWith("/grants") && now < grantsRefusedUntil) {
-            return StateLimits.TOO_MANY;
+            return StoreLimitsStandIn.TOO_MANY;
         }
-        return limits == null ? StateLimits.ALLOWED : limits.refusal(call, now);
+        return limits == null ? StoreLimitsStandIn.ALLOWED : limits.refusal(call, now);
     }
 
-    private Reply now(Call call) {
+    private HttpReply now(InboundRequest call) {
         JsonNode body = Json.read(call.body());
         if (call.path().equals("/txn")) {
             return txn(body);
         }
         if (call.path().equals("/kv")) {
             return range(
-                    call.parameter("starts", ""),
-                    call.parameter("since", ""),
-                    Integer.parseInt(call.parameter("limit", "1000")));
+                    call.queryParameter("starts", ""),
+                    call.queryParameter("since", ""),
+                    Integer.parseInt(call.queryParameter("limit", "1000")));
         }
         if (call.path().equals("/grants")) {
-            if (noGrants) {
-                return Reply.error(503, "trouble");
+            if (grantsStalled) {
+                return HttpReply.error(503, "trouble");
             }
             double ttl = body.path("ttlMs").asDouble() / 1000;
             grants.put(nextGrant, new Grant(ttl, clock.getAsDouble() + ttl));
-            return Reply.json(200, Json.object().put("claim", nextGrant++));
+            return HttpReply.json(200, Json.object().put("claim", nextGrant++));
         }
         if (call.path().startsWith("/grants/")) {
             String rest = call.path().substring("/grants/".length());
             long id = Long.parseLong(rest.replace("/touch", ""));
             Grant grant = grants.get(id);
             if (grant == null) {
-                return Reply.empty(404);
+                return HttpReply.empty(404);
             }
             if (call.method().equals("DELETE")) {
-                end(id);
+                expireGrant(id);
             } else {
                 grant.until = clock.getAsDouble() + grant.ttl;
             }
-            return Reply.json(200, Json.object());
+            return HttpReply.json(200, Json.object());
         }
-        return Reply.empty(400);
+        return HttpReply.empty(400);
     }
 
-    private Reply txn(JsonNode body) {
+    private HttpReply txn(JsonNode body) {
         ObjectNode result = Json.object();
         ArrayNode failed = Json.array();
         for (JsonNode op : body.path("apply")) {
             if (op.has("claim") && !grants.containsKey(op.path("claim").longValue())) {
-                return Reply.json(400, Json.object().put("error", "no such lease"));
+                return HttpReply.json(400, Json.object().put("error", "no such lease"));
             }
         }
         for (JsonNode guard : body.path("guards")) {
             Entry entry = entries.get(guard.path("k").asText());
-            if ((entry == null ? 0 : entry.stamp) != guard.path("stamp").longValue()) {
+            if ((entry == null ? 0 : entry.modRevision) != guard.path("stamp").longValue()) {
                 failed.add(guard.path("k").asText());
             }
         }
         if (!failed.isEmpty()) {
             result.set("failed", failed);
-            return Reply.json(409, result.put("generation", generation));
+            return HttpReply.json(409, result.put("generation", revision));
         }
         if (!body.path("apply").isEmpty()) {
-            generation++;
+            revision++;
         }
-        changes += body.path("apply").size();
+        mutations += body.path("apply").size();
         for (JsonNode op : body.path("apply")) {
             if (op.has("delete")) {
                 entries.remove(op.path("delete").asText());
-                events.add(new Event(op.path("delete").asText(), null, generation));
+                events.add(new Event(op.path("delete").asText(), null, revision));
             } else {
                 String key = op.path("set").asText();
                 check(key, op.get("data"));
@@ -294,32 +297,31 @@
                     decided.accept(Decision.finalState(job, op.get("data").path("s").asText()));
                 }
                 bytesWritten += Json.write(op.get("data")).length;
-                entries.put(
-                        key, new Entry(op.get("data"), generation, op.path("claim").longValue()));
-                events.add(new Event(key, op.get("data"), generation));
+                entries.put(key, new Entry(op.get("data"), revision, op.path("claim").longValue()));
+                events.add(new Event(key, op.get("data"), revision));
             }
         }
-        while (events.size() > kept) {
-            forgottenUpTo = events.remove(0).stamp;
+        while (events.size() > eventsKept) {
+            compactedRevision = events.remove(0).modRevision;
         }
         if (rolloutRules != null) {
             rolloutRules.committed(body, entries.navigableKeySet(), this::get);
         }
-        return Reply.json(200, result.put("generation", generation));
+        return HttpReply.json(200, result.put("generation", revision));
     }
 
     private void check(String key, JsonNode data) {
         if (key.startsWith("pepperfield/job/") && entries.containsKey(key)) {
-            broken.add(clock.getAsDouble() + " accepted twice: " + key);
+            violations.add(clock.getAsDouble() + " accepted twice: " + key);
         }
         boolean newForm = rolloutRules != null && RolloutRules.isNewKey(key);
         if (!newForm && !RecordedForms.value(key, data)) {
-            broken.add(clock.getAsDouble() + " of another form: " + key + " " + data);
+            violations.add(clock.getAsDouble() + " of another form: " + key + " " + data);
         }
     }
 
-    private Reply range(String prefix, String after, int limit) {
-        ObjectNode body = Json.object().put("generation", generation);
+    private HttpReply range(String prefix, String after, int limit) {
+        ObjectNode body = Json.object().put("generation", revision);
         ArrayNode pairs = body.putArray("pairs");
         for (Map.Entry<String, Entry> entry : entries.tailMap(prefix).entrySet()) {
             if (!entry.getKey().startsWith(prefix)) {
@@ -329,18 +331,18 @@
                 continue;
             }
             if (pairs.size() == limit) {
-                return Reply.json(200, body.put("truncated", true));
+                return HttpReply.json(200, body.put("truncated", true));
             }
             pairs.addObject()
                     .put("k", entry.getKey())
-                    .put("stamp", entry.getValue().stamp)
+                    .put("stamp", entry.getValue().modRevision)
                     .set("data", entry.getValue().data);
         }
-        return Reply.json(200, body.put("truncated", false));
+        return HttpReply.json(200, body.put("truncated", false));
     }
 
     /** The jobs that a stored job waits for. */
-    List<String> awaits(String job) {
+    List<String> dependencies(String job) {
         List<String> ids = new ArrayList<>();
         get("pepperfield/job/" + job).path("aw").forEach(id -> ids.add(id.asText()));
         return ids;
--- a/src/test/java/io/pepperfield/standin/WorkerStandIn.java
+++ b/src/test/java/io/pepperfield/standin/WorkerStandIn.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pepperfield.http.HttpOutcome;
+import io.pepperfield.http.HttpReply;
+import io.pepperfield.http.HttpSender;
 import io.pepperfield.http.Json;
-import io.pepperfield.http.Outcome;
-import io.pepperfield.http.Reply;
-import io.pepperfield.http.Sender;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -22,33 +22,33 @@
     /**
      * What the region knows of tasks; told of everything that physically happens on the machine.
      */
-    public interface Truth {
+    public interface TaskOracle {
         /** Seconds a task runs, negative for a replica, NaN for an unknown one. */
-        double runS(String task);
+        double runDurationS(String task);
 
-        void begins(WorkerStandIn worker, String task);
+        void taskStarted(WorkerStandIn worker, String task);
 
-        void ends(WorkerStandIn worker, String task, boolean done);
+        void taskEnded(WorkerStandIn worker, String task, boolean done);
 
         boolean isDone(String task);
 
         /** Whether it fails at the end of its run time. */
-        boolean fails(String task);
+        boolean failsAtEnd(String task);
 
         /** An order that the worker carries out. */
         default void decided(Decision decision) {}
     }
 
     /** An attempt that the worker holds, with its state. */
-    private static final class Held {
+    private static final class HeldAttempt {
         final int number;
         String status = "pulling";
         String cause = "";
-        double at;
+        double statusSince;
 
-        Held(int number, double at) {
+        HeldAttempt(int number, double at) {
             this.number = number;
-            this.at = at;
+            this.statusSince = at;
         }
     }
 
@@ -58,24 +58,24 @@
     public final boolean spot;
     public final String address;
     private final DoubleSupplier clock;
-    private final Sender sender;
+    private final HttpSender sender;
     private final List<String> controllers;
     private final List<String> controllerNames;
-    private final double reportS;
+    private final double heartbeatIntervalS;
     private final double leaseS;
-    private final Truth truth;
-    private final Map<String, Held> held = new LinkedHashMap<>();
-    private long tenure = 1;
+    private final TaskOracle taskOracle;
+    private final Map<String, HeldAttempt> heldAttempts = new LinkedHashMap<>();
+    private long incarnation = 1;
     private long serial;
-    private long token;
-    private int target;
-    private double nextAt;
-    private double answeredAt;
-    private boolean inFlight;
+    private long fencingToken;
+    private int nextController;
+    private double nextHeartbeatAt;
+    private double lastAnswerAt;
+    private boolean heartbeatInFlight;
     private boolean changed;
-    private double reportedAt = Double.NEGATIVE_INFINITY;
+    private double lastHeartbeatAt = Double.NEGATIVE_INFINITY;
     private double hungUntil;
-    private double deafUntil;
+    private double receiveFailureUntil;
     private boolean dead;
 
     public WorkerStandIn(
@@ -85,12 +85,12 @@
             boolean spot,
             String address,
             DoubleSupplier clock,
-            Sender sender,
+            HttpSender sender,
             List<String> controllerNames,
             List<String> controllers,
             double reportS,
             double leaseS,
-            Truth truth) {
+            TaskOracle truth) {
         this.name = name;
         this.type = type;
         this.zone = zone;
@@ -100,43 +100,43 @@
         this.sender = sender;
         this.controllerNames = controllerNames;
         this.controllers = controllers;
-        this.reportS = reportS;
+        this.heartbeatIntervalS = reportS;
         this.leaseS = leaseS;
-        this.truth = truth;
-        this.answeredAt = clock.getAsDouble();
-        this.target = Math.abs(name.hashCode()) % controllers.size();
+        this.taskOracle = truth;
+        this.lastAnswerAt = clock.getAsDouble();
+        this.nextController = Math.abs(name.hashCode()) % controllers.size();
     }
 
     /** Its session: 1 while its lease has never run out. */
-    public long tenure() {
-        return tenure;
+    public long incarnation() {
+        return incarnation;
     }
 
-    public boolean busy() {
-        return !held.isEmpty();
+    public boolean isBusy() {
+        return !heldAttempts.isEmpty();
     }
 
     /** The tasks that take room on it. */
     public List<String> tasks() {
-        return held.entrySet().stream()
+        return heldAttempts.entrySet().stream()
                 .filter(e -> !e.getValue().status.equals("ended"))
                 .map(Map.Entry::getKey)
                 .toList();
     }
 
-    public boolean alive() {
+    public boolean isAlive() {
         return !dead;
     }
 
-    public void die() {
+    public void losePower() {
         dead = true;
-        held.forEach(
+        heldAttempts.forEach(
                 (task, h) -> {
                     if (h.status.equals("running")) {
-                        truth.ends(this, task, false);
+                        taskOracle.taskEnded(this, task, false);
                     }
                 });
-        held.clear();
+        heldAttempts.clear();
     }
 
     public void hang(double until) {
@@ -144,115 +144,120 @@
     }
 
     /** Until then its reports leave, and neither answers nor orders reach it. */
-    public void deafen(double until) {
-        deafUntil = until;
+    public void failReceiving(double until) {
+        receiveFailureUntil = until;
     }
 
-    public boolean deaf() {
-        return clock.getAsDouble() < deafUntil;
+    public boolean isReceiveFailing() {
+        return clock.getAsDouble() < receiveFailureUntil;
     }
 
-    public boolean hung() {
+    public boolean isHung() {
         return clock.getAsDouble() < hungUntil;
     }
 
     public void tick() {
         double now = clock.getAsDouble();
-        if (dead || hung()) {
+        if (dead || isHung()) {
             return;
         }
-        if (now - answeredAt > leaseS) {
-            held.forEach(
+        if (now - lastAnswerAt > leaseS) {
+            heldAttempts.forEach(
                     (task, h) -> {
                         if (h.status.equals("running")) {
-                            truth.ends(this, task, false);
+                            taskOracle.taskEnded(this, task, false);
                         }
                     });
-            held.clear();
-            tenure++;
-            answeredAt = now;
+            heldAttempts.clear();
+            incarnation++;
+            lastAnswerAt = now;
             changed = true;
         }
-        held.forEach((task, h) -> advance(task, h, now));
-        if (!inFlight && (now >= nextAt || changed && now - reportedAt >= 0.5)) {
-            report(now);
+        heldAttempts.forEach((task, h) -> advance(task, h, now));
+        if (!heartbeatInFlight
+                && (now >= nextHeartbeatAt || changed && now - lastHeartbeatAt >= 0.5)) {
+            sendHeartbeat(now);
         }
     }
 
-    private void advance(String task, Held attempt, double now) {
-        if (attempt.status.equals("pulling") && now - attempt.at > 0.4) {
-            attempt.at = now;
+    private void advance(String task, HeldAttempt attempt, double now) {
+        if (attempt.status.equals("pulling") && now - attempt.statusSince > 0.4) {
+            attempt.statusSince = now;
             changed = true;
-            if (truth.isDone(task)) {
+            if (taskOracle.isDone(task)) {
                 attempt.status = "ended";
                 attempt.cause = "done";
             } else {
                 attempt.status = "running";
-                truth.begins(this, task);
+                taskOracle.taskStarted(this, task);
             }
         } else if (attempt.status.equals("running")
-                && truth.runS(task) >= 0
-                && now - attempt.at > truth.runS(task)) {
+                && taskOracle.runDurationS(task) >= 0
+                && now - attempt.statusSince > taskOracle.runDurationS(task)) {
             attempt.status = "ended";
-            attempt.cause = truth.fails(task) ? "error" : "done";
+            attempt.cause = taskOracle.failsAtEnd(task) ? "error" : "done";
             changed = true;
-            truth.ends(this, task, !truth.fails(task));
+            taskOracle.taskEnded(this, task, !taskOracle.failsAtEnd(task));
         }
     }
 
-    private void report(double now) {
-        inFlight = true;
+    private void sendHeartbeat(double now) {
+        heartbeatInFlight = true;
         changed = false;
-        reportedAt = now;
-        nextAt = now + reportS;
+        lastHeartbeatAt = now;
+        nextHeartbeatAt = now + heartbeatIntervalS;
         serial++;
-        long sentTenure = tenure;
-        String[] address = controllers.get(target).split(":");
+        long sentTenure = incarnation;
+        String[] address = controllers.get(nextController).split(":");
         sender.send(
                 address[0],
                 Integer.parseInt(address[1]),
                 1,
                 "POST",
                 "/agent/beat",
-                Json.write(body()),
+                Json.write(heartbeatBody()),
                 4000,
                 outcome -> {
-                    inFlight = false;
+                    heartbeatInFlight = false;
                     double later = clock.getAsDouble();
                     if (dead) {
                         return;
                     }
-                    if (deaf()) {
-                        nextAt = later + 1;
-                        target = (target + 1) % controllers.size();
+                    if (isReceiveFailing()) {
+                        nextHeartbeatAt = later + 1;
+                        nextController = (nextController + 1) % controllers.size();
                         return;
                     }
-                    if (outcome instanceof Outcome.Answered answer && answer.status() == 200) {
+                    if (outcome instanceof HttpOutcome.Answered answer && answer.status() == 200) {
                         JsonNode json = answer.json();
                         long seen = json.path("epoch").longValue();
                         // Dropped: a lower token, an answer to an earlier session, or one that came
                         // after the worker's patience.
-                        if (!hung() && sentTenure == tenure && seen >= token && later - now <= 4) {
-                            changed |= seen > token;
-                            token = seen;
-                            answeredAt = now;
+                        if (!isHung()
+                                && sentTenure == incarnation
+                                && seen >= fencingToken
+                                && later - now <= 4) {
+                            changed |= seen > fencingToken;
+                            fencingToken = seen;
+                            lastAnswerAt = now;
                             execute(json.path("orders"), later);
                         }
                         return;
                     }
-                    nextAt = later + 1;
-                    if (outcome instanceof Outcome.Answered answer
+                    nextHeartbeatAt = later + 1;
+                    if (outcome instanceof HttpOutcome.Answered answer
                             && answer.status() == 421
                             && controllerNames.contains(answer.json().path("manager").asText())) {
-                        target = controllerNames.indexOf(answer.json().path("manager").asText());
-                        nextAt = later + 0.1;
+                        nextController =
+                                controllerNames.indexOf(answer.json().path("manager").asText());
+                        nextHeartbeatAt = later + 0.1;
                     } else {
-                        target = (target + 1) % controllers.size();
+                        nextController = (nextController + 1) % controllers.size();
                     }
                 });
     }
 
-    private ObjectNode body() {
+    private ObjectNode heartbeatBody() {
         ObjectNode body =
                 Json.object()
                         .put("host", name)
@@ -260,12 +265,12 @@
                         .put("flavour", type)
                         .put("site", zone)
                         .put("reclaimable", spot)
-                        .put("tenure", tenure)
+                        .put("tenure", incarnation)
                         .put("serial", serial)
-                        .put("epoch", token);
+                        .put("epoch", fencingToken);
         body.putNull("warningS");
         ArrayNode shards = body.putArray("shards");
-        held.forEach(
+        heldAttempts.forEach(
                 (task, h) -> {
                     ObjectNode line =
                             shards.addObject()
@@ -283,7 +288,7 @@
         for (JsonNode order : orders) {
             String task = order.path("shard").asText();
             int number = order.path("try").intValue();
-            Held h = held.get(task);
+            HeldAttempt h = heldAttempts.get(task);
             switch (order.path("verb").asText()) {
                 case "run" -> {
                     if (h != null && h.number == number) {
@@ -295,19 +300,19 @@
                         // kept.
                         continue;
                     }
-                    Held begun = new Held(number, now);
-                    held.put(task, begun);
-                    truth.decided(Decision.start(task, number, name));
-                    if (Double.isNaN(truth.runS(task))) {
+                    HeldAttempt begun = new HeldAttempt(number, now);
+                    heldAttempts.put(task, begun);
+                    taskOracle.decided(Decision.start(task, number, name));
+                    if (Double.isNaN(taskOracle.runDurationS(task))) {
                         begun.status = "ended";
                         begun.cause = "no_such";
                     }
                 }
                 case "stop" -> {
                     if (h != null && h.number == number && !h.status.equals("ended")) {
-                        truth.decided(Decision.stop(task, number, name));
+                        taskOracle.decided(Decision.stop(task, number, name));
                         if (h.status.equals("running")) {
-                            truth.ends(this, task, false);
+                            taskOracle.taskEnded(this, task, false);
                         }
                         h.status = "ended";
                         h.cause = "stopped";
@@ -316,7 +321,7 @@
                 }
                 default -> {
                     if (h != null && h.number == number && h.status.equals("ended")) {
-                        held.remove(task);
+                        heldAttempts.remove(task);
                         changed = true;
                     }
                 }
@@ -325,22 +330,22 @@
     }
 
     /** Direct messages. A hanging machine takes them up when it goes on. */
-    public void handle(String path, byte[] bytes, Consumer<Reply> answer) {
+    public void handle(String path, byte[] bytes, Consumer<HttpReply> answer) {
         serial++;
         if (path.equals("/status")) {
-            answer.accept(Reply.json(200, body()));
+            answer.accept(HttpReply.json(200, heartbeatBody()));
             return;
         }
         JsonNode message = Json.read(bytes);
         if (!message.has("epoch") || !message.has("tenure")) {
-            answer.accept(Reply.empty(400));
-        } else if (message.path("epoch").longValue() < token
-                || message.path("tenure").longValue() != tenure) {
-            answer.accept(Reply.json(409, body()));
+            answer.accept(HttpReply.empty(400));
+        } else if (message.path("epoch").longValue() < fencingToken
+                || message.path("tenure").longValue() != incarnation) {
+            answer.accept(HttpReply.json(409, heartbeatBody()));
         } else {
-            token = message.path("epoch").longValue();
+            fencingToken = message.path("epoch").longValue();
             execute(message.path("orders"), clock.getAsDouble());
-            answer.accept(Reply.json(200, body()));
+            answer.accept(HttpReply.json(200, heartbeatBody()));
         }
     }
 }
--- a/src/test/java/io/pepperfield/store/WriterTest.java
+++ b/src/test/java/io/pepperfield/store/FencedWriterTest.java
@@ -4,8 +4,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.http.Json;
-import io.pepperfield.standin.Transactions;
-import io.pepperfield.store.Writer.Priority;
+import io.pepperfield.standin.RecordingKeyValueStore;
+import io.pepperfield.store.FencedWriter.Priority;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -14,25 +14,25 @@
 import org.junit.jupiter.api.Test;
 
 /** In which order the leader's changes go, two in a transaction here. */
-class WriterTest {
+class FencedWriterTest {
 
-    private final Transactions state = new Transactions();
+    private final RecordingKeyValueStore state = new RecordingKeyValueStore();
     private final Replica replica = new Replica((key, data, stamp) -> {});
-    private final Writer writer =
-            new Writer(
+    private final FencedWriter writer =
+            new FencedWriter(
                     state,
                     state,
                     replica,
-                    new Sync(state, state, replica, 1, 1),
-                    new Writer.Lead() {
+                    new ReplicaSynchronizer(state, state, replica, 1, 1),
+                    new FencedWriter.Fence() {
                         @Override
-                        public boolean confirmed() {
+                        public boolean holdsValidLease() {
                             return true;
                         }
 
                         @Override
-                        public StateService.Guard guard() {
-                            return new StateService.Guard("leader", 1);
+                        public KeyValueStore.Precondition fencingPrecondition() {
+                            return new KeyValueStore.Precondition("leader", 1);
                         }
                     },
                     TransactionLimits.all(2),
@@ -40,33 +40,34 @@
                     2);
 
     private void mark(String key, Priority priority) {
-        writer.mark(key, priority, Json::object, null, null);
+        writer.enqueue(key, priority, Json::object, null, null);
     }
 
     private void answered() {
-        state.underWay.accept(new StateService.TxnResult.Committed(state.written.size()));
+        state.pendingCallback.accept(
+                new KeyValueStore.CompareAndSwapOutcome.Committed(state.writtenKeys.size()));
     }
 
     @Test
     void intentsThenEndsThenWhatHasGathered() {
-        mark("completed", Priority.PATIENT);
-        mark("end", Priority.END);
+        mark("completed", Priority.BACKGROUND);
+        mark("end", Priority.FINAL_STATE);
         mark("start 1", Priority.INTENT);
         mark("start 2", Priority.INTENT);
         writer.flush();
         answered();
-        assertEquals(List.of(List.of("start 1", "start 2"), List.of("end")), state.written);
+        assertEquals(List.of(List.of("start 1", "start 2"), List.of("end")), state.writtenKeys);
         answered();
         state.now = 2;
         mark("start 3", Priority.INTENT);
         writer.flush();
-        assertEquals(List.of("start 3", "completed"), state.written.get(2));
+        assertEquals(List.of("start 3", "completed"), state.writtenKeys.get(2));
     }
 
     @Test
     void whatKeepsComingHoldsNothingBackForEver() {
-        mark("end", Priority.END);
-        mark("completed", Priority.PATIENT);
+        mark("end", Priority.FINAL_STATE);
+        mark("completed", Priority.BACKGROUND);
         for (int i = 0; i < 4; i++) {
             mark("start " + i, Priority.INTENT);
         }
@@ -79,42 +80,42 @@
         }
         assertEquals(
                 true,
-                state.written.stream().anyMatch(keys -> keys.contains("end")),
-                state.written.toString());
+                state.writtenKeys.stream().anyMatch(keys -> keys.contains("end")),
+                state.writtenKeys.toString());
         assertEquals(
                 true,
-                state.written.stream().anyMatch(keys -> keys.contains("completed")),
-                state.written.toString());
+                state.writtenKeys.stream().anyMatch(keys -> keys.contains("completed")),
+                state.writtenKeys.toString());
     }
 
     @Test
     void intentsOfTheLowestRankAreGatheredForAMoment() {
-        mark("swarm", Priority.LATER);
-        mark("swarm", Priority.LATER);
+        mark("swarm", Priority.BATCHED);
+        mark("swarm", Priority.BATCHED);
         writer.flush();
-        assertEquals(List.of(), state.written);
+        assertEquals(List.of(), state.writtenKeys);
         mark("start", Priority.INTENT);
         writer.flush();
-        mark("swarm", Priority.LATER);
+        mark("swarm", Priority.BATCHED);
         state.now += 1;
         answered();
-        assertEquals(List.of(List.of("start"), List.of("swarm")), state.written);
+        assertEquals(List.of(List.of("start"), List.of("swarm")), state.writtenKeys);
     }
 
     @Test
     void anIntentTakesAlongWhatItsChunkHasGathered() {
-        mark("chunk", Priority.PATIENT);
+        mark("chunk", Priority.BACKGROUND);
         writer.flush();
-        assertEquals(List.of(), state.written);
+        assertEquals(List.of(), state.writtenKeys);
         mark("chunk", Priority.INTENT);
         writer.flush();
-        assertEquals(List.of(List.of("chunk")), state.written);
+        assertEquals(List.of(List.of("chunk")), state.writtenKeys);
     }
 
     @Test
     void anIntentTakesEffectOnlyWhileItsJobHasNotEnded() {
         boolean[] known = new boolean[1];
-        writer.mark(
+        writer.enqueue(
                 "run 1",
                 Priority.INTENT,
                 () -> Map.of("run 1", Json.object()),
@@ -122,27 +123,27 @@
                 null,
                 null);
         writer.flush();
-        assertEquals(List.of("run 1", "end 1"), state.absent.get(0));
+        assertEquals(List.of("run 1", "end 1"), state.absentKeys.get(0));
         // The cancellation that refused it is known by the next try, which makes durable that
         // nothing was started.
         known[0] = true;
-        writer.mark("run 1", Priority.INTENT, Json::object, null, null);
+        writer.enqueue("run 1", Priority.INTENT, Json::object, null, null);
         answered();
-        assertEquals(List.of(List.of("run 1"), List.of("run 1")), state.written);
+        assertEquals(List.of(List.of("run 1"), List.of("run 1")), state.writtenKeys);
     }
 
     @Test
     void noTransactionHasMoreGuardsThanTheServiceTakes() {
         List<String> ends = IntStream.range(0, 5).mapToObj(i -> "end " + i).toList();
         for (String key : List.of("run 1", "run 2")) {
-            writer.mark(
+            writer.enqueue(
                     key, Priority.INTENT, () -> Map.of(key, Json.object()), () -> ends, null, null);
         }
         writer.flush();
         // The leader key, and a key and five final states for each: two changes allow eight guards.
-        assertEquals(List.of(List.of("run 1")), state.written);
+        assertEquals(List.of(List.of("run 1")), state.writtenKeys);
         answered();
-        assertEquals(List.of(List.of("run 1"), List.of("run 2")), state.written);
+        assertEquals(List.of(List.of("run 1"), List.of("run 2")), state.writtenKeys);
     }
 
     @Test
@@ -154,17 +155,17 @@
         // itself.
         refused();
         refused();
-        assertEquals(List.of("stored larger", "run 1"), state.written.get(0));
-        assertEquals(List.of("stored larger"), state.written.get(1));
-        assertEquals(List.of("run 1"), state.written.get(2));
+        assertEquals(List.of("stored larger", "run 1"), state.writtenKeys.get(0));
+        assertEquals(List.of("stored larger"), state.writtenKeys.get(1));
+        assertEquals(List.of("run 1"), state.writtenKeys.get(2));
         answered();
-        assertEquals(1, writer.waiting());
+        assertEquals(1, writer.pendingCount());
         state.now += 2;
         mark("run 2", Priority.INTENT);
         writer.flush();
         assertEquals(
                 List.of("stored larger", "run 2"),
-                state.written.get(3),
+                state.writtenKeys.get(3),
                 "tried again once it may have changed");
     }
 
@@ -172,8 +173,8 @@
     void aValueThatIsRefusedForItselfIsDividedAndWrittenAsAWhole() {
         boolean[] divided = new boolean[1];
         List<String> effects = new ArrayList<>();
-        Writer.Content content =
-                new Writer.Content() {
+        FencedWriter.Content content =
+                new FencedWriter.Content() {
                     @Override
                     public Map<String, JsonNode> values() {
                         Map<String, JsonNode> values = new LinkedHashMap<>();
@@ -185,27 +186,29 @@
                     }
 
                     @Override
-                    public boolean divide() {
+                    public boolean split() {
                         boolean possible = !divided[0];
                         divided[0] = true;
                         return possible;
                     }
                 };
-        writer.mark("run 1", Priority.INTENT, content, List::of, () -> effects.add("start"), null);
+        writer.enqueue(
+                "run 1", Priority.INTENT, content, List::of, () -> effects.add("start"), null);
         writer.flush();
         mark("run 2", Priority.INTENT);
         refused();
         // Two changes are allowed: the parts of the one leave together, and nothing beside them.
-        assertEquals(List.of(List.of("run 1"), List.of("run 1", "run 1b")), state.written);
-        assertEquals(List.of("run 1", "run 1b"), state.absent.get(1), "guarded by their stamps");
+        assertEquals(List.of(List.of("run 1"), List.of("run 1", "run 1b")), state.writtenKeys);
+        assertEquals(
+                List.of("run 1", "run 1b"), state.absentKeys.get(1), "guarded by their stamps");
         assertEquals(List.of(), effects);
         answered();
         assertEquals(List.of("start"), effects);
-        assertEquals(List.of("run 2"), state.written.get(2));
+        assertEquals(List.of("run 2"), state.writtenKeys.get(2));
     }
 
     private void refused() {
-        state.underWay.accept(new StateService.TxnResult.Refused(400));
+        state.pendingCallback.accept(new KeyValueStore.CompareAndSwapOutcome.Refused(400));
         state.pass();
     }
 }
--- a/src/test/java/io/pepperfield/store/BudgetTest.java
+++ b/src/test/java/io/pepperfield/store/RateLimiterTest.java
@@ -3,74 +3,74 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.pepperfield.standin.SimulatedLoop;
-import io.pepperfield.store.StateService.Urgency;
+import io.pepperfield.store.KeyValueStore.RequestPriority;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Who waits for whom when the state service's rates are short. */
-class BudgetTest {
+class RateLimiterTest {
 
     private final SimulatedLoop loop = new SimulatedLoop();
     private final List<String> went = new ArrayList<>();
-    private final Budget budget = new Budget(loop);
+    private final RateLimiter budget = new RateLimiter(loop);
 
-    private void ask(String name, Urgency urgency, int changes) {
+    private void ask(String name, RequestPriority urgency, int changes) {
         budget.submit(urgency, changes, 1, () -> went.add(name), () -> went.add(name + " refused"));
     }
 
     @Test
     void aLeaderThatWritesAllTheTimeKeepsNobodyElseWaiting() {
-        budget.share(50, 10, 5);
-        ask("starts", Urgency.RUN, 40);
-        ask("more starts", Urgency.RUN, 40);
-        ask("submission", Urgency.JOB, 1);
-        ask("question", Urgency.READ, 0);
+        budget.setRates(50, 10, 5);
+        ask("starts", RequestPriority.LEADER_WRITE, 40);
+        ask("more starts", RequestPriority.LEADER_WRITE, 40);
+        ask("submission", RequestPriority.SUBMISSION, 1);
+        ask("question", RequestPriority.READ, 0);
         loop.run(0.05);
         assertEquals(List.of("starts", "submission", "question"), went);
     }
 
     @Test
     void whatWaitsTooLongIsRefusedHereAndNotByTheService() {
-        budget.share(50, 0, 5);
-        ask("rush", Urgency.JOB, 20);
-        ask("late", Urgency.JOB, 1);
+        budget.setRates(50, 0, 5);
+        ask("rush", RequestPriority.SUBMISSION, 20);
+        ask("late", RequestPriority.SUBMISSION, 1);
         loop.run(1.5);
         assertEquals(List.of("rush", "late refused"), went);
         loop.run(4);
-        ask("again", Urgency.JOB, 1);
+        ask("again", RequestPriority.SUBMISSION, 1);
         assertEquals(List.of("rush", "late refused", "again"), went);
     }
 
     @Test
     void aRenewalWaitsForNothingHoweverShortTheRatesAre() {
-        budget.share(2, 1, 1);
+        budget.setRates(2, 1, 1);
         for (int i = 0; i < 20; i++) {
-            ask("question " + i, Urgency.READ, 0);
-            ask("submission " + i, Urgency.JOB, 1);
-            ask("start " + i, Urgency.RUN, 1);
+            ask("question " + i, RequestPriority.READ, 0);
+            ask("submission " + i, RequestPriority.SUBMISSION, 1);
+            ask("start " + i, RequestPriority.LEADER_WRITE, 1);
         }
         for (int i = 0; i < 40; i++) {
             went.clear();
-            ask("renewal", Urgency.GRANT, 0);
-            ask("election", Urgency.GRANT, 1);
+            ask("renewal", RequestPriority.GRANT, 0);
+            ask("election", RequestPriority.GRANT, 1);
             assertEquals(List.of("renewal", "election"), went, "renewal " + i);
             loop.run(0.25 * (i + 1));
         }
         // They are charged: the others wait for as long as it takes to pay for them.
         went.clear();
-        ask("question", Urgency.READ, 0);
+        ask("question", RequestPriority.READ, 0);
         assertEquals(List.of(), went);
     }
 
     @Test
     void ratesThatFallHoldFromThenOnAndNothingSavedUpIsLeftOver() {
-        budget.share(50, 40, 20);
+        budget.setRates(50, 40, 20);
         loop.run(2);
-        budget.share(50, 10, 5);
+        budget.setRates(50, 10, 5);
         for (int i = 0; i < 100; i++) {
-            ask("start", Urgency.RUN, 1);
-            ask("submission", Urgency.JOB, 1);
+            ask("start", RequestPriority.LEADER_WRITE, 1);
+            ask("submission", RequestPriority.SUBMISSION, 1);
         }
         loop.run(2.5);
         // A second's worth, and what half a second brings.
--- a/src/test/java/io/pepperfield/store/SyncTest.java
+++ b/src/test/java/io/pepperfield/store/ReplicaSynchronizerTest.java
@@ -6,22 +6,22 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.http.Json;
-import io.pepperfield.standin.SilentStateService;
+import io.pepperfield.standin.NoOpKeyValueStore;
 import io.pepperfield.standin.SimulatedLoop;
-import io.pepperfield.store.StateService.Item;
-import io.pepperfield.store.StateService.ReadResult;
+import io.pepperfield.store.KeyValueStore.KeyValue;
+import io.pepperfield.store.KeyValueStore.ReadResult;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
 /** How a copy stays whole, and its questions answered, through refusals and errors of its own. */
-class SyncTest implements SilentStateService {
+class ReplicaSynchronizerTest implements NoOpKeyValueStore {
 
     private final SimulatedLoop loop = new SimulatedLoop();
     private final List<Boolean> told = new ArrayList<>();
     private final Replica replica = new Replica(this::changed);
-    private final Sync sync = new Sync(loop, this, replica, 1, 0.1);
+    private final ReplicaSynchronizer sync = new ReplicaSynchronizer(loop, this, replica, 1, 0.1);
     private final List<String> readFrom = new ArrayList<>();
     private boolean refuses;
     private boolean throwsOnChange;
@@ -35,8 +35,8 @@
         }
     }
 
-    private static Item item(String key, long stamp) {
-        return new Item(key, Json.object(), stamp);
+    private static KeyValue item(String key, long stamp) {
+        return new KeyValue(key, Json.object(), stamp);
     }
 
     @Test
@@ -61,23 +61,23 @@
         sync.start();
         loop.run(1);
         throwsOnChange = true;
-        sync.confirm(told::add);
+        sync.awaitReadIndex(told::add);
         assertThrows(IllegalStateException.class, () -> loop.run(2));
         assertEquals(List.of(false), told);
-        sync.confirm(
+        sync.awaitReadIndex(
                 current -> {
                     throw new IllegalStateException("a new leader's fault");
                 });
-        sync.confirm(told::add);
+        sync.awaitReadIndex(told::add);
         assertThrows(IllegalStateException.class, () -> loop.run(3));
-        sync.confirm(told::add);
+        sync.awaitReadIndex(told::add);
         loop.run(4);
         assertEquals(List.of(false, true, true), told);
-        assertEquals(2, replica.stamp("b"), "what came with the change that failed");
+        assertEquals(2, replica.modRevision("b"), "what came with the change that failed");
     }
 
     @Override
-    public void range(String after, Consumer<ReadResult> done) {
+    public void readPage(String after, Consumer<ReadResult> done) {
         readFrom.add(after);
         loop.after(
                 0.005,
@@ -90,7 +90,7 @@
 
     /** The changes come with the questions, the long follow waits. */
     @Override
-    public void follow(long since, double holdS, Consumer<ReadResult> done) {
+    public void watch(long since, double holdS, Consumer<ReadResult> done) {
         if (refuses) {
             // Not always as quick as the readings, which would hide how many there are.
             loop.after(0.003 * (1 + refused++ % 11), () -> done.accept(new ReadResult.Failed()));
