--- a/src/main/java/io/pepperfield/admission/Admission.java
+++ b/src/main/java/io/pepperfield/admission/Admission.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.config.Settings;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.http.HttpOutcome;
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.InboundRequest;
@@ -70,13 +71,13 @@
     }
 
     /** This node leads from now on, with that token. */
-    public void elected(long token) {
+    public void elected(FencingToken token) {
         issuer = new AllotmentIssuer(limits, settings.node(), token, loop.now());
         queueWaitPredictor = new QueueWaitPredictor(loop.now());
     }
 
     /** The leader's token was minted anew. */
-    public void fencingTokenRenewed(long token) {
+    public void fencingTokenRenewed(FencingToken token) {
         if (issuer != null) {
             issuer.fencingToken(token);
         }
--- a/src/main/java/io/pepperfield/admission/AdmissionMessages.java
+++ b/src/main/java/io/pepperfield/admission/AdmissionMessages.java
@@ -5,6 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.admission.Allotment.ClassShare;
 import io.pepperfield.admission.DemandReport.ClassDemand;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.http.Json;
 import io.pepperfield.jobs.JobSpec;
 import java.util.ArrayList;
@@ -29,7 +30,7 @@
                         .put("node", report.node())
                         .put("process", report.processIncarnation())
                         .put("seq", report.sequence())
-                        .put("heldEpoch", report.heldFencingToken())
+                        .put("heldEpoch", report.heldFencingToken().value())
                         .put("heldSerial", report.heldSerial());
         ArrayNode classes = node.putArray("classes");
         report.classes()
@@ -66,7 +67,7 @@
                 message.path("node").textValue(),
                 message.path("process").textValue(),
                 message.path("seq").longValue(),
-                message.path("heldEpoch").longValue(),
+                new FencingToken(message.path("heldEpoch").longValue()),
                 message.path("heldSerial").longValue(),
                 classes);
     }
@@ -75,7 +76,7 @@
         ObjectNode node =
                 Json.object()
                         .put("node", allotment.node())
-                        .put("epoch", allotment.fencingToken())
+                        .put("epoch", allotment.fencingToken().value())
                         .put("serial", allotment.serial())
                         .put("durationMs", Math.round(allotment.durationS() * 1000))
                         .put("extraPerMinute", allotment.extraPerMinute());
@@ -127,7 +128,7 @@
         }
         return new Allotment(
                 message.path("node").textValue(),
-                message.path("epoch").longValue(),
+                new FencingToken(message.path("epoch").longValue()),
                 message.path("serial").longValue(),
                 message.path("durationMs").longValue() / 1000.0,
                 message.path("extraPerMinute").intValue(),
--- a/src/main/java/io/pepperfield/admission/Allotment.java
+++ b/src/main/java/io/pepperfield/admission/Allotment.java
@@ -1,5 +1,6 @@
 package io.pepperfield.admission;
 
+import io.pepperfield.fencing.FencingToken;
 import java.util.List;
 import java.util.SortedMap;
 
@@ -17,7 +18,7 @@
  */
 record Allotment(
         String node,
-        long fencingToken,
+        FencingToken fencingToken,
         long serial,
         double durationS,
         int extraPerMinute,
@@ -33,7 +34,7 @@
 
     /** Whether another allotment is the later one. */
     boolean isBefore(Allotment other) {
-        return fencingToken < other.fencingToken
-                || fencingToken == other.fencingToken && serial < other.serial;
+        return fencingToken.isOlderThan(other.fencingToken)
+                || fencingToken.equals(other.fencingToken) && serial < other.serial;
     }
 }
--- a/src/main/java/io/pepperfield/admission/AllotmentIssuer.java
+++ b/src/main/java/io/pepperfield/admission/AllotmentIssuer.java
@@ -2,6 +2,7 @@
 
 import io.pepperfield.admission.Allotment.ClassShare;
 import io.pepperfield.admission.DemandReport.ClassDemand;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.peer.Membership;
 import java.util.HashMap;
 import java.util.List;
@@ -31,12 +32,12 @@
     private record ReceivedReport(DemandReport report, double receivedAt) {}
 
     private final AdmissionLimits limits;
-    private final long firstFencingToken;
+    private final FencingToken firstFencingToken;
     private final Membership members;
     private final OutstandingAllotments outstandingAllotments;
     private final Map<String, ReceivedReport> reports = new HashMap<>();
     private final Map<String, LargestRemainder<WorkloadClass>> rounding = new HashMap<>();
-    private long fencingToken;
+    private FencingToken fencingToken;
     private long serial;
     private List<QueueWait> queueWaits = List.of();
 
@@ -44,7 +45,7 @@
      * @param token this leadership's token
      * @param electedAt when this leader learnt that it leads
      */
-    AllotmentIssuer(AdmissionLimits limits, String self, long token, double electedAt) {
+    AllotmentIssuer(AdmissionLimits limits, String self, FencingToken token, double electedAt) {
         this.limits = limits;
         this.firstFencingToken = token;
         this.fencingToken = token;
@@ -55,7 +56,7 @@
     }
 
     /** The leader's token was minted anew; the leadership is the same. */
-    void fencingToken(long renewed) {
+    void fencingToken(FencingToken renewed) {
         fencingToken = renewed;
     }
 
@@ -70,7 +71,7 @@
                 report.node(), report.processIncarnation(), report.sequence(), now)) {
             return null;
         }
-        if (report.heldFencingToken() >= firstFencingToken) {
+        if (report.heldFencingToken().isAtLeast(firstFencingToken)) {
             outstandingAllotments.acknowledge(report.node(), report.heldSerial());
         }
         reports.values().removeIf(known -> now - known.receivedAt > limits.allotmentDurationS());
--- a/src/main/java/io/pepperfield/admission/DemandReport.java
+++ b/src/main/java/io/pepperfield/admission/DemandReport.java
@@ -1,5 +1,6 @@
 package io.pepperfield.admission;
 
+import io.pepperfield.fencing.FencingToken;
 import java.util.SortedMap;
 
 /**
@@ -15,7 +16,7 @@
         String node,
         String processIncarnation,
         long sequence,
-        long heldFencingToken,
+        FencingToken heldFencingToken,
         long heldSerial,
         SortedMap<WorkloadClass, ClassDemand> classes) {
 
--- a/src/main/java/io/pepperfield/admission/SubmissionAdmission.java
+++ b/src/main/java/io/pepperfield/admission/SubmissionAdmission.java
@@ -3,6 +3,7 @@
 import io.pepperfield.admission.Allotment.ClassShare;
 import io.pepperfield.admission.DemandReport.ClassDemand;
 import io.pepperfield.admission.RefusedSubmissions.Generation;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.jobs.SubmissionPolicy;
 import io.pepperfield.loop.Loop;
@@ -236,7 +237,7 @@
      * @param sentAt when the request that it answers was sent
      * @param leaderToken the highest leader's token that is known here
      */
-    void useAllotment(Allotment offered, double sentAt, long leaderToken) {
+    void useAllotment(Allotment offered, double sentAt, FencingToken leaderToken) {
         double now = loop.now();
         double endsAt = sentAt + offered.durationS() * HOLDER_MARGIN;
         String why = ignoreReason(offered, endsAt, leaderToken, now);
@@ -254,11 +255,12 @@
         applyRates(now);
     }
 
-    private String ignoreReason(Allotment offered, double endsAt, long leaderToken, double now) {
+    private String ignoreReason(
+            Allotment offered, double endsAt, FencingToken leaderToken, double now) {
         if (!offered.node().equals(node)) {
             return "for another controller";
         }
-        if (offered.fencingToken() < leaderToken) {
+        if (offered.fencingToken().isOlderThan(leaderToken)) {
             return "of an earlier leader";
         }
         if (allotment != null && !allotment.isBefore(offered)) {
@@ -382,7 +384,7 @@
                                         of.refusals.total(now)));
                     }
                 });
-        long token = hasAllotment() ? allotment.fencingToken() : 0;
+        FencingToken token = hasAllotment() ? allotment.fencingToken() : FencingToken.NONE;
         return new DemandReport(
                 node, process, sequence, token, hasAllotment() ? allotment.serial() : 0, demands);
     }
--- a/src/main/java/io/pepperfield/cloud/InstanceLifecycle.java
+++ b/src/main/java/io/pepperfield/cloud/InstanceLifecycle.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.capacity.InstancePool;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Fleet;
 import io.pepperfield.fleet.Machine;
 import io.pepperfield.http.Json;
@@ -76,7 +77,7 @@
     private final CloudProvider cloud;
     private final FencedWriter writer;
     private final Fleet fleet;
-    private final long fencingToken;
+    private final FencingToken fencingToken;
     private final double retryS;
     private final double noCapacityValidityS;
     private final BooleanSupplier leadershipConfirmed;
@@ -101,7 +102,7 @@
             CloudProvider cloud,
             FencedWriter writer,
             Fleet fleet,
-            long token,
+            FencingToken token,
             double retryS,
             double refusalS,
             BooleanSupplier confirmed) {
@@ -180,7 +181,7 @@
         for (int left = count; left > 0; left -= MAX_INSTANCES_PER_RENTAL) {
             RentalRequest hire =
                     new RentalRequest(
-                            "p" + fencingToken + "-" + ++sequence,
+                            "p" + fencingToken.value() + "-" + ++sequence,
                             pool,
                             zone,
                             Math.min(left, MAX_INSTANCES_PER_RENTAL),
--- a/src/main/java/io/pepperfield/controller/Controller.java
+++ b/src/main/java/io/pepperfield/controller/Controller.java
@@ -8,6 +8,7 @@
 import io.pepperfield.cluster.MachineTypesPoller;
 import io.pepperfield.config.Feature;
 import io.pepperfield.config.Settings;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.WorkerClient;
 import io.pepperfield.health.LeaseRenewal;
 import io.pepperfield.health.MembershipLog;
@@ -434,7 +435,7 @@
     // ---- leadership
 
     @Override
-    public void elected(long token) {
+    public void elected(FencingToken token) {
         rateLimits.applyForRole(true);
         writer.reset();
         if (admission != null) {
@@ -443,15 +444,15 @@
         confirmReplica(token);
     }
 
-    private void confirmReplica(long elected) {
+    private void confirmReplica(FencingToken elected) {
         synchronizer.awaitReadIndex(current -> replicaConfirmed(elected, current));
     }
 
     /**
      * @param current whether the replica holds everything written before the question
      */
-    private void replicaConfirmed(long elected, boolean current) {
-        if (leadership.fencingToken() < elected || leader != null) {
+    private void replicaConfirmed(FencingToken elected, boolean current) {
+        if (leadership.fencingToken().isOlderThan(elected) || leader != null) {
             return;
         }
         if (!current) {
@@ -479,7 +480,7 @@
     }
 
     @Override
-    public void fencingTokenRenewed(long token) {
+    public void fencingTokenRenewed(FencingToken token) {
         if (admission != null) {
             admission.fencingTokenRenewed(token);
         }
--- a/src/main/java/io/pepperfield/controller/Leader.java
+++ b/src/main/java/io/pepperfield/controller/Leader.java
@@ -13,6 +13,7 @@
 import io.pepperfield.config.Objectives;
 import io.pepperfield.config.Settings;
 import io.pepperfield.dispatch.Dispatcher;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Attempt;
 import io.pepperfield.fleet.Fleet;
 import io.pepperfield.fleet.Heartbeat;
@@ -200,7 +201,7 @@
     /**
      * The token was minted anew; orders under the one before are refused by whoever has seen it.
      */
-    void fencingTokenRenewed(long token) {
+    void fencingTokenRenewed(FencingToken token) {
         fleet.renewFencingToken(token);
         fencingTokenRequestedAt = loop.now();
     }
@@ -247,7 +248,7 @@
         if (report == null) {
             return new PeerMessages.LeaderVerdict.FullHeartbeatRequired();
         }
-        if (report.fencingToken() > leadership.fencingToken()) {
+        if (report.fencingToken().isNewerThan(leadership.fencingToken())) {
             leadership.observeFencingToken(report.fencingToken());
             return new PeerMessages.LeaderVerdict.Refused();
         }
--- a/src/main/java/io/pepperfield/controller/PeerMessageReceiver.java
+++ b/src/main/java/io/pepperfield/controller/PeerMessageReceiver.java
@@ -1,5 +1,6 @@
 package io.pepperfield.controller;
 
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.WorkerClient;
 import io.pepperfield.health.PauseDetector;
 import io.pepperfield.heartbeat.HeartbeatHandler;
@@ -46,7 +47,7 @@
     }
 
     @Override
-    public void directOrdersReceived(long token, PeerMessages.DirectOrderMessage message) {
+    public void directOrdersReceived(FencingToken token, PeerMessages.DirectOrderMessage message) {
         if (pauseDetector.checkStale() || !storedStateCompatibility.mayServe()) {
             // Meant for then; by now another may lead, and the machine be told otherwise.
             return;
--- a/src/main/java/io/pepperfield/fleet/Attempt.java
+++ b/src/main/java/io/pepperfield/fleet/Attempt.java
@@ -1,5 +1,6 @@
 package io.pepperfield.fleet;
 
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.jobs.Job;
 
 /**
@@ -34,7 +35,7 @@
      * The highest token under which a run order may have left by the direct way, where it may be
      * carried out late.
      */
-    long directOrderToken;
+    FencingToken directOrderToken;
 
     /**
      * From a durable record of an earlier leader, which may have cleared it: it is not ordered
@@ -60,7 +61,7 @@
             Machine machine,
             long tenure,
             Phase phase,
-            long directToken,
+            FencingToken directToken,
             double intendedAt) {
         this.job = job;
         this.task = task;
--- a/src/main/java/io/pepperfield/fleet/Fleet.java
+++ b/src/main/java/io/pepperfield/fleet/Fleet.java
@@ -1,5 +1,6 @@
 package io.pepperfield.fleet;
 
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Heartbeat.Cause;
 import io.pepperfield.jobs.Job;
 import io.pepperfield.jobs.Status;
@@ -58,7 +59,7 @@
      * @param standInS for how long after a machine's last report its answers to direct messages
      *     show that it can be counted on
      */
-    public Fleet(Listener listener, long electedToken, double standInS) {
+    public Fleet(Listener listener, FencingToken electedToken, double standInS) {
         this.listener = listener;
         this.directResponseValidityS = standInS;
         this.tokens = new LeaderFencingTokens(electedToken);
@@ -67,7 +68,7 @@
     }
 
     /** The leadership's token was minted anew. */
-    public void renewFencingToken(long renewed) {
+    public void renewFencingToken(FencingToken renewed) {
         tokens.renew(renewed);
     }
 
@@ -90,7 +91,8 @@
                         attempt ->
                                 attempt.job.finalStatus() == Status.CANCELLED
                                         && attempt.phase == Attempt.Phase.ORDERED
-                                        && attempt.directOrderToken >= tokens.currentToken())
+                                        && attempt.directOrderToken.isAtLeast(
+                                                tokens.currentToken()))
                 .toList();
     }
 
@@ -145,7 +147,7 @@
                         machine,
                         tenure,
                         Attempt.Phase.ORDERED,
-                        tokens.electionToken() - 1,
+                        tokens.electionToken().predecessor(),
                         now);
         attempt.restored = true;
         machine.attempts.put(attempt.taskRef, attempt);
@@ -165,7 +167,7 @@
                         machine,
                         machine.incarnation,
                         Attempt.Phase.INTENDED,
-                        0,
+                        FencingToken.NONE,
                         now);
         Attempt old = machine.attempts.put(attempt.taskRef, attempt);
         if (old != null) {
@@ -202,7 +204,9 @@
      */
     public void directOrdersLeaving(List<Attempt> attempts) {
         attempts.forEach(
-                a -> a.directOrderToken = Math.max(a.directOrderToken, tokens.currentToken()));
+                a ->
+                        a.directOrderToken =
+                                FencingToken.newest(a.directOrderToken, tokens.currentToken()));
     }
 
     /** Wants the attempt stopped; an intent that has not left yet ends once its write does. */
@@ -228,7 +232,7 @@
             return null;
         }
         boolean anew = known != null && known.ready() && report.incarnation() > known.incarnation;
-        long seenBefore = known == null ? 0 : known.highestTokenSeen;
+        FencingToken seenBefore = known == null ? FencingToken.NONE : known.highestTokenSeen;
         Machine machine = applyHeartbeat(report, true, now);
         if (machine == null) {
             return null;
@@ -264,7 +268,7 @@
      * not the last one here.
      */
     public Heartbeat expandRepeatedHeartbeat(
-            String name, long tenure, long base, long serial, long token) {
+            String name, long tenure, long base, long serial, FencingToken token) {
         Machine machine = machines.get(name);
         Heartbeat last = machine == null ? null : machine.lastHeartbeat;
         if (last == null || last.incarnation() != tenure || last.sequence() != base) {
@@ -311,9 +315,10 @@
         // process on a machine that came
         // back at once: it would carry out old orders, so that nothing missing from its reports is
         // proven gone for good.
-        machine.restarted |= report.fencingToken() < machine.highestTokenSeen;
-        machine.highestTokenSeen = Math.max(machine.highestTokenSeen, report.fencingToken());
-        machine.hasSeenLeaderToken |= report.fencingToken() >= tokens.electionToken();
+        machine.restarted |= report.fencingToken().isOlderThan(machine.highestTokenSeen);
+        machine.highestTokenSeen =
+                FencingToken.newest(machine.highestTokenSeen, report.fencingToken());
+        machine.hasSeenLeaderToken |= report.fencingToken().isAtLeast(tokens.electionToken());
         machine.reclaimAt =
                 report.reclaimNoticeS() == null ? Double.NaN : now + report.reclaimNoticeS();
         terminationEvidence.reconcile(machine, report, beat, now);
--- a/src/main/java/io/pepperfield/fleet/Heartbeat.java
+++ b/src/main/java/io/pepperfield/fleet/Heartbeat.java
@@ -1,6 +1,7 @@
 package io.pepperfield.fleet;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import io.pepperfield.fencing.FencingToken;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -13,7 +14,7 @@
         boolean spot,
         long incarnation,
         long sequence,
-        long fencingToken,
+        FencingToken fencingToken,
         Double reclaimNoticeS,
         List<AttemptStatus> attempts) {
 
@@ -41,7 +42,7 @@
     public record AttemptStatus(TaskRef taskRef, int attemptNumber, State state, Cause cause) {}
 
     /** The report that differs from this one only in its serial and token. */
-    Heartbeat withSequenceAndToken(long newSerial, long newToken) {
+    Heartbeat withSequenceAndToken(long newSerial, FencingToken newToken) {
         return new Heartbeat(
                 machine,
                 address,
@@ -100,7 +101,7 @@
                 message.path("reclaimable").booleanValue(),
                 message.path("tenure").longValue(),
                 message.path("serial").longValue(),
-                message.path("epoch").longValue(),
+                new FencingToken(message.path("epoch").longValue()),
                 notice.isNumber() ? notice.doubleValue() : null,
                 lines);
     }
--- a/src/main/java/io/pepperfield/fleet/HttpWorkerClient.java
+++ b/src/main/java/io/pepperfield/fleet/HttpWorkerClient.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.http.HttpOutcome;
 import io.pepperfield.http.HttpSender;
 import io.pepperfield.http.Json;
@@ -28,7 +29,11 @@
 
     @Override
     public void sendOrders(
-            String address, long token, long tenure, List<Order> orders, Consumer<Result> done) {
+            String address,
+            FencingToken token,
+            long tenure,
+            List<Order> orders,
+            Consumer<Result> done) {
         send(
                 address,
                 1,
@@ -41,8 +46,12 @@
 
     @Override
     public void forwardOrders(
-            String address, long token, long tenure, JsonNode orders, Consumer<byte[]> heard) {
-        ObjectNode body = Json.object().put("epoch", token).put("tenure", tenure);
+            String address,
+            FencingToken token,
+            long tenure,
+            JsonNode orders,
+            Consumer<byte[]> heard) {
+        ObjectNode body = Json.object().put("epoch", token.value()).put("tenure", tenure);
         body.set("orders", orders);
         send(
                 address,
--- a/src/main/java/io/pepperfield/fleet/LeaderFencingTokens.java
+++ b/src/main/java/io/pepperfield/fleet/LeaderFencingTokens.java
@@ -1,29 +1,31 @@
 package io.pepperfield.fleet;
 
+import io.pepperfield.fencing.FencingToken;
+
 /**
  * The fencing tokens of one leadership: the one it was elected with, the newest one it has minted,
  * and whether something waits for a newer one still.
  */
 final class LeaderFencingTokens {
 
-    private final long electionToken;
-    private long currentToken;
+    private final FencingToken electionToken;
+    private FencingToken currentToken;
     private boolean newerRequested;
 
-    LeaderFencingTokens(long elected) {
+    LeaderFencingTokens(FencingToken elected) {
         this.electionToken = elected;
         this.currentToken = elected;
     }
 
-    long electionToken() {
+    FencingToken electionToken() {
         return electionToken;
     }
 
-    long currentToken() {
+    FencingToken currentToken() {
         return currentToken;
     }
 
-    void renew(long token) {
+    void renew(FencingToken token) {
         currentToken = token;
         newerRequested = false;
     }
--- a/src/main/java/io/pepperfield/fleet/Machine.java
+++ b/src/main/java/io/pepperfield/fleet/Machine.java
@@ -1,6 +1,7 @@
 package io.pepperfield.fleet;
 
 import io.pepperfield.capacity.InstancePool;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.jobs.Job;
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.placement.Capacity;
@@ -29,7 +30,7 @@
     long sequence = -1;
     long heartbeatIncarnation;
     long heartbeatSequence = -1;
-    long highestTokenSeen;
+    FencingToken highestTokenSeen = FencingToken.NONE;
 
     /** Loop time of the last report taken, NaN before the first under this leader. */
     double lastHeartbeatAt = Double.NaN;
--- a/src/main/java/io/pepperfield/fleet/Order.java
+++ b/src/main/java/io/pepperfield/fleet/Order.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.http.Json;
 import java.util.List;
 
@@ -35,8 +36,8 @@
     }
 
     /** The body of an answer to a report. */
-    public static ObjectNode replyBody(long token, List<Order> orders) {
-        ObjectNode body = Json.object().put("epoch", token);
+    public static ObjectNode replyBody(FencingToken token, List<Order> orders) {
+        ObjectNode body = Json.object().put("epoch", token.value());
         ArrayNode all = body.putArray("orders");
         for (Order order : orders) {
             ObjectNode node = all.addObject();
@@ -52,7 +53,7 @@
     }
 
     /** The body of a direct message, which holds for one session of the worker only. */
-    public static JsonNode directMessageBody(long token, long tenure, List<Order> orders) {
+    public static JsonNode directMessageBody(FencingToken token, long tenure, List<Order> orders) {
         return replyBody(token, orders).put("tenure", tenure);
     }
 }
--- a/src/main/java/io/pepperfield/fleet/OrderPlanner.java
+++ b/src/main/java/io/pepperfield/fleet/OrderPlanner.java
@@ -42,7 +42,7 @@
     }
 
     private void addOrderForKnown(Machine machine, Attempt attempt, List<Order> orders) {
-        boolean lateOrderPossible = machine.highestTokenSeen <= attempt.directOrderToken;
+        boolean lateOrderPossible = !machine.highestTokenSeen.isNewerThan(attempt.directOrderToken);
         if (!attempt.live()) {
             // A clear makes the worker forget; a direct run under a token it still accepts would
             // start it once more.
@@ -83,7 +83,7 @@
             Machine machine, Heartbeat.AttemptStatus line, List<Order> orders) {
         if (line.state() != Heartbeat.State.ENDED) {
             orders.add(new Order.Stop(line.taskRef(), line.attemptNumber(), 0));
-        } else if (machine.highestTokenSeen >= tokens.electionToken()) {
+        } else if (machine.highestTokenSeen.isAtLeast(tokens.electionToken())) {
             orders.add(new Order.Clear(line.taskRef(), line.attemptNumber()));
         }
     }
--- a/src/main/java/io/pepperfield/fleet/ReplyDeliveryMonitor.java
+++ b/src/main/java/io/pepperfield/fleet/ReplyDeliveryMonitor.java
@@ -1,5 +1,6 @@
 package io.pepperfield.fleet;
 
+import io.pepperfield.fencing.FencingToken;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -10,7 +11,7 @@
 final class ReplyDeliveryMonitor {
 
     private final List<Attempt> offered = new ArrayList<>();
-    private long lastRepliedToken;
+    private FencingToken lastRepliedToken = FencingToken.NONE;
 
     /** Loop time since which nothing shows that answers and orders arrive, NaN while they do. */
     private double receiveFailureSince = Double.NaN;
@@ -34,7 +35,7 @@
     }
 
     /** Its last report has been answered with this token. */
-    void replySent(long token) {
+    void replySent(FencingToken token) {
         lastRepliedToken = token;
     }
 
@@ -45,9 +46,10 @@
      * @param newSession the report begins a new session of a machine that was up
      * @param tokenBefore the highest token it had shown before
      */
-    void heartbeatReceived(Heartbeat report, boolean newSession, long tokenBefore, double now) {
-        boolean heeded = report.fencingToken() > tokenBefore;
-        boolean missed = newSession || report.fencingToken() < lastRepliedToken;
+    void heartbeatReceived(
+            Heartbeat report, boolean newSession, FencingToken tokenBefore, double now) {
+        boolean heeded = report.fencingToken().isNewerThan(tokenBefore);
+        boolean missed = newSession || report.fencingToken().isOlderThan(lastRepliedToken);
         for (Attempt attempt : offered) {
             heeded |= attempt.phase != Attempt.Phase.ORDERED;
             missed |= attempt.phase == Attempt.Phase.ORDERED && !attempt.stopRequested;
--- a/src/main/java/io/pepperfield/fleet/TerminationEvidence.java
+++ b/src/main/java/io/pepperfield/fleet/TerminationEvidence.java
@@ -26,7 +26,7 @@
      *     absence: the answer to an earlier report may still be on its way
      */
     void reconcile(Machine machine, Heartbeat report, boolean own, double now) {
-        if (!machine.restarted && report.fencingToken() >= tokens.electionToken()) {
+        if (!machine.restarted && report.fencingToken().isAtLeast(tokens.electionToken())) {
             endEarlierIncarnations(machine);
         }
         Set<TaskRef> shown = new HashSet<>();
@@ -109,7 +109,7 @@
         for (Attempt attempt : List.copyOf(machine.attempts.values())) {
             if (shown.contains(attempt.taskRef)
                     || attempt.phase == Attempt.Phase.INTENDED
-                    || machine.highestTokenSeen <= attempt.directOrderToken) {
+                    || !machine.highestTokenSeen.isNewerThan(attempt.directOrderToken)) {
                 continue;
             }
             if (!attempt.live()) {
--- a/src/main/java/io/pepperfield/fleet/WorkerClient.java
+++ b/src/main/java/io/pepperfield/fleet/WorkerClient.java
@@ -1,6 +1,7 @@
 package io.pepperfield.fleet;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import io.pepperfield.fencing.FencingToken;
 import java.util.List;
 import java.util.function.Consumer;
 
@@ -27,9 +28,17 @@
 
     /** Hands on orders as they are; {@code heard} gets the worker's report, if one comes. */
     void forwardOrders(
-            String address, long token, long tenure, JsonNode orders, Consumer<byte[]> heard);
+            String address,
+            FencingToken token,
+            long tenure,
+            JsonNode orders,
+            Consumer<byte[]> heard);
 
     /** Sends orders to a worker outside its reports; {@code done} is called once. */
     void sendOrders(
-            String address, long token, long tenure, List<Order> orders, Consumer<Result> done);
+            String address,
+            FencingToken token,
+            long tenure,
+            List<Order> orders,
+            Consumer<Result> done);
 }
--- a/src/main/java/io/pepperfield/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/io/pepperfield/heartbeat/HeartbeatHandler.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.config.Settings;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.Order;
 import io.pepperfield.health.LeaseRenewal;
@@ -115,7 +116,7 @@
 
     private void handleAsLeader(
             Heartbeat report, byte[] raw, double now, Consumer<HttpReply> answer) {
-        if (report.fencingToken() > leadership.fencingToken()) {
+        if (report.fencingToken().isNewerThan(leadership.fencingToken())) {
             leadership.observeFencingToken(report.fencingToken());
             answer.accept(HttpReply.error(503, "a newer token is about"));
         } else if (!mayAnswerAsLeader(now)) {
@@ -210,8 +211,8 @@
         if (pauseDetector.checkStale()) {
             answer.accept(HttpReply.error(503, "has stood still"));
         } else if (verdict instanceof PeerMessages.LeaderVerdict.Orders orders
-                && forwarder.fencingToken() >= report.fencingToken()) {
-            ObjectNode body = Json.object().put("epoch", forwarder.fencingToken());
+                && forwarder.fencingToken().isAtLeast(report.fencingToken())) {
+            ObjectNode body = Json.object().put("epoch", forwarder.fencingToken().value());
             body.set("orders", orders.orders());
             answer.accept(HttpReply.json(200, body));
         } else if (verdict == null) {
@@ -227,12 +228,13 @@
      * this node's own knowledge allows.
      */
     private void renewLeaseWithoutLeader(Heartbeat report, Consumer<HttpReply> answer) {
-        long token = Math.max(leadership.highestFencingToken(), forwarder.fencingToken());
+        FencingToken token =
+                FencingToken.newest(leadership.highestFencingToken(), forwarder.fencingToken());
         double settledUpTo =
                 Math.max(
                         forwarder.cancellationWatermark(report.machine()),
                         leaseRenewal.localCancellationWatermark(report));
-        if (token == 0 || report.fencingToken() > token) {
+        if (!token.exists() || report.fencingToken().isNewerThan(token)) {
             // A worker drops an answer with a lower token, and would stay here while its lease runs
             // out.
             answer.accept(HttpReply.error(503, "no valid token is known here"));
@@ -289,7 +291,7 @@
     /** What a partition owner passes on. */
     public void handleForwarded(PeerMessages.HeartbeatBatch batch, Consumer<HttpReply> answer) {
         double now = loop.now();
-        if (batch.fencingToken() > leadership.fencingToken() && leadership.isLeader()) {
+        if (batch.fencingToken().isNewerThan(leadership.fencingToken()) && leadership.isLeader()) {
             leadership.observeFencingToken(batch.fencingToken());
         }
         if (pauseDetector.checkStale()
--- a/src/main/java/io/pepperfield/jobs/SharedRunRecords.java
+++ b/src/main/java/io/pepperfield/jobs/SharedRunRecords.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.http.Json;
 import io.pepperfield.store.Keys;
 import java.util.ArrayDeque;
@@ -23,7 +24,7 @@
     /** A job is small if so many like it fill a record. */
     private static final int MIN_JOBS_PER_RECORD = 16;
 
-    private final long fencingToken;
+    private final FencingToken fencingToken;
     private final int maxTasks;
     private final Map<String, Map<String, Job>> jobsByRecord = new HashMap<>();
     private final Map<String, String> recordByJob = new HashMap<>();
@@ -44,7 +45,7 @@
      * @param mostTasks of all jobs in a record: an intent is guarded by the final state of its job,
      *     and guards are limited
      */
-    public SharedRunRecords(long token, int mostTasks) {
+    public SharedRunRecords(FencingToken token, int mostTasks) {
         this.fencingToken = token;
         this.maxTasks = mostTasks;
     }
@@ -142,7 +143,7 @@
     }
 
     private String newRecordKey() {
-        return Keys.SHARED_RUN_RECORD_PREFIX + fencingToken + "-" + ++sequence;
+        return Keys.SHARED_RUN_RECORD_PREFIX + fencingToken.value() + "-" + ++sequence;
     }
 
     /**
--- a/src/main/java/io/pepperfield/leadership/LeaderClaim.java
+++ b/src/main/java/io/pepperfield/leadership/LeaderClaim.java
@@ -1,6 +1,7 @@
 package io.pepperfield.leadership;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import io.pepperfield.fencing.FencingToken;
 
 /** The lead of this node, as far as it has it. */
 public interface LeaderClaim {
@@ -9,7 +10,7 @@
     boolean holdsValidLease();
 
     /** The stamp of the leader key. */
-    long fencingToken();
+    FencingToken fencingToken();
 
     /** The grant that the leader key is tied to. */
     long grant();
--- a/src/main/java/io/pepperfield/leadership/Leadership.java
+++ b/src/main/java/io/pepperfield/leadership/Leadership.java
@@ -1,6 +1,7 @@
 package io.pepperfield.leadership;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.http.Json;
 import io.pepperfield.loop.Loop;
 import io.pepperfield.store.KeyValueStore;
@@ -27,10 +28,10 @@
     /** The owner's reaction to changes of role; called on the event loop. */
     public interface Listener {
         /** This node leads from now on, with that token. */
-        void elected(long token);
+        void elected(FencingToken token);
 
         /** The leader key was written anew: writes are guarded by this token from now on. */
-        void fencingTokenRenewed(long token);
+        void fencingTokenRenewed(FencingToken token);
 
         /** This node does not lead any more; {@code why} is for the log. */
         void leadershipLost(String why);
@@ -44,9 +45,9 @@
 
     private String leaderNode = "";
     private long leaderGrant;
-    private long highestFencingToken;
+    private FencingToken highestFencingToken = FencingToken.NONE;
     private boolean leaderKeyKnown;
-    private long fencingToken;
+    private FencingToken fencingToken = FencingToken.NONE;
     private long grant;
     private double leaseValidUntil;
     private boolean electionInFlight;
@@ -85,7 +86,7 @@
      * Leading as far as this node knows: enough to keep leases alive, not to decide anything new.
      */
     public boolean isLeader() {
-        return fencingToken != 0 && !leadershipDoubted;
+        return fencingToken.exists() && !leadershipDoubted;
     }
 
     /** Leading, and the grant cannot have ended yet by this node's own reckoning. */
@@ -96,13 +97,13 @@
 
     /** The token of this node's term, 0 while it does not lead. */
     @Override
-    public long fencingToken() {
+    public FencingToken fencingToken() {
         return fencingToken;
     }
 
     /** The highest token that the state service has shown, whoever's it was. */
-    public long highestFencingToken() {
-        return Math.max(fencingToken, highestFencingToken);
+    public FencingToken highestFencingToken() {
+        return FencingToken.newest(fencingToken, highestFencingToken);
     }
 
     /** The grant of this node's term. */
@@ -125,7 +126,7 @@
 
     /** The condition that a leader's write must carry. */
     public Precondition fencingPrecondition() {
-        return new Precondition(Keys.LEADER, fencingToken);
+        return new Precondition(Keys.LEADER, fencingToken.value());
     }
 
     /** The replica's news of the leader key. */
@@ -134,21 +135,25 @@
         consecutiveLostElections = 0;
         long lostGrant = leaderGrant;
         leaderNode = data == null ? "" : data.path("node").asText();
-        highestFencingToken = Math.max(highestFencingToken, data == null ? 0 : stamp);
+        if (data != null) {
+            highestFencingToken = FencingToken.newest(highestFencingToken, new FencingToken(stamp));
+        }
         leaderGrant = data == null ? 0 : data.path("grant").longValue();
         recordInitialLeader();
         boolean mine =
                 data != null && leaderNode.equals(node) && leaderGrant == grant && grant != 0;
-        if (mine && fencingToken == 0) {
+        if (mine && !fencingToken.exists()) {
             becomeLeader(stamp);
-        } else if (mine && stamp > fencingToken) {
+        } else if (mine && stamp > fencingToken.value()) {
             // A renewal of which no answer came has taken effect: older guards fail from here on.
-            fencingToken = stamp;
+            fencingToken = new FencingToken(stamp);
             listener.fencingTokenRenewed(fencingToken);
-        } else if (!mine && fencingToken != 0 && (data == null || stamp > fencingToken)) {
+        } else if (!mine
+                && fencingToken.exists()
+                && (data == null || stamp > fencingToken.value())) {
             endTerm("another node has the leader key");
         }
-        if (data == null && lostGrant != 0 && fencingToken == 0) {
+        if (data == null && lostGrant != 0 && !fencingToken.exists()) {
             onLeaderGone(lostGrant);
         }
     }
@@ -186,8 +191,8 @@
      * service has renewed the grant, which it does only for the node that still has the key. A
      * made-up token thus stops it for a moment only.
      */
-    public void observeFencingToken(long seen) {
-        if (fencingToken != 0 && seen > fencingToken && !leadershipDoubted) {
+    public void observeFencingToken(FencingToken seen) {
+        if (fencingToken.exists() && seen.isNewerThan(fencingToken) && !leadershipDoubted) {
             LOG.info("a newer token {} is about, own {}", seen, fencingToken);
             leadershipDoubted = true;
             doubtedAt = loop.now();
@@ -204,7 +209,7 @@
 
     /** To be called a few times per ttl. */
     public void tick() {
-        if (fencingToken != 0) {
+        if (fencingToken.exists()) {
             renewLease();
         } else if (mayStandForElection()) {
             standForElection();
@@ -242,15 +247,15 @@
                                 if (result instanceof CompareAndSwapOutcome.Committed done) {
                                     leaderNode = node;
                                     leaderGrant = grant;
-                                    if (fencingToken == 0) {
+                                    if (!fencingToken.exists()) {
                                         becomeLeader(done.revision());
                                     }
                                 } else if (!(result instanceof CompareAndSwapOutcome.Unknown)
-                                        && fencingToken == 0) {
+                                        && !fencingToken.exists()) {
                                     store.revokeGrant(grant);
                                     grant = 0;
                                     noCandidacyBefore = loop.now() + backoffAfterLostElection();
-                                } else if (fencingToken == 0) {
+                                } else if (!fencingToken.exists()) {
                                     // Perhaps elected without knowing it: ending the grant undoes
                                     // it whenever it takes effect.
                                     store.revokeGrant(grant);
@@ -278,7 +283,7 @@
     }
 
     private void becomeLeader(long stamp) {
-        fencingToken = stamp;
+        fencingToken = new FencingToken(stamp);
         leadershipDoubted = false;
         LOG.info("leading with token {}", fencingToken);
         listener.elected(fencingToken);
@@ -310,7 +315,7 @@
                     if (result.id() != 0) {
                         leaseValidUntil = Math.max(leaseValidUntil, leaseEnd(sent));
                         leadershipDoubted &= sent < doubtedAt;
-                    } else if (result.ended() && fencingToken != 0) {
+                    } else if (result.ended() && fencingToken.exists()) {
                         endTerm("the grant has ended");
                     }
                 });
@@ -325,7 +330,7 @@
             return;
         }
         tokenRenewalInFlight = true;
-        long before = fencingToken;
+        FencingToken before = fencingToken;
         store.compareAndSwap(
                 RequestPriority.GRANT,
                 List.of(fencingPrecondition()),
@@ -333,8 +338,8 @@
                 result -> {
                     tokenRenewalInFlight = false;
                     if (result instanceof CompareAndSwapOutcome.Committed done
-                            && fencingToken == before) {
-                        fencingToken = done.revision();
+                            && fencingToken.equals(before)) {
+                        fencingToken = new FencingToken(done.revision());
                         listener.fencingTokenRenewed(fencingToken);
                     }
                 });
@@ -342,7 +347,7 @@
 
     /** Gives the lead away, for a node that can reach the state service but not the workers. */
     public void stepDown(String why, double forS) {
-        if (fencingToken != 0) {
+        if (fencingToken.exists()) {
             long given = grant;
             endTerm(why);
             store.revokeGrant(given);
@@ -352,7 +357,7 @@
 
     private void endTerm(String why) {
         LOG.info("no longer leading: {}", why);
-        fencingToken = 0;
+        fencingToken = FencingToken.NONE;
         grant = 0;
         tokenRenewalInFlight = false;
         if (leaderNode.equals(node)) {
--- a/src/main/java/io/pepperfield/lifecycle/JobTracker.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobTracker.java
@@ -2,6 +2,7 @@
 
 import io.pepperfield.config.Settings;
 import io.pepperfield.dispatch.Dispatcher;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Attempt;
 import io.pepperfield.fleet.Fleet;
 import io.pepperfield.fleet.Heartbeat;
@@ -58,7 +59,7 @@
             Loop loop,
             Settings settings,
             DurableState durable,
-            long token,
+            FencingToken token,
             Fleet fleet,
             DirectOrders direct,
             Runnable workChanged) {
--- a/src/main/java/io/pepperfield/overview/ControllerOverview.java
+++ b/src/main/java/io/pepperfield/overview/ControllerOverview.java
@@ -51,7 +51,7 @@
                         .put("zone", settings.zone())
                         .put("leader", leadership.leaderNode())
                         .put("leading", leadership.isLeader())
-                        .put("epoch", leadership.fencingToken())
+                        .put("epoch", leadership.fencingToken().value())
                         .put(
                                 "stateContactS",
                                 Math.round(100 * (now - synchronizer.lastConfirmedAt())) / 100.0);
--- a/src/main/java/io/pepperfield/peer/HeartbeatBatchBuilder.java
+++ b/src/main/java/io/pepperfield/peer/HeartbeatBatchBuilder.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.http.Json;
 
@@ -29,13 +30,13 @@
      * @param life names the sending process
      * @param sequence numbers its messages
      */
-    HeartbeatBatchBuilder(String node, String life, long sequence, long token) {
+    HeartbeatBatchBuilder(String node, String life, long sequence, FencingToken token) {
         body =
                 Json.object()
                         .put("node", node)
                         .put("life", life)
                         .put("seq", sequence)
-                        .put("epoch", token);
+                        .put("epoch", token.value());
         heartbeats = body.putArray("beats");
         directOrderReplies = body.putArray("heard");
         cachedHeartbeats = body.putArray("kept");
@@ -53,7 +54,7 @@
                 .add(report.incarnation())
                 .add(before.sequence())
                 .add(report.sequence())
-                .add(report.fencingToken());
+                .add(report.fencingToken().value());
         bytes += REPEATED_BYTES;
     }
 
--- a/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
+++ b/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
@@ -1,6 +1,7 @@
 package io.pepperfield.peer;
 
 import io.pepperfield.config.Settings;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.Order;
 import io.pepperfield.http.HttpOutcome;
@@ -52,7 +53,7 @@
     private final ArrayDeque<String> cachedToSend = new ArrayDeque<>();
     private final HeartbeatCache cache;
     private Settings.Member leader;
-    private long fencingToken;
+    private FencingToken fencingToken = FencingToken.NONE;
     private Set<String> partitionOwners = Set.of();
     private long sequence;
     private boolean requestInFlight;
@@ -121,7 +122,7 @@
     }
 
     /** The highest token that a leader has shown this node. */
-    public long fencingToken() {
+    public FencingToken fencingToken() {
         return fencingToken;
     }
 
@@ -238,7 +239,7 @@
             batch.forEach(this::fail);
             return;
         }
-        fencingToken = Math.max(fencingToken, answer.fencingToken());
+        fencingToken = FencingToken.newest(fencingToken, answer.fencingToken());
         partitionOwners = answer.partitionOwners();
         leaderReachable = true;
         leaderAnsweredAt = Math.max(leaderAnsweredAt, sent);
--- a/src/main/java/io/pepperfield/peer/PartitionOrderRouter.java
+++ b/src/main/java/io/pepperfield/peer/PartitionOrderRouter.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.config.Settings;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.Order;
 import io.pepperfield.fleet.WorkerClient;
@@ -24,7 +25,7 @@
     private final Map<String, Settings.Member> members = new HashMap<>();
     private final Map<Settings.Member, List<PeerMessages.DirectOrderMessage>> pendingOrders =
             new LinkedHashMap<>();
-    private long fencingToken;
+    private FencingToken fencingToken = FencingToken.NONE;
 
     /** Creates the router; {@code own} reaches the workers of this node's partition. */
     public PartitionOrderRouter(WorkerClient own, Peers peers, Settings settings) {
@@ -40,14 +41,18 @@
 
     @Override
     public void forwardOrders(
-            String address, long orderToken, long tenure, JsonNode orders, Consumer<byte[]> heard) {
+            String address,
+            FencingToken orderToken,
+            long tenure,
+            JsonNode orders,
+            Consumer<byte[]> heard) {
         localWorkers.forwardOrders(address, orderToken, tenure, orders, heard);
     }
 
     @Override
     public void sendOrders(
             String address,
-            long orderToken,
+            FencingToken orderToken,
             long tenure,
             List<Order> orders,
             Consumer<Result> done) {
@@ -61,7 +66,7 @@
     public void sendOrders(
             String through,
             String address,
-            long orderToken,
+            FencingToken orderToken,
             long tenure,
             List<Order> orders,
             Consumer<Result> done) {
--- a/src/main/java/io/pepperfield/peer/PeerMessages.java
+++ b/src/main/java/io/pepperfield/peer/PeerMessages.java
@@ -4,6 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.databind.util.RawValue;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.http.Json;
 import java.nio.charset.StandardCharsets;
@@ -33,7 +34,11 @@
 
         /** Differs from the one of serial {@code base} only in its serial and token. */
         record Repeated(
-                String machine, long incarnation, long baseSerial, long serial, long fencingToken)
+                String machine,
+                long incarnation,
+                long baseSerial,
+                long serial,
+                FencingToken fencingToken)
                 implements ForwardedHeartbeat {}
     }
 
@@ -45,7 +50,7 @@
             String sender,
             String incarnation,
             long sequence,
-            long fencingToken,
+            FencingToken fencingToken,
             List<ForwardedHeartbeat> heartbeats,
             List<Heartbeat> directOrderReplies,
             List<CachedHeartbeat> cachedHeartbeats) {}
@@ -64,7 +69,7 @@
 
     /** The leader's answer to a batch, with one verdict for each of its reports. */
     public record HeartbeatBatchReply(
-            long fencingToken,
+            FencingToken fencingToken,
             double stateContactAgeS,
             Set<String> partitionOwners,
             List<LeaderVerdict> verdicts) {}
@@ -102,7 +107,7 @@
                                 beat.path(1).asLong(),
                                 beat.path(2).asLong(),
                                 beat.path(3).asLong(),
-                                beat.path(4).asLong()));
+                                new FencingToken(beat.path(4).asLong())));
             } else {
                 Heartbeat report = Heartbeat.parse(beat);
                 if (report == null) {
@@ -131,7 +136,7 @@
                 message.path("node").textValue(),
                 message.path("life").textValue(),
                 message.path("seq").longValue(),
-                message.path("epoch").longValue(),
+                new FencingToken(message.path("epoch").longValue()),
                 beats,
                 heard,
                 kept);
@@ -139,10 +144,13 @@
 
     /** Encodes the answer to a batch. */
     public static byte[] writeBatchReply(
-            long token, double contactAgoS, Collection<String> live, List<LeaderVerdict> verdicts) {
+            FencingToken token,
+            double contactAgoS,
+            Collection<String> live,
+            List<LeaderVerdict> verdicts) {
         ObjectNode node =
                 Json.object()
-                        .put("epoch", token)
+                        .put("epoch", token.value())
                         .put("contactAgoMs", Math.round(contactAgoS * 1000));
         ArrayNode names = node.putArray("live");
         live.forEach(names::add);
@@ -179,7 +187,7 @@
                                     : new LeaderVerdict.Refused());
         }
         return new HeartbeatBatchReply(
-                message.path("epoch").longValue(),
+                new FencingToken(message.path("epoch").longValue()),
                 message.path("contactAgoMs").doubleValue() / 1000,
                 live,
                 verdicts);
@@ -198,8 +206,8 @@
         return ids;
     }
 
-    static byte[] writeDirectOrders(long token, List<DirectOrderMessage> messages) {
-        ObjectNode node = Json.object().put("epoch", token);
+    static byte[] writeDirectOrders(FencingToken token, List<DirectOrderMessage> messages) {
+        ObjectNode node = Json.object().put("epoch", token.value());
         ArrayNode all = node.putArray("messages");
         messages.forEach(
                 m ->
--- a/src/main/java/io/pepperfield/peer/Peers.java
+++ b/src/main/java/io/pepperfield/peer/Peers.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.config.Settings;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.http.HttpOutcome;
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.HttpSender;
@@ -26,7 +27,7 @@
         void heartbeatBatchReceived(PeerMessages.HeartbeatBatch batch, Consumer<HttpReply> answer);
 
         /** Orders for a worker of this node's partition. */
-        void directOrdersReceived(long token, PeerMessages.DirectOrderMessage message);
+        void directOrdersReceived(FencingToken token, PeerMessages.DirectOrderMessage message);
 
         /** Another node has told users that these jobs are cancelled. */
         void jobsCancelled(List<String> ids);
@@ -55,7 +56,7 @@
     private double peerReachedAt = Double.NEGATIVE_INFINITY;
     private double queriedAt = Double.NEGATIVE_INFINITY;
     private double ownConfirmedAt = Double.NEGATIVE_INFINITY;
-    private long fencingToken;
+    private FencingToken fencingToken = FencingToken.NONE;
 
     /** Creates the exchange with the other members of the cluster. */
     public Peers(Loop loop, Settings settings, HttpSender client) {
@@ -74,7 +75,7 @@
      * To be called often; asks the others only while this node itself seems to have lost the state
      * service.
      */
-    public void tick(double now, double ownContact, long ownToken) {
+    public void tick(double now, double ownContact, FencingToken ownToken) {
         ownConfirmedAt = ownContact;
         fencingToken = ownToken;
         // A follow is held for half a period: contact older than that by as much again is not the
@@ -128,7 +129,7 @@
     /** Hands orders for workers to the owner of their partition. */
     void sendDirectOrders(
             Settings.Member owner,
-            long orderToken,
+            FencingToken orderToken,
             List<PeerMessages.DirectOrderMessage> messages) {
         client.send(
                 owner.address().host(),
@@ -193,7 +194,7 @@
                                 200,
                                 Json.object()
                                         .put("contactAgoMs", Math.round(ago * 1000))
-                                        .put("epoch", fencingToken)));
+                                        .put("epoch", fencingToken.value())));
             }
             case "POST /peer/relay" -> {
                 PeerMessages.HeartbeatBatch batch = PeerMessages.readBatch(Json.read(call.body()));
@@ -209,7 +210,8 @@
                         .forEach(
                                 message ->
                                         handler.directOrdersReceived(
-                                                body.path("epoch").longValue(), message));
+                                                new FencingToken(body.path("epoch").longValue()),
+                                                message));
                 answer.accept(HttpReply.empty(200));
             }
             case "POST /peer/cancelled" -> {
--- a/src/main/java/io/pepperfield/rollout/VersionTransitions.java
+++ b/src/main/java/io/pepperfield/rollout/VersionTransitions.java
@@ -161,7 +161,8 @@
     List<Precondition> leaderPreconditions() {
         List<Precondition> guards = new ArrayList<>();
         guards.add(gate.precondition());
-        guards.add(new Precondition(versionedStore.leaderKey(), leaderClaim.fencingToken()));
+        guards.add(
+                new Precondition(versionedStore.leaderKey(), leaderClaim.fencingToken().value()));
         return guards;
     }
 
--- a/src/test/java/io/pepperfield/admission/AdmissionForms.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionForms.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.admission.Allotment.ClassShare;
 import io.pepperfield.admission.DemandReport.ClassDemand;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.forms.FormFile;
 import io.pepperfield.jobs.JobSpec;
 import java.nio.charset.StandardCharsets;
@@ -29,7 +30,7 @@
                                 "node-1",
                                 "a-process",
                                 7,
-                                41,
+                                new FencingToken(41),
                                 3,
                                 new TreeMap<>(
                                         Map.of(
@@ -45,7 +46,7 @@
                 AdmissionMessages.write(
                         new Allotment(
                                 "node-1",
-                                41,
+                                new FencingToken(41),
                                 3,
                                 2.5,
                                 60,
--- a/src/test/java/io/pepperfield/admission/AdmissionMeasurement.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionMeasurement.java
@@ -1,6 +1,7 @@
 package io.pepperfield.admission;
 
 import io.pepperfield.admission.DemandReport.ClassDemand;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.standin.JobSpecBuilder;
 import io.pepperfield.standin.SimulatedLoop;
@@ -52,7 +53,7 @@
     }
 
     private static double microsOfAllotment() {
-        AllotmentIssuer issuer = new AllotmentIssuer(LIMITS, "0", 1, -10);
+        AllotmentIssuer issuer = new AllotmentIssuer(LIMITS, "0", new FencingToken(1), -10);
         SortedMap<WorkloadClass, ClassDemand> demand = new TreeMap<>();
         for (int i = 0; i < TEAMS * CLASSES; i++) {
             demand.put(
@@ -62,7 +63,7 @@
         long from = System.nanoTime();
         for (int i = 0; i < ALLOTMENTS; i++) {
             String node = Integer.toString(i % CONTROLLERS);
-            issuer.issue(new DemandReport(node, "p", i + 1, 0, 0, demand), i * 0.1);
+            issuer.issue(new DemandReport(node, "p", i + 1, FencingToken.NONE, 0, demand), i * 0.1);
         }
         return (System.nanoTime() - from) / 1000.0 / ALLOTMENTS;
     }
--- a/src/test/java/io/pepperfield/admission/AllotmentIssuerTest.java
+++ b/src/test/java/io/pepperfield/admission/AllotmentIssuerTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pepperfield.admission.DemandReport.ClassDemand;
+import io.pepperfield.fencing.FencingToken;
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
@@ -19,7 +20,7 @@
             new AdmissionLimits(10, 70, 3, 0.5, Map.of("red", 2.0, "blue", 1.0), 60, 0.25);
     private static final WorkloadClass RED = new WorkloadClass("red", "batch", false);
     private static final WorkloadClass BLUE = new WorkloadClass("blue", "batch", false);
-    private static final long TOKEN = 7;
+    private static final FencingToken TOKEN = new FencingToken(7);
 
     private final AllotmentIssuer issuer = new AllotmentIssuer(LIMITS, "a", TOKEN, 0);
     private final Map<String, Long> sequences = new TreeMap<>();
@@ -40,7 +41,7 @@
                                 node,
                                 "p",
                                 sequences.merge(node, 1L, Long::sum),
-                                last == null ? 0 : last.fencingToken(),
+                                last == null ? FencingToken.NONE : last.fencingToken(),
                                 last == null ? 0 : last.serial(),
                                 demand(red, blue)),
                         now);
@@ -100,12 +101,14 @@
     void aLateCopyOfAReportChangesNothing() {
         ask("b", 200, 0, 4);
         Allotment last = ask("b", 200, 0, 4.5);
-        DemandReport copy = new DemandReport("b", "p", 1, 0, 0, demand(0, 500));
+        DemandReport copy = new DemandReport("b", "p", 1, FencingToken.NONE, 0, demand(0, 500));
         assertNull(issuer.issue(copy, 5));
         assertEquals(last.extraPerMinute(), issuer.outstandingAllotments().committed("b", 5));
         // Nor one of the process before.
-        issuer.issue(new DemandReport("b", "q", 1, 0, 0, demand(1, 1)), 5.1);
-        assertNull(issuer.issue(new DemandReport("b", "p", 9, 0, 0, demand(0, 500)), 5.2));
+        issuer.issue(new DemandReport("b", "q", 1, FencingToken.NONE, 0, demand(1, 1)), 5.1);
+        assertNull(
+                issuer.issue(
+                        new DemandReport("b", "p", 9, FencingToken.NONE, 0, demand(0, 500)), 5.2));
     }
 
     @Test
@@ -125,7 +128,7 @@
         assertEquals(70, ask("b", 200, 0, 4).extraPerMinute());
         ask("c", 200, 200, 4.1);
         // Its serial is high, but of an earlier token.
-        issuer.issue(new DemandReport("b", "p", 50, TOKEN - 1, 99, demand(0, 0)), 4.2);
+        issuer.issue(new DemandReport("b", "p", 50, TOKEN.predecessor(), 99, demand(0, 0)), 4.2);
         assertEquals(70, issuer.outstandingAllotments().committed("b", 4.3));
     }
 
--- a/src/test/java/io/pepperfield/admission/SubmissionAdmissionTest.java
+++ b/src/test/java/io/pepperfield/admission/SubmissionAdmissionTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pepperfield.admission.Allotment.ClassShare;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.http.Json;
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.jobs.SubmissionPolicy.Decision;
@@ -25,7 +26,7 @@
             new AdmissionLimits(60, 600, 10, 1, Map.of("red", 1.0, "guests", 1.0), 60, 0.25);
     private static final WorkloadClass RED = new WorkloadClass("red", "batch", false);
     private static final WorkloadClass FLOOD = new WorkloadClass("guests", "flood", false);
-    private static final long TOKEN = 7;
+    private static final FencingToken TOKEN = new FencingToken(7);
 
     private final SimulatedLoop loop = new SimulatedLoop();
     private double contactAt;
@@ -56,7 +57,7 @@
         return admitted;
     }
 
-    private Allotment allotment(long token, long serial, int extra, int red, int flood) {
+    private Allotment allotment(FencingToken token, long serial, int extra, int red, int flood) {
         SortedMap<WorkloadClass, ClassShare> classes = new TreeMap<>();
         classes.put(RED, new ClassShare(red, false));
         classes.put(FLOOD, new ClassShare(flood, true));
@@ -99,7 +100,7 @@
         admission.useAllotment(allotment(TOKEN, 5, 100, 1, 1), 0, TOKEN);
         admission.useAllotment(allotment(TOKEN, 4, 600, 1, 1), 0, TOKEN);
         admission.useAllotment(allotment(TOKEN, 5, 600, 1, 1), 0, TOKEN);
-        admission.useAllotment(allotment(TOKEN - 1, 9, 600, 1, 1), 0, TOKEN);
+        admission.useAllotment(allotment(TOKEN.predecessor(), 9, 600, 1, 1), 0, TOKEN);
         admission.useAllotment(
                 new Allotment("b", TOKEN, 9, 10, 600, new TreeMap<>(), List.of()), 0, TOKEN);
         admission.useAllotment(allotment(TOKEN, 9, 600, 1, 1), -20, TOKEN);
--- a/src/test/java/io/pepperfield/autoscaling/AutoscalerTest.java
+++ b/src/test/java/io/pepperfield/autoscaling/AutoscalerTest.java
@@ -10,6 +10,7 @@
 import io.pepperfield.cluster.MachineTypes;
 import io.pepperfield.config.Objectives;
 import io.pepperfield.config.Settings;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Attempt;
 import io.pepperfield.fleet.Fleet;
 import io.pepperfield.fleet.Heartbeat;
@@ -62,9 +63,10 @@
                     TransactionLimits.all(32),
                     1,
                     2);
-    private final Fleet fleet = new Fleet(this, 10, 3);
+    private final Fleet fleet = new Fleet(this, new FencingToken(10), 3);
     private final InstanceLifecycle renting =
-            new InstanceLifecycle(this, this, writer, fleet, 10, 1, 60, () -> true);
+            new InstanceLifecycle(
+                    this, this, writer, fleet, new FencingToken(10), 1, 60, () -> true);
     private final MachineTypes types = new MachineTypes(settings);
     private final LiveAttempts ledger = new LiveAttempts();
     private final Map<String, Job> jobs = new LinkedHashMap<>();
@@ -125,7 +127,7 @@
                         false,
                         1,
                         serials.merge(name, 1, Integer::sum),
-                        10,
+                        new FencingToken(10),
                         null,
                         List.of(lines)),
                 now);
--- a/src/test/java/io/pepperfield/dispatch/DispatcherTest.java
+++ b/src/test/java/io/pepperfield/dispatch/DispatcherTest.java
@@ -10,6 +10,7 @@
 import io.pepperfield.cluster.MachineTypes;
 import io.pepperfield.config.Objectives;
 import io.pepperfield.config.Settings;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Attempt;
 import io.pepperfield.fleet.Fleet;
 import io.pepperfield.fleet.Heartbeat;
@@ -37,7 +38,7 @@
 
     private final Settings settings = settings();
     private final MachineTypes types = new MachineTypes(settings);
-    private final Fleet fleet = new Fleet(this, 10, 3);
+    private final Fleet fleet = new Fleet(this, new FencingToken(10), 3);
     private final LiveAttempts liveAttempts = new LiveAttempts();
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Dispatcher dispatcher =
@@ -89,7 +90,16 @@
         fleet.expectMachine(machine, "box", "east", false, 0, 0);
         fleet.handleHeartbeat(
                 new Heartbeat(
-                        machine, "a:1", "box", "east", false, 1, serial, 10, null, List.of(lines)),
+                        machine,
+                        "a:1",
+                        "box",
+                        "east",
+                        false,
+                        1,
+                        serial,
+                        new FencingToken(10),
+                        null,
+                        List.of(lines)),
                 now());
     }
 
--- a/src/test/java/io/pepperfield/fleet/AttemptTraceTest.java
+++ b/src/test/java/io/pepperfield/fleet/AttemptTraceTest.java
@@ -1,5 +1,6 @@
 package io.pepperfield.fleet;
 
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.jobs.Job;
 import io.pepperfield.jobs.Status;
 import io.pepperfield.standin.JobSpecBuilder;
@@ -42,8 +43,9 @@
         events.clear();
         now += 1;
         switch (words[0]) {
-            case "elected" -> fleet = new Fleet(this, Long.parseLong(words[1]), 3);
-            case "token" -> fleet.renewFencingToken(Long.parseLong(words[1]));
+            case "elected" ->
+                    fleet = new Fleet(this, new FencingToken(Long.parseLong(words[1])), 3);
+            case "token" -> fleet.renewFencingToken(new FencingToken(Long.parseLong(words[1])));
             case "intend" -> {
                 Attempt attempt =
                         fleet.intendAttempt(
@@ -151,7 +153,7 @@
                 false,
                 Long.parseLong(words[2]),
                 Long.parseLong(words[3]),
-                Long.parseLong(words[4]),
+                new FencingToken(Long.parseLong(words[4])),
                 null,
                 lines);
     }
--- a/src/test/java/io/pepperfield/forms/StoredForms.java
+++ b/src/test/java/io/pepperfield/forms/StoredForms.java
@@ -7,6 +7,7 @@
 import io.pepperfield.cloud.InstanceLifecycle;
 import io.pepperfield.cloud.MachineTypesRecord;
 import io.pepperfield.config.Settings.Address;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Fleet;
 import io.pepperfield.fleet.MachineType;
 import io.pepperfield.http.Json;
@@ -62,7 +63,9 @@
         file.add("run record", Keys.runRecord(JOB_ID, 3));
         JobSpec spec = new JobSpecBuilder().id(JOB_ID).tasks(25).chunk(10).build();
         file.add("part of a run record", spec.splitRecordKey(1, 2));
-        file.add("shared run records", new SharedRunRecords(41, 64).recordKeyFor(small(), false));
+        file.add(
+                "shared run records",
+                new SharedRunRecords(new FencingToken(41), 64).recordKeyFor(small(), false));
     }
 
     private static Job small() {
@@ -192,7 +195,7 @@
 
     /** Read by the index of jobs, see the tests of the production version's values. */
     private static void writeSharedRecords(FormFile file) {
-        SharedRunRecords records = new SharedRunRecords(41, 64);
+        SharedRunRecords records = new SharedRunRecords(new FencingToken(41), 64);
         String key = records.recordKeyFor(small(), false);
         records.encodeRecord(key, job -> LINES).forEach(file::add);
         records.remove(JOB_ID);
@@ -241,7 +244,14 @@
                         2);
         InstanceLifecycle renting =
                 new InstanceLifecycle(
-                        loop, cloud, writer, new Fleet(null, 41, 1), 41, 1, 1, () -> true);
+                        loop,
+                        cloud,
+                        writer,
+                        new Fleet(null, new FencingToken(41), 1),
+                        new FencingToken(41),
+                        1,
+                        1,
+                        () -> true);
         renting.rent(new InstancePool("lekker-big", true), "west", 2);
         writer.flush();
         loop.run(10);
@@ -253,8 +263,8 @@
         RecordingSender sender = new RecordingSender(file);
         HttpCloudProvider cloud =
                 new HttpCloudProvider(loop, sender, new Address("10.2.0.2", 8443), 2);
-        Fleet fleet = new Fleet(null, 42, 1);
-        new InstanceLifecycle(loop, cloud, null, fleet, 42, 1, 1, () -> true)
+        Fleet fleet = new Fleet(null, new FencingToken(42), 1);
+        new InstanceLifecycle(loop, cloud, null, fleet, new FencingToken(42), 1, 1, () -> true)
                 .restore("p41-1", form);
         StringBuilder expected = new StringBuilder("expects");
         fleet.machines()
--- a/src/test/java/io/pepperfield/forms/WorkerForms.java
+++ b/src/test/java/io/pepperfield/forms/WorkerForms.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.HttpWorkerClient;
 import io.pepperfield.fleet.Order;
@@ -30,9 +31,9 @@
                 List.of("done", "stopped", "error", "no_room", "busy", "no_such", "unheard-of")) {
             file.add("cause " + cause, read(withTask(report, "cause", cause)));
         }
-        file.add("answer", Order.replyBody(TOKEN, orders()));
-        file.add("answer without orders", Order.replyBody(TOKEN, List.of()));
-        file.add("message", Order.directMessageBody(TOKEN, TENURE, orders()));
+        file.add("answer", Order.replyBody(new FencingToken(TOKEN), orders()));
+        file.add("answer without orders", Order.replyBody(new FencingToken(TOKEN), List.of()));
+        file.add("message", Order.directMessageBody(new FencingToken(TOKEN), TENURE, orders()));
         writeRequests(file);
     }
 
@@ -90,15 +91,15 @@
             sender.answer(status, report);
             workers.sendOrders(
                     ADDRESS,
-                    TOKEN,
+                    new FencingToken(TOKEN),
                     TENURE,
                     orders(),
                     result -> file.add("orders answered " + status, told(result)));
             workers.forwardOrders(
                     ADDRESS,
-                    TOKEN,
+                    new FencingToken(TOKEN),
                     TENURE,
-                    Order.replyBody(TOKEN, orders()).path("orders"),
+                    Order.replyBody(new FencingToken(TOKEN), orders()).path("orders"),
                     heard -> file.add("forwarded orders answered " + status, heard));
             workers.probe(ADDRESS, answer -> file.add("probe answered " + status, read(answer)));
             loop.run(loop.now() + 1);
--- a/src/test/java/io/pepperfield/health/FailureDetectorTest.java
+++ b/src/test/java/io/pepperfield/health/FailureDetectorTest.java
@@ -11,6 +11,7 @@
 import io.pepperfield.cluster.MachineTypes;
 import io.pepperfield.config.Objectives;
 import io.pepperfield.config.Settings;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Fleet;
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.HttpWorkerClient;
@@ -37,7 +38,7 @@
     private final Settings settings =
             SingleNodeSettings.of(List.of("east", "west"), Map.of(), List.of());
     private final TreeSet<String> released = new TreeSet<>();
-    private final Fleet fleet = new Fleet(this, 10, 3);
+    private final Fleet fleet = new Fleet(this, new FencingToken(10), 3);
     private final Map<String, Integer> serials = new HashMap<>();
     private final List<Runnable> posted = new ArrayList<>();
     private final MachineTypes types = new MachineTypes(settings);
@@ -60,7 +61,8 @@
                     }
                 };
         InstanceLifecycle renting =
-                new InstanceLifecycle(this, cloud, null, fleet, 10, 1, 10, () -> true);
+                new InstanceLifecycle(
+                        this, cloud, null, fleet, new FencingToken(10), 1, 10, () -> true);
         ClusterState cluster =
                 new ClusterState(
                         this,
@@ -119,7 +121,7 @@
                         false,
                         1,
                         serials.merge(name, 1, Integer::sum),
-                        10,
+                        new FencingToken(10),
                         null,
                         List.of()),
                 now);
--- a/src/test/java/io/pepperfield/health/LeaseRenewalTest.java
+++ b/src/test/java/io/pepperfield/health/LeaseRenewalTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pepperfield.config.Settings;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.Order;
 import io.pepperfield.fleet.TaskRef;
@@ -55,7 +56,17 @@
     }
 
     private static Heartbeat report(String machine, Heartbeat.AttemptStatus... lines) {
-        return new Heartbeat(machine, "a:1", "box", "east", false, 1, 9, 5, null, List.of(lines));
+        return new Heartbeat(
+                machine,
+                "a:1",
+                "box",
+                "east",
+                false,
+                1,
+                9,
+                new FencingToken(5),
+                null,
+                List.of(lines));
     }
 
     private static Heartbeat.AttemptStatus line(String id, int attempt, Heartbeat.State state) {
--- a/src/test/java/io/pepperfield/jobs/SharedRunRecordsTest.java
+++ b/src/test/java/io/pepperfield/jobs/SharedRunRecordsTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.http.Json;
 import io.pepperfield.standin.JobSpecBuilder;
 import io.pepperfield.store.Keys;
@@ -43,7 +44,7 @@
 
     @Test
     void aSwarmCostsAKeyForEachChunkOfIt() {
-        SharedRunRecords records = new SharedRunRecords(7, 2 * CHUNK);
+        SharedRunRecords records = new SharedRunRecords(new FencingToken(7), 2 * CHUNK);
         Set<String> keys = new HashSet<>();
         for (int i = 0; i < 4 * CHUNK; i++) {
             keys.add(records.recordKeyFor(job(i, 1), false));
@@ -56,7 +57,7 @@
 
     @Test
     void whatIsOverIsLeftOutAndItsRecordUsedAgain() {
-        SharedRunRecords records = new SharedRunRecords(7, 2 * CHUNK);
+        SharedRunRecords records = new SharedRunRecords(new FencingToken(7), 2 * CHUNK);
         String first = records.recordKeyFor(job(0, 1), false);
         for (int i = 1; i <= CHUNK; i++) {
             records.recordKeyFor(job(i, 1), false);
@@ -95,7 +96,7 @@
         catalog.changed(key, Json.read("{\"run-000001\":[[0,1,1,\"m2\",1]]}".getBytes()));
         assertEquals(0, catalog.get("run-000000").taskStates().size());
         assertEquals(1, catalog.get("run-000001").taskStates().size());
-        SharedRunRecords next = new SharedRunRecords(9, 2 * CHUNK);
+        SharedRunRecords next = new SharedRunRecords(new FencingToken(9), 2 * CHUNK);
         next.restore(key, catalog.jobsBySharedRecord().get(key), jobs);
         assertEquals(key, next.recordKeyFor(jobs.get("run-000001"), false));
         assertEquals(
@@ -105,7 +106,7 @@
 
     @Test
     void aRecordThatHasBecomeTooLargeIsDividedAndNoLineIsEverMissing() {
-        SharedRunRecords records = new SharedRunRecords(9, 2 * CHUNK);
+        SharedRunRecords records = new SharedRunRecords(new FencingToken(9), 2 * CHUNK);
         Map<String, Job> jobs = new LinkedHashMap<>();
         JobIndex catalog = new JobIndex(() -> 0);
         for (int i = 0; i < 10; i++) {
--- a/src/test/java/io/pepperfield/leadership/LeadershipElectionTest.java
+++ b/src/test/java/io/pepperfield/leadership/LeadershipElectionTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.http.Json;
 import io.pepperfield.standin.NoOpKeyValueStore;
 import io.pepperfield.standin.SimulatedLoop;
@@ -62,10 +63,10 @@
     }
 
     @Override
-    public void elected(long token) {}
+    public void elected(FencingToken token) {}
 
     @Override
-    public void fencingTokenRenewed(long token) {}
+    public void fencingTokenRenewed(FencingToken token) {}
 
     @Override
     public void leadershipLost(String why) {}
--- a/src/test/java/io/pepperfield/peer/PeerForms.java
+++ b/src/test/java/io/pepperfield/peer/PeerForms.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.config.Settings;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.HttpWorkerClient;
 import io.pepperfield.fleet.Order;
@@ -25,7 +26,7 @@
 /** What controllers say to each other about reports, orders and cancelled jobs. */
 public final class PeerForms implements Peers.Handler {
 
-    private static final long TOKEN = 41;
+    private static final FencingToken TOKEN = new FencingToken(41);
     private static final Settings SETTINGS =
             RegionSettings.of(0, 3, new Settings.StoreLimits(150, 60, 8, 32));
 
@@ -68,7 +69,7 @@
                 form ->
                         text(
                                 PeerMessages.writeDirectOrders(
-                                        form.path("epoch").longValue(),
+                                        new FencingToken(form.path("epoch").longValue()),
                                         PeerMessages.readDirectOrders(form))));
         file.addRewrittenByField(
                 "cancelled",
@@ -208,7 +209,7 @@
     }
 
     @Override
-    public void directOrdersReceived(long token, PeerMessages.DirectOrderMessage message) {
+    public void directOrdersReceived(FencingToken token, PeerMessages.DirectOrderMessage message) {
         file.add(
                 "received orders of " + token,
                 message.address() + " " + message.incarnation() + " " + message.orders());
--- a/src/test/java/io/pepperfield/peer/VersionsTest.java
+++ b/src/test/java/io/pepperfield/peer/VersionsTest.java
@@ -5,6 +5,7 @@
 import io.pepperfield.cloud.CloudProvider;
 import io.pepperfield.cloud.InstanceLifecycle;
 import io.pepperfield.cloud.MachineTypesRecord;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Fleet;
 import io.pepperfield.fleet.MachineType;
 import io.pepperfield.http.Json;
@@ -126,7 +127,7 @@
                             PeerMessages.readDirectOrders(said).size() + " messages",
                             Json.read(
                                     PeerMessages.writeDirectOrders(
-                                            said.path("epoch").longValue(),
+                                            new FencingToken(said.path("epoch").longValue()),
                                             PeerMessages.readDirectOrders(said))),
                             text);
             case "cancelled" ->
@@ -164,10 +165,11 @@
     private static List<String> hire(JsonNode said) {
         List<String> read = new ArrayList<>();
         RecordingKeyValueStore state = new RecordingKeyValueStore();
-        Fleet fleet = new Fleet(null, 42, 1);
+        Fleet fleet = new Fleet(null, new FencingToken(42), 1);
         CloudProvider cloud = new AskedCloud(read);
         InstanceLifecycle renting =
-                new InstanceLifecycle(state, cloud, null, fleet, 42, 1, 1, () -> true);
+                new InstanceLifecycle(
+                        state, cloud, null, fleet, new FencingToken(42), 1, 1, () -> true);
         renting.restore("p41-1", said);
         fleet.machines().forEach(m -> read.add("expects " + m.name + " " + m.type()));
         return read;
--- a/src/test/java/io/pepperfield/rollout/RolloutCommandsTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutCommandsTest.java
@@ -8,6 +8,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.config.Settings;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.Json;
 import io.pepperfield.jobs.JobSpec;
@@ -92,7 +93,7 @@
                     .compareAndSwap(
                             RequestPriority.LEADER_WRITE,
                             List.of(
-                                    new Precondition(Keys.LEADER, fencingToken()),
+                                    new Precondition(Keys.LEADER, fencingToken().value()),
                                     new Precondition(record, stamps.getOrDefault(record, 0L))),
                             List.of(Mutation.set(record, lines)),
                             result -> got[0] = result);
@@ -113,8 +114,8 @@
         }
 
         @Override
-        public long fencingToken() {
-            return stamps.getOrDefault(Keys.LEADER, 0L);
+        public FencingToken fencingToken() {
+            return new FencingToken(stamps.getOrDefault(Keys.LEADER, 0L));
         }
 
         @Override
@@ -254,7 +255,8 @@
         assertEquals(8, leader.rollout.transactionLimits().maxMutations());
         assertEquals(4 * 8 - 1, leader.rollout.transactionLimits().maxPreconditions());
         List<Precondition> guards =
-                new ArrayList<>(List.of(new Precondition(Keys.LEADER, leader.fencingToken())));
+                new ArrayList<>(
+                        List.of(new Precondition(Keys.LEADER, leader.fencingToken().value())));
         for (int job = 1; job <= 4; job++) {
             leader.write(Keys.runRecord("run-00000" + job, 0), LINES);
         }
@@ -267,7 +269,7 @@
             guards.add(new Precondition(key, leader.stamps.getOrDefault(key, 0L)));
             changes.add(Mutation.set(key, LATER));
         }
-        guards.set(0, new Precondition(Keys.LEADER, leader.fencingToken()));
+        guards.set(0, new Precondition(Keys.LEADER, leader.fencingToken().value()));
         CompareAndSwapOutcome[] got = new CompareAndSwapOutcome[1];
         leader.rollout
                 .keyValueStore()
--- a/src/test/java/io/pepperfield/rollout/RolloutMeasurement.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutMeasurement.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.config.Settings;
+import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.http.Json;
 import io.pepperfield.jobs.TaskState;
 import io.pepperfield.jobs.TaskState.Phase;
@@ -40,8 +41,8 @@
         }
 
         @Override
-        public long fencingToken() {
-            return state.modRevision(Keys.SECOND_FORM_LEADER);
+        public FencingToken fencingToken() {
+            return new FencingToken(state.modRevision(Keys.SECOND_FORM_LEADER));
         }
 
         @Override
