--- a/src/test/java/io/pepperfield/forms/GoldenFormsTest.java
+++ b/src/test/java/io/pepperfield/forms/GoldenFormsTest.java
@@ -7,12 +7,12 @@
 import io.pepperfield.admission.AdmissionForms;
 import io.pepperfield.peer.PeerForms;
 import io.pepperfield.recovery.ArchiveForms;
+import io.pepperfield.rollout.RolloutCommandForms;
 import io.pepperfield.rollout.RolloutForms;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -45,6 +45,7 @@
                             Map.entry("keys.txt", StoredForms::writeKeys),
                             Map.entry("stored-values.txt", StoredForms::write),
                             Map.entry("stored-versions.txt", RolloutForms::write),
+                            Map.entry("rollout-commands.txt", RolloutCommandForms::write),
                             Map.entry("archive.txt", ArchiveForms::write),
                             Map.entry("users.txt", UserForms::write),
                             Map.entry("user-answers.txt", UserAnswerForms::write),
@@ -101,9 +102,11 @@
             return;
         }
         byte[] then = Files.readAllBytes(golden);
-        if (!Arrays.equals(then, now)) {
-            // First as text, so that the failure shows the line; the bytes decide.
-            assertEquals(text(then), text(now), golden.toString());
+        List<String> before = text(then).lines().toList();
+        List<String> after = text(now).lines().toList();
+        for (int i = 0; i < Math.min(before.size(), after.size()); i++) {
+            // First line by line, so that a failure shows the form; the bytes decide.
+            assertEquals(before.get(i), after.get(i), golden + " line " + (i + 1));
         }
         assertArrayEquals(then, now, golden.toString());
     }
--- a/src/test/java/io/pepperfield/forms/HttpForms.java
+++ b/src/test/java/io/pepperfield/forms/HttpForms.java
@@ -1,13 +1,18 @@
 package io.pepperfield.forms;
 
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import io.pepperfield.cli.Main;
+import io.pepperfield.config.Settings;
 import io.pepperfield.http.HttpClient;
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.HttpServer;
 import io.pepperfield.http.Json;
+import io.pepperfield.recovery.HttpSnapshotSource;
+import io.pepperfield.recovery.SnapshotSource;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -16,6 +21,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.TreeMap;
 import picocli.CommandLine;
 
 /** Requests and answers with their headers, and what the console's commands ask a controller. */
@@ -50,6 +56,7 @@
             forms.answers();
             forms.requests();
             forms.commands();
+            forms.exports();
         } finally {
             forms.network.shutdownGracefully();
         }
@@ -116,21 +123,46 @@
         }
     }
 
+    /** Adds what it is asked, and gives the answer of the moment. */
+    private HttpServer recordingServer() {
+        return new HttpServer(
+                network,
+                8,
+                (call, told) -> {
+                    String query = call.query().isEmpty() ? "" : new TreeMap<>(call.query()) + " ";
+                    String body = new String(call.body(), StandardCharsets.UTF_8);
+                    file.add("asks", call.method() + " " + call.path() + " " + query + body);
+                    told.accept(answer);
+                });
+    }
+
+    /** What the export of all keys asks the state service. */
+    private void exports() throws Exception {
+        HttpServer server = recordingServer();
+        int port = server.start(HOST, 0);
+        HttpClient client = new HttpClient(network, 1 << 16);
+        SnapshotSource source =
+                new HttpSnapshotSource(client, new Settings.Address(HOST, port), 1000);
+        answer = HttpReply.json(200, FormFile.json("state-range.json"));
+        for (String after : List.of("", "pepperfield/job/run-000001")) {
+            add(source.readPage(after));
+        }
+        answer = HttpReply.json(200, FormFile.json("state-follow.json"));
+        add(source.changesSince(16));
+        answer = HttpReply.empty(410);
+        String why = assertThrows(IOException.class, () -> source.changesSince(16)).getMessage();
+        file.add("refused", why);
+        server.close();
+    }
+
+    private void add(SnapshotSource.Page page) {
+        file.add(
+                "page",
+                page.items().size() + " up to " + page.revision() + (page.more() ? ", more" : ""));
+    }
+
     private void commands() throws Exception {
-        HttpServer server =
-                new HttpServer(
-                        network,
-                        8,
-                        (call, told) -> {
-                            file.add(
-                                    "asks",
-                                    call.method()
-                                            + " "
-                                            + call.path()
-                                            + " "
-                                            + new String(call.body(), StandardCharsets.UTF_8));
-                            told.accept(answer);
-                        });
+        HttpServer server = recordingServer();
         int port = server.start(HOST, 0);
         Path job = Files.write(Files.createTempFile("forms", ".json"), BODY);
         for (String command : COMMANDS) {
--- a/src/test/java/io/pepperfield/forms/ListenerForms.java
+++ b/src/test/java/io/pepperfield/forms/ListenerForms.java
@@ -57,6 +57,9 @@
         SimulatedRegion admitting = SimulatedRegion.admitting(1, 3, 0);
         admitting.world.run(20);
         admitting.jobMix.submitWide(1, 40, 8);
+        admitting.jobMix.submitFailing(2, 1000);
+        admitting.world.run(22);
+        admitting.pipelines.submitArray(3, "standard", 4, 2, 1, 2);
         admitting.world.run(40);
         HttpReply overview = admitting.answer(admitting.leaderIndex(), "GET", "/api/nodes");
         addShape(file, "overview with admission", overview);
--- a/src/test/java/io/pepperfield/forms/SettingsForms.java
+++ b/src/test/java/io/pepperfield/forms/SettingsForms.java
@@ -2,6 +2,7 @@
 
 import io.pepperfield.config.AdmissionSettings;
 import io.pepperfield.config.Feature;
+import io.pepperfield.config.Objectives;
 import io.pepperfield.config.OperatorSettings;
 import io.pepperfield.config.OperatorSettingsReader;
 import io.pepperfield.config.Settings;
@@ -24,6 +25,8 @@
     static void writePlatform(FormFile file) {
         List<String> lines = lines("settings.toml");
         file.add("all", platform(lines));
+        writeTables(file, lines);
+        writeObjectives(file);
         for (int i = 0; i < lines.size(); i++) {
             String line = lines.get(i);
             List<String> changed = new ArrayList<>(lines);
@@ -39,6 +42,40 @@
         }
     }
 
+    /** With each table and those in it missing, and with a number in its place. */
+    private static void writeTables(FormFile file, List<String> lines) {
+        for (int i = 0; i < lines.size(); i++) {
+            if (lines.get(i).startsWith("[")) {
+                String name = lines.get(i).replaceAll("[\\[\\]]", "");
+                List<String> changed = new ArrayList<>(lines);
+                changed.remove(i);
+                while (i < changed.size() && !isOtherTable(changed.get(i), name)) {
+                    changed.remove(i);
+                }
+                file.add("without the table " + name, platform(changed));
+                int dot = name.lastIndexOf('.');
+                String parent = dot < 0 ? "" : "[" + name.substring(0, dot) + "]";
+                changed.add(changed.indexOf(parent) + 1, name.substring(dot + 1) + " = 1");
+                file.add("with a number as " + name, platform(changed));
+            }
+        }
+    }
+
+    private static boolean isOtherTable(String line, String name) {
+        return line.startsWith("[") && !line.replace("[", "").startsWith(name + ".");
+    }
+
+    /** The kinds of objectives that count. */
+    private static void writeObjectives(FormFile file) {
+        for (String kind : List.of("wait", "finished", "submit", "useful")) {
+            Objectives aims =
+                    new Objectives(List.of(new Settings.Objective(kind, "recon", 30, 0.9, 0)));
+            file.add(
+                    "objective " + kind,
+                    aims.maxWait("recon") + " " + aims.nextFinishTime("recon", 0));
+        }
+    }
+
     private static List<String> lines(String name) {
         String text = new String(FormFile.input(name), StandardCharsets.UTF_8);
         return Arrays.asList(text.split("\n"));
--- a/src/test/java/io/pepperfield/forms/WorkerForms.java
+++ b/src/test/java/io/pepperfield/forms/WorkerForms.java
@@ -16,7 +16,7 @@
 public final class WorkerForms {
 
     private static final String ADDRESS = "10.1.0.14:9000";
-    private static final long TOKEN = 41;
+    private static final FencingToken TOKEN = new FencingToken(41);
     private static final long TENURE = 3;
 
     private WorkerForms() {}
@@ -31,9 +31,13 @@
                 List.of("done", "stopped", "error", "no_room", "busy", "no_such", "unheard-of")) {
             file.add("cause " + cause, read(withTask(report, "cause", cause)));
         }
-        file.add("answer", Order.replyBody(new FencingToken(TOKEN), orders()));
-        file.add("answer without orders", Order.replyBody(new FencingToken(TOKEN), List.of()));
-        file.add("message", Order.directMessageBody(new FencingToken(TOKEN), TENURE, orders()));
+        file.add("answer", Order.replyBody(TOKEN, orders()));
+        file.add("answer without orders", Order.replyBody(TOKEN, List.of()));
+        for (Order order : orders()) {
+            JsonNode alone = Order.replyBody(TOKEN, List.of(order)).path("orders");
+            file.add("a stop among " + alone, String.valueOf(Order.containsStop(alone)));
+        }
+        file.add("message", Order.directMessageBody(TOKEN, TENURE, orders()));
         writeRequests(file);
     }
 
@@ -91,15 +95,15 @@
             sender.answer(status, report);
             workers.sendOrders(
                     ADDRESS,
-                    new FencingToken(TOKEN),
+                    TOKEN,
                     TENURE,
                     orders(),
                     result -> file.add("orders answered " + status, told(result)));
             workers.forwardOrders(
                     ADDRESS,
-                    new FencingToken(TOKEN),
+                    TOKEN,
                     TENURE,
-                    Order.replyBody(new FencingToken(TOKEN), orders()).path("orders"),
+                    Order.replyBody(TOKEN, orders()).path("orders"),
                     heard -> file.add("forwarded orders answered " + status, heard));
             workers.probe(ADDRESS, answer -> file.add("probe answered " + status, read(answer)));
             loop.run(loop.now() + 1);
--- a/src/test/java/io/pepperfield/peer/PeerForms.java
+++ b/src/test/java/io/pepperfield/peer/PeerForms.java
@@ -151,9 +151,13 @@
     }
 
     private void send(byte[] batch) {
-        sender.answer(200, "{\"contactAgoMs\":250,\"epoch\":41}");
+        sender.answer(200, "{\"contactAgoMs\":6000,\"epoch\":41}");
         loop.run(10);
         peers.tick(10, 5, TOKEN);
+        loop.run(10);
+        file.add(
+                "state service lost",
+                peers.stateContact(10) == Peers.StateContact.ISOLATED ? "here" : "by all");
         peers.announceCancelled(List.of("run-000412"));
         peers.send(SETTINGS.members().get(0), "/peer/path", batch, 1.5, outcome -> {});
         PartitionOrderRouter orders =
