--- a/src/main/java/io/pepperfield/controller/Controller.java
+++ b/src/main/java/io/pepperfield/controller/Controller.java
@@ -18,6 +18,7 @@
 import io.pepperfield.http.InboundRequest;
 import io.pepperfield.jobs.JobIndex;
 import io.pepperfield.jobs.JobMessages;
+import io.pepperfield.jobs.JobRecord;
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.jobs.Status;
 import io.pepperfield.jobs.SubmissionPolicy;
@@ -292,7 +293,7 @@
 
     /** The description of an accepted job, or null. */
     private JobSpec jobSpec(String id) {
-        JobIndex.JobRecord record = jobIndex.get(id);
+        JobRecord record = jobIndex.get(id);
         return record == null ? null : record.spec();
     }
 
--- a/src/main/java/io/pepperfield/health/LeaseRenewal.java
+++ b/src/main/java/io/pepperfield/health/LeaseRenewal.java
@@ -4,6 +4,7 @@
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.Order;
 import io.pepperfield.jobs.JobIndex;
+import io.pepperfield.jobs.JobRecord;
 import io.pepperfield.jobs.Status;
 import java.util.ArrayList;
 import java.util.List;
@@ -77,7 +78,7 @@
     public List<Order> stopsForCancelled(Heartbeat report) {
         List<Order> stops = new ArrayList<>();
         for (Heartbeat.AttemptStatus line : report.attempts()) {
-            JobIndex.JobRecord record = jobIndex.get(line.taskRef().job());
+            JobRecord record = jobIndex.get(line.taskRef().job());
             if (line.state() != Heartbeat.State.ENDED
                     && record != null
                     && record.finalStatus() == Status.CANCELLED) {
--- a/src/main/java/io/pepperfield/jobs/LinearizableReads.java
+++ b/src/main/java/io/pepperfield/jobs/LinearizableReads.java
@@ -27,7 +27,7 @@
     /** The result of reading a job. */
     sealed interface ReadOutcome {
         /** The job was accepted; its record as of the reading. */
-        record Accepted(JobIndex.JobRecord job) implements ReadOutcome {}
+        record Accepted(JobRecord job) implements ReadOutcome {}
 
         /** Not accepted by any node before the request came in. */
         record NeverAccepted() implements ReadOutcome {}
--- a/src/main/java/io/pepperfield/jobs/UserRequests.java
+++ b/src/main/java/io/pepperfield/jobs/UserRequests.java
@@ -238,7 +238,7 @@
                                         : notKnownReply(reading, refusal)));
     }
 
-    private static HttpReply statusReply(JobIndex.JobRecord job) {
+    private static HttpReply statusReply(JobRecord job) {
         return job.unreadable() && job.finalStatus() == null
                 ? HttpReply.unavailable("a record of the job is of a form that is not known here")
                 : HttpReply.json(200, job.statusAnswer());
--- a/src/main/java/io/pepperfield/lifecycle/JobRecovery.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobRecovery.java
@@ -4,7 +4,7 @@
 import io.pepperfield.fleet.Fleet;
 import io.pepperfield.fleet.LiveAttempts;
 import io.pepperfield.jobs.Job;
-import io.pepperfield.jobs.JobIndex;
+import io.pepperfield.jobs.JobRecord;
 import io.pepperfield.jobs.TaskState;
 import io.pepperfield.loop.Loop;
 
@@ -27,7 +27,7 @@
     }
 
     /** The job as its records say, or null where it has ended and nothing of it may be alive. */
-    Job restore(JobIndex.JobRecord record) {
+    Job restore(JobRecord record) {
         double ageS = Math.max(0, (wallClockMs - record.spec().acceptedMs()) / 1000.0);
         Job job = new Job(record.spec(), now - ageS);
         if (record.finalStatus() != null) {
--- a/src/main/java/io/pepperfield/lifecycle/JobTracker.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobTracker.java
@@ -11,6 +11,7 @@
 import io.pepperfield.jobs.Job;
 import io.pepperfield.jobs.JobIndex;
 import io.pepperfield.jobs.JobMessages;
+import io.pepperfield.jobs.JobRecord;
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.jobs.PriorityInheritance;
 import io.pepperfield.jobs.SharedRunRecords;
@@ -99,7 +100,7 @@
     /** Reads all jobs from the replica, which must hold what earlier leaders have written. */
     public void restoreAll() {
         JobRecovery recovery = new JobRecovery(fleet, liveAttempts, loop);
-        for (JobIndex.JobRecord record : jobIndex.all()) {
+        for (JobRecord record : jobIndex.all()) {
             boolean skipped = record.finalStatus() == Status.DONE || record.unreadable();
             Job job = skipped ? null : recovery.restore(record);
             if (job != null) {
@@ -117,7 +118,7 @@
 
     /** The replica brought a new job or a final state. */
     public void jobChanged(String id) {
-        JobIndex.JobRecord record = jobIndex.get(id);
+        JobRecord record = jobIndex.get(id);
         if (record == null || record.unreadable()) {
             return;
         }
@@ -134,7 +135,7 @@
         }
     }
 
-    private void accept(JobIndex.JobRecord record) {
+    private void accept(JobRecord record) {
         Job job = new Job(record.spec(), loop.now());
         jobs.put(record.spec().id(), job);
         trackDependencies(job, record);
@@ -142,7 +143,7 @@
     }
 
     /** A job that is not over waits for those that it needs, and lends them its rank. */
-    private void trackDependencies(Job job, JobIndex.JobRecord record) {
+    private void trackDependencies(Job job, JobRecord record) {
         if (!record.ready()) {
             job.awaitDependencies();
         } else if (!job.spec.dependencies().isEmpty()) {
@@ -152,7 +153,7 @@
     }
 
     /** By this leader's clock; now where the final states, by an older version, do not say. */
-    private double readyAt(JobIndex.JobRecord record) {
+    private double readyAt(JobRecord record) {
         long sinceMs =
                 record.readyMs().isPresent() ? loop.wallMs() - record.readyMs().getAsLong() : 0;
         return loop.now() - Math.max(0, sinceMs / 1000.0);
--- a/src/test/java/io/pepperfield/jobs/FinalStateTraceTest.java
+++ b/src/test/java/io/pepperfield/jobs/FinalStateTraceTest.java
@@ -35,7 +35,7 @@
             case "news" -> replica.applyChanges(items(words, 2), Long.parseLong(words[1]));
             case "reading" -> replica.loadSnapshot(items(words, 2), Long.parseLong(words[1]));
             default -> {
-                JobIndex.JobRecord record = catalog.get(words[1]);
+                JobRecord record = catalog.get(words[1]);
                 return List.of(
                         record == null
                                 ? "unknown"
--- a/src/test/java/io/pepperfield/jobs/PipelineTest.java
+++ b/src/test/java/io/pepperfield/jobs/PipelineTest.java
@@ -174,7 +174,7 @@
         for (int number = 250; number < 500; number++) {
             accepted(number);
         }
-        JobIndex.JobRecord record = catalog.get(id(1000));
+        JobRecord record = catalog.get(id(1000));
         for (int number : many) {
             // The same object, not an equal one.
             assertSame(
