--- a/src/main/java/io/pepperfield/cloud/InstanceLifecycle.java
+++ b/src/main/java/io/pepperfield/cloud/InstanceLifecycle.java
@@ -191,8 +191,7 @@
                     Keys.RENTAL_PREFIX + hire.requestId,
                     FencedWriter.Priority.INTENT,
                     hire::encode,
-                    () -> sendRentalRequest(hire),
-                    null);
+                    () -> sendRentalRequest(hire));
         }
     }
 
@@ -245,9 +244,7 @@
                     writer.enqueue(
                             Keys.RENTAL_PREFIX + hire.requestId,
                             FencedWriter.Priority.BACKGROUND,
-                            hire::encode,
-                            null,
-                            null);
+                            hire::encode);
                     if (hire.instanceNames.isEmpty()) {
                         rentalRequests.remove(hire.requestId);
                     }
@@ -323,9 +320,7 @@
                 writer.enqueue(
                         Keys.RENTAL_PREFIX + hire.requestId,
                         FencedWriter.Priority.BACKGROUND,
-                        hire::encode,
-                        null,
-                        null);
+                        hire::encode);
                 if (hire.instanceNames.isEmpty() && hire.answered) {
                     rentalRequests.remove(hire.requestId);
                 }
--- a/src/main/java/io/pepperfield/controller/Leader.java
+++ b/src/main/java/io/pepperfield/controller/Leader.java
@@ -192,9 +192,7 @@
                     .enqueue(
                             Keys.MACHINE_TYPES,
                             FencedWriter.Priority.BACKGROUND,
-                            () -> MachineTypesRecord.encode(machineTypes.all()),
-                            null,
-                            null);
+                            () -> MachineTypesRecord.encode(machineTypes.all()));
         }
     }
 
--- a/src/main/java/io/pepperfield/lifecycle/JobTracker.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobTracker.java
@@ -271,7 +271,7 @@
         }
         String key = Keys.FINAL_STATE_PREFIX + job.spec.id();
         long doneMs = loop.wallMs();
-        writer.enqueue(
+        writer.enqueueOnce(
                 key,
                 FencedWriter.Priority.FINAL_STATE,
                 () -> JobMessages.encodeDone(doneMs),
--- a/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
+++ b/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
@@ -26,6 +26,8 @@
     /** Each transaction is guarded by it. */
     private static final int LEADER_PRECONDITIONS = 1;
 
+    private static final Runnable NO_CALLBACK = () -> {};
+
     private final FencedWriter writer;
     private final Replica replica;
     private final LiveAttempts liveAttempts;
@@ -72,8 +74,9 @@
                     priority,
                     sharedContent(key),
                     () -> absentEndKeys(sharedRecords.jobs(key)),
-                    effect == null ? null : () -> runUnlessDeferred(job, task, priority, effect),
-                    null);
+                    effect == null
+                            ? NO_CALLBACK
+                            : () -> runUnlessDeferred(job, task, priority, effect));
             return;
         }
         int chunk = task / job.spec.tasksPerRunRecord();
@@ -82,8 +85,7 @@
                 priority,
                 ownContent(job, chunk),
                 () -> absentEndKeys(List.of(job)),
-                effect,
-                null);
+                effect == null ? NO_CALLBACK : effect);
     }
 
     /** What was left out of this writing is not durable yet: it goes into the next one. */
--- a/src/main/java/io/pepperfield/store/FencedWriter.java
+++ b/src/main/java/io/pepperfield/store/FencedWriter.java
@@ -1,53 +1,54 @@
 package io.pepperfield.store;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.pepperfield.http.Json;
 import io.pepperfield.loop.Loop;
 import io.pepperfield.store.KeyValueStore.CompareAndSwapOutcome;
-import io.pepperfield.store.KeyValueStore.Mutation;
 import io.pepperfield.store.KeyValueStore.Precondition;
-import java.util.ArrayList;
+import io.pepperfield.store.KeyValueStore.RequestPriority;
 import java.util.Collection;
-import java.util.LinkedHashMap;
+import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's durable writes: many keys share one transaction, one transaction is under way. Every
- * key is guarded by its own stamp besides the leader's token, so that a transaction that was given
- * up and is applied late finds its keys changed and does nothing.
+ * Group commit of the leader's durable writes: many keys share one transaction, and one transaction
+ * is in flight at a time. Every key has its expected modification revision as a precondition
+ * besides the leader's fencing token, so that a transaction that was given up and is applied late
+ * finds its keys changed and does nothing. Confined to the event loop's thread.
  */
 public final class FencedWriter {
 
     private static final Logger LOG = LoggerFactory.getLogger(FencedWriter.class);
 
-    /** Where the leader stands now; a write without a valid guard is not even tried. */
+    /** HTTP's status of a request that will never be carried out as it is. */
+    private static final int STATUS_BAD_REQUEST = 400;
+
+    /** The leadership of this controller; without a valid lease a write is not even tried. */
     public interface Fence {
-        /** Whether this node leads and its grant cannot have ended. */
+        /** Whether this controller leads and its lease cannot have expired. */
         boolean holdsValidLease();
 
-        /** The condition that proves the lead when the write takes effect. */
+        /** The precondition that proves the leadership when the write takes effect. */
         Precondition fencingPrecondition();
     }
 
-    /** What goes first when changes are short, in this order. */
+    /** What goes first when mutations are short, in this order. */
     public enum Priority {
-        /** Something waits to be started or rented. */
+        /** A task waits to be started, or an instance to be rented. */
         INTENT,
         /** A final state, which users wait for. */
         FINAL_STATE,
         /**
-         * An intent of the lowest rank: gathered for a moment, so that a swarm of small jobs costs
-         * one change and not one each.
+         * An intent of the lowest priority: gathered for a moment, so that a swarm of small jobs
+         * costs one mutation and not one each.
          */
         BATCHED,
         /**
-         * A completed or lost task: if it is lost, a worker that still holds it tells it again, or
-         * it runs once more.
+         * A completed or lost task: if the write is lost, a worker that still holds the task
+         * reports it again, or the task runs once more.
          */
         BACKGROUND
     }
@@ -55,53 +56,20 @@
     /** What is to be written under one or several keys, in one transaction. */
     public interface Content {
 
-        /** The keys and their values when the write leaves, in the order of the changes. */
+        /** The keys and their values at the time of the write, in the order of the mutations. */
         Map<String, JsonNode> values();
 
         /**
-         * The service refuses the values for their size. True if they are divided among more keys
-         * from now on, so that another try makes sense.
+         * The store refuses the values for their size.
+         *
+         * @return whether they are split among more keys from now on, so that another try makes
+         *     sense
          */
         default boolean split() {
             return false;
         }
     }
 
-    /** A key waiting to be written: what to write, and whom to tell. */
-    private static final class PendingWrite {
-        final Content content;
-        final Supplier<Collection<String>> requiredAbsent;
-        final List<Runnable> onDurable = new ArrayList<>();
-        final Runnable onAlreadyWritten;
-        final double enqueuedAt;
-        Priority priority;
-
-        /** Refused by the service for itself: not tried again before. */
-        double retryNotBefore = Double.NEGATIVE_INFINITY;
-
-        PendingWrite(
-                Priority priority,
-                Content content,
-                Supplier<Collection<String>> absent,
-                Runnable taken,
-                double since) {
-            this.priority = priority;
-            this.content = content;
-            this.requiredAbsent = absent;
-            this.onAlreadyWritten = taken;
-            this.enqueuedAt = since;
-        }
-    }
-
-    /** 64 KiB are allowed in all; guards and names need their partition. */
-    private static final int MAX_TRANSACTION_BYTES = 40 * 1024;
-
-    /** HTTP's word for a request that will never be carried out as it is. */
-    private static final int STATUS_BAD_REQUEST = 400;
-
-    /** What a guard adds to the name of its key. */
-    private static final int PRECONDITION_BYTES = 20;
-
     private final Loop loop;
     private final KeyValueStore store;
     private final Replica replica;
@@ -110,93 +78,140 @@
     private final TransactionLimits limits;
     private final double retryS;
     private final double backgroundDelayS;
-    private final double batchDelayS;
-    private final Map<String, Long> knownRevisions = new LinkedHashMap<>();
-    private Map<String, PendingWrite> pending = new LinkedHashMap<>();
+    private final WriteQueue queue;
+
+    /** Of keys written here, the modification revision, which the replica may not have yet. */
+    private final Map<String, Long> knownRevisions = new HashMap<>();
+
     private boolean transactionInFlight;
+
+    /** No transaction is sent while the outcome of the last one is looked into. */
     private boolean paused;
-    private int resetCount;
 
-    /** So many changes are tried one by one, after a transaction was refused whole. */
+    /** Tells callbacks of a leadership that has ended from those of the present one. */
+    private int term;
+
+    /** How many writes are still tried one by one, after a transaction was refused whole. */
     private int isolatedWritesLeft;
 
     /**
-     * @param retryS the pause after a refusal, and how long intents of the lowest rank are gathered
-     * @param patienceS how long changes that nobody waits for are gathered, so that a chunk's many
-     *     cost one
+     * @param retryS seconds between a refusal and the next try, and how long batched writes are
+     *     gathered
+     * @param backgroundDelayS seconds for which background writes are gathered, so that the many of
+     *     one run record cost one mutation
      */
     public FencedWriter(
             Loop loop,
-            KeyValueStore state,
+            KeyValueStore store,
             Replica replica,
-            ReplicaSynchronizer sync,
-            Fence lead,
+            ReplicaSynchronizer synchronizer,
+            Fence fence,
             TransactionLimits limits,
             double retryS,
-            double patienceS) {
+            double backgroundDelayS) {
         this.loop = loop;
-        this.store = state;
+        this.store = store;
         this.replica = replica;
-        this.synchronizer = sync;
-        this.fence = lead;
+        this.synchronizer = synchronizer;
+        this.fence = fence;
         this.limits = limits;
         this.retryS = retryS;
-        this.backgroundDelayS = patienceS;
-        this.batchDelayS = retryS;
+        this.backgroundDelayS = backgroundDelayS;
+        this.queue = new WriteQueue(retryS, backgroundDelayS);
     }
 
-    /** Forgets what was waiting: it was the wish of a leadership that has ended. */
+    /** Drops what was waiting: it belongs to a leadership that has ended. */
     public void reset() {
-        pending = new LinkedHashMap<>();
+        queue.clear();
         knownRevisions.clear();
         transactionInFlight = false;
         paused = false;
         isolatedWritesLeft = 0;
-        resetCount++;
+        term++;
     }
 
     /** The number of keys waiting to be written. */
     public int pendingCount() {
-        return pending.size();
+        return queue.size();
+    }
+
+    /**
+     * Writes one key without telling anybody.
+     *
+     * @see #enqueue(String, Priority, Supplier, Runnable)
+     */
+    public void enqueue(String key, Priority priority, Supplier<JsonNode> value) {
+        pending(key, priority, () -> Map.of(key, value.get()), List::of);
     }
 
     /**
-     * The key is to hold what {@code content} gives when the write leaves; {@code effect} runs once
-     * it is durable. A {@code taken} that is not null makes the key write-once: it runs instead if
-     * the key is found written. Keys are never deleted here: a late first write would find its key
-     * missing, as it expects, and bring it back.
+     * Writes one key. Keys are never deleted here: a late first write would find its key missing,
+     * as it expects, and bring it back.
+     *
+     * @param value gives the value at the time of the write
+     * @param onDurable run once the value is durable
      */
     public void enqueue(
-            String key,
-            Priority priority,
-            Supplier<JsonNode> content,
-            Runnable effect,
-            Runnable taken) {
-        enqueue(key, priority, () -> Map.of(key, content.get()), Set::of, effect, taken);
+            String key, Priority priority, Supplier<JsonNode> value, Runnable onDurable) {
+        enqueue(key, priority, () -> Map.of(key, value.get()), List::of, onDurable);
     }
 
     /**
-     * The same for a write that may only take effect while certain other keys do not exist.
+     * Writes one or several keys, which may only take effect while certain other keys do not exist.
      *
      * @param key the first key of the content, by which the write is known here
-     * @param absent gives the keys that must not exist, when the write leaves
+     * @param requiredAbsent gives the keys that must not exist, at the time of the write
+     * @param onDurable run once the values are durable
      */
     public void enqueue(
             String key,
             Priority priority,
             Content content,
-            Supplier<Collection<String>> absent,
-            Runnable effect,
-            Runnable taken) {
-        PendingWrite entry =
-                pending.computeIfAbsent(
-                        key, k -> new PendingWrite(priority, content, absent, taken, loop.now()));
-        if (priority.compareTo(entry.priority) < 0) {
-            entry.priority = priority;
-        }
-        if (effect != null) {
-            entry.onDurable.add(effect);
-        }
+            Supplier<Collection<String>> requiredAbsent,
+            Runnable onDurable) {
+        pending(key, priority, content, requiredAbsent).addCallback(onDurable);
+    }
+
+    private PendingWrite pending(
+            String key,
+            Priority priority,
+            Content content,
+            Supplier<Collection<String>> requiredAbsent) {
+        PendingWrite write =
+                queue.computeIfAbsent(
+                        key,
+                        () ->
+                                PendingWrite.repeatable(
+                                        key, priority, content, requiredAbsent, loop.now()));
+        write.raisePriority(priority);
+        return write;
+    }
+
+    /**
+     * Writes a key that is written only once.
+     *
+     * @param value gives the value at the time of the write
+     * @param onDurable run once the value is durable
+     * @param onAlreadyWritten run instead where the key is found written
+     */
+    public void enqueueOnce(
+            String key,
+            Priority priority,
+            Supplier<JsonNode> value,
+            Runnable onDurable,
+            Runnable onAlreadyWritten) {
+        PendingWrite write =
+                queue.computeIfAbsent(
+                        key,
+                        () ->
+                                PendingWrite.once(
+                                        key,
+                                        priority,
+                                        () -> Map.of(key, value.get()),
+                                        onAlreadyWritten,
+                                        loop.now()));
+        write.raisePriority(priority);
+        write.addCallback(onDurable);
     }
 
     /**
@@ -204,214 +219,149 @@
      * goes on.
      */
     public void discard(String key) {
-        PendingWrite entry = pending.remove(key);
-        if (entry != null) {
-            entry.onDurable.forEach(Runnable::run);
+        PendingWrite write = queue.remove(key);
+        if (write != null) {
+            write.notifyDurable();
         }
     }
 
-    /** To be called at the end of each batch of commands. */
+    /** Sends the next transaction if it may leave; to be called after each batch of commands. */
     public void flush() {
-        if (transactionInFlight || paused || pending.isEmpty() || !fence.holdsValidLease()) {
+        if (transactionInFlight || paused || queue.isEmpty() || !fence.holdsValidLease()) {
             return;
         }
-        List<Map.Entry<String, PendingWrite>> chosen = selectNext();
-        if (chosen.isEmpty()) {
+        List<PendingWrite> ready = queue.ready(loop.now(), limits.maxMutations());
+        if (ready.isEmpty()) {
             return;
         }
-        Map<String, PendingWrite> batch = new LinkedHashMap<>();
-        List<Mutation> changes = new ArrayList<>();
-        List<Precondition> guards = new ArrayList<>();
-        guards.add(fence.fencingPrecondition());
-        int bytes = 0;
-        for (Map.Entry<String, PendingWrite> next : chosen) {
-            Map<String, JsonNode> values = next.getValue().content.values();
-            Collection<String> absent = next.getValue().requiredAbsent.get();
-            int size = encodedSize(values, absent);
-            if (!batch.isEmpty()
-                    && (isolatedWritesLeft > 0
-                            || changes.size() + values.size() > limits.maxMutations()
-                            || bytes + size > MAX_TRANSACTION_BYTES
-                            || guards.size() + values.size() + absent.size()
-                                    > limits.maxPreconditions())) {
-                break;
-            }
-            bytes += size;
-            pending.remove(next.getKey());
-            batch.put(next.getKey(), next.getValue());
-            // A final state is written once: its guard stays 0 whatever a retry has learned
-            // meanwhile.
-            boolean once = next.getValue().onAlreadyWritten != null;
-            values.forEach(
-                    (key, value) -> {
-                        changes.add(Mutation.set(key, value));
-                        guards.add(new Precondition(key, once ? 0 : expectedRevision(key)));
-                    });
-            absent.forEach(k -> guards.add(new Precondition(k, 0)));
-        }
+        WriteTransaction transaction = transaction(ready);
         transactionInFlight = true;
         isolatedWritesLeft = Math.max(0, isolatedWritesLeft - 1);
-        int mine = resetCount;
+        int sentIn = term;
         store.compareAndSwap(
-                KeyValueStore.RequestPriority.LEADER_WRITE,
-                guards,
-                changes,
-                result -> {
-                    if (mine == resetCount) {
+                RequestPriority.LEADER_WRITE,
+                transaction.preconditions(),
+                transaction.mutations(),
+                outcome -> {
+                    if (sentIn == term) {
                         transactionInFlight = false;
-                        handleOutcome(batch, changes, result);
+                        handleOutcome(transaction, outcome);
                     }
                 });
     }
 
-    private static int encodedSize(Map<String, JsonNode> values, Collection<String> absent) {
-        int size = 0;
-        for (Map.Entry<String, JsonNode> value : values.entrySet()) {
-            size += Json.write(value.getValue()).length + 2 * value.getKey().length();
-        }
-        for (String key : absent) {
-            size += key.length() + PRECONDITION_BYTES;
-        }
-        return size;
-    }
-
-    /**
-     * The most urgent changes, the oldest of them first; patient ones only once they have gathered.
-     * With each such time a change moves up, so that what keeps coming cannot hold it back for
-     * ever.
-     */
-    private List<Map.Entry<String, PendingWrite>> selectNext() {
-        double now = loop.now();
-        List<Map.Entry<String, PendingWrite>> chosen = new ArrayList<>();
-        for (int rank = 0; rank < Priority.values().length; rank++) {
-            for (Map.Entry<String, PendingWrite> entry : pending.entrySet()) {
-                if (chosen.size() == limits.maxMutations()) {
-                    return chosen;
-                }
-                PendingWrite change = entry.getValue();
-                int waited = (int) ((now - change.enqueuedAt) / backgroundDelayS);
-                boolean ripe =
-                        change.retryNotBefore <= now
-                                && switch (change.priority) {
-                                    case INTENT, FINAL_STATE -> true;
-                                    case BATCHED -> now - change.enqueuedAt >= batchDelayS;
-                                    case BACKGROUND -> waited > 0;
-                                };
-                if (ripe && Math.max(0, change.priority.ordinal() - waited) == rank) {
-                    chosen.add(entry);
-                }
+    private WriteTransaction transaction(List<PendingWrite> ready) {
+        int maxWrites = isolatedWritesLeft > 0 ? 1 : Integer.MAX_VALUE;
+        WriteTransaction transaction =
+                new WriteTransaction(limits, maxWrites, fence.fencingPrecondition());
+        for (PendingWrite write : ready) {
+            if (!transaction.add(write, this::expectedRevision)) {
+                break;
             }
+            queue.remove(write.key());
         }
-        return chosen;
+        return transaction;
     }
 
     private long expectedRevision(String key) {
         return Math.max(knownRevisions.getOrDefault(key, 0L), replica.modRevision(key));
     }
 
-    private void handleOutcome(
-            Map<String, PendingWrite> batch, List<Mutation> changes, CompareAndSwapOutcome result) {
-        if (result instanceof CompareAndSwapOutcome.Committed done) {
-            changes.forEach(change -> knownRevisions.put(change.key(), done.revision()));
-            batch.values().forEach(entry -> entry.onDurable.forEach(Runnable::run));
+    private void handleOutcome(WriteTransaction transaction, CompareAndSwapOutcome outcome) {
+        if (outcome instanceof CompareAndSwapOutcome.Committed committed) {
+            transaction
+                    .mutations()
+                    .forEach(mutation -> knownRevisions.put(mutation.key(), committed.revision()));
+            transaction.writes().forEach(PendingWrite::notifyDurable);
             flush();
             return;
         }
-        if (result instanceof CompareAndSwapOutcome.Refused refused
+        if (outcome instanceof CompareAndSwapOutcome.Refused refused
                 && refused.status() == STATUS_BAD_REQUEST) {
-            handlePermanentRefusal(batch);
+            handlePermanentRefusal(transaction.writes());
         }
-        requeue(batch);
+        queue.requeue(transaction.writes());
         paused = true;
-        int mine = resetCount;
-        if (result instanceof CompareAndSwapOutcome.Refused) {
-            loop.after(
-                    retryS,
-                    () -> {
-                        if (mine == resetCount) {
-                            paused = false;
-                            flush();
-                        }
-                    });
+        if (outcome instanceof CompareAndSwapOutcome.Refused) {
+            afterRetryPause(this::resume);
         } else {
-            resolveUncertainOutcome(batch, changes);
+            resolveUncertainOutcome(transaction);
         }
     }
 
+    private void resume() {
+        paused = false;
+        flush();
+    }
+
+    /** Runs the command after the retry pause, unless the leadership has ended by then. */
+    private void afterRetryPause(Runnable command) {
+        int scheduledIn = term;
+        loop.after(
+                retryS,
+                () -> {
+                    if (scheduledIn == term) {
+                        command.run();
+                    }
+                });
+    }
+
     /**
-     * The service will never take this transaction as it is. Of several changes one may be too
-     * large, as it was stored under a higher limit: each is tried by itself. One that is refused
-     * alone is divided among more keys; where that is not possible, it waits until it has changed,
-     * without holding up the others.
+     * The store will never take this transaction as it is. Of several writes one may be too large,
+     * as it was stored under a higher limit: each is tried by itself. One that is refused alone is
+     * split among more keys; where that is not possible, it waits until it has changed, without
+     * holding up the others.
      */
-    private void handlePermanentRefusal(Map<String, PendingWrite> batch) {
-        if (batch.size() > 1) {
-            isolatedWritesLeft = batch.size();
+    private void handlePermanentRefusal(List<PendingWrite> refused) {
+        if (refused.size() > 1) {
+            isolatedWritesLeft = refused.size();
             return;
         }
-        batch.forEach(
-                (key, entry) -> {
-                    if (entry.content.split()) {
-                        LOG.info("{} is too large by now and is divided", key);
-                    } else {
-                        LOG.warn("{} cannot be written as it is", key);
-                        entry.retryNotBefore = loop.now() + backgroundDelayS;
-                    }
-                });
+        PendingWrite write = refused.get(0);
+        if (write.split()) {
+            LOG.info(
+                    "Stored value is too large by now, split among more keys: key={}", write.key());
+        } else {
+            LOG.warn(
+                    "Write refused by the state service, retried later: key={} retryAfterS={}",
+                    write.key(),
+                    backgroundDelayS);
+            write.retryNotBefore(loop.now() + backgroundDelayS);
+        }
     }
 
     /**
-     * After a conflict or no answer: what is there now decides which stamps the next try is guarded
-     * by.
+     * After a conflict or without an answer: what the replica holds once it is current decides
+     * which revisions the next try expects.
      */
-    private void resolveUncertainOutcome(Map<String, PendingWrite> batch, List<Mutation> changes) {
-        int mine = resetCount;
+    private void resolveUncertainOutcome(WriteTransaction transaction) {
+        int sentIn = term;
         synchronizer.awaitReadIndex(
                 current -> {
-                    if (mine != resetCount) {
+                    if (sentIn != term) {
                         return;
                     }
-                    if (!current) {
-                        loop.after(
-                                retryS,
-                                () -> {
-                                    if (mine == resetCount) {
-                                        resolveUncertainOutcome(batch, changes);
-                                    }
-                                });
-                        return;
+                    if (current) {
+                        retryFromReplica(transaction);
+                    } else {
+                        afterRetryPause(() -> resolveUncertainOutcome(transaction));
                     }
-                    paused = false;
-                    // A key in a newer version than expected was written by an earlier try of this
-                    // very writer.
-                    changes.forEach(change -> knownRevisions.remove(change.key()));
-                    batch.forEach(
-                            (key, entry) -> {
-                                if (entry.onAlreadyWritten != null && replica.get(key) != null) {
-                                    pending.remove(key);
-                                    entry.onAlreadyWritten.run();
-                                }
-                            });
-                    // Spaced, so that a guard which keeps failing until the replica brings the
-                    // reason does not spin.
-                    loop.after(retryS / 4, this::flush);
                 });
     }
 
-    /** Puts a batch back in front, joined with what was marked meanwhile. */
-    private void requeue(Map<String, PendingWrite> batch) {
-        Map<String, PendingWrite> later = pending;
-        pending = new LinkedHashMap<>(batch);
-        later.forEach(
-                (key, entry) -> {
-                    PendingWrite first = pending.putIfAbsent(key, entry);
-                    if (first != null) {
-                        first.onDurable.addAll(entry.onDurable);
-                        first.priority =
-                                first.priority.compareTo(entry.priority) < 0
-                                        ? first.priority
-                                        : entry.priority;
-                    }
-                });
+    private void retryFromReplica(WriteTransaction transaction) {
+        paused = false;
+        // A key in a newer revision than expected was written by an earlier try of this very
+        // writer.
+        transaction.mutations().forEach(mutation -> knownRevisions.remove(mutation.key()));
+        for (PendingWrite write : transaction.writes()) {
+            if (write.isWriteOnce() && replica.get(write.key()) != null) {
+                queue.remove(write.key());
+                write.notifyAlreadyWritten();
+            }
+        }
+        // Spaced, so that a precondition which keeps failing until the replica brings the reason
+        // does not spin.
+        loop.after(retryS / 4, this::flush);
     }
 }
--- a/src/test/java/io/pepperfield/store/FencedWriterTest.java
+++ b/src/test/java/io/pepperfield/store/FencedWriterTest.java
@@ -16,6 +16,8 @@
 /** In which order the leader's changes go, two in a transaction here. */
 class FencedWriterTest {
 
+    private static final Runnable NO_CALLBACK = () -> {};
+
     private final RecordingKeyValueStore state = new RecordingKeyValueStore();
     private final Replica replica = new Replica((key, data, stamp) -> {});
     private final FencedWriter writer =
@@ -40,7 +42,7 @@
                     2);
 
     private void mark(String key, Priority priority) {
-        writer.enqueue(key, priority, Json::object, null, null);
+        writer.enqueue(key, priority, Json::object);
     }
 
     private void answered() {
@@ -120,14 +122,13 @@
                 Priority.INTENT,
                 () -> Map.of("run 1", Json.object()),
                 () -> known[0] ? List.of() : List.of("end 1"),
-                null,
-                null);
+                NO_CALLBACK);
         writer.flush();
         assertEquals(List.of("run 1", "end 1"), state.absentKeys.get(0));
         // The cancellation that refused it is known by the next try, which makes durable that
         // nothing was started.
         known[0] = true;
-        writer.enqueue("run 1", Priority.INTENT, Json::object, null, null);
+        writer.enqueue("run 1", Priority.INTENT, Json::object);
         answered();
         assertEquals(List.of(List.of("run 1"), List.of("run 1")), state.writtenKeys);
     }
@@ -137,7 +138,11 @@
         List<String> ends = IntStream.range(0, 5).mapToObj(i -> "end " + i).toList();
         for (String key : List.of("run 1", "run 2")) {
             writer.enqueue(
-                    key, Priority.INTENT, () -> Map.of(key, Json.object()), () -> ends, null, null);
+                    key,
+                    Priority.INTENT,
+                    () -> Map.of(key, Json.object()),
+                    () -> ends,
+                    NO_CALLBACK);
         }
         writer.flush();
         // The leader key, and a key and five final states for each: two changes allow eight guards.
@@ -192,8 +197,7 @@
                         return possible;
                     }
                 };
-        writer.enqueue(
-                "run 1", Priority.INTENT, content, List::of, () -> effects.add("start"), null);
+        writer.enqueue("run 1", Priority.INTENT, content, List::of, () -> effects.add("start"));
         writer.flush();
         mark("run 2", Priority.INTENT);
         refused();
