--- a/src/main/java/io/pepperfield/leadership/Leadership.java
+++ b/src/main/java/io/pepperfield/leadership/Leadership.java
@@ -6,6 +6,7 @@
 import io.pepperfield.loop.Loop;
 import io.pepperfield.store.KeyValueStore;
 import io.pepperfield.store.KeyValueStore.CompareAndSwapOutcome;
+import io.pepperfield.store.KeyValueStore.GrantOutcome;
 import io.pepperfield.store.KeyValueStore.Mutation;
 import io.pepperfield.store.KeyValueStore.Precondition;
 import io.pepperfield.store.KeyValueStore.RequestPriority;
@@ -231,8 +232,8 @@
         double sent = loop.now();
         store.createGrant(
                 leaseTtlS,
-                granted -> {
-                    if (granted.id() == 0) {
+                outcome -> {
+                    if (!(outcome instanceof GrantOutcome.Granted granted)) {
                         abandonElection();
                         return;
                     }
@@ -312,10 +313,10 @@
                     if (grant != touched) {
                         return;
                     }
-                    if (result.id() != 0) {
+                    if (result instanceof GrantOutcome.Granted) {
                         leaseValidUntil = Math.max(leaseValidUntil, leaseEnd(sent));
                         leadershipDoubted &= sent < doubtedAt;
-                    } else if (result.ended() && fencingToken.exists()) {
+                    } else if (result instanceof GrantOutcome.Ended && fencingToken.exists()) {
                         endTerm("the grant has ended");
                     }
                 });
--- a/src/main/java/io/pepperfield/recovery/HttpSnapshotSource.java
+++ b/src/main/java/io/pepperfield/recovery/HttpSnapshotSource.java
@@ -4,7 +4,7 @@
 import io.pepperfield.config.Settings;
 import io.pepperfield.http.HttpClient;
 import io.pepperfield.http.HttpOutcome;
-import io.pepperfield.store.KeyValueResponses;
+import io.pepperfield.store.KeyValueMessages;
 import io.pepperfield.store.Keys;
 import java.io.IOException;
 import java.util.concurrent.CompletableFuture;
@@ -39,7 +39,7 @@
         String since = after.isEmpty() ? "" : "&since=" + after;
         JsonNode body = get("/kv?starts=" + Keys.ROOT + "&limit=" + PAGE_SIZE + since).json();
         boolean more = body.path("truncated").asBoolean();
-        return new Page(KeyValueResponses.pairs(body), more, revision(body));
+        return new Page(KeyValueMessages.pairs(body), more, revision(body));
     }
 
     @Override
@@ -50,7 +50,7 @@
             throw new ChangesCompactedException(revision);
         }
         JsonNode body = answer.json();
-        return new Page(KeyValueResponses.events(body), false, revision(body));
+        return new Page(KeyValueMessages.events(body), false, revision(body));
     }
 
     private static long revision(JsonNode body) throws IOException {
--- a/src/main/java/io/pepperfield/rollout/MemberDeclaration.java
+++ b/src/main/java/io/pepperfield/rollout/MemberDeclaration.java
@@ -4,6 +4,7 @@
 import io.pepperfield.loop.Loop;
 import io.pepperfield.store.KeyValueStore;
 import io.pepperfield.store.KeyValueStore.CompareAndSwapOutcome;
+import io.pepperfield.store.KeyValueStore.GrantOutcome;
 import io.pepperfield.store.KeyValueStore.Mutation;
 import io.pepperfield.store.KeyValueStore.Precondition;
 import io.pepperfield.store.KeyValueStore.RequestPriority;
@@ -57,15 +58,15 @@
         if (grant == 0) {
             store.createGrant(
                     ttlS,
-                    granted -> {
-                        grant = granted.id();
+                    outcome -> {
+                        grant = outcome instanceof GrantOutcome.Granted granted ? granted.id() : 0;
                         declare();
                     });
         } else {
             store.renewGrant(
                     grant,
-                    touched -> {
-                        if (touched.ended()) {
+                    outcome -> {
+                        if (outcome instanceof GrantOutcome.Ended) {
                             grant = 0;
                             nextRenewalAt = loop.now();
                         }
--- a/src/main/java/io/pepperfield/rollout/VersionedKeyValueStore.java
+++ b/src/main/java/io/pepperfield/rollout/VersionedKeyValueStore.java
@@ -278,17 +278,17 @@
     // ---- grants
 
     @Override
-    public void createGrant(double ttlS, Consumer<GrantResult> done) {
+    public void createGrant(double ttlS, Consumer<GrantOutcome> done) {
         if (gate.mayWrite()) {
             store.createGrant(ttlS, done);
         } else {
             // Who may not write cannot lead, and must not burden the service with grants.
-            done.accept(new GrantResult(0, false));
+            done.accept(new GrantOutcome.Unavailable());
         }
     }
 
     @Override
-    public void renewGrant(long id, Consumer<GrantResult> done) {
+    public void renewGrant(long id, Consumer<GrantOutcome> done) {
         store.renewGrant(id, done);
     }
 
--- a/src/main/java/io/pepperfield/store/KeyValueStore.java
+++ b/src/main/java/io/pepperfield/store/KeyValueStore.java
@@ -4,11 +4,15 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The state service as the slices see it; every callback runs on the owner. */
+/**
+ * The state service: a consistent key-value store with compare-and-swap, watches and leases (its
+ * grants). Every callback runs on the event loop's thread.
+ */
 public interface KeyValueStore {
 
-    /** Who goes first when the rate budget is short; the design's order. */
+    /** Which requests go first when the rates are short, in this order. */
     enum RequestPriority {
+        /** Grants, and the leader key that is tied to one. */
         GRANT,
         CANCELLATION,
         LEADER_WRITE,
@@ -16,34 +20,53 @@
         READ
     }
 
-    /** The key must have that stamp; 0 says that it must not exist. */
+    /**
+     * A condition of a transaction.
+     *
+     * @param modRevision the modification revision that the key must have; 0 says that it must not
+     *     exist
+     */
     record Precondition(String key, long modRevision) {}
 
-    /** {@code grant} 0 ties the key to none; {@code data} null deletes the key. */
+    /**
+     * A change of one key.
+     *
+     * @param value the new value; null deletes the key
+     * @param grant the grant with which the key ends; 0 ties it to none
+     */
     record Mutation(String key, JsonNode value, long grant) {
-        /** A change that deletes the key. */
+        /** A mutation that deletes the key. */
         public static Mutation delete(String key) {
             return new Mutation(key, null, 0);
         }
 
-        /** A change that ties the key to no grant. */
-        public static Mutation set(String key, JsonNode data) {
-            return new Mutation(key, data, 0);
+        /** A mutation that ties the key to no grant. */
+        public static Mutation set(String key, JsonNode value) {
+            return new Mutation(key, value, 0);
         }
     }
 
-    /** A key, its value and the revision that wrote it. */
+    /**
+     * A key as read.
+     *
+     * @param value the value; null where a change deleted the key
+     * @param modRevision the store's revision that wrote it
+     */
     record KeyValue(String key, JsonNode value, long modRevision) {}
 
     /** How a transaction ended. */
     sealed interface CompareAndSwapOutcome {
-        /** Carried out; all its keys have this revision as their stamp. */
+        /** Carried out; all its keys have this revision as their modification revision. */
         record Committed(long revision) implements CompareAndSwapOutcome {}
 
-        /** Certainly not carried out, since these keys' guards did not hold. */
+        /** Certainly not carried out, since the preconditions of these keys did not hold. */
         record Conflict(List<String> failedKeys) implements CompareAndSwapOutcome {}
 
-        /** Certainly not carried out. */
+        /**
+         * Certainly not carried out.
+         *
+         * @param status the HTTP status of the answer; 0 where the request was not sent
+         */
         record Refused(int status) implements CompareAndSwapOutcome {}
 
         /** May have been carried out, or may be later. */
@@ -52,7 +75,11 @@
 
     /** How a reading of keys ended. */
     sealed interface ReadResult {
-        /** {@code items} hold a null {@code data} where a key was deleted. */
+        /**
+         * The keys, or the changes, up to a revision.
+         *
+         * @param hasMore whether further pages follow
+         */
         record Read(List<KeyValue> entries, boolean hasMore, long revision) implements ReadResult {}
 
         /** The changes asked for are no longer kept. */
@@ -62,33 +89,52 @@
         record Failed() implements ReadResult {}
     }
 
-    /**
-     * {@code id} 0 where none was to be had; {@code gone} where the service says the grant has
-     * ended.
-     */
-    record GrantResult(long id, boolean ended) {}
+    /** How the creation or renewal of a grant ended. */
+    sealed interface GrantOutcome {
+        /**
+         * Created or renewed.
+         *
+         * @param id the grant, never 0
+         */
+        record Granted(long id) implements GrantOutcome {}
 
-    /** Applies all changes at once if every guard holds. */
+        /** The service says that the grant has ended. */
+        record Ended() implements GrantOutcome {}
+
+        /** No grant was to be had, or no proper answer arrived in time. */
+        record Unavailable() implements GrantOutcome {}
+    }
+
+    /** Applies all mutations at once if every precondition holds. */
     void compareAndSwap(
-            RequestPriority urgency,
-            List<Precondition> guards,
-            List<Mutation> changes,
+            RequestPriority priority,
+            List<Precondition> preconditions,
+            List<Mutation> mutations,
             Consumer<CompareAndSwapOutcome> done);
 
-    /** Reads a page of keys behind {@code after}, in the order of their names. */
+    /**
+     * Reads a page of keys in the order of their names.
+     *
+     * @param after the last key of the page before; empty for the first page
+     */
     void readPage(String after, Consumer<ReadResult> done);
 
     /**
-     * Reads the changes since a revision; the service holds the request up to {@code holdS}
-     * seconds.
+     * Reads the changes since a revision.
+     *
+     * @param holdS how many seconds the service holds the request while there are none
      */
     void watch(long since, double holdS, Consumer<ReadResult> done);
 
-    /** Creates a grant that ends {@code ttlS} seconds after it was last touched. */
-    void createGrant(double ttlS, Consumer<GrantResult> done);
+    /**
+     * Creates a grant.
+     *
+     * @param ttlS seconds after its creation or last renewal at which it ends
+     */
+    void createGrant(double ttlS, Consumer<GrantOutcome> done);
 
     /** Renews a grant. */
-    void renewGrant(long id, Consumer<GrantResult> done);
+    void renewGrant(long id, Consumer<GrantOutcome> done);
 
     /** Ends a grant, and with it the keys tied to it; the outcome is not reported. */
     void revokeGrant(long id);
--- a/src/test/java/io/pepperfield/forms/StateServiceForms.java
+++ b/src/test/java/io/pepperfield/forms/StateServiceForms.java
@@ -6,6 +6,7 @@
 import io.pepperfield.standin.SimulatedLoop;
 import io.pepperfield.store.HttpKeyValueStore;
 import io.pepperfield.store.KeyValueStore.CompareAndSwapOutcome;
+import io.pepperfield.store.KeyValueStore.GrantOutcome;
 import io.pepperfield.store.KeyValueStore.Mutation;
 import io.pepperfield.store.KeyValueStore.Precondition;
 import io.pepperfield.store.KeyValueStore.ReadResult;
@@ -115,24 +116,17 @@
     private void grants() {
         for (int status : new int[] {200, 404, 503}) {
             sender.answer(status, "{\"claim\":7}");
-            state.createGrant(
-                    6.5,
-                    result ->
-                            file.add(
-                                    "grant answered " + status,
-                                    result.id() + gone(result.ended())));
-            state.renewGrant(
-                    7,
-                    result ->
-                            file.add(
-                                    "touch answered " + status,
-                                    result.id() + gone(result.ended())));
+            state.createGrant(6.5, result -> file.add("grant answered " + status, told(result)));
+            state.renewGrant(7, result -> file.add("touch answered " + status, told(result)));
             state.revokeGrant(7);
             pass();
         }
     }
 
-    private static String gone(boolean gone) {
-        return gone ? " gone" : "";
+    private static String told(GrantOutcome outcome) {
+        if (outcome instanceof GrantOutcome.Granted granted) {
+            return String.valueOf(granted.id());
+        }
+        return outcome instanceof GrantOutcome.Ended ? "0 gone" : "0";
     }
 }
--- a/src/test/java/io/pepperfield/forms/StoredForms.java
+++ b/src/test/java/io/pepperfield/forms/StoredForms.java
@@ -165,8 +165,8 @@
         NoOpKeyValueStore state =
                 new NoOpKeyValueStore() {
                     @Override
-                    public void createGrant(double ttlS, Consumer<GrantResult> done) {
-                        done.accept(new GrantResult(7, false));
+                    public void createGrant(double ttlS, Consumer<GrantOutcome> done) {
+                        done.accept(new GrantOutcome.Granted(7));
                     }
 
                     @Override
--- a/src/test/java/io/pepperfield/leadership/LeadershipElectionTest.java
+++ b/src/test/java/io/pepperfield/leadership/LeadershipElectionTest.java
@@ -21,8 +21,8 @@
     private int elections;
 
     @Override
-    public void createGrant(double ttlS, Consumer<GrantResult> done) {
-        done.accept(new GrantResult(++elections, false));
+    public void createGrant(double ttlS, Consumer<GrantOutcome> done) {
+        done.accept(new GrantOutcome.Granted(++elections));
     }
 
     @Override
--- a/src/test/java/io/pepperfield/standin/InMemoryKeyValueStore.java
+++ b/src/test/java/io/pepperfield/standin/InMemoryKeyValueStore.java
@@ -142,12 +142,12 @@
     }
 
     @Override
-    public void createGrant(double ttlS, Consumer<GrantResult> done) {
-        done.accept(new GrantResult(++grants, false));
+    public void createGrant(double ttlS, Consumer<GrantOutcome> done) {
+        done.accept(new GrantOutcome.Granted(++grants));
     }
 
     @Override
-    public void renewGrant(long id, Consumer<GrantResult> done) {
-        done.accept(new GrantResult(id, false));
+    public void renewGrant(long id, Consumer<GrantOutcome> done) {
+        done.accept(new GrantOutcome.Granted(id));
     }
 }
--- a/src/test/java/io/pepperfield/standin/NoOpKeyValueStore.java
+++ b/src/test/java/io/pepperfield/standin/NoOpKeyValueStore.java
@@ -21,10 +21,10 @@
     default void watch(long since, double holdS, Consumer<ReadResult> done) {}
 
     @Override
-    default void createGrant(double ttlS, Consumer<GrantResult> done) {}
+    default void createGrant(double ttlS, Consumer<GrantOutcome> done) {}
 
     @Override
-    default void renewGrant(long id, Consumer<GrantResult> done) {}
+    default void renewGrant(long id, Consumer<GrantOutcome> done) {}
 
     @Override
     default void revokeGrant(long id) {}
