--- a/src/main/java/io/pepperfield/controller/Leader.java
+++ b/src/main/java/io/pepperfield/controller/Leader.java
@@ -33,7 +33,6 @@
 import io.pepperfield.peer.PeerMessages;
 import io.pepperfield.store.FencedWriter;
 import io.pepperfield.store.Keys;
-import io.pepperfield.store.Replica;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -185,9 +184,13 @@
 
     /** Keeps the types where a controller that cannot ask the cloud finds them. */
     void machineTypesReceived() {
-        Replica.Entry known = durable.replica().get(Keys.MACHINE_TYPES);
-        if (known == null
-                || !machineTypes.equalsIgnoringPrices(MachineTypesRecord.decode(known.value()))) {
+        boolean stored =
+                durable.replica()
+                        .find(Keys.MACHINE_TYPES)
+                        .map(entry -> MachineTypesRecord.decode(entry.value()))
+                        .filter(machineTypes::equalsIgnoringPrices)
+                        .isPresent();
+        if (!stored) {
             durable.writer()
                     .enqueue(
                             Keys.MACHINE_TYPES,
--- a/src/main/java/io/pepperfield/lifecycle/JobTracker.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobTracker.java
@@ -281,7 +281,9 @@
                 },
                 () -> {
                     settle.run();
-                    jobEnded(job, JobMessages.decodeFinalStatus(replica.get(key).value()));
+                    jobEnded(
+                            job,
+                            JobMessages.decodeFinalStatus(replica.find(key).orElseThrow().value()));
                 });
     }
 
--- a/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
+++ b/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
@@ -162,7 +162,7 @@
             return true;
         }
         for (int part = 1; part < TaskState.SPLIT_PARTS; part++) {
-            if (replica.get(job.spec.splitRecordKey(chunk, part)) != null) {
+            if (replica.contains(job.spec.splitRecordKey(chunk, part))) {
                 return true;
             }
         }
@@ -222,8 +222,7 @@
 
     /** The run record that the job shares with other small ones, or null. */
     private String sharedRecordKey(Job job) {
-        return sharedRecords.recordKeyFor(
-                job, replica.get(Keys.runRecord(job.spec.id(), 0)) != null);
+        return sharedRecords.recordKeyFor(job, replica.contains(Keys.runRecord(job.spec.id(), 0)));
     }
 
     private List<TaskState> taskStates(Job job, int chunk) {
--- a/src/main/java/io/pepperfield/store/FencedWriter.java
+++ b/src/main/java/io/pepperfield/store/FencedWriter.java
@@ -355,7 +355,7 @@
         // writer.
         transaction.mutations().forEach(mutation -> knownRevisions.remove(mutation.key()));
         for (PendingWrite write : transaction.writes()) {
-            if (write.isWriteOnce() && replica.get(write.key()) != null) {
+            if (write.isWriteOnce() && replica.contains(write.key())) {
                 queue.remove(write.key());
                 write.notifyAlreadyWritten();
             }
--- a/src/main/java/io/pepperfield/store/Replica.java
+++ b/src/main/java/io/pepperfield/store/Replica.java
@@ -5,21 +5,26 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.BiConsumer;
 
 /**
- * This node's copy of the state service, as of one revision. Two streams feed it, the long follow
- * and the short confirmations; each answer holds all changes since some revision this copy already
- * had, so that taking only what is newer than the copy keeps it whole in whatever order they come.
+ * This controller's copy of the state service, as of one revision. Two streams feed it, the long
+ * watch and the short read index requests; each answer holds all changes since some revision this
+ * copy already had, so that applying only what is newer than the copy keeps it whole in whatever
+ * order they come. Confined to the event loop's thread.
  */
 public final class Replica {
 
-    /**
-     * Told of every change in the order of revisions; {@code data} is null where the key is gone.
-     */
+    /** Told of every change in the order of revisions. */
     public interface Listener {
-        /** Called after the copy has taken the change. */
-        void changed(String key, JsonNode data, long stamp);
+        /**
+         * Called after the copy has taken the change.
+         *
+         * @param value the key's new value, or null where it was deleted
+         * @param modRevision the revision of the change
+         */
+        void changed(String key, JsonNode value, long modRevision);
     }
 
     /** A key's value and the revision that wrote it. */
@@ -39,18 +44,23 @@
         return revision;
     }
 
-    /** The key's entry, or null where there is none. */
-    public Entry get(String key) {
-        return entries.get(key);
+    /** Whether the key exists. */
+    public boolean contains(String key) {
+        return entries.containsKey(key);
+    }
+
+    /** The key's entry, or empty where the key does not exist. */
+    public Optional<Entry> find(String key) {
+        return Optional.ofNullable(entries.get(key));
     }
 
-    /** The revision that last wrote the key; 0 where there is none. */
+    /** The revision that last wrote the key; 0 where the key does not exist. */
     public long modRevision(String key) {
         Entry entry = entries.get(key);
         return entry == null ? 0 : entry.modRevision;
     }
 
-    /** Keeps only the key's stamp, where what it holds is of no use to anybody any more. */
+    /** Keeps only the key's revision, where its value is of no use to anybody any more. */
     public void compact(String key) {
         Entry entry = entries.get(key);
         if (entry != null) {
@@ -69,18 +79,20 @@
     }
 
     /**
-     * Takes a full reading, which may be older than what the follow has brought meanwhile. Its
-     * later pages may be newer than {@code asOf}; what is, is left to the follow since then, which
+     * Applies a full reading, which may be older than what the watch has brought meanwhile. Its
+     * later pages may be newer than {@code asOf}; what is, is left to the watch since then, which
      * brings it in its order: a run record, for one, after its job.
+     *
+     * @param asOf the revision of the first page
      */
-    public void loadSnapshot(List<KeyValueStore.KeyValue> all, long asOf) {
+    public void loadSnapshot(List<KeyValueStore.KeyValue> snapshot, long asOf) {
         Map<String, Entry> missing = new HashMap<>(entries);
-        for (KeyValueStore.KeyValue item : all) {
-            missing.remove(item.key());
-            // What is as old as this copy it has seen; where it lacks it, the key was deleted since
-            // and must stay so.
-            if (item.modRevision() > revision && item.modRevision() <= asOf) {
-                put(item);
+        for (KeyValueStore.KeyValue read : snapshot) {
+            missing.remove(read.key());
+            // This copy has seen what is as old as itself; where it lacks it, the key was deleted
+            // since and must stay so.
+            if (read.modRevision() > revision && read.modRevision() <= asOf) {
+                put(read);
             }
         }
         missing.forEach(
@@ -93,26 +105,25 @@
         revision = Math.max(revision, asOf);
     }
 
-    /** Takes all changes up to revision {@code to}; those that are known already are skipped. */
-    public void applyChanges(List<KeyValueStore.KeyValue> changes, long to) {
-        for (KeyValueStore.KeyValue item : changes) {
-            if (item.modRevision() > revision) {
-                put(item);
+    /** Applies all changes up to a revision; those that are known already are skipped. */
+    public void applyChanges(List<KeyValueStore.KeyValue> changes, long upTo) {
+        for (KeyValueStore.KeyValue change : changes) {
+            if (change.modRevision() > revision) {
+                put(change);
             }
         }
-        revision = Math.max(revision, to);
+        revision = Math.max(revision, upTo);
     }
 
-    private void put(KeyValueStore.KeyValue item) {
-        Entry known = entries.get(item.key());
-        if (known != null && known.modRevision >= item.modRevision()) {
+    private void put(KeyValueStore.KeyValue change) {
+        if (modRevision(change.key()) >= change.modRevision()) {
             return;
         }
-        if (item.value() == null) {
-            entries.remove(item.key());
+        if (change.value() == null) {
+            entries.remove(change.key());
         } else {
-            entries.put(item.key(), new Entry(item.value(), item.modRevision()));
+            entries.put(change.key(), new Entry(change.value(), change.modRevision()));
         }
-        listener.changed(item.key(), item.value(), item.modRevision());
+        listener.changed(change.key(), change.value(), change.modRevision());
     }
 }
--- a/src/main/java/io/pepperfield/store/TransactionLimits.java
+++ b/src/main/java/io/pepperfield/store/TransactionLimits.java
@@ -3,26 +3,26 @@
 /** How much a writer may put into one transaction. */
 public interface TransactionLimits {
 
-    /** The state service takes so many times as many guards as changes. */
+    /** The state service takes so many times as many preconditions as mutations. */
     int PRECONDITIONS_PER_MUTATION = 4;
 
-    /** Puts and deletes in a transaction. */
+    /** The most keys written or deleted in a transaction. */
     int maxMutations();
 
-    /** Conditions in a transaction. */
+    /** The most preconditions of a transaction. */
     int maxPreconditions();
 
     /** All that the state service allows. */
-    static TransactionLimits all(int changes) {
+    static TransactionLimits all(int maxMutations) {
         return new TransactionLimits() {
             @Override
             public int maxMutations() {
-                return changes;
+                return maxMutations;
             }
 
             @Override
             public int maxPreconditions() {
-                return PRECONDITIONS_PER_MUTATION * changes;
+                return PRECONDITIONS_PER_MUTATION * maxMutations;
             }
         };
     }
