--- a/src/main/java/io/pepperfield/leadership/LeaderClaim.java
+++ b/src/main/java/io/pepperfield/leadership/LeaderClaim.java
@@ -3,13 +3,13 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.fencing.FencingToken;
 
-/** The lead of this node, as far as it has it. */
+/** The leadership of this controller, as far as it has it. */
 public interface LeaderClaim {
 
-    /** Whether this node leads and its grant cannot have ended. */
+    /** Whether this controller leads and its lease cannot have expired. */
     boolean holdsValidLease();
 
-    /** The stamp of the leader key. */
+    /** The modification revision of the leader key. */
     FencingToken fencingToken();
 
     /** The grant that the leader key is tied to. */
@@ -18,6 +18,6 @@
     /** The value of the leader key. */
     JsonNode leaderKeyValue();
 
-    /** The leading node as far as known, or empty. */
+    /** The leading controller as far as known, or empty. */
     String leaderNode();
 }
