--- a/src/main/java/io/pepperfield/controller/Controller.java
+++ b/src/main/java/io/pepperfield/controller/Controller.java
@@ -16,8 +16,8 @@
 import io.pepperfield.heartbeat.HeartbeatHandler;
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.InboundRequest;
+import io.pepperfield.jobs.JobCodec;
 import io.pepperfield.jobs.JobIndex;
-import io.pepperfield.jobs.JobMessages;
 import io.pepperfield.jobs.JobRecord;
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.jobs.Status;
@@ -324,7 +324,7 @@
      */
     private void cancelledByPeer(String id) {
         jobIndex.changed(
-                Keys.FINAL_STATE_PREFIX + id, JobMessages.encodeFinalStatus(Status.CANCELLED));
+                Keys.FINAL_STATE_PREFIX + id, JobCodec.encodeFinalStatus(Status.CANCELLED));
         notifyLeader(id);
     }
 
--- a/src/main/java/io/pepperfield/jobs/FinalState.java
+++ b/src/main/java/io/pepperfield/jobs/FinalState.java
@@ -17,7 +17,6 @@
             new FinalState(Status.CANCELLED, OptionalLong.empty());
 
     static FinalState decode(JsonNode stored) {
-        return new FinalState(
-                JobMessages.decodeFinalStatus(stored), JobMessages.decodeDoneMs(stored));
+        return new FinalState(JobCodec.decodeFinalStatus(stored), JobCodec.decodeDoneMs(stored));
     }
 }
--- a/src/main/java/io/pepperfield/jobs/JobIndex.java
+++ b/src/main/java/io/pepperfield/jobs/JobIndex.java
@@ -96,7 +96,7 @@
     private void addJob(String keyId, JsonNode value) {
         String id = dependencies.claimId(keyId);
         JobSpec spec =
-                JobMessages.decodeSpec(id, value).withSharedDependencyIds(dependencies::sharedId);
+                JobCodec.decodeSpec(id, value).withSharedDependencyIds(dependencies::sharedId);
         JobRecord record = new JobRecord(spec, isDone);
         if (records.putIfAbsent(id, record) != null) {
             return;
--- a/src/main/java/io/pepperfield/jobs/UserRequests.java
+++ b/src/main/java/io/pepperfield/jobs/UserRequests.java
@@ -121,7 +121,7 @@
             answerUnlessKnown(id, HttpReply.error(400, e.getMessage()), answer);
             return;
         }
-        JsonNode durable = JobMessages.encodeSpec(job);
+        JsonNode durable = JobCodec.encodeSpec(job);
         String tooLong = oversizeReason(job, Json.write(durable).length);
         if (tooLong != null) {
             answerUnlessKnown(id, HttpReply.error(400, tooLong), answer);
@@ -176,7 +176,7 @@
         if (bytes <= maxValueBytes) {
             return null;
         }
-        int listBytes = JobMessages.dependenciesBytes(job);
+        int listBytes = JobCodec.dependenciesBytes(job);
         return bytes - listBytes < maxValueBytes
                 ? "awaits: want at most "
                         + (maxValueBytes - bytes + listBytes)
@@ -298,7 +298,7 @@
         }
         cancellations.create(
                 Keys.FINAL_STATE_PREFIX + id,
-                JobMessages.encodeFinalStatus(Status.CANCELLED),
+                JobCodec.encodeFinalStatus(Status.CANCELLED),
                 result -> {
                     switch (result) {
                         case CREATED -> {
--- a/src/main/java/io/pepperfield/lifecycle/JobTracker.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobTracker.java
@@ -9,8 +9,8 @@
 import io.pepperfield.fleet.LiveAttempts;
 import io.pepperfield.fleet.Machine;
 import io.pepperfield.jobs.Job;
+import io.pepperfield.jobs.JobCodec;
 import io.pepperfield.jobs.JobIndex;
-import io.pepperfield.jobs.JobMessages;
 import io.pepperfield.jobs.JobRecord;
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.jobs.PriorityInheritance;
@@ -274,7 +274,7 @@
         writer.enqueueOnce(
                 key,
                 FencedWriter.Priority.FINAL_STATE,
-                () -> JobMessages.encodeDone(doneMs),
+                () -> JobCodec.encodeDone(doneMs),
                 () -> {
                     settle.run();
                     jobEnded(job, Status.DONE);
@@ -283,7 +283,7 @@
                     settle.run();
                     jobEnded(
                             job,
-                            JobMessages.decodeFinalStatus(replica.find(key).orElseThrow().value()));
+                            JobCodec.decodeFinalStatus(replica.find(key).orElseThrow().value()));
                 });
     }
 
--- a/src/test/java/io/pepperfield/forms/StoredForms.java
+++ b/src/test/java/io/pepperfield/forms/StoredForms.java
@@ -12,7 +12,7 @@
 import io.pepperfield.fleet.MachineType;
 import io.pepperfield.http.Json;
 import io.pepperfield.jobs.Job;
-import io.pepperfield.jobs.JobMessages;
+import io.pepperfield.jobs.JobCodec;
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.jobs.SharedRunRecords;
 import io.pepperfield.jobs.Status;
@@ -73,25 +73,25 @@
     }
 
     static void write(FormFile file) {
-        file.addRewrittenByField("job", JobMessages.encodeSpec(fullJob()), StoredForms::rewriteJob);
+        file.addRewrittenByField("job", JobCodec.encodeSpec(fullJob()), StoredForms::rewriteJob);
         file.addRewritten(
                 "job of defaults",
-                JobMessages.encodeSpec(new JobSpecBuilder().id(JOB_ID).build()),
+                JobCodec.encodeSpec(new JobSpecBuilder().id(JOB_ID).build()),
                 StoredForms::rewriteJob);
         for (JobSpec.Shape shape : JobSpec.Shape.values()) {
             JobSpec job = new JobSpecBuilder().id(JOB_ID).shape(shape).build();
-            file.addRewritten("shape", JobMessages.encodeSpec(job), StoredForms::rewriteJob);
+            file.addRewritten("shape", JobCodec.encodeSpec(job), StoredForms::rewriteJob);
         }
         for (JobSpec.Priority rank : JobSpec.Priority.values()) {
             JobSpec job = new JobSpecBuilder().id(JOB_ID).rank(rank).build();
-            file.addRewritten("rank", JobMessages.encodeSpec(job), StoredForms::rewriteJob);
+            file.addRewritten("rank", JobCodec.encodeSpec(job), StoredForms::rewriteJob);
         }
         file.addRewritten("run record", TaskState.encode(LINES), StoredForms::rewriteRunRecord);
         writeSharedRecords(file);
         for (Status end : List.of(Status.DONE, Status.CANCELLED)) {
-            file.addRewritten("end", JobMessages.encodeFinalStatus(end), StoredForms::rewriteEnd);
+            file.addRewritten("end", JobCodec.encodeFinalStatus(end), StoredForms::rewriteEnd);
         }
-        file.addRewrittenByField("end", JobMessages.encodeDone(DONE_MS), StoredForms::rewriteEnd);
+        file.addRewrittenByField("end", JobCodec.encodeDone(DONE_MS), StoredForms::rewriteEnd);
         file.addRewritten("types", MachineTypesRecord.encode(types()), StoredForms::rewriteTypes);
         JsonNode type = MachineTypesRecord.encode(types()).path(0);
         file.addRead("type", type, form -> rewriteTypes(Json.array().add(form)));
@@ -140,7 +140,7 @@
     }
 
     private static String rewriteJob(JsonNode form) {
-        return text(JobMessages.encodeSpec(JobMessages.decodeSpec(JOB_ID, form)));
+        return text(JobCodec.encodeSpec(JobCodec.decodeSpec(JOB_ID, form)));
     }
 
     private static String rewriteRunRecord(JsonNode form) {
@@ -152,11 +152,11 @@
     }
 
     private static String rewriteEnd(JsonNode form) {
-        OptionalLong doneMs = JobMessages.decodeDoneMs(form);
+        OptionalLong doneMs = JobCodec.decodeDoneMs(form);
         return text(
                 doneMs.isPresent()
-                        ? JobMessages.encodeDone(doneMs.getAsLong())
-                        : JobMessages.encodeFinalStatus(JobMessages.decodeFinalStatus(form)));
+                        ? JobCodec.encodeDone(doneMs.getAsLong())
+                        : JobCodec.encodeFinalStatus(JobCodec.decodeFinalStatus(form)));
     }
 
     /** Who leads under the key, and what a newcomer writes once the key is gone. */
--- a/src/test/java/io/pepperfield/forms/UserForms.java
+++ b/src/test/java/io/pepperfield/forms/UserForms.java
@@ -4,6 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.Json;
+import io.pepperfield.jobs.JobCodec;
 import io.pepperfield.jobs.JobIndex;
 import io.pepperfield.jobs.JobMessages;
 import io.pepperfield.jobs.Status;
@@ -50,7 +51,7 @@
     private static String accepted(JsonNode body) throws JobMessages.InvalidSubmissionException {
         return new String(
                 Json.write(
-                        JobMessages.encodeSpec(
+                        JobCodec.encodeSpec(
                                 JobMessages.decodeSubmission(body, NOW_MS, LINES_IN_RECORD))),
                 StandardCharsets.UTF_8);
     }
@@ -70,7 +71,7 @@
         List<String> prerequisites =
                 IntStream.range(0, 18).mapToObj(i -> String.format("run-%06d", i)).toList();
         JsonNode job =
-                JobMessages.encodeSpec(
+                JobCodec.encodeSpec(
                         new JobSpecBuilder().id(ID).tasks(4).dependencies(prerequisites).build());
         catalog.changed(Keys.JOB_PREFIX + ID, job);
         file.add("waits for others", catalog.get(ID).statusAnswer());
@@ -78,8 +79,8 @@
                 id -> {
                     catalog.changed(
                             Keys.JOB_PREFIX + id,
-                            JobMessages.encodeSpec(new JobSpecBuilder().id(id).build()));
-                    catalog.changed(Keys.FINAL_STATE_PREFIX + id, JobMessages.encodeDone(NOW_MS));
+                            JobCodec.encodeSpec(new JobSpecBuilder().id(id).build()));
+                    catalog.changed(Keys.FINAL_STATE_PREFIX + id, JobCodec.encodeDone(NOW_MS));
                 });
         file.add("is ready", catalog.get(ID).statusAnswer());
         catalog.changed(
@@ -90,8 +91,7 @@
                                 new TaskState(1, 1, Phase.DONE, "", 0),
                                 new TaskState(2, 3, Phase.FAILED, "", 0))));
         file.add("runs", catalog.get(ID).statusAnswer());
-        catalog.changed(
-                Keys.FINAL_STATE_PREFIX + ID, JobMessages.encodeFinalStatus(Status.CANCELLED));
+        catalog.changed(Keys.FINAL_STATE_PREFIX + ID, JobCodec.encodeFinalStatus(Status.CANCELLED));
         file.add("is cancelled", catalog.get(ID).statusAnswer());
     }
 }
--- a/src/test/java/io/pepperfield/health/LeaseRenewalTest.java
+++ b/src/test/java/io/pepperfield/health/LeaseRenewalTest.java
@@ -10,8 +10,8 @@
 import io.pepperfield.fleet.Order;
 import io.pepperfield.fleet.TaskRef;
 import io.pepperfield.http.Json;
+import io.pepperfield.jobs.JobCodec;
 import io.pepperfield.jobs.JobIndex;
-import io.pepperfield.jobs.JobMessages;
 import io.pepperfield.jobs.Status;
 import io.pepperfield.jobs.TaskState;
 import io.pepperfield.peer.HeartbeatForwarder;
@@ -34,7 +34,7 @@
     private void accepted(String id, String... needed) {
         catalog.changed(
                 Keys.JOB_PREFIX + id,
-                JobMessages.encodeSpec(
+                JobCodec.encodeSpec(
                         new JobSpecBuilder()
                                 .id(id)
                                 .tasks(2)
@@ -51,8 +51,7 @@
     }
 
     private void cancelled(String id) {
-        catalog.changed(
-                Keys.FINAL_STATE_PREFIX + id, JobMessages.encodeFinalStatus(Status.CANCELLED));
+        catalog.changed(Keys.FINAL_STATE_PREFIX + id, JobCodec.encodeFinalStatus(Status.CANCELLED));
     }
 
     private static Heartbeat report(String machine, Heartbeat.AttemptStatus... lines) {
--- a/src/test/java/io/pepperfield/jobs/JobMessagesTest.java
+++ b/src/test/java/io/pepperfield/jobs/JobMessagesTest.java
@@ -29,8 +29,8 @@
     @Test
     void whatIsAcceptedIsReadBackAsItWas() throws JobMessages.InvalidSubmissionException {
         JobSpec job = read(GOOD.replace("img-07", "b\u00fcndel \ud83d\ude00 \\\\\\\""));
-        JsonNode stored = Json.read(Json.write(JobMessages.encodeSpec(job)));
-        assertEquals(job, JobMessages.decodeSpec("run-000412", stored));
+        JsonNode stored = Json.read(Json.write(JobCodec.encodeSpec(job)));
+        assertEquals(job, JobCodec.decodeSpec("run-000412", stored));
     }
 
     @ParameterizedTest
@@ -128,8 +128,7 @@
         assertEquals(List.of("run-000398", "run-000405"), job.dependencies());
         assertEquals(
                 job,
-                JobMessages.decodeSpec(
-                        "run-000412", Json.read(Json.write(JobMessages.encodeSpec(job)))));
+                JobCodec.decodeSpec("run-000412", Json.read(Json.write(JobCodec.encodeSpec(job)))));
         for (String none : List.of("[]", "null")) {
             assertEquals(List.of(), read(needing(none)).dependencies());
         }
--- a/src/test/java/io/pepperfield/jobs/PipelineTest.java
+++ b/src/test/java/io/pepperfield/jobs/PipelineTest.java
@@ -34,8 +34,7 @@
     }
 
     private void ended(int number, Status status) {
-        catalog.changed(
-                Keys.FINAL_STATE_PREFIX + id(number), JobMessages.encodeFinalStatus(status));
+        catalog.changed(Keys.FINAL_STATE_PREFIX + id(number), JobCodec.encodeFinalStatus(status));
     }
 
     private Status end(int number) {
@@ -113,23 +112,23 @@
     @Test
     void aDescriptionOfTheVersionBeforeNeedsNothingAndTheFieldIsKept() {
         JobSpec old =
-                JobMessages.decodeSpec(
+                JobCodec.decodeSpec(
                         id(1),
                         Json.read(
                                 "{\"w\":\"w\",\"o\":\"t\",\"s\":0,\"r\":2,\"n\":3,\"c\":1.0,\"k\":68}"
                                         .getBytes()));
         assertEquals(List.of(), old.dependencies());
-        assertFalse(JobMessages.encodeSpec(old).has("aw"));
+        assertFalse(JobCodec.encodeSpec(old).has("aw"));
         accepted(1);
         accepted(2, 1);
         JobSpec spec = catalog.get(id(2)).spec();
         assertEquals(
                 List.of(id(1)),
-                JobMessages.decodeSpec(id(2), JobMessages.encodeSpec(spec)).dependencies());
+                JobCodec.decodeSpec(id(2), JobCodec.encodeSpec(spec)).dependencies());
     }
 
     private void done(int number, long atMs) {
-        catalog.changed(Keys.FINAL_STATE_PREFIX + id(number), JobMessages.encodeDone(atMs));
+        catalog.changed(Keys.FINAL_STATE_PREFIX + id(number), JobCodec.encodeDone(atMs));
     }
 
     private OptionalLong readyMs(int number) {
--- a/src/test/java/io/pepperfield/jobs/PriorityInheritanceTest.java
+++ b/src/test/java/io/pepperfield/jobs/PriorityInheritanceTest.java
@@ -24,7 +24,7 @@
         for (int other : needed) {
             durable.withArray("aw").add(id(other));
         }
-        return JobMessages.decodeSpec(id(number), durable);
+        return JobCodec.decodeSpec(id(number), durable);
     }
 
     private static String id(int number) {
--- a/src/test/java/io/pepperfield/jobs/SharedRunRecordsTest.java
+++ b/src/test/java/io/pepperfield/jobs/SharedRunRecordsTest.java
@@ -82,7 +82,7 @@
         JobIndex catalog = new JobIndex(() -> 0);
         Map<String, Job> jobs = new HashMap<>();
         for (int i = 0; i < 3; i++) {
-            catalog.changed(Keys.JOB_PREFIX + spec(i, 1).id(), JobMessages.encodeSpec(spec(i, 1)));
+            catalog.changed(Keys.JOB_PREFIX + spec(i, 1).id(), JobCodec.encodeSpec(spec(i, 1)));
             jobs.put(spec(i, 1).id(), job(i, 1));
         }
         String key = Keys.SHARED_RUN_RECORD_PREFIX + "7-1";
@@ -111,7 +111,7 @@
         JobIndex catalog = new JobIndex(() -> 0);
         for (int i = 0; i < 10; i++) {
             jobs.put(spec(i, 1).id(), job(i, 1));
-            catalog.changed(Keys.JOB_PREFIX + spec(i, 1).id(), JobMessages.encodeSpec(spec(i, 1)));
+            catalog.changed(Keys.JOB_PREFIX + spec(i, 1).id(), JobCodec.encodeSpec(spec(i, 1)));
         }
         String old = Keys.SHARED_RUN_RECORD_PREFIX + "7-1";
         records.restore(old, jobs.keySet(), jobs);
@@ -146,7 +146,7 @@
     void theNewerOfTwoLinesOfATaskCounts() {
         JobIndex catalog = new JobIndex(() -> 0);
         JobSpec spec = spec(1, CHUNK);
-        catalog.changed(Keys.JOB_PREFIX + spec.id(), JobMessages.encodeSpec(spec));
+        catalog.changed(Keys.JOB_PREFIX + spec.id(), JobCodec.encodeSpec(spec));
         // A divided record, of which an older version has written the first part whole again.
         catalog.changed(
                 Keys.runRecord(spec.id(), 1),
--- a/src/test/java/io/pepperfield/peer/VersionsTest.java
+++ b/src/test/java/io/pepperfield/peer/VersionsTest.java
@@ -9,8 +9,8 @@
 import io.pepperfield.fleet.Fleet;
 import io.pepperfield.fleet.MachineType;
 import io.pepperfield.http.Json;
+import io.pepperfield.jobs.JobCodec;
 import io.pepperfield.jobs.JobIndex;
-import io.pepperfield.jobs.JobMessages;
 import io.pepperfield.jobs.Status;
 import io.pepperfield.jobs.TaskState;
 import io.pepperfield.leadership.Leadership;
@@ -45,31 +45,31 @@
         JsonNode said = Json.read(text.getBytes(StandardCharsets.UTF_8));
         return switch (words[0]) {
             case "job" -> {
-                var job = JobMessages.decodeSpec("run-000001", said);
+                var job = JobCodec.decodeSpec("run-000001", said);
                 yield told(
                         job.tasks() + " tasks, needs " + job.dependencies(),
-                        JobMessages.encodeSpec(job),
+                        JobCodec.encodeSpec(job),
                         text);
             }
             case "end" ->
                     told(
-                            JobMessages.decodeFinalStatus(said).wireName(),
-                            JobMessages.encodeFinalStatus(
-                                    Status.valueOf(JobMessages.decodeFinalStatus(said).name())),
+                            JobCodec.decodeFinalStatus(said).wireName(),
+                            JobCodec.encodeFinalStatus(
+                                    Status.valueOf(JobCodec.decodeFinalStatus(said).name())),
                             text);
             case "end-now" -> {
-                OptionalLong doneMs = JobMessages.decodeDoneMs(said);
+                OptionalLong doneMs = JobCodec.decodeDoneMs(said);
                 List<String> lines =
                         new ArrayList<>(
                                 told(
-                                        JobMessages.decodeFinalStatus(said).wireName()
+                                        JobCodec.decodeFinalStatus(said).wireName()
                                                 + " at "
                                                 + (doneMs.isPresent()
                                                         ? doneMs.getAsLong()
                                                         : "an unknown time"),
                                         doneMs.isPresent()
-                                                ? JobMessages.encodeDone(doneMs.getAsLong())
-                                                : JobMessages.encodeFinalStatus(Status.DONE),
+                                                ? JobCodec.encodeDone(doneMs.getAsLong())
+                                                : JobCodec.encodeFinalStatus(Status.DONE),
                                         text));
                 lines.add("the recorded version reads " + endAsRecorded(said).wireName());
                 yield lines;
