--- a/src/main/java/io/pepperfield/cluster/MachineTypes.java
+++ b/src/main/java/io/pepperfield/cluster/MachineTypes.java
@@ -2,15 +2,15 @@
 
 import io.pepperfield.config.Settings;
 import io.pepperfield.fleet.MachineType;
+import io.pepperfield.jobs.Feasibility;
 import io.pepperfield.jobs.JobSpec;
-import io.pepperfield.jobs.UserRequests;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
 /** The machine types as the cloud last listed them, and what can never run on them. */
-public final class MachineTypes implements UserRequests.Feasibility {
+public final class MachineTypes implements Feasibility {
 
     private static final double ROUNDING_TOLERANCE = 1e-9;
 
@@ -55,33 +55,35 @@
     }
 
     @Override
-    public String infeasibilityReason(JobSpec job) throws UserRequests.UndecidedException {
+    public Verdict check(JobSpec job) {
         Settings.Team team = settings.deployment().teams().get(job.team());
         if (team == null) {
-            return "owner: no such team";
+            return new Verdict.Infeasible("owner: no such team");
         }
         int atOnce = job.minConcurrentTasks();
         if (atOnce * job.cpus() > team.cpuLimit() + ROUNDING_TOLERANCE
                 || atOnce * job.gpus() > team.gpuLimit() + ROUNDING_TOLERANCE) {
-            return "the job needs more than the team's limit";
+            return new Verdict.Infeasible("the job needs more than the team's limit");
         }
         if (job.spreadOverZones() && job.sameZone() && job.tasks() > 1) {
-            return "together and spread rule each other out";
+            return new Verdict.Infeasible("together and spread rule each other out");
         }
         if (!known()) {
-            throw new UserRequests.UndecidedException();
+            return new Verdict.Undecided();
         }
-        boolean fits =
-                types.values().stream()
-                        .anyMatch(
-                                t ->
-                                        (job.machineTypes() == null
-                                                        || job.machineTypes().contains(t.name()))
-                                                && (job.zone() == null
-                                                        || t.zones().contains(job.zone()))
-                                                && job.cpus() <= t.cpus() + ROUNDING_TOLERANCE
-                                                && job.gpus() <= t.gpus() + ROUNDING_TOLERANCE
-                                                && job.memGb() <= t.memGb() + ROUNDING_TOLERANCE);
-        return fits ? null : "a task fits no allowed machine type";
+        return types.values().stream().anyMatch(type -> isAllowed(job, type) && fits(job, type))
+                ? new Verdict.Feasible()
+                : new Verdict.Infeasible("a task fits no allowed machine type");
+    }
+
+    private static boolean isAllowed(JobSpec job, MachineType type) {
+        return (job.machineTypes() == null || job.machineTypes().contains(type.name()))
+                && (job.zone() == null || type.zones().contains(job.zone()));
+    }
+
+    private static boolean fits(JobSpec job, MachineType type) {
+        return job.cpus() <= type.cpus() + ROUNDING_TOLERANCE
+                && job.gpus() <= type.gpus() + ROUNDING_TOLERANCE
+                && job.memGb() <= type.memGb() + ROUNDING_TOLERANCE;
     }
 }
--- a/src/main/java/io/pepperfield/controller/Controller.java
+++ b/src/main/java/io/pepperfield/controller/Controller.java
@@ -231,12 +231,12 @@
                 state,
                 machineTypes,
                 admission == null ? SubmissionPolicy.UNLIMITED : admission.policy(),
-                // Its guards are as many as its changes, so that one for the version has room.
-                service.maxTransactionOps(),
-                service.maxValueKib(),
-                RoleRateLimits.USER_WRITE_SHARE * service.writesPerS(),
-                maxConcurrentQueries(settings) / 2,
-                storedStateCompatibility::tasksPerRunRecord,
+                new UserRequests.Limits(
+                        service.maxTransactionOps(),
+                        service.maxValueKib(),
+                        RoleRateLimits.USER_WRITE_SHARE * service.writesPerS(),
+                        maxConcurrentQueries(settings) / 2,
+                        storedStateCompatibility::tasksPerRunRecord),
                 locallyCancelled::add);
     }
 
--- a/src/main/java/io/pepperfield/jobs/CreateIfAbsent.java
+++ b/src/main/java/io/pepperfield/jobs/CreateIfAbsent.java
@@ -16,10 +16,10 @@
 import java.util.function.Consumer;
 
 /**
- * Creates keys that must not exist yet, many in one transaction; used by any node for submissions
- * and cancellations. No more wait than can be written while their users wait: a longer queue would
- * be worked off for users who have given up and asked again, and nobody would be answered in time
- * any more.
+ * Creates keys that must not exist yet, many in one transaction; used by any controller for
+ * submissions and cancellations. No more wait than can be written while their users wait: a longer
+ * queue would be worked off for users who have given up and asked again, and nobody would be
+ * answered in time any more.
  */
 final class CreateIfAbsent {
 
@@ -30,6 +30,7 @@
         UNAVAILABLE,
         /** The state service's rate did not allow it. */
         THROTTLED,
+        /** More was waiting than can be written in time. */
         TOO_MANY
     }
 
@@ -38,7 +39,15 @@
             String key, JsonNode value, double deadline, List<Consumer<Result>> callbacks) {
 
         void complete(Result result) {
-            callbacks.forEach(one -> one.accept(result));
+            callbacks.forEach(callback -> callback.accept(result));
+        }
+
+        /**
+         * As sent: counted in letters, names of another script would have the service refuse
+         * everybody in the transaction.
+         */
+        int encodedSize() {
+            return Json.write(value).length + 2 * key.length();
         }
     }
 
@@ -58,37 +67,37 @@
     private boolean transactionInFlight;
 
     /**
-     * @param changesPerS how many keys can be created in a second
+     * @param maxMutations how many keys one transaction may create
+     * @param maxBytes the most bytes of keys and values in one transaction
+     * @param mutationsPerS how many keys can be created in a second
      */
     CreateIfAbsent(
             Loop loop,
-            KeyValueStore state,
-            RequestPriority urgency,
-            int mostChanges,
-            int mostBytes,
-            double changesPerS) {
+            KeyValueStore store,
+            RequestPriority priority,
+            int maxMutations,
+            int maxBytes,
+            double mutationsPerS) {
         this.loop = loop;
-        this.store = state;
-        this.priority = urgency;
-        this.maxQueued = (int) Math.ceil(MAX_QUEUE_WAIT_S * changesPerS);
-        this.maxMutations = mostChanges;
-        this.maxBytes = mostBytes;
+        this.store = store;
+        this.priority = priority;
+        this.maxQueued = (int) Math.ceil(MAX_QUEUE_WAIT_S * mutationsPerS);
+        this.maxMutations = maxMutations;
+        this.maxBytes = maxBytes;
     }
 
-    void create(String key, JsonNode data, Consumer<Result> done) {
-        PendingCreation same = queuedByKey.get(key);
-        if (same != null) {
+    /** Enqueues a key's creation; it leaves with the next {@link #flush}. */
+    void create(String key, JsonNode value, Consumer<Result> done) {
+        PendingCreation queued = queuedByKey.get(key);
+        if (queued != null) {
             // Asked again while the first request waits: one answer for both.
-            same.callbacks.add(done);
+            queued.callbacks.add(done);
         } else if (queuedByKey.size() >= maxQueued) {
             done.accept(Result.TOO_MANY);
         } else {
+            List<Consumer<Result>> callbacks = new ArrayList<>(List.of(done));
             PendingCreation creation =
-                    new PendingCreation(
-                            key,
-                            data,
-                            loop.now() + MAX_QUEUE_WAIT_S,
-                            new ArrayList<>(List.of(done)));
+                    new PendingCreation(key, value, loop.now() + MAX_QUEUE_WAIT_S, callbacks);
             queuedByKey.put(key, creation);
             queue.add(creation);
         }
@@ -107,13 +116,29 @@
         if (transactionInFlight || queue.isEmpty()) {
             return;
         }
+        List<PendingCreation> batch = nextBatch();
+        if (batch.isEmpty()) {
+            return;
+        }
+        transactionInFlight = true;
+        store.compareAndSwap(
+                priority,
+                batch.stream().map(creation -> new Precondition(creation.key, 0)).toList(),
+                batch.stream().map(creation -> Mutation.set(creation.key, creation.value)).toList(),
+                outcome -> {
+                    transactionInFlight = false;
+                    complete(batch, outcome);
+                    flush();
+                });
+    }
+
+    /** Takes from the queue what fits into one transaction and still has somebody waiting. */
+    private List<PendingCreation> nextBatch() {
         List<PendingCreation> batch = new ArrayList<>();
         int bytes = 0;
         while (!queue.isEmpty() && batch.size() < maxMutations) {
             PendingCreation creation = queue.peek();
-            // As sent: counted in letters, names of another script would have the service refuse
-            // everybody in the transaction.
-            int size = Json.write(creation.value).length + 2 * creation.key.length();
+            int size = creation.encodedSize();
             if (!batch.isEmpty() && bytes + size > maxBytes) {
                 break;
             }
@@ -126,40 +151,37 @@
                 bytes += size;
             }
         }
-        if (batch.isEmpty()) {
-            return;
+        return batch;
+    }
+
+    private void complete(List<PendingCreation> batch, CompareAndSwapOutcome outcome) {
+        if (outcome instanceof CompareAndSwapOutcome.Committed) {
+            completeAll(batch, Result.CREATED);
+        } else if (outcome instanceof CompareAndSwapOutcome.Conflict conflict
+                && batch.stream().anyMatch(one -> conflict.failedKeys().contains(one.key))) {
+            resolveConflict(batch, conflict.failedKeys());
+        } else if (outcome instanceof CompareAndSwapOutcome.Refused refused
+                && refused.status() == STATUS_TOO_MANY_REQUESTS) {
+            completeAll(batch, Result.THROTTLED);
+        } else {
+            // Also when nobody answered: the user comes back, and finds it accepted if it took
+            // effect after all.
+            completeAll(batch, Result.UNAVAILABLE);
+        }
+    }
+
+    private static void completeAll(List<PendingCreation> batch, Result result) {
+        batch.forEach(creation -> creation.complete(result));
+    }
+
+    private void resolveConflict(List<PendingCreation> batch, List<String> failedKeys) {
+        for (PendingCreation creation : batch) {
+            if (failedKeys.contains(creation.key)) {
+                creation.complete(Result.EXISTS);
+            } else {
+                requeue(creation);
+            }
         }
-        transactionInFlight = true;
-        List<Precondition> guards = batch.stream().map(w -> new Precondition(w.key, 0)).toList();
-        List<Mutation> changes = batch.stream().map(w -> Mutation.set(w.key, w.value)).toList();
-        store.compareAndSwap(
-                priority,
-                guards,
-                changes,
-                result -> {
-                    transactionInFlight = false;
-                    if (result instanceof CompareAndSwapOutcome.Committed) {
-                        batch.forEach(w -> w.complete(Result.CREATED));
-                    } else if (result instanceof CompareAndSwapOutcome.Conflict conflict
-                            && batch.stream()
-                                    .anyMatch(w -> conflict.failedKeys().contains(w.key))) {
-                        for (PendingCreation creation : batch) {
-                            if (conflict.failedKeys().contains(creation.key)) {
-                                creation.complete(Result.EXISTS);
-                            } else {
-                                requeue(creation);
-                            }
-                        }
-                    } else if (result instanceof CompareAndSwapOutcome.Refused refused
-                            && refused.status() == STATUS_TOO_MANY_REQUESTS) {
-                        batch.forEach(w -> w.complete(Result.THROTTLED));
-                    } else {
-                        // Also when nobody answered: the user comes back, and finds it accepted if
-                        // it took effect after all.
-                        batch.forEach(w -> w.complete(Result.UNAVAILABLE));
-                    }
-                    flush();
-                });
     }
 
     /**
--- a/src/main/java/io/pepperfield/jobs/UserRequests.java
+++ b/src/main/java/io/pepperfield/jobs/UserRequests.java
@@ -6,27 +6,59 @@
 import io.pepperfield.jobs.LinearizableReads.ReadOutcome;
 import io.pepperfield.loop.Loop;
 import io.pepperfield.store.KeyValueStore;
+import io.pepperfield.store.KeyValueStore.RequestPriority;
 import io.pepperfield.store.Keys;
 import io.pepperfield.store.ReplicaSynchronizer;
+import java.util.Optional;
 import java.util.function.Consumer;
-import java.util.function.IntSupplier;
 import java.util.function.IntUnaryOperator;
 
 /**
- * Submissions, queries and cancellations, on any node; what is told about a job is as {@link
- * LinearizableReads} has it.
+ * Submissions, queries and cancellations, on any controller; what is told about a job is as {@link
+ * LinearizableReads} has it. Confined to the event loop's thread, on which every answer is given.
  */
 public final class UserRequests {
 
-    /** Whether a job can ever run: null, or why not; throws where that cannot be decided yet. */
-    public interface Feasibility {
-        /** Why the job can never run, or null where it can. */
-        String infeasibilityReason(JobSpec job) throws UndecidedException;
-    }
+    /**
+     * What users' requests may take of the state service.
+     *
+     * @param maxMutations in one transaction; it has as many preconditions, which leaves room for
+     *     that of the stored-state version
+     * @param maxValueKib the largest stored value
+     * @param mutationsPerS mutations per second for submissions, and as many for cancellations
+     * @param maxUnknownQueries queries about unknown jobs that may wait for their confirmation
+     * @param tasksPerRunRecord tasks in a run record of a new job, given how many the first stored
+     *     form takes
+     */
+    public record Limits(
+            int maxMutations,
+            double maxValueKib,
+            double mutationsPerS,
+            int maxUnknownQueries,
+            IntUnaryOperator tasksPerRunRecord) {
 
-    /** The machine types are not known yet. */
-    public static final class UndecidedException extends Exception {}
+        private static final int BYTES_PER_KIB = 1024;
 
+        /** Part of a value that a job's description may take. */
+        private static final double SPEC_PART = 0.9;
+
+        /**
+         * A task takes up to about 60 bytes of a run record; half of a value leaves room for long
+         * machine names.
+         */
+        private static final int RESERVED_BYTES_PER_TASK = 120;
+
+        private int maxSpecBytes() {
+            return (int) (maxValueKib * BYTES_PER_KIB * SPEC_PART);
+        }
+
+        private int tasksInRunRecord() {
+            int inFirstForm = (int) (maxValueKib * BYTES_PER_KIB / RESERVED_BYTES_PER_TASK);
+            return tasksPerRunRecord.applyAsInt(Math.max(1, inFirstForm));
+        }
+    }
+
+    private static final int MAX_TRANSACTION_BYTES = 40 * 1024;
     private static final String STORE_UNAVAILABLE = "the state service does not answer";
     private static final HttpReply JOB_NOT_FOUND = HttpReply.error(404, "no such job");
 
@@ -34,61 +66,45 @@
     private final LinearizableReads reads;
     private final Feasibility feasibility;
     private final SubmissionPolicy policy;
+    private final Limits limits;
     private final CreateIfAbsent submissions;
     private final CreateIfAbsent cancellations;
-    private final IntSupplier tasksPerRunRecord;
-    private final int maxValueBytes;
-    private final int maxUnknownQueries;
     private final Consumer<String> onCancelled;
 
-    /** Questions about jobs that this node knows nothing of, waiting for their confirmation. */
+    /** Queries about jobs that this controller knows nothing of, waiting for their confirmation. */
     private int unknownQueriesInFlight;
 
     /**
-     * @param linesInRecord tasks in a run record of a new job, given how many the first stored form
-     *     takes
-     * @param cancelled told of each job that has been cancelled through this node, when its user is
+     * @param onCancelled told of each job that has been cancelled through this controller, when its
+     *     user is
      */
     public UserRequests(
             Loop loop,
-            JobIndex catalog,
-            ReplicaSynchronizer sync,
-            KeyValueStore state,
+            JobIndex jobIndex,
+            ReplicaSynchronizer synchronizer,
+            KeyValueStore store,
             Feasibility feasibility,
             SubmissionPolicy policy,
-            int mostChanges,
-            double valueKb,
-            double changesPerS,
-            int mostUnknownQueries,
-            IntUnaryOperator linesInRecord,
-            Consumer<String> cancelled) {
+            Limits limits,
+            Consumer<String> onCancelled) {
         this.loop = loop;
-        this.reads = new LinearizableReads(catalog, sync);
+        this.reads = new LinearizableReads(jobIndex, synchronizer);
         this.feasibility = feasibility;
         this.policy = policy;
-        this.maxUnknownQueries = mostUnknownQueries;
-        this.onCancelled = cancelled;
-        this.maxValueBytes = (int) (valueKb * 1024 * 0.9);
-        // A run record takes up to about 60 bytes a task; half of a value leaves room for long
-        // machine names.
-        int linesInFirstForm = Math.max(1, (int) (valueKb * 1024 / 120));
-        this.tasksPerRunRecord = () -> linesInRecord.applyAsInt(linesInFirstForm);
-        this.submissions =
-                new CreateIfAbsent(
-                        loop,
-                        state,
-                        KeyValueStore.RequestPriority.SUBMISSION,
-                        mostChanges,
-                        40 * 1024,
-                        changesPerS);
-        this.cancellations =
-                new CreateIfAbsent(
-                        loop,
-                        state,
-                        KeyValueStore.RequestPriority.CANCELLATION,
-                        mostChanges,
-                        40 * 1024,
-                        changesPerS);
+        this.limits = limits;
+        this.onCancelled = onCancelled;
+        this.submissions = creations(store, RequestPriority.SUBMISSION);
+        this.cancellations = creations(store, RequestPriority.CANCELLATION);
+    }
+
+    private CreateIfAbsent creations(KeyValueStore store, RequestPriority priority) {
+        return new CreateIfAbsent(
+                loop,
+                store,
+                priority,
+                limits.maxMutations(),
+                MAX_TRANSACTION_BYTES,
+                limits.mutationsPerS());
     }
 
     /** Sends what has been gathered for the state service; called after each batch of commands. */
@@ -97,6 +113,8 @@
         submissions.flush();
     }
 
+    // ---- submission
+
     /** Accepts a job once it is durable, and answers its user. */
     public void submit(byte[] body, Consumer<HttpReply> answer) {
         JsonNode json = Json.read(body);
@@ -116,105 +134,109 @@
         }
         JobSpec job;
         try {
-            job = JobMessages.decodeSubmission(json, loop.wallMs(), tasksPerRunRecord.getAsInt());
+            job = JobMessages.decodeSubmission(json, loop.wallMs(), limits.tasksInRunRecord());
         } catch (JobMessages.InvalidSubmissionException e) {
             answerUnlessKnown(id, HttpReply.error(400, e.getMessage()), answer);
             return;
         }
-        JsonNode durable = JobCodec.encodeSpec(job);
-        String tooLong = oversizeReason(job, Json.write(durable).length);
-        if (tooLong != null) {
-            answerUnlessKnown(id, HttpReply.error(400, tooLong), answer);
-            return;
+        JsonNode stored = JobCodec.encodeSpec(job);
+        Optional<HttpReply> refusal = refusal(job, Json.write(stored).length);
+        if (refusal.isPresent()) {
+            answerUnlessKnown(id, refusal.get(), answer);
+        } else if (job.dependencies().stream().allMatch(reads::isKnown)) {
+            accept(job, stored, answer);
+        } else {
+            acceptOnceDependenciesAreKnown(job, stored, answer);
         }
-        String refusal;
-        try {
-            refusal = feasibility.infeasibilityReason(job);
-        } catch (UndecidedException e) {
-            answerUnlessKnown(
-                    id, HttpReply.unavailable("the machine types are not known yet"), answer);
-            return;
+    }
+
+    private Optional<HttpReply> refusal(JobSpec job, int storedBytes) {
+        Optional<String> oversize = oversizeReason(job, storedBytes);
+        if (oversize.isPresent()) {
+            return Optional.of(HttpReply.error(400, oversize.get()));
         }
-        if (refusal != null) {
-            answerUnlessKnown(id, HttpReply.error(422, refusal), answer);
-            return;
+        Feasibility.Verdict verdict = feasibility.check(job);
+        if (verdict instanceof Feasibility.Verdict.Undecided) {
+            return Optional.of(HttpReply.unavailable("the machine types are not known yet"));
         }
-        if (job.dependencies().stream().allMatch(reads::isKnown)) {
-            accept(job, durable, answer);
-            return;
+        return verdict instanceof Feasibility.Verdict.Infeasible infeasible
+                ? Optional.of(HttpReply.error(422, infeasible.reason()))
+                : Optional.empty();
+    }
+
+    /** Which field makes the description too long to be stored; empty where none does. */
+    private Optional<String> oversizeReason(JobSpec job, int storedBytes) {
+        int maxBytes = limits.maxSpecBytes();
+        if (storedBytes <= maxBytes) {
+            return Optional.empty();
         }
-        // What it needs may have been accepted a moment ago by another node; what nobody has
-        // accepted by now is refused.
+        int listBytes = JobCodec.dependenciesBytes(job);
+        int otherBytes = storedBytes - listBytes;
+        return Optional.of(
+                otherBytes < maxBytes
+                        ? "awaits: want at most "
+                                + (maxBytes - otherBytes)
+                                + " bytes of JSON beside the other fields, not "
+                                + listBytes
+                        : "flavours and names: want at most "
+                                + maxBytes
+                                + " bytes in all, not "
+                                + otherBytes);
+    }
+
+    /**
+     * A dependency may have been accepted a moment ago by another controller; what nobody has
+     * accepted by now is refused.
+     */
+    private void acceptOnceDependenciesAreKnown(
+            JobSpec job, JsonNode stored, Consumer<HttpReply> answer) {
         reads.read(
-                id,
-                reading -> {
-                    String unknownPrerequisite =
+                job.id(),
+                outcome -> {
+                    Optional<String> unknown =
                             job.dependencies().stream()
-                                    .filter(needed -> !reads.isKnown(needed))
-                                    .findFirst()
-                                    .orElse(null);
-                    if (reading instanceof ReadOutcome.Accepted accepted) {
+                                    .filter(id -> !reads.isKnown(id))
+                                    .findFirst();
+                    if (outcome instanceof ReadOutcome.Accepted accepted) {
                         answer.accept(HttpReply.json(200, accepted.job().statusAnswer()));
-                    } else if (reading instanceof ReadOutcome.NeverAccepted
-                            && unknownPrerequisite == null) {
-                        accept(job, durable, answer);
-                    } else {
+                    } else if (outcome instanceof ReadOutcome.Unavailable) {
+                        answer.accept(HttpReply.unavailable(STORE_UNAVAILABLE));
+                    } else if (unknown.isPresent()) {
                         answer.accept(
-                                notKnownReply(
-                                        reading,
-                                        HttpReply.error(
-                                                422,
-                                                "awaits: "
-                                                        + unknownPrerequisite
-                                                        + " was never accepted")));
+                                HttpReply.error(
+                                        422, "awaits: " + unknown.get() + " was never accepted"));
+                    } else {
+                        accept(job, stored, answer);
                     }
                 });
     }
 
-    /** Which field makes the description too long to be stored, or null. */
-    private String oversizeReason(JobSpec job, int bytes) {
-        if (bytes <= maxValueBytes) {
-            return null;
-        }
-        int listBytes = JobCodec.dependenciesBytes(job);
-        return bytes - listBytes < maxValueBytes
-                ? "awaits: want at most "
-                        + (maxValueBytes - bytes + listBytes)
-                        + " bytes of JSON beside the other fields, not "
-                        + listBytes
-                : "flavours and names: want at most "
-                        + maxValueBytes
-                        + " bytes in all, not "
-                        + (bytes - listBytes);
-    }
-
-    private void accept(JobSpec job, JsonNode durable, Consumer<HttpReply> answer) {
+    private void accept(JobSpec job, JsonNode stored, Consumer<HttpReply> answer) {
         String id = job.id();
-        // Asked again while its creation waits, it costs nothing more.
+        // Submitted again while its creation waits, it costs nothing more.
         if (!submissions.isQueued(Keys.JOB_PREFIX + id)
                 && policy.decide(job) instanceof SubmissionPolicy.Decision.Refused refused) {
             answer.accept(HttpReply.unavailable(refused.reason(), refused.retryAfterS()));
             return;
         }
         submissions.create(
-                Keys.JOB_PREFIX + id,
-                durable,
-                result -> {
-                    switch (result) {
-                        case CREATED ->
-                                answer.accept(
-                                        HttpReply.json(
-                                                201,
-                                                JobMessages.briefStatusAnswer(id, Status.PENDING)));
-                        case EXISTS -> query(id, answer);
-                        case UNAVAILABLE -> answer.accept(HttpReply.unavailable(STORE_UNAVAILABLE));
-                        case THROTTLED -> {
-                            policy.storeThrottled();
-                            answer.accept(HttpReply.unavailable(STORE_UNAVAILABLE));
-                        }
-                        case TOO_MANY -> answer.accept(tooManyReply());
-                    }
-                });
+                Keys.JOB_PREFIX + id, stored, result -> answerCreation(id, result, answer));
+    }
+
+    private void answerCreation(
+            String id, CreateIfAbsent.Result result, Consumer<HttpReply> answer) {
+        switch (result) {
+            case CREATED ->
+                    answer.accept(
+                            HttpReply.json(201, JobMessages.briefStatusAnswer(id, Status.PENDING)));
+            case EXISTS -> query(id, answer);
+            case UNAVAILABLE -> answer.accept(HttpReply.unavailable(STORE_UNAVAILABLE));
+            case THROTTLED -> {
+                policy.storeThrottled();
+                answer.accept(HttpReply.unavailable(STORE_UNAVAILABLE));
+            }
+            case TOO_MANY -> answer.accept(tooManyReply());
+        }
     }
 
     /** By then what waits now has been written; to come back sooner would only add to the crowd. */
@@ -224,38 +246,14 @@
                 (int) Math.ceil(CreateIfAbsent.MAX_QUEUE_WAIT_S));
     }
 
-    /**
-     * A known id gets 200 whatever its body says: the job was accepted, perhaps by another node and
-     * a moment ago.
-     */
-    private void answerUnlessKnown(String id, HttpReply refusal, Consumer<HttpReply> answer) {
-        reads.read(
-                id,
-                reading ->
-                        answer.accept(
-                                reading instanceof ReadOutcome.Accepted accepted
-                                        ? statusReply(accepted.job())
-                                        : notKnownReply(reading, refusal)));
-    }
-
-    private static HttpReply statusReply(JobRecord job) {
-        return job.unreadable() && job.finalStatus() == null
-                ? HttpReply.unavailable("a record of the job is of a form that is not known here")
-                : HttpReply.json(200, job.statusAnswer());
-    }
-
-    private static HttpReply notKnownReply(ReadOutcome reading, HttpReply refusal) {
-        return reading instanceof ReadOutcome.NeverAccepted
-                ? refusal
-                : HttpReply.unavailable(STORE_UNAVAILABLE);
-    }
+    // ---- query
 
     /** Answers a user's query for a job's state. */
     public void query(String id, Consumer<HttpReply> answer) {
         if (reads.isKnown(id)) {
             answerUnlessKnown(id, JOB_NOT_FOUND, answer);
-        } else if (unknownQueriesInFlight >= maxUnknownQueries) {
-            // Questions about jobs that nobody submitted must leave room for those about jobs that
+        } else if (unknownQueriesInFlight >= limits.maxUnknownQueries()) {
+            // Queries about jobs that nobody submitted must leave room for those about jobs that
             // somebody did.
             answer.accept(HttpReply.unavailable("too many questions about unknown jobs"));
         } else {
@@ -270,6 +268,34 @@
         }
     }
 
+    /**
+     * A known id gets 200 whatever its body says: the job was accepted, perhaps by another
+     * controller and a moment ago.
+     */
+    private void answerUnlessKnown(String id, HttpReply refusal, Consumer<HttpReply> answer) {
+        reads.read(
+                id,
+                outcome ->
+                        answer.accept(
+                                outcome instanceof ReadOutcome.Accepted accepted
+                                        ? statusReply(accepted.job())
+                                        : notKnownReply(outcome, refusal)));
+    }
+
+    private static HttpReply statusReply(JobRecord job) {
+        return job.unreadable() && !job.hasEnded()
+                ? HttpReply.unavailable("a record of the job is of a form that is not known here")
+                : HttpReply.json(200, job.statusAnswer());
+    }
+
+    private static HttpReply notKnownReply(ReadOutcome outcome, HttpReply refusal) {
+        return outcome instanceof ReadOutcome.NeverAccepted
+                ? refusal
+                : HttpReply.unavailable(STORE_UNAVAILABLE);
+    }
+
+    // ---- cancellation
+
     /** Cancels a job durably, and answers its user. */
     public void cancel(String id, Consumer<HttpReply> answer) {
         if (reads.isKnown(id)) {
@@ -278,18 +304,18 @@
         }
         reads.read(
                 id,
-                reading -> {
-                    if (reading instanceof ReadOutcome.Accepted) {
+                outcome -> {
+                    if (outcome instanceof ReadOutcome.Accepted) {
                         cancelKnownJob(id, answer);
                     } else {
-                        answer.accept(notKnownReply(reading, JOB_NOT_FOUND));
+                        answer.accept(notKnownReply(outcome, JOB_NOT_FOUND));
                     }
                 });
     }
 
     /**
-     * Whether the job is over already the state service decides, where its end is written once;
-     * unless this node knows it.
+     * Unless this controller knows it, the state service decides whether the job has ended already:
+     * its final state is written once.
      */
     private void cancelKnownJob(String id, Consumer<HttpReply> answer) {
         if (reads.isFinal(id)) {
@@ -299,34 +325,34 @@
         cancellations.create(
                 Keys.FINAL_STATE_PREFIX + id,
                 JobCodec.encodeFinalStatus(Status.CANCELLED),
-                result -> {
-                    switch (result) {
-                        case CREATED -> {
-                            onCancelled.accept(id);
-                            answer.accept(
-                                    HttpReply.json(
-                                            200,
-                                            JobMessages.briefStatusAnswer(id, Status.CANCELLED)));
-                        }
-                        case EXISTS -> answerFinalStatus(id, answer);
-                        case UNAVAILABLE, THROTTLED ->
-                                answer.accept(HttpReply.unavailable(STORE_UNAVAILABLE));
-                        case TOO_MANY -> answer.accept(tooManyReply());
-                    }
-                });
+                result -> answerCancellation(id, result, answer));
+    }
+
+    private void answerCancellation(
+            String id, CreateIfAbsent.Result result, Consumer<HttpReply> answer) {
+        switch (result) {
+            case CREATED -> {
+                onCancelled.accept(id);
+                answer.accept(finalStatusReply(id, Status.CANCELLED));
+            }
+            case EXISTS -> answerFinalStatus(id, answer);
+            case UNAVAILABLE, THROTTLED -> answer.accept(HttpReply.unavailable(STORE_UNAVAILABLE));
+            case TOO_MANY -> answer.accept(tooManyReply());
+        }
     }
 
     private void answerFinalStatus(String id, Consumer<HttpReply> answer) {
         reads.read(
                 id,
-                reading ->
+                outcome ->
                         answer.accept(
-                                reading instanceof ReadOutcome.Accepted accepted
-                                                && accepted.job().finalStatus() != null
-                                        ? HttpReply.json(
-                                                200,
-                                                JobMessages.briefStatusAnswer(
-                                                        id, accepted.job().finalStatus()))
+                                outcome instanceof ReadOutcome.Accepted accepted
+                                                && accepted.job().hasEnded()
+                                        ? finalStatusReply(id, accepted.job().finalStatus())
                                         : HttpReply.unavailable(STORE_UNAVAILABLE)));
     }
+
+    private static HttpReply finalStatusReply(String id, Status status) {
+        return HttpReply.json(200, JobMessages.briefStatusAnswer(id, status));
+    }
 }
--- a/src/test/java/io/pepperfield/forms/UserAnswerForms.java
+++ b/src/test/java/io/pepperfield/forms/UserAnswerForms.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.http.Json;
+import io.pepperfield.jobs.Feasibility;
 import io.pepperfield.jobs.JobIndex;
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.jobs.SubmissionPolicy;
@@ -37,23 +38,21 @@
                         catalog,
                         sync,
                         this,
-                        UserAnswerForms::refusal,
+                        UserAnswerForms::feasibility,
                         policy(),
-                        32,
-                        8,
-                        1,
-                        1,
-                        lines -> lines,
+                        new UserRequests.Limits(32, 8, 1, 1, tasks -> tasks),
                         id -> file.add("told the other controllers", id));
         sync.start();
         loop.run(1);
     }
 
-    private static String refusal(JobSpec job) throws UserRequests.UndecidedException {
+    private static Feasibility.Verdict feasibility(JobSpec job) {
         if (job.cpus() == 999) {
-            throw new UserRequests.UndecidedException();
+            return new Feasibility.Verdict.Undecided();
         }
-        return job.cpus() > 64 ? "fits nowhere" : null;
+        return job.cpus() > 64
+                ? new Feasibility.Verdict.Infeasible("fits nowhere")
+                : new Feasibility.Verdict.Feasible();
     }
 
     private SubmissionPolicy policy() {
--- a/src/test/java/io/pepperfield/jobs/UserAnswersTraceTest.java
+++ b/src/test/java/io/pepperfield/jobs/UserAnswersTraceTest.java
@@ -74,22 +74,22 @@
                         catalog,
                         sync,
                         this,
-                        job -> {
-                            if (job.cpus() == 999) {
-                                throw new UserRequests.UndecidedException();
-                            }
-                            return job.cpus() > 64 ? "fits nowhere" : null;
-                        },
+                        UserAnswersTraceTest::feasibility,
                         SubmissionPolicy.UNLIMITED,
-                        32,
-                        8,
-                        10,
-                        2,
-                        lines -> lines,
+                        new UserRequests.Limits(32, 8, 10, 2, tasks -> tasks),
                         id -> {});
         sync.start();
     }
 
+    private static Feasibility.Verdict feasibility(JobSpec job) {
+        if (job.cpus() == 999) {
+            return new Feasibility.Verdict.Undecided();
+        }
+        return job.cpus() > 64
+                ? new Feasibility.Verdict.Infeasible("fits nowhere")
+                : new Feasibility.Verdict.Feasible();
+    }
+
     /** submit NUMBER [unfit | undecided | incomplete | needs NUMBER | awaits JSON | full] */
     private static ObjectNode submission(String[] words) {
         String what = words.length > 2 ? words[2] : "";
