--- a/src/main/java/io/pepperfield/jobs/Job.java
+++ b/src/main/java/io/pepperfield/jobs/Job.java
@@ -4,59 +4,41 @@
 import it.unimi.dsi.fastutil.ints.Int2IntMap;
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap;
 import java.util.BitSet;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.Set;
 
-/** The leader's working state of one accepted job. */
+/** The leader's working state of one accepted job. Confined to the event loop's thread. */
 public final class Job {
 
-    /**
-     * One machine on which tasks fail may be faulty; that two are, and nothing else is known of the
-     * job, is less likely.
-     */
-    private static final int CRASH_LOOP_MACHINES = 2;
-
-    private static final int MAX_FAILED_MACHINES = 8;
-
     public final JobSpec spec;
 
     /** Run times of this job's tasks: what WIRE predicts from. */
     public final PeerRunTimes runTimes = new PeerRunTimes();
 
-    /** When this leader's clock says it was submitted, or its last prerequisite was done. */
+    private final CrashLoopBackoff crashLoop = new CrashLoopBackoff();
+
+    /** When this leader's clock says it was submitted, or its last dependency was done. */
     private double readyAt;
 
-    /**
-     * It needs jobs that are not done yet: until then it holds nothing and stands in nobody's way.
-     */
-    private boolean awaitDependencies;
+    private boolean awaitingDependencies;
 
-    /** Its description with the rank of {@link PriorityInheritance}. */
+    /** Its description with the priority of {@link PriorityInheritance}. */
     private JobSpec effectiveSpec;
 
     private final BitSet pendingTasks;
     private final BitSet doneTasks;
 
     /** Tasks of which the last attempt failed. */
-    private final BitSet recordFailure = new BitSet();
+    private final BitSet failedTasks = new BitSet();
 
     private final Int2IntMap lastAttempts = new Int2IntOpenHashMap();
     private Status finalStatus;
     private double lastKnownOpenAt;
 
     /**
-     * Machines on which a task failed since one of the job was last completed, the last few of
-     * them, and until when to avoid them.
+     * Creates the state of a job none of whose tasks has been started.
+     *
+     * @param submittedAt loop time in seconds
      */
-    private final LinkedHashMap<String, Double> failedMachines = new LinkedHashMap<>();
-
-    /** Tasks that durable records call failed, from before this leader. */
-    private int recordEarlierFailure;
-
-    private double startNotBefore;
-
-    /** Creates the state of a job none of whose tasks has been started. */
     public Job(JobSpec spec, double submittedAt) {
         this.spec = spec;
         this.effectiveSpec = spec;
@@ -66,43 +48,42 @@
         this.doneTasks = new BitSet(spec.tasks());
     }
 
+    // ---- state of the job
+
     /** The final state, or null. */
     public Status finalStatus() {
         return finalStatus;
     }
 
     /**
-     * @param asOf a time at which it had not ended yet
+     * The job has ended: no task of it waits any more.
+     *
+     * @param knownOpenAt a loop time in seconds at which it had not ended yet
      */
-    public void finalStatus(Status status, double asOf) {
+    public void finish(Status status, double knownOpenAt) {
         finalStatus = status;
-        lastKnownOpenAt = asOf;
+        lastKnownOpenAt = knownOpenAt;
         pendingTasks.clear();
     }
 
-    /** Of a job that has ended: a time at which it had not. */
+    /** Of a job that has ended: a loop time in seconds at which it had not. */
     public double lastKnownOpenAt() {
         return lastKnownOpenAt;
     }
 
-    /** Tasks that wait to be started; none while the job waits for others. */
-    public int pendingTaskCount() {
-        return awaitDependencies ? 0 : pendingTasks.cardinality();
-    }
-
-    /** Jobs that it needs are not done yet. */
+    /** Jobs that it depends on are not done yet: until then it holds and blocks nothing. */
     public void awaitDependencies() {
-        awaitDependencies = true;
+        awaitingDependencies = true;
     }
 
     /** Whether it waits for other jobs. */
     public boolean isAwaitingDependencies() {
-        return awaitDependencies;
+        return awaitingDependencies;
     }
 
-    /** The last job that it needs is done: its class's times begin. */
+    /** The last job that it depends on is done: its class's times begin. */
     public void dependenciesDone(double now) {
-        awaitDependencies = false;
+        awaitingDependencies = false;
         readyAt = now;
     }
 
@@ -111,14 +92,36 @@
         return readyAt;
     }
 
-    /** What it is placed by. */
+    /** Its description with the effective priority, by which it is placed. */
     public JobSpec effectiveSpec() {
         return effectiveSpec;
     }
 
-    /** The highest rank among its own and those of the unfinished jobs that need it. */
-    public void setEffectivePriority(JobSpec.Priority rank) {
-        effectiveSpec = rank == spec.priority() ? spec : spec.withPriority(rank);
+    /**
+     * @param priority the highest among its own and those of the unfinished jobs that depend on it
+     */
+    public void setEffectivePriority(JobSpec.Priority priority) {
+        effectiveSpec = priority == spec.priority() ? spec : spec.withPriority(priority);
+    }
+
+    // ---- tasks
+
+    /** Tasks that wait to be started; none while the job waits for others. */
+    public int pendingTaskCount() {
+        return awaitingDependencies ? 0 : pendingTasks.cardinality();
+    }
+
+    /** The first task that waits to be started, or -1. */
+    public int nextPendingTask() {
+        return pendingTasks.nextSetBit(0);
+    }
+
+    /** How many of its tasks may be started now, beside those that may be alive. */
+    public int startableTaskCount(boolean anyAlive) {
+        if (!isCrashLooping()) {
+            return pendingTaskCount();
+        }
+        return anyAlive ? 0 : Math.min(1, pendingTaskCount());
     }
 
     /** The number of completed tasks. */
@@ -136,31 +139,37 @@
         return doneTasks.get(task);
     }
 
-    /** The first task that waits to be started, or -1. */
-    public int nextPendingTask() {
-        return pendingTasks.nextSetBit(0);
+    /** Records that the task is completed: it is not started again. */
+    public void markDone(int task) {
+        doneTasks.set(task);
+        pendingTasks.clear(task);
+    }
+
+    /** Whether the task's last attempt failed. */
+    public boolean hasFailed(int task) {
+        return failedTasks.get(task);
     }
 
     /** Records that the task's last attempt failed. */
     public void markFailed(int task) {
-        recordFailure.set(task);
+        failedTasks.set(task);
     }
 
-    /** Whether the task's last attempt failed. */
-    public boolean hasFailed(int task) {
-        return recordFailure.get(task);
+    /** The number of the task's last attempt; 0 before the first. */
+    public int lastAttempt(int task) {
+        return lastAttempts.get(task);
     }
 
-    /** Takes the task off the waiting ones and gives its new attempt's number. */
+    /** Takes the task off the pending ones and gives its new attempt's number. */
     public int startAttempt(int task) {
         pendingTasks.clear(task);
-        recordFailure.clear(task);
+        failedTasks.clear(task);
         int number = lastAttempts.get(task) + 1;
         lastAttempts.put(task, number);
         return number;
     }
 
-    /** From a durable record: the task has got as far as that attempt, which may be alive. */
+    /** From a stored record: the task has got as far as that attempt, which may be alive. */
     public void restoreAttempt(int task, int attempt, boolean live) {
         lastAttempts.put(task, attempt);
         if (live && finalStatus == null) {
@@ -168,15 +177,9 @@
         }
     }
 
-    /** Records that the task is completed: it is not started again. */
-    public void markDone(int task) {
-        doneTasks.set(task);
-        pendingTasks.clear(task);
-    }
-
     /**
-     * The task's attempt is proven gone; it waits again unless it is done or nobody wants it any
-     * more.
+     * The task's attempt is proven gone; the task waits again unless it is done or the job has
+     * ended.
      */
     public void requeue(int task) {
         if (finalStatus == null && !doneTasks.get(task)) {
@@ -184,19 +187,24 @@
         }
     }
 
-    /** The number of the task's last attempt; 0 before the first. */
-    public int lastAttempt(int task) {
-        return lastAttempts.get(task);
+    // ---- failures
+
+    /**
+     * Whether tasks have failed on several machines and none was completed since; see {@link
+     * CrashLoopBackoff}.
+     */
+    public boolean isCrashLooping() {
+        return crashLoop.isCrashLooping();
     }
 
     /** Loop time in seconds before which none of its tasks is started, after a failure. */
     public double startNotBefore() {
-        return startNotBefore;
+        return crashLoop.startNotBefore();
     }
 
     /** Where it failed since a task was last completed. */
     public Set<String> failedMachines() {
-        return failedMachines.keySet();
+        return crashLoop.failedMachines();
     }
 
     /**
@@ -204,68 +212,30 @@
      * can be completed would wait beside the only machines that fit it.
      */
     public Set<String> recentlyFailedMachines(double now) {
-        Set<String> avoided = new HashSet<>();
-        failedMachines.forEach(
-                (machine, until) -> {
-                    if (until > now) {
-                        avoided.add(machine);
-                    }
-                });
-        return avoided;
+        return crashLoop.recentlyFailedMachines(now);
     }
 
-    /** A task failed on that machine; true if this makes the job suspect. */
+    /**
+     * A task failed on that machine.
+     *
+     * @param now loop time in seconds
+     * @return whether the job is crash looping from now on, and was not before
+     */
     public boolean recordFailure(
             String machine, double now, double firstPauseS, double longestPauseS) {
-        boolean before = isCrashLooping();
-        failedMachines.remove(machine);
-        failedMachines.put(machine, now + longestPauseS);
-        if (failedMachines.size() > MAX_FAILED_MACHINES) {
-            failedMachines.remove(failedMachines.keySet().iterator().next());
-        }
-        if (isCrashLooping()) {
-            startNotBefore =
-                    now
-                            + Math.min(
-                                    longestPauseS,
-                                    firstPauseS
-                                            * Math.pow(
-                                                    2,
-                                                    failedMachines.size()
-                                                            + recordEarlierFailure
-                                                            - CRASH_LOOP_MACHINES));
-        }
-        return isCrashLooping() && !before;
+        return crashLoop.recordFailure(machine, now, firstPauseS, longestPauseS);
     }
 
-    /** A durable record says that the task failed where it was last tried. */
+    /** A stored record says that the task failed in its latest attempt. */
     public void recordEarlierFailure() {
-        recordEarlierFailure = Math.min(MAX_FAILED_MACHINES, recordEarlierFailure + 1);
+        crashLoop.recordEarlierFailure();
     }
 
     /**
-     * What can be completed was not submitted with a mistake, whatever its bad machines have made
-     * of it.
+     * A task was completed. What can be completed was not submitted with a mistake, whatever its
+     * bad machines have made of it.
      */
     public void recordSuccess() {
-        failedMachines.clear();
-        recordEarlierFailure = 0;
-        startNotBefore = 0;
-    }
-
-    /**
-     * Failed on several machines and completed on none since: submitted with a mistake, as far as
-     * anyone can tell. Such a job is tried one task at a time and after growing pauses, and neither
-     * rents nor stops anything until a task is completed.
-     */
-    public boolean isCrashLooping() {
-        return failedMachines.size() + recordEarlierFailure >= CRASH_LOOP_MACHINES;
-    }
-
-    /** How many of its tasks may be started now, beside those that may be alive. */
-    public int startableTaskCount(boolean anyAlive) {
-        return !isCrashLooping()
-                ? pendingTaskCount()
-                : anyAlive ? 0 : Math.min(1, pendingTaskCount());
+        crashLoop.reset();
     }
 }
--- a/src/main/java/io/pepperfield/lifecycle/JobRecovery.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobRecovery.java
@@ -31,7 +31,7 @@
         double ageS = Math.max(0, (wallClockMs - record.spec().acceptedMs()) / 1000.0);
         Job job = new Job(record.spec(), now - ageS);
         if (record.finalStatus() != null) {
-            job.finalStatus(record.finalStatus(), record.lastKnownOpenAt());
+            job.finish(record.finalStatus(), record.lastKnownOpenAt());
         }
         boolean live = false;
         for (TaskState line : record.taskStates()) {
--- a/src/main/java/io/pepperfield/lifecycle/JobTracker.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobTracker.java
@@ -288,7 +288,7 @@
     }
 
     private void jobEnded(Job job, Status end) {
-        job.finalStatus(end, jobIndex.get(job.spec.id()).lastKnownOpenAt());
+        job.finish(end, jobIndex.get(job.spec.id()).lastKnownOpenAt());
         priorityInheritance.removed(job.spec);
         if (end == Status.DONE) {
             runRecords.dropPending(job);
--- a/src/test/java/io/pepperfield/fleet/AttemptTraceTest.java
+++ b/src/test/java/io/pepperfield/fleet/AttemptTraceTest.java
@@ -64,7 +64,7 @@
             case "direct" -> fleet.directOrdersLeaving(List.of(attempts.get(words[1])));
             case "stop" -> fleet.requestStop(attempts.get(words[1]), 0);
             case "cancelled" -> {
-                job.finalStatus(Status.CANCELLED, now);
+                job.finish(Status.CANCELLED, now);
                 attempts.values().forEach(attempt -> fleet.requestStop(attempt, 0));
             }
             case "unsettled" -> {
