--- a/src/main/java/io/pepperfield/controller/Controller.java
+++ b/src/main/java/io/pepperfield/controller/Controller.java
@@ -16,8 +16,9 @@
 import io.pepperfield.heartbeat.HeartbeatHandler;
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.InboundRequest;
+import io.pepperfield.jobs.JobCodec;
 import io.pepperfield.jobs.JobIndex;
-import io.pepperfield.jobs.JobMessages;
+import io.pepperfield.jobs.JobRecord;
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.jobs.Status;
 import io.pepperfield.jobs.SubmissionPolicy;
@@ -230,12 +231,12 @@
                 state,
                 machineTypes,
                 admission == null ? SubmissionPolicy.UNLIMITED : admission.policy(),
-                // Its guards are as many as its changes, so that one for the version has room.
-                service.maxTransactionOps(),
-                service.maxValueKib(),
-                RoleRateLimits.USER_WRITE_SHARE * service.writesPerS(),
-                maxConcurrentQueries(settings) / 2,
-                storedStateCompatibility::tasksPerRunRecord,
+                new UserRequests.Limits(
+                        service.maxTransactionOps(),
+                        service.maxValueKib(),
+                        RoleRateLimits.USER_WRITE_SHARE * service.writesPerS(),
+                        maxConcurrentQueries(settings) / 2,
+                        storedStateCompatibility::tasksPerRunRecord),
                 locallyCancelled::add);
     }
 
@@ -292,7 +293,7 @@
 
     /** The description of an accepted job, or null. */
     private JobSpec jobSpec(String id) {
-        JobIndex.JobRecord record = jobIndex.get(id);
+        JobRecord record = jobIndex.get(id);
         return record == null ? null : record.spec();
     }
 
@@ -323,7 +324,7 @@
      */
     private void cancelledByPeer(String id) {
         jobIndex.changed(
-                Keys.FINAL_STATE_PREFIX + id, JobMessages.encodeFinalStatus(Status.CANCELLED));
+                Keys.FINAL_STATE_PREFIX + id, JobCodec.encodeFinalStatus(Status.CANCELLED));
         notifyLeader(id);
     }
 
--- a/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
+++ b/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
@@ -26,6 +26,8 @@
     /** Each transaction is guarded by it. */
     private static final int LEADER_PRECONDITIONS = 1;
 
+    private static final Runnable NO_CALLBACK = () -> {};
+
     private final FencedWriter writer;
     private final Replica replica;
     private final LiveAttempts liveAttempts;
@@ -72,8 +74,9 @@
                     priority,
                     sharedContent(key),
                     () -> absentEndKeys(sharedRecords.jobs(key)),
-                    effect == null ? null : () -> runUnlessDeferred(job, task, priority, effect),
-                    null);
+                    effect == null
+                            ? NO_CALLBACK
+                            : () -> runUnlessDeferred(job, task, priority, effect));
             return;
         }
         int chunk = task / job.spec.tasksPerRunRecord();
@@ -82,8 +85,7 @@
                 priority,
                 ownContent(job, chunk),
                 () -> absentEndKeys(List.of(job)),
-                effect,
-                null);
+                effect == null ? NO_CALLBACK : effect);
     }
 
     /** What was left out of this writing is not durable yet: it goes into the next one. */
@@ -160,7 +162,7 @@
             return true;
         }
         for (int part = 1; part < TaskState.SPLIT_PARTS; part++) {
-            if (replica.get(job.spec.splitRecordKey(chunk, part)) != null) {
+            if (replica.contains(job.spec.splitRecordKey(chunk, part))) {
                 return true;
             }
         }
@@ -220,8 +222,7 @@
 
     /** The run record that the job shares with other small ones, or null. */
     private String sharedRecordKey(Job job) {
-        return sharedRecords.recordKeyFor(
-                job, replica.get(Keys.runRecord(job.spec.id(), 0)) != null);
+        return sharedRecords.recordKeyFor(job, replica.contains(Keys.runRecord(job.spec.id(), 0)));
     }
 
     private List<TaskState> taskStates(Job job, int chunk) {
