--- a/src/main/java/io/pepperfield/dispatch/Dispatcher.java
+++ b/src/main/java/io/pepperfield/dispatch/Dispatcher.java
@@ -1,10 +1,8 @@
 package io.pepperfield.dispatch;
 
 import io.pepperfield.cluster.ClusterState;
-import io.pepperfield.config.Settings;
 import io.pepperfield.fleet.Attempt;
 import io.pepperfield.fleet.Machine;
-import io.pepperfield.fleet.MachineType;
 import io.pepperfield.jobs.Job;
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.placement.BinPacker;
@@ -15,11 +13,9 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -27,14 +23,6 @@
 public final class Dispatcher {
 
     private static final Logger LOG = LoggerFactory.getLogger(Dispatcher.class);
-    private static final Comparator<Job> BY_AGE =
-            Comparator.comparingDouble((Job j) -> j.readyAt()).thenComparing(j -> j.spec.id());
-
-    /**
-     * The users' term: the largest jobs, too, begin within four minutes. From a quarter of it on a
-     * job comes first.
-     */
-    private static final double OVERDUE_AFTER_S = 240.0 / 4;
 
     /**
      * Part of this process's time that placing may take; what comes meanwhile waits for the next
@@ -54,13 +42,7 @@
     private final ClusterState cluster;
     private final AttemptControl attemptControl;
 
-    /**
-     * Jobs for which others are being stopped, and until when the room that this frees is kept for
-     * them.
-     */
-    private final Map<Job, Double> reservedUntil = new HashMap<>();
-
-    private final PreemptedCapacity preemptedCapacity = new PreemptedCapacity();
+    private final CapacityReservations reservations = new CapacityReservations();
 
     private boolean passRequested = true;
     private double lastPassAt = Double.NEGATIVE_INFINITY;
@@ -130,7 +112,7 @@
                         places,
                         later),
                 victims);
-        requests.forEach(request -> request.imageLocalityRequired(false));
+        requests.forEach(PlacementRequest::relaxImageLocality);
         Map<String, PlacementRequest> byJob = new HashMap<>();
         requests.forEach(request -> byJob.put(request.job().id(), request));
         Map<String, PreemptionPlanner.PreemptibleMachine> byMachine = new HashMap<>();
@@ -149,10 +131,8 @@
             if (request.causedPreemption()) {
                 // As long as a stop takes to show; else what was stopped would only have made way
                 // for those in front.
-                reservedUntil.merge(
-                        cluster.jobs().get(request.job().id()),
-                        now + cluster.heartbeatIntervalS(),
-                        Math::max);
+                reservations.reserveForJob(
+                        cluster.jobs().get(request.job().id()), now + cluster.heartbeatIntervalS());
             }
         }
     }
@@ -198,7 +178,7 @@
         for (String id : chosen) {
             LOG.debug("stopping {} to free room", id);
             Attempt victim = victims.get(id);
-            preemptedCapacity.reserve(
+            reservations.reserveMachine(
                     victim.machine.name, cluster.loop().now() + cluster.heartbeatIntervalS());
             // At once: to save first would hold up what it is stopped for.
             attemptControl.stop(victim, 0);
@@ -244,137 +224,10 @@
         return places;
     }
 
-    /**
-     * Whether some machine could have it running within the class's aim, but only without fetching
-     * the image.
-     */
-    private boolean requiresImageLocality(JobSpec job) {
-        double slowest =
-                cluster.machineTypes().all().stream()
-                        .mapToDouble(MachineType::fetchGbPerS)
-                        .filter(rate -> rate > 0)
-                        .min()
-                        .orElse(Double.POSITIVE_INFINITY);
-        return job.imageGb() / slowest > cluster.objectives().maxWait(job.workload()) / 2;
-    }
-
-    /**
-     * Machines that still keep an ended attempt of a task which waits again: a worker refuses a
-     * task that it holds.
-     */
-    private Map<Job, Set<String>> machinesHoldingEndedAttempts() {
-        Map<Job, Set<String>> kept = new HashMap<>();
-        for (Machine machine : cluster.fleet().machines()) {
-            if (machine.liveAttemptCount() < machine.attempts().size()) {
-                for (Attempt attempt : machine.attempts()) {
-                    if (!attempt.live() && !attempt.job.isDone(attempt.task)) {
-                        kept.computeIfAbsent(attempt.job, j -> new HashSet<>()).add(machine.name);
-                    }
-                }
-            }
-        }
-        return kept;
-    }
-
-    private static Set<String> excludedMachines(Job job, Map<Job, Set<String>> kept, double now) {
-        Set<String> avoided = job.recentlyFailedMachines(now);
-        avoided.addAll(kept.getOrDefault(job, Set.of()));
-        return avoided;
-    }
-
-    /**
-     * One of its tasks has run for a charging unit: no mistake shows so late, and a replica is
-     * never completed.
-     */
-    private boolean hasStableAttempt(Job job, double now) {
-        return cluster.liveAttempts().attemptsOf(job).stream()
-                .anyMatch(
-                        attempt ->
-                                attempt.running()
-                                        && now - attempt.runningSince()
-                                                >= cluster.settings().operators().billingUnitS());
-    }
-
     /** What waits to be placed now, oldest job first. */
     public List<PlacementRequest> pendingRequests(double now) {
-        List<PlacementRequest> requests = new ArrayList<>();
-        Map<String, Double> before = new HashMap<>();
-        reservedUntil.values().removeIf(until -> until < now);
-        preemptedCapacity.expire(now);
-        List<Job> order = new ArrayList<>(cluster.jobs().values());
-        order.sort(BY_AGE);
-        Map<Job, Set<String>> kept = null;
-        Set<String> overdue = new HashSet<>();
-        List<FreeCapacity> standing = null;
-        for (Job job : order) {
-            if (job.finalStatus() != null || job.isAwaitingDependencies()) {
-                continue;
-            }
-            if (job.isCrashLooping() && hasStableAttempt(job, now)) {
-                // Or its replicas that were lost to bad machines would wait for the others to end,
-                // which never do.
-                job.recordSuccess();
-            }
-            Settings.Team team = cluster.settings().deployment().teams().get(job.spec.team());
-            // What fails everywhere must not use up its team's guarantee for the jobs behind it.
-            double cpus =
-                    before.merge(
-                            job.spec.team(),
-                            job.isCrashLooping() ? 0 : job.spec.tasks() * job.spec.cpus(),
-                            Double::sum);
-            int waiting = job.startableTaskCount(cluster.liveAttempts().hasAny(job));
-            if (waiting == 0 || team == null || job.startNotBefore() > now) {
-                continue;
-            }
-            kept = kept == null ? machinesHoldingEndedAttempts() : kept;
-            PlacementRequest request =
-                    new PlacementRequest(
-                            job.effectiveSpec(),
-                            waiting,
-                            cpus <= team.guaranteedCpus() && !job.isCrashLooping(),
-                            job.readyAt(),
-                            cluster.liveAttempts().countByZone(job),
-                            excludedMachines(job, kept, now));
-            request.probe(job.isCrashLooping());
-            request.imageLocalityRequired(
-                    !job.isCrashLooping()
-                            && requiresImageLocality(job.spec)
-                            && now - job.readyAt()
-                                    < cluster.objectives().maxWait(job.spec.workload()));
-            // The oldest of each class: if a swarm came first as a whole, it would have the fleet
-            // to itself.
-            request.overdue(
-                    !job.isCrashLooping()
-                            && job.doneTaskCount() == 0
-                            && !cluster.liveAttempts().hasAny(job)
-                            && now - job.readyAt() > OVERDUE_AFTER_S
-                            && !overdue.contains(job.spec.team() + "/" + job.spec.workload())
-                            && canEverStart(
-                                    request,
-                                    standing =
-                                            standing == null
-                                                    ? cluster.freeCapacities(now, true)
-                                                    : standing)
-                            && overdue.add(job.spec.team() + "/" + job.spec.workload()));
-            boolean roomPromised = reservedUntil.containsKey(job);
-            request.reserved(roomPromised);
-            if (job.effectiveSpec().priority() == JobSpec.Priority.BEST_EFFORT
-                    && !roomPromised
-                    && !request.withinGuarantee()) {
-                request.excludedMachines(preemptedCapacity.machineNames());
-            }
-            request.waitingTime(now - job.readyAt());
-            requests.add(request);
-        }
-        return requests;
-    }
-
-    /**
-     * Whether some machine may come to have room for it: for what can begin nowhere its team would
-     * stand back for ever.
-     */
-    private static boolean canEverStart(PlacementRequest request, List<FreeCapacity> standing) {
-        return standing.stream().anyMatch(room -> BinPacker.canEverFit(request, room));
+        reservations.expire(now);
+        return new PendingRequests(cluster, reservations, now).build();
     }
 
     /**
@@ -399,8 +252,11 @@
                     Map<String, Integer> zones = cluster.liveAttempts().countByZone(job);
                     zones.merge(lost.zone(), -count, Integer::sum);
                     PlacementRequest request =
-                            new PlacementRequest(
-                                    job.spec, count, true, job.readyAt(), zones, Set.of());
+                            PlacementRequest.builder(job.spec, count)
+                                    .withinGuarantee(true)
+                                    .readyAt(job.readyAt())
+                                    .tasksPerZone(zones)
+                                    .build();
                     requests.add(request);
                     byJob.put(job.spec.id(), request);
                 });
--- a/src/main/java/io/pepperfield/placement/PlacementRequest.java
+++ b/src/main/java/io/pepperfield/placement/PlacementRequest.java
@@ -4,141 +4,207 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A job with tasks that wait. */
+/**
+ * The pending tasks of one job, as one pass places them. What describes the job is fixed; the pass
+ * counts down {@link #waitingTasks()} and notes what it could not do. Confined to the event loop.
+ */
 public final class PlacementRequest {
 
     final JobSpec job;
-    int waitingTasks;
     final boolean withinGuarantee;
-    final double readyAt;
 
-    /** Tasks of this job that may be alive, by zone. */
-    final Map<String, Integer> tasksPerZone;
+    /** Loop time in seconds at which the job's tasks could first be started. */
+    final double readyAt;
 
     /** Machines that are not to be used for this job now. */
     final Set<String> excludedMachines;
 
-    /** Tasks of this job that may be alive. */
+    /** Tasks of this job that may be alive when the pass begins. */
     final int liveTasks;
 
     /**
-     * Only machines that have its image will do for now: to fetch it would take longer than its
-     * class may wait.
-     */
-    boolean imageLocalityRequired;
-
-    /**
-     * Nothing of it has begun for so long that it comes first: what is smaller or ranks higher
-     * cannot hold it back for ever.
+     * None of its tasks has begun for so long that it goes first: neither smaller nor higher jobs
+     * can starve it.
      */
-    boolean overdue;
+    final boolean overdue;
 
-    /** Others are being stopped for it: the room that this frees is its own. */
-    boolean reserved;
+    /** Other tasks are being stopped for it: the capacity that this frees is reserved for it. */
+    final boolean reserved;
 
-    boolean causedPreemption;
+    /** The job has only failed so far: nothing is stopped for it. */
+    final boolean probe;
 
-    /** Of a job that has only failed so far: nothing is stopped for it. */
-    private boolean probe;
+    /** Seconds that it has waited for each CPU that it still waits for; 0 for services. */
+    final double waitPerCpu;
 
-    boolean unschedulable;
+    /** Tasks of this job that may be alive, by zone; counted up as the pass places tasks. */
+    final Map<String, Integer> tasksPerZone;
 
-    /** How long it has waited for each CPU that it still waits for. */
-    double waitPerCpu;
+    /** Tasks without a machine; counted down as the pass places tasks. */
+    int waitingTasks;
 
     /**
-     * Creates a request for places for {@code waiting} tasks; {@code submittedAt} is a loop time.
+     * Only machines that have its image will do for now: to fetch it would take longer than its
+     * class may wait.
      */
-    public PlacementRequest(
-            JobSpec job,
-            int waiting,
-            boolean guaranteed,
-            double submittedAt,
-            Map<String, Integer> perZone,
-            Set<String> avoid) {
-        this.job = job;
-        this.waitingTasks = waiting;
-        this.withinGuarantee = guaranteed;
-        this.readyAt = submittedAt;
-        this.tasksPerZone = perZone;
-        this.excludedMachines = avoid;
-        this.liveTasks = perZone.values().stream().mapToInt(Integer::intValue).sum();
-    }
+    boolean imageLocalityRequired;
 
-    /** Sets whether it has waited so long that it comes first. */
-    public void overdue(boolean late) {
-        overdue = late;
-    }
+    /** No machine had capacity for it. */
+    boolean unschedulable;
 
-    /**
-     * Within a team's queue what has waited longest for its size goes first: where more is asked
-     * than can be done, whole jobs are done in time instead of parts of all of them, and a large
-     * one's turn comes all the same.
-     */
-    public void waitingTime(double seconds) {
-        waitPerCpu = job.isService() ? 0 : seconds / (waitingTasks * job.cpus());
+    /** At least one task was chosen to be stopped for it. */
+    boolean causedPreemption;
+
+    private PlacementRequest(Builder builder) {
+        this.job = builder.job;
+        this.withinGuarantee = builder.withinGuarantee;
+        this.readyAt = builder.readyAt;
+        this.excludedMachines = builder.excludedMachines;
+        this.liveTasks = builder.tasksPerZone.values().stream().mapToInt(Integer::intValue).sum();
+        this.overdue = builder.overdue;
+        this.reserved = builder.reserved;
+        this.probe = builder.probe;
+        this.waitPerCpu =
+                job.isService() ? 0 : builder.waitedS / (builder.waitingTasks * job.cpus());
+        this.tasksPerZone = builder.tasksPerZone;
+        this.waitingTasks = builder.waitingTasks;
+        this.imageLocalityRequired = builder.imageLocalityRequired;
     }
 
-    /** Adds machines that are not to be used for this job now. */
-    public void excludedMachines(Set<String> machines) {
-        excludedMachines.addAll(machines);
+    /** Starts the description of a request for {@code waitingTasks} machines. */
+    public static Builder builder(JobSpec job, int waitingTasks) {
+        return new Builder(job, waitingTasks);
     }
 
-    /** Sets whether its job has only failed so far. */
-    public void probe(boolean suspect) {
-        probe = suspect;
+    /** What a request says of its job; whatever is not set does not hold. */
+    public static final class Builder {
+        private final JobSpec job;
+        private final int waitingTasks;
+        private boolean withinGuarantee;
+        private double readyAt;
+        private Map<String, Integer> tasksPerZone = Map.of();
+        private Set<String> excludedMachines = Set.of();
+        private boolean imageLocalityRequired;
+        private boolean overdue;
+        private boolean reserved;
+        private boolean probe;
+        private double waitedS;
+
+        private Builder(JobSpec job, int waitingTasks) {
+            this.job = job;
+            this.waitingTasks = waitingTasks;
+        }
+
+        /** Whether the job's team is within its guarantee with it. */
+        public Builder withinGuarantee(boolean within) {
+            withinGuarantee = within;
+            return this;
+        }
+
+        /** Loop time in seconds at which the job's tasks could first be started. */
+        public Builder readyAt(double time) {
+            readyAt = time;
+            return this;
+        }
+
+        /** Tasks of the job that may be alive, by zone; the pass counts what it places in it. */
+        public Builder tasksPerZone(Map<String, Integer> tasks) {
+            tasksPerZone = tasks;
+            return this;
+        }
+
+        /** Names of machines that are not to be used for the job now. */
+        public Builder excludedMachines(Set<String> machines) {
+            excludedMachines = machines;
+            return this;
+        }
+
+        /** Whether only machines that have the job's image will do. */
+        public Builder imageLocalityRequired(boolean required) {
+            imageLocalityRequired = required;
+            return this;
+        }
+
+        /** Whether the job has waited so long that it goes first. */
+        public Builder overdue(boolean late) {
+            overdue = late;
+            return this;
+        }
+
+        /** Whether other tasks are being stopped to free capacity for the job. */
+        public Builder reserved(boolean reservation) {
+            reserved = reservation;
+            return this;
+        }
+
+        /** Whether the job has only failed so far, so that nothing is to be stopped for it. */
+        public Builder probe(boolean onlyFailed) {
+            probe = onlyFailed;
+            return this;
+        }
+
+        /**
+         * Seconds that the job has waited. In a team's queue what has waited longest for its size
+         * goes first: under overload whole jobs are done in time instead of parts of all of them,
+         * and a large one's turn comes all the same.
+         */
+        public Builder waitedS(double seconds) {
+            waitedS = seconds;
+            return this;
+        }
+
+        /** Creates the request; several from one builder share their maps and sets. */
+        public PlacementRequest build() {
+            return new PlacementRequest(this);
+        }
     }
 
-    /** Whether its job has only failed so far, so that nothing is stopped for it. */
-    public boolean probe() {
-        return probe;
+    /** The job whose tasks wait, with its effective priority. */
+    public JobSpec job() {
+        return job;
     }
 
-    /** Sets whether other tasks are being stopped to make room for it. */
-    public void reserved(boolean room) {
-        reserved = room;
+    /** Tasks still without a machine. */
+    public int waitingTasks() {
+        return waitingTasks;
     }
 
-    /** Whether something was chosen to be stopped for it. */
-    public boolean causedPreemption() {
-        return causedPreemption;
+    /** Whether the job's team is within its guarantee with it. */
+    public boolean withinGuarantee() {
+        return withinGuarantee;
     }
 
-    /** The job whose tasks wait. */
-    public JobSpec job() {
-        return job;
+    /** Whether the job has only failed so far, so that nothing is stopped for it. */
+    public boolean probe() {
+        return probe;
     }
 
-    /** Whether only machines with its image in their cache will do. */
+    /** Whether only machines with the job's image in their cache will do. */
     public boolean imageLocalityRequired() {
         return imageLocalityRequired;
     }
 
     /**
-     * Sets whether only machines with its image will do; what was stuck by that is looked at again.
+     * From now on machines without the image will do as well; what was unschedulable for want of it
+     * is tried again.
      */
-    public void imageLocalityRequired(boolean only) {
-        if (imageLocalityRequired && !only) {
+    public void relaxImageLocality() {
+        if (imageLocalityRequired) {
             unschedulable = false;
         }
-        imageLocalityRequired = only;
-    }
-
-    /** Tasks still without a place. */
-    public int waitingTasks() {
-        return waitingTasks;
-    }
-
-    /** Whether its team is within its guarantee. */
-    public boolean withinGuarantee() {
-        return withinGuarantee;
+        imageLocalityRequired = false;
     }
 
     /**
-     * No machine had room for it; where tasks wait and this is false, its team's limit holds them
-     * up.
+     * No machine had capacity for it; where tasks wait and this is false, its team's limit holds
+     * them up.
      */
     public boolean unschedulable() {
         return unschedulable;
     }
+
+    /** Whether at least one task was chosen to be stopped for it. */
+    public boolean causedPreemption() {
+        return causedPreemption;
+    }
 }
--- a/src/test/java/io/pepperfield/placement/BinPackerTest.java
+++ b/src/test/java/io/pepperfield/placement/BinPackerTest.java
@@ -100,18 +100,16 @@
                         f.containsKey("avoid")
                                 ? new HashSet<>(Set.of(f.get("avoid")))
                                 : new HashSet<>();
-                PlacementRequest request =
-                        new PlacementRequest(
-                                job,
-                                waiting,
-                                f.containsKey("within"),
-                                requests.size(),
-                                perZone,
-                                avoid);
-                request.overdue(f.containsKey("overdue"));
-                request.reserved(f.containsKey("promised"));
-                request.waitingTime(number(f, "waited", 0));
-                requests.add(request);
+                requests.add(
+                        PlacementRequest.builder(job, waiting)
+                                .withinGuarantee(f.containsKey("within"))
+                                .readyAt(requests.size())
+                                .tasksPerZone(perZone)
+                                .excludedMachines(avoid)
+                                .overdue(f.containsKey("overdue"))
+                                .reserved(f.containsKey("promised"))
+                                .waitedS(number(f, "waited", 0))
+                                .build());
             }
             default -> {
                 Map<String, Integer> counts = new LinkedHashMap<>();
--- a/src/test/java/io/pepperfield/placement/PreemptionPlannerTest.java
+++ b/src/test/java/io/pepperfield/placement/PreemptionPlannerTest.java
@@ -8,7 +8,6 @@
 import io.pepperfield.standin.JobSpecBuilder;
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -31,8 +30,10 @@
 
     private static PlacementRequest request(Priority rank, double cpus, boolean guaranteed) {
         PlacementRequest request =
-                new PlacementRequest(
-                        job("red", rank, cpus), 1, guaranteed, 0, new HashMap<>(), new HashSet<>());
+                PlacementRequest.builder(job("red", rank, cpus), 1)
+                        .withinGuarantee(guaranteed)
+                        .tasksPerZone(new HashMap<>())
+                        .build();
         request.unschedulable = true;
         return request;
     }
--- a/src/test/java/io/pepperfield/placement/UnschedulableDemandTest.java
+++ b/src/test/java/io/pepperfield/placement/UnschedulableDemandTest.java
@@ -5,7 +5,6 @@
 
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.standin.JobSpecBuilder;
-import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
@@ -15,7 +14,7 @@
     private final UnschedulableDemand demand = new UnschedulableDemand();
 
     private static PlacementRequest request(JobSpec job, String... avoid) {
-        return new PlacementRequest(job, 1, false, 0, Map.of(), Set.of(avoid));
+        return PlacementRequest.builder(job, 1).excludedMachines(Set.of(avoid)).build();
     }
 
     private static JobSpec job(double cpus) {
@@ -45,8 +44,8 @@
     void anotherKindOfMachineIsNot() {
         demand.add(request(job(4)));
         assertFalse(demand.covers(request(new JobSpecBuilder().cpus(4).zone("east").build())));
-        PlacementRequest warm = request(job(4));
-        warm.imageLocalityRequired(true);
+        PlacementRequest warm =
+                PlacementRequest.builder(job(4), 1).imageLocalityRequired(true).build();
         assertFalse(demand.covers(warm));
         demand.clear();
         assertFalse(demand.covers(request(job(4))));
