--- a/src/main/java/io/pepperfield/cluster/ClusterState.java
+++ b/src/main/java/io/pepperfield/cluster/ClusterState.java
@@ -10,6 +10,7 @@
 import io.pepperfield.fleet.MachineType;
 import io.pepperfield.jobs.Job;
 import io.pepperfield.loop.Loop;
+import io.pepperfield.placement.Capacity;
 import io.pepperfield.placement.FreeCapacity;
 import io.pepperfield.placement.QuotaUsage;
 import java.util.ArrayList;
@@ -81,22 +82,24 @@
                     && machine.isSchedulable(now)
                     && machine.unreachableFor(now) < 1.5 * heartbeatIntervalS()
                     && (full || machine.freeCpus(type) > 0)) {
-                rooms.add(
-                        new FreeCapacity(
-                                machine.name,
-                                machine.type(),
-                                machine.zone(),
-                                machine.spot(),
-                                machine.images(),
-                                machine.freeCpus(type),
-                                machine.freeGpus(type),
-                                machine.freeMemGb(type),
-                                machine.capacityBesideReplicas(type)));
+                rooms.add(freeCapacity(machine, type));
             }
         }
         return rooms;
     }
 
+    private static FreeCapacity freeCapacity(Machine machine, MachineType type) {
+        return new FreeCapacity(
+                machine.name,
+                machine.type(),
+                machine.zone(),
+                machine.spot(),
+                machine.images(),
+                new Capacity(
+                        machine.freeCpus(type), machine.freeGpus(type), machine.freeMemGb(type)),
+                machine.capacityBesideReplicas(type));
+    }
+
     /**
      * Seconds run since its last checkpoint or its start, which stopping it at once would throw
      * away.
--- /dev/null
+++ b/src/main/java/io/pepperfield/dispatch/ReplicaRelocation.java
@@ -0,0 +1,76 @@
+package io.pepperfield.dispatch;
+
+import io.pepperfield.fleet.Attempt;
+import io.pepperfield.fleet.Machine;
+import io.pepperfield.jobs.Job;
+import io.pepperfield.placement.BinPacker;
+import io.pepperfield.placement.BinPacker.Placement;
+import io.pepperfield.placement.PlacementRequest;
+import io.pepperfield.placement.QuotaUsage;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Whether the replicas of services on one machine could go on elsewhere. Has no effect. */
+final class ReplicaRelocation {
+
+    private final ClusterView view;
+    private final Machine machine;
+    private final Map<String, QuotaUsage> quotaUsages;
+    private final Map<String, PlacementRequest> requestsByJob = new LinkedHashMap<>();
+
+    /** Looks at the replicas of a machine that is to be given up. */
+    ReplicaRelocation(ClusterView view, Machine machine) {
+        this.view = view;
+        this.machine = machine;
+        this.quotaUsages = view.quotaUsages();
+        releaseReplicas().forEach(this::addRequest);
+    }
+
+    /** Takes the replicas off their teams' quotas, and counts them by job. */
+    private Map<Job, Integer> releaseReplicas() {
+        Map<Job, Integer> replicas = new LinkedHashMap<>();
+        for (Attempt attempt : machine.attempts()) {
+            Job job = attempt.job;
+            if (attempt.live() && job.spec.isService() && job.finalStatus() == null) {
+                replicas.merge(job, 1, Integer::sum);
+                quotaUsages.get(job.spec.team()).release(job.spec, 1);
+            }
+        }
+        return replicas;
+    }
+
+    private void addRequest(Job job, int replicas) {
+        Map<String, Integer> tasksPerZone = view.liveTasksByZone(job);
+        tasksPerZone.merge(machine.zone(), -replicas, Integer::sum);
+        requestsByJob.put(
+                job.spec.id(),
+                PlacementRequest.builder(job.spec, replicas)
+                        .withinGuarantee(true)
+                        .readyAt(job.readyAt())
+                        .tasksPerZone(tasksPerZone)
+                        .build());
+    }
+
+    /** Whether all replicas would find machines, if need be by preemption. */
+    boolean isPossible() {
+        List<PlacementRequest> requests = new ArrayList<>(requestsByJob.values());
+        List<Placement> placements =
+                BinPacker.place(requests, view.machinesWithCapacity(), quotaUsages);
+        if (allPlaced(requests)) {
+            return true;
+        }
+        PreemptionState afterStops = new PreemptionState(view, quotaUsages);
+        for (Placement placement : placements) {
+            afterStops.allocateOnMachine(
+                    requestsByJob.get(placement.jobId()), placement.machineName());
+        }
+        afterStops.selectVictims(requests);
+        return allPlaced(requests);
+    }
+
+    private static boolean allPlaced(List<PlacementRequest> requests) {
+        return requests.stream().allMatch(request -> request.waitingTasks() == 0);
+    }
+}
--- a/src/main/java/io/pepperfield/placement/BinPacker.java
+++ b/src/main/java/io/pepperfield/placement/BinPacker.java
@@ -239,8 +239,7 @@
      */
     static boolean meetsConstraints(PlacementRequest request, FreeCapacity room) {
         if (!request.job.allowsMachine(room.machineType, room.zone, room.spot)
-                || request.imageLocalityRequired
-                        && !room.cachedImages.contains(request.job.image())) {
+                || request.imageLocalityRequired && !room.hasImage(request.job.image())) {
             return false;
         }
         int here = request.tasksPerZone.getOrDefault(room.zone, 0);
@@ -256,8 +255,8 @@
 
     private static boolean isBetterFit(
             PlacementRequest request, FreeCapacity first, FreeCapacity second) {
-        boolean firstHasImage = first.cachedImages.contains(request.job.image());
-        boolean secondHasImage = second.cachedImages.contains(request.job.image());
+        boolean firstHasImage = first.hasImage(request.job.image());
+        boolean secondHasImage = second.hasImage(request.job.image());
         if (firstHasImage != secondHasImage) {
             return firstHasImage;
         }
--- a/src/main/java/io/pepperfield/placement/PreemptionPlanner.java
+++ b/src/main/java/io/pepperfield/placement/PreemptionPlanner.java
@@ -44,9 +44,10 @@
             return capacity.machineName;
         }
 
-        /** Books what the placer has chosen meanwhile. */
+        /** Takes what one task of the request needs; the machine will have its image. */
         public void allocate(PlacementRequest request) {
             capacity.release(request.job, -1);
+            capacity.addCachedImage(request.job.image());
         }
     }
 
--- a/src/test/java/io/pepperfield/placement/BinPackerTest.java
+++ b/src/test/java/io/pepperfield/placement/BinPackerTest.java
@@ -67,9 +67,7 @@
                                     f.getOrDefault("zone", "east"),
                                     f.containsKey("spot"),
                                     Set.of(f.getOrDefault("has", "nothing")),
-                                    number(f, "cpus", 8),
-                                    0,
-                                    64,
+                                    new Capacity(number(f, "cpus", 8), 0, 64),
                                     new Capacity(number(f, "most", 64), 0, 64)));
             case "job" -> {
                 Shape shape =
--- a/src/test/java/io/pepperfield/placement/PreemptionPlannerTest.java
+++ b/src/test/java/io/pepperfield/placement/PreemptionPlannerTest.java
@@ -47,7 +47,13 @@
             PlacementRequest request, double free, PreemptionPlanner.Victim... victims) {
         FreeCapacity room =
                 new FreeCapacity(
-                        "m1", "box", "east", false, Set.of(), free, 0, 64, new Capacity(64, 0, 64));
+                        "m1",
+                        "box",
+                        "east",
+                        false,
+                        Set.of(),
+                        new Capacity(free, 0, 64),
+                        new Capacity(64, 0, 64));
         return PreemptionPlanner.selectVictims(
                 new ArrayList<>(List.of(request)),
                 List.of(new PreemptionPlanner.PreemptibleMachine(room, List.of(victims))),
