--- a/src/main/java/io/pepperfield/dispatch/PendingRequests.java
+++ b/src/main/java/io/pepperfield/dispatch/PendingRequests.java
@@ -7,8 +7,8 @@
 import io.pepperfield.fleet.MachineType;
 import io.pepperfield.jobs.Job;
 import io.pepperfield.jobs.JobSpec;
-import io.pepperfield.placement.BinPacker;
 import io.pepperfield.placement.FreeCapacity;
+import io.pepperfield.placement.MachineFit;
 import io.pepperfield.placement.PlacementRequest;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -210,6 +210,6 @@
             schedulableMachines = cluster.freeCapacities(now, true);
         }
         return schedulableMachines.stream()
-                .anyMatch(capacity -> BinPacker.canEverFit(request, capacity));
+                .anyMatch(capacity -> MachineFit.canEverFit(request, capacity));
     }
 }
--- a/src/main/java/io/pepperfield/placement/BinPacker.java
+++ b/src/main/java/io/pepperfield/placement/BinPacker.java
@@ -7,166 +7,125 @@
 import java.util.Map;
 
 /**
- * Which waiting task goes to which machine. A queue for each team, served in turn: work within a
- * guarantee first, then by rank, then the team that uses least of its share. Pure: the same input
- * gives the same choices.
+ * Decides which waiting task goes to which machine. Each team has a queue, served in turn: work
+ * within a guarantee first, then by priority, then the team that uses least of its guarantee. The
+ * same input gives the same placements. Confined to the event loop.
  */
 public final class BinPacker {
 
-    /** A place for one task of a job. */
+    /** A machine for one task of a job. */
     public record Placement(String jobId, String machineName) {}
 
-    private static final double ROUNDING_TOLERANCE = 1e-6;
     private static final Comparator<PlacementRequest> TEAM_QUEUE_ORDER =
-            Comparator.comparing((PlacementRequest w) -> !w.overdue)
-                    .thenComparing(w -> !w.reserved)
-                    .thenComparing(w -> !w.withinGuarantee)
-                    .thenComparing(w -> w.job.priority())
-                    .thenComparing(w -> !w.job.isService())
-                    .thenComparing(w -> -w.waitPerCpu)
-                    .thenComparing(w -> w.readyAt)
-                    .thenComparing(w -> w.job.id());
+            Comparator.comparing((PlacementRequest request) -> !request.overdue)
+                    .thenComparing(request -> !request.reserved)
+                    .thenComparing(request -> !request.withinGuarantee)
+                    .thenComparing(request -> request.job.priority())
+                    .thenComparing(request -> !request.job.isService())
+                    .thenComparing(request -> -request.waitPerCpu)
+                    .thenComparing(request -> request.readyAt)
+                    .thenComparing(request -> request.job.id());
 
-    private BinPacker() {}
+    private final List<FreeCapacity> capacities;
+    private final Map<String, QuotaUsage> quotaUsages;
+
+    /** In the order of the teams' names; each queue in the order in which it is served. */
+    private final List<List<PlacementRequest>> queues;
+
+    private final List<Placement> placements = new ArrayList<>();
+    private final UnschedulableDemand unschedulableDemand = new UnschedulableDemand();
+
+    private BinPacker(
+            List<PlacementRequest> requests,
+            List<FreeCapacity> capacities,
+            Map<String, QuotaUsage> quotaUsages) {
+        this.capacities = capacities;
+        this.quotaUsages = quotaUsages;
+        this.queues = queuesByTeam(requests);
+    }
 
     /**
-     * Chooses machines for waiting tasks; rooms and shares are reduced by what the chosen tasks
-     * take.
+     * Finds machines for waiting tasks. What the placed tasks take is taken off the capacities and
+     * quotas, and counted in the requests.
      */
     public static List<Placement> place(
             List<PlacementRequest> requests,
-            List<FreeCapacity> rooms,
-            Map<String, QuotaUsage> shares) {
-        Map<String, List<PlacementRequest>> queues = new HashMap<>();
+            List<FreeCapacity> capacities,
+            Map<String, QuotaUsage> quotaUsages) {
+        return new BinPacker(requests, capacities, quotaUsages).place();
+    }
+
+    /** Requests of teams that the settings do not name are left out. */
+    private List<List<PlacementRequest>> queuesByTeam(List<PlacementRequest> requests) {
+        Map<String, List<PlacementRequest>> queuesByTeam = new HashMap<>();
         for (PlacementRequest request : requests) {
-            if (shares.containsKey(request.job.team())) {
-                queues.computeIfAbsent(request.job.team(), t -> new ArrayList<>()).add(request);
-            }
-        }
-        queues.values().forEach(queue -> queue.sort(TEAM_QUEUE_ORDER));
-        List<String> teams = queues.keySet().stream().sorted().toList();
-        List<Placement> choices = new ArrayList<>();
-        UnschedulableDemand unplaced = new UnschedulableDemand();
-        while (true) {
-            PlacementRequest next = null;
-            for (String team : teams) {
-                PlacementRequest head = firstEligible(queues.get(team), shares.get(team));
-                if (head != null && (next == null || isServedBefore(head, next, shares))) {
-                    next = head;
-                }
-            }
-            if (next == null) {
-                return choices;
-            }
-            QuotaUsage share = shares.get(next.job.team());
-            if (!next.job.isGang()) {
-                boolean covered = unplaced.covers(next);
-                FreeCapacity room = covered ? null : findBestFit(next, rooms);
-                if (room == null) {
-                    if (!covered) {
-                        unplaced.add(next);
-                    }
-                    // Nothing fits this one now; what comes behind may be smaller or allowed
-                    // elsewhere.
-                    next.unschedulable = true;
-                    if (next.overdue) {
-                        reserveCapacity(next, rooms);
-                    }
-                } else {
-                    fillMachine(next, room, share, choices);
-                }
-                continue;
-            }
-            List<FreeCapacity> taken = new ArrayList<>();
-            for (FreeCapacity room = null;
-                    next.waitingTasks > 0 && (room = findBestFit(next, rooms)) != null; ) {
-                allocate(next, room, share, 1);
-                taken.add(room);
-            }
-            if (next.waitingTasks > 0) {
-                // A gang that has waited too long keeps what room it found: smaller work would take
-                // each piece of it for ever.
-                for (FreeCapacity room : taken) {
-                    allocate(next, room, share, -1);
-                    if (next.overdue) {
-                        room.release(next.job, -1);
-                    }
-                }
-                next.unschedulable = true;
-                unplaced.clear();
-                continue;
-            }
-            for (FreeCapacity room : taken) {
-                choices.add(new Placement(next.job.id(), room.machineName));
+            String team = request.job.team();
+            if (quotaUsages.containsKey(team)) {
+                queuesByTeam.computeIfAbsent(team, name -> new ArrayList<>()).add(request);
             }
         }
+        queuesByTeam.values().forEach(queue -> queue.sort(TEAM_QUEUE_ORDER));
+        return queuesByTeam.entrySet().stream()
+                .sorted(Map.Entry.comparingByKey())
+                .map(Map.Entry::getValue)
+                .toList();
     }
 
-    /**
-     * The machine that comes nearest to having room takes nothing else: smaller tasks would take
-     * each piece for ever.
-     */
-    private static void reserveCapacity(PlacementRequest request, List<FreeCapacity> rooms) {
-        FreeCapacity nearest = null;
-        for (FreeCapacity room : rooms) {
-            // Any other would be kept empty for nothing and for ever.
-            if (canEverFit(request, room)
-                    && (nearest == null
-                            || room.freeCpus > nearest.freeCpus
-                            || room.freeCpus == nearest.freeCpus
-                                    && room.machineName.compareTo(nearest.machineName) < 0)) {
-                nearest = room;
+    private List<Placement> place() {
+        PlacementRequest next = nextRequest();
+        while (next != null) {
+            if (next.job.isGang()) {
+                placeGang(next);
+            } else {
+                placeTasks(next);
             }
+            next = nextRequest();
         }
-        if (nearest != null) {
-            nearest.freeCpus = 0;
-        }
+        return placements;
     }
 
-    /**
-     * A turn fills a machine, so that a large array does not cost a look at the whole fleet for
-     * each task.
-     */
-    private static void fillMachine(
-            PlacementRequest request,
-            FreeCapacity room,
-            QuotaUsage share,
-            List<Placement> choices) {
-        do {
-            allocate(request, room, share, 1);
-            choices.add(new Placement(request.job.id(), room.machineName));
-        } while (request.waitingTasks > 0
-                && !request.job.spreadOverZones()
-                && fits(request, room)
-                && share.fitsLimit(request.job.cpus(), request.job.gpus()));
+    /** The request whose turn it is, or null where none can be served any more. */
+    private PlacementRequest nextRequest() {
+        PlacementRequest next = null;
+        for (List<PlacementRequest> queue : queues) {
+            PlacementRequest head = firstEligible(queue);
+            if (head != null && (next == null || isServedBefore(head, next))) {
+                next = head;
+            }
+        }
+        return next;
     }
 
-    private static PlacementRequest firstEligible(List<PlacementRequest> queue, QuotaUsage share) {
+    private PlacementRequest firstEligible(List<PlacementRequest> queue) {
         for (PlacementRequest request : queue) {
-            int turn = request.job.isGang() ? request.waitingTasks : 1;
-            // A gang begins again only when all of its earlier attempts are gone.
-            if (request.waitingTasks == 0
-                    || request.unschedulable
-                    || request.job.isGang() && request.liveTasks > 0) {
+            if (!canBeServed(request)) {
                 continue;
             }
-            if (share.fitsLimit(turn * request.job.cpus(), turn * request.job.gpus())) {
+            QuotaUsage quotaUsage = quotaUsage(request);
+            int tasks = request.job.isGang() ? request.waitingTasks : 1;
+            double cpus = tasks * request.job.cpus();
+            double gpus = tasks * request.job.gpus();
+            if (quotaUsage.fitsLimit(cpus, gpus)) {
                 return request;
             }
-            if (request.overdue
-                    && share.fitsLimitBesideReplicas(
-                            turn * request.job.cpus(), turn * request.job.gpus())) {
+            if (request.overdue && quotaUsage.fitsLimitBesideReplicas(cpus, gpus)) {
                 // The rest of the team stands back until its limit leaves enough for this one; not
-                // where replicas keep it from
-                // ever doing so, or all would wait for ever.
+                // where replicas keep it from ever doing so, or all would wait for ever.
                 return null;
             }
         }
         return null;
     }
 
-    private static boolean isServedBefore(
-            PlacementRequest first, PlacementRequest second, Map<String, QuotaUsage> shares) {
+    private static boolean canBeServed(PlacementRequest request) {
+        if (request.waitingTasks == 0 || request.unschedulable) {
+            return false;
+        }
+        // A gang begins again only when all of its earlier attempts are gone.
+        return !request.job.isGang() || request.liveTasks == 0;
+    }
+
+    private boolean isServedBefore(PlacementRequest first, PlacementRequest second) {
         if (first.overdue != second.overdue) {
             return first.overdue;
         }
@@ -179,106 +138,123 @@
         if (first.job.priority() != second.job.priority()) {
             return first.job.priority().compareTo(second.job.priority()) < 0;
         }
-        int byUse =
+        int byUtilization =
                 Double.compare(
-                        shares.get(first.job.team()).guaranteeUtilization(),
-                        shares.get(second.job.team()).guaranteeUtilization());
-        return byUse != 0 ? byUse < 0 : first.readyAt < second.readyAt;
+                        quotaUsage(first).guaranteeUtilization(),
+                        quotaUsage(second).guaranteeUtilization());
+        return byUtilization != 0 ? byUtilization < 0 : first.readyAt < second.readyAt;
     }
 
-    /** Books that many tasks on a machine; a negative number takes them back. */
-    static void allocate(PlacementRequest request, FreeCapacity room, QuotaUsage share, int tasks) {
-        request.waitingTasks -= tasks;
-        request.tasksPerZone.merge(room.zone, tasks, Integer::sum);
-        room.release(request.job, -tasks);
-        share.release(request.job, -tasks);
+    private QuotaUsage quotaUsage(PlacementRequest request) {
+        return quotaUsages.get(request.job.team());
     }
 
-    private static FreeCapacity findBestFit(PlacementRequest request, List<FreeCapacity> rooms) {
-        FreeCapacity best = null;
-        for (FreeCapacity room : rooms) {
-            if (fits(request, room) && (best == null || isBetterFit(request, room, best))) {
-                best = room;
-            }
+    /** Fills one machine with tasks of the request, or finds that no machine fits it now. */
+    private void placeTasks(PlacementRequest request) {
+        boolean knownUnschedulable = unschedulableDemand.covers(request);
+        FreeCapacity capacity = knownUnschedulable ? null : findBestFit(request);
+        if (capacity != null) {
+            fillMachine(request, capacity);
+            return;
+        }
+        if (!knownUnschedulable) {
+            unschedulableDemand.add(request);
+        }
+        // What comes behind it may be smaller or allowed elsewhere.
+        request.unschedulable = true;
+        if (request.overdue) {
+            reserveCapacity(request);
         }
-        return best;
     }
 
-    static boolean fits(PlacementRequest request, FreeCapacity room) {
-        return hasResources(request, room.freeCpus, room.freeGpus, room.freeMemGb)
-                && meetsConstraints(request, room)
-                && !request.excludedMachines.contains(room.machineName);
+    /**
+     * A turn fills a machine, so that a large array does not cost a look at the whole fleet for
+     * each task.
+     */
+    private void fillMachine(PlacementRequest request, FreeCapacity capacity) {
+        QuotaUsage quotaUsage = quotaUsage(request);
+        do {
+            allocate(request, capacity, quotaUsage, 1);
+            placements.add(new Placement(request.job.id(), capacity.machineName));
+        } while (request.waitingTasks > 0
+                && !request.job.spreadOverZones()
+                && MachineFit.fits(request, capacity)
+                && quotaUsage.fitsLimit(request.job.cpus(), request.job.gpus()));
     }
 
     /**
-     * Whether the machine may come to have room for a task: it is neither too small beside its
-     * replicas nor one to avoid.
+     * The machine that comes nearest to fitting takes nothing else: smaller tasks would take each
+     * piece of it for ever.
      */
-    public static boolean canEverFit(PlacementRequest request, FreeCapacity room) {
-        return hasResources(
-                        request,
-                        room.eventualCapacity.cpus(),
-                        room.eventualCapacity.gpus(),
-                        room.eventualCapacity.memGb())
-                && meetsConstraints(request, room)
-                && !request.excludedMachines.contains(room.machineName);
+    private void reserveCapacity(PlacementRequest request) {
+        FreeCapacity nearest = null;
+        for (FreeCapacity capacity : capacities) {
+            // Any other would be kept empty for nothing and for ever.
+            if (MachineFit.canEverFit(request, capacity)
+                    && (nearest == null || isEmptier(capacity, nearest))) {
+                nearest = capacity;
+            }
+        }
+        if (nearest != null) {
+            nearest.freeCpus = 0;
+        }
     }
 
-    static boolean hasResources(PlacementRequest request, double cpus, double gpus, double memGb) {
-        return hasCpus(request, cpus)
-                && memGb + ROUNDING_TOLERANCE >= request.job.memGb()
-                && gpus + ROUNDING_TOLERANCE >= request.job.gpus();
+    private static boolean isEmptier(FreeCapacity first, FreeCapacity second) {
+        return first.freeCpus != second.freeCpus
+                ? first.freeCpus > second.freeCpus
+                : first.machineName.compareTo(second.machineName) < 0;
     }
 
-    static boolean hasCpus(PlacementRequest request, double cpus) {
-        return cpus + ROUNDING_TOLERANCE >= request.job.cpus();
+    /** Places all waiting tasks of the request or none. */
+    private void placeGang(PlacementRequest request) {
+        QuotaUsage quotaUsage = quotaUsage(request);
+        List<FreeCapacity> allocated = new ArrayList<>();
+        FreeCapacity capacity = findBestFit(request);
+        while (capacity != null) {
+            allocate(request, capacity, quotaUsage, 1);
+            allocated.add(capacity);
+            capacity = request.waitingTasks > 0 ? findBestFit(request) : null;
+        }
+        if (request.waitingTasks > 0) {
+            undoGang(request, allocated);
+            return;
+        }
+        for (FreeCapacity machine : allocated) {
+            placements.add(new Placement(request.job.id(), machine.machineName));
+        }
     }
 
-    /**
-     * Type, zone and kind, with regard to where the job's other tasks may be alive at this moment.
-     */
-    static boolean meetsConstraints(PlacementRequest request, FreeCapacity room) {
-        if (!request.job.allowsMachine(room.machineType, room.zone, room.spot)
-                || request.imageLocalityRequired && !room.hasImage(request.job.image())) {
-            return false;
-        }
-        int here = request.tasksPerZone.getOrDefault(room.zone, 0);
-        if (request.job.sameZone()) {
-            for (Map.Entry<String, Integer> zone : request.tasksPerZone.entrySet()) {
-                if (zone.getValue() > 0 && !zone.getKey().equals(room.zone)) {
-                    return false;
-                }
+    private void undoGang(PlacementRequest request, List<FreeCapacity> allocated) {
+        for (FreeCapacity capacity : allocated) {
+            allocate(request, capacity, quotaUsage(request), -1);
+            if (request.overdue) {
+                // A gang that has waited too long keeps the capacity that it found: smaller work
+                // would take each piece of it for ever.
+                capacity.release(request.job, -1);
             }
         }
-        return here < request.job.maxTasksPerZone();
+        request.unschedulable = true;
+        unschedulableDemand.clear();
     }
 
-    private static boolean isBetterFit(
-            PlacementRequest request, FreeCapacity first, FreeCapacity second) {
-        boolean firstHasImage = first.hasImage(request.job.image());
-        boolean secondHasImage = second.hasImage(request.job.image());
-        if (firstHasImage != secondHasImage) {
-            return firstHasImage;
-        }
-        if (first.spot != second.spot) {
-            // Spot machines cost less and take nothing else away; where the job allows both they
-            // come first.
-            return first.spot;
-        }
-        int firstHere =
-                request.job.spreadOverZones()
-                        ? request.tasksPerZone.getOrDefault(first.zone, 0)
-                        : 0;
-        int secondHere =
-                request.job.spreadOverZones()
-                        ? request.tasksPerZone.getOrDefault(second.zone, 0)
-                        : 0;
-        if (firstHere != secondHere) {
-            return firstHere < secondHere;
+    /** Takes what that many tasks need; a negative number gives it back. */
+    static void allocate(
+            PlacementRequest request, FreeCapacity capacity, QuotaUsage quotaUsage, int tasks) {
+        request.waitingTasks -= tasks;
+        request.tasksPerZone.merge(capacity.zone, tasks, Integer::sum);
+        capacity.release(request.job, -tasks);
+        quotaUsage.release(request.job, -tasks);
+    }
+
+    private FreeCapacity findBestFit(PlacementRequest request) {
+        FreeCapacity best = null;
+        for (FreeCapacity capacity : capacities) {
+            if (MachineFit.fits(request, capacity)
+                    && (best == null || MachineFit.isBetter(request, capacity, best))) {
+                best = capacity;
+            }
         }
-        // The fullest first, so that the emptiest can be given back.
-        return first.freeCpus != second.freeCpus
-                ? first.freeCpus < second.freeCpus
-                : first.machineName.compareTo(second.machineName) < 0;
+        return best;
     }
 }
--- a/src/main/java/io/pepperfield/placement/PreemptionBounds.java
+++ b/src/main/java/io/pepperfield/placement/PreemptionBounds.java
@@ -5,25 +5,25 @@
 import java.util.List;
 
 /**
- * What bounds all plans of a pass, so that a job that can neither stop anything nor find room is
- * not weighed against every machine and every task on it.
+ * Bounds that hold for all plans of a pass, so that a job that can neither stop anything nor find
+ * capacity is not weighed against every machine and every task on it.
  */
 final class PreemptionBounds {
 
+    private final Collection<QuotaUsage> quotaUsages;
     private JobSpec.Priority lowestPriority = JobSpec.Priority.PRODUCTION;
     private double mostFreeCpus = Double.NEGATIVE_INFINITY;
-    private final Collection<QuotaUsage> quotaUsages;
 
     /**
-     * @param shares as they will be once all that is being stopped is gone
+     * @param quotaUsages as they will be once all that is being stopped is gone
      */
-    PreemptionBounds(Collection<QuotaUsage> shares) {
-        this.quotaUsages = shares;
+    PreemptionBounds(Collection<QuotaUsage> quotaUsages) {
+        this.quotaUsages = quotaUsages;
     }
 
-    /** A machine with what could be stopped on it. */
-    void addMachine(FreeCapacity room, List<PreemptionPlanner.Victim> victims) {
-        includeCapacity(room);
+    /** Includes a machine with what could be stopped on it. */
+    void addMachine(FreeCapacity capacity, List<PreemptionPlanner.Victim> victims) {
+        includeCapacity(capacity);
         for (PreemptionPlanner.Victim victim : victims) {
             if (victim.job().priority().compareTo(lowestPriority) > 0) {
                 lowestPriority = victim.job().priority();
@@ -31,20 +31,19 @@
         }
     }
 
-    /** The machine has more room than before. */
-    void includeCapacity(FreeCapacity room) {
-        mostFreeCpus = Math.max(mostFreeCpus, room.freeCpus);
+    /** The machine has more capacity than before. */
+    void includeCapacity(FreeCapacity capacity) {
+        mostFreeCpus = Math.max(mostFreeCpus, capacity.freeCpus);
     }
 
     /** Whether a plan for the request may exist on any machine. */
     boolean mayHavePlan(PlacementRequest request) {
-        boolean stops =
-                request.job.priority().compareTo(lowestPriority) < 0
-                        || request.withinGuarantee && anyTeamExceedsGuarantee();
-        return stops || BinPacker.hasCpus(request, mostFreeCpus);
+        return request.job.priority().compareTo(lowestPriority) < 0
+                || request.withinGuarantee && anyTeamExceedsGuarantee()
+                || MachineFit.hasCpus(request, mostFreeCpus);
     }
 
-    /** Looked at anew: a team may come to borrow by what is placed in the same pass. */
+    /** Asked anew each time: a team may exceed it by what is placed in the same pass. */
     private boolean anyTeamExceedsGuarantee() {
         return quotaUsages.stream().anyMatch(QuotaUsage::exceedsGuarantee);
     }
--- a/src/main/java/io/pepperfield/placement/PreemptionPlanner.java
+++ b/src/main/java/io/pepperfield/placement/PreemptionPlanner.java
@@ -5,12 +5,13 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.PriorityQueue;
 
 /**
- * Which tasks to stop for waiting ones that found no room, exactly as far as the protocol allows:
- * for a job of higher rank, or, to give a team its guarantee, work that another team runs beyond
- * its own.
+ * Decides which tasks to stop for waiting ones that found no machine, exactly as far as the
+ * protocol allows: for a job of higher priority, or, to give a team its guarantee, work that
+ * another team runs beyond its own. Confined to the event loop.
  */
 public final class PreemptionPlanner {
 
@@ -21,20 +22,25 @@
      */
     public record Victim(String id, JobSpec job, double lostWorkS) {}
 
-    /** The lowest rank first, then what loses least. */
+    /** The lowest priority first, then what loses least. */
     private static final Comparator<Victim> CHEAPEST_FIRST =
-            Comparator.comparing((Victim v) -> v.job.priority())
+            Comparator.comparing((Victim victim) -> victim.job.priority())
                     .reversed()
-                    .thenComparingDouble(v -> v.lostWorkS * v.job.cpus());
+                    .thenComparingDouble(victim -> victim.lostWorkS * victim.job.cpus());
 
-    /** A machine with what can be stopped on it; the room holds what is free or about to be. */
+    private static final Comparator<PlacementRequest> SERVICE_ORDER =
+            Comparator.comparing((PlacementRequest request) -> !request.withinGuarantee)
+                    .thenComparing(request -> request.job.priority())
+                    .thenComparing(request -> request.readyAt);
+
+    /** A machine with what can be stopped on it; its capacity is what is free or about to be. */
     public static final class PreemptibleMachine {
         private final FreeCapacity capacity;
         private final List<Victim> victims;
 
-        /** Creates a place; its victims are tried in the order of what their loss costs. */
-        public PreemptibleMachine(FreeCapacity room, List<Victim> victims) {
-            this.capacity = room;
+        /** Creates a machine; its victims are tried in the order of what their loss costs. */
+        public PreemptibleMachine(FreeCapacity capacity, List<Victim> victims) {
+            this.capacity = capacity;
             this.victims = new ArrayList<>(victims);
             this.victims.sort(CHEAPEST_FIRST);
         }
@@ -51,147 +57,212 @@
         }
     }
 
-    /** What to stop on one machine, and the work that would be lost. */
+    /** What to stop on one machine, and what the lost work costs in CPU seconds. */
     private record MachinePlan(PreemptibleMachine machine, List<Victim> victims, double cost) {}
 
-    private PreemptionPlanner() {}
+    /** Adds up victims on one machine until they free enough for one task of a request. */
+    private static final class MachinePlanBuilder {
+        private final PlacementRequest request;
+        private final PreemptibleMachine machine;
+        private final List<Victim> victims = new ArrayList<>();
+        private double freeCpus;
+        private double freeGpus;
+        private double freeMemGb;
+
+        /** What the victims of the request's own team free under its limit. */
+        private double ownCpus;
+
+        private double ownGpus;
+        private double cost;
+
+        MachinePlanBuilder(PlacementRequest request, PreemptibleMachine machine) {
+            this.request = request;
+            this.machine = machine;
+            this.freeCpus = machine.capacity.freeCpus;
+            this.freeGpus = machine.capacity.freeGpus;
+            this.freeMemGb = machine.capacity.freeMemGb;
+        }
+
+        void add(Victim victim) {
+            freeCpus += victim.job.cpus();
+            freeGpus += victim.job.gpus();
+            freeMemGb += victim.job.memGb();
+            if (isSameTeam(request, victim)) {
+                ownCpus += victim.job.cpus();
+                ownGpus += victim.job.gpus();
+            }
+            cost += (victim.lostWorkS + 1) * victim.job.cpus();
+            victims.add(victim);
+        }
+
+        boolean isEnough(QuotaUsage quotaUsage) {
+            return MachineFit.hasResources(request, freeCpus, freeGpus, freeMemGb)
+                    && quotaUsage.fitsLimit(
+                            request.job.cpus() - ownCpus, request.job.gpus() - ownGpus);
+        }
+
+        MachinePlan build() {
+            return new MachinePlan(machine, victims, cost);
+        }
+    }
+
+    private final List<PreemptibleMachine> machines;
+    private final Map<String, QuotaUsage> quotaUsages;
+    private final PreemptionBounds bounds;
+    private final List<String> victimIds = new ArrayList<>();
+
+    private PreemptionPlanner(
+            List<PreemptibleMachine> machines, Map<String, QuotaUsage> quotaUsages) {
+        this.machines = machines;
+        this.quotaUsages = quotaUsages;
+        this.bounds = new PreemptionBounds(quotaUsages.values());
+        machines.forEach(machine -> bounds.addMachine(machine.capacity, machine.victims));
+    }
 
     /**
-     * The tasks to stop. Rooms and shares must count what is already being stopped as free, so that
-     * nothing is stopped twice for the same need; they are therefore not those that tasks are
-     * started by.
+     * The ids of the tasks to stop. Machines and quotas must count what is already being stopped as
+     * free, so that nothing is stopped twice for the same need; they are therefore not those that
+     * tasks are started by.
      */
     public static List<String> selectVictims(
             List<PlacementRequest> requests,
-            List<PreemptibleMachine> places,
-            Map<String, QuotaUsage> shares) {
-        List<String> stopped = new ArrayList<>();
-        // What is lowest and claims no guarantee may stop nothing; a swarm of it would cost a look
-        // at all tasks for each.
-        List<PlacementRequest> order =
-                requests.stream()
-                        .filter(w -> w.waitingTasks > 0 && !w.job.isGang())
-                        .filter(
-                                w ->
-                                        !w.probe()
-                                                && (w.withinGuarantee
-                                                        || w.job.priority()
-                                                                != JobSpec.Priority.BEST_EFFORT))
-                        .sorted(
-                                Comparator.comparing((PlacementRequest w) -> !w.withinGuarantee)
-                                        .thenComparing(w -> w.job.priority())
-                                        .thenComparing(w -> w.readyAt))
-                        .toList();
-        PreemptionBounds bounds = new PreemptionBounds(shares.values());
-        places.forEach(place -> bounds.addMachine(place.capacity, place.victims));
-        for (PlacementRequest request : order) {
-            if (!bounds.mayHavePlan(request)) {
-                continue;
-            }
-            QuotaUsage share = shares.get(request.job.team());
-            // Every place is weighed once for the job and again only when it comes up, not once
-            // more for each task.
-            PriorityQueue<MachinePlan> plans =
-                    new PriorityQueue<>(Comparator.comparingDouble(MachinePlan::cost));
-            boolean limited = !share.fitsLimit(request.job.cpus(), request.job.gpus());
-            if (limited || request.unschedulable) {
-                places.forEach(place -> addIfPresent(plans, cheapestPlan(request, place, shares)));
-            }
-            while (request.waitingTasks > 0 && !plans.isEmpty()) {
-                if (limited != !share.fitsLimit(request.job.cpus(), request.job.gpus())) {
-                    limited = !limited;
-                    plans.clear();
-                    places.forEach(
-                            place -> addIfPresent(plans, cheapestPlan(request, place, shares)));
-                    continue;
-                }
-                MachinePlan first = plans.poll();
-                MachinePlan best = cheapestPlan(request, first.machine, shares);
-                if (best != null && best.cost > first.cost) {
-                    plans.add(best);
-                    continue;
-                }
-                if (best == null) {
-                    continue;
-                }
-                request.causedPreemption |= !best.victims.isEmpty();
-                for (Victim victim : best.victims) {
-                    best.machine.victims.remove(victim);
-                    best.machine.capacity.release(victim.job, 1);
-                    bounds.includeCapacity(best.machine.capacity);
-                    shares.get(victim.job.team()).release(victim.job, 1);
-                    stopped.add(victim.id);
-                }
-                BinPacker.allocate(request, best.machine.capacity, share, 1);
-                addIfPresent(plans, cheapestPlan(request, best.machine, shares));
+            List<PreemptibleMachine> machines,
+            Map<String, QuotaUsage> quotaUsages) {
+        PreemptionPlanner planner = new PreemptionPlanner(machines, quotaUsages);
+        requests.stream()
+                .filter(PreemptionPlanner::mayPreemptAtAll)
+                .sorted(SERVICE_ORDER)
+                .forEach(planner::place);
+        return planner.victimIds;
+    }
+
+    /**
+     * What is lowest and claims no guarantee may stop nothing; a swarm of it would cost a look at
+     * all tasks for each.
+     */
+    private static boolean mayPreemptAtAll(PlacementRequest request) {
+        return request.waitingTasks > 0
+                && !request.job.isGang()
+                && !request.probe
+                && (request.withinGuarantee
+                        || request.job.priority() != JobSpec.Priority.BEST_EFFORT);
+    }
+
+    /**
+     * Finds machines for as many tasks of the request as possible. Every machine is weighed once
+     * for the request and again only when its turn comes, not once more for each task.
+     */
+    private void place(PlacementRequest request) {
+        if (!bounds.mayHavePlan(request)) {
+            return;
+        }
+        PriorityQueue<MachinePlan> plans =
+                new PriorityQueue<>(Comparator.comparingDouble(MachinePlan::cost));
+        boolean limited = isLimited(request);
+        if (limited || request.unschedulable) {
+            addPlans(request, plans);
+        }
+        while (request.waitingTasks > 0 && !plans.isEmpty()) {
+            if (limited == isLimited(request)) {
+                placeOneTask(request, plans);
+            } else {
+                limited = !limited;
+                plans.clear();
+                addPlans(request, plans);
             }
         }
-        return stopped;
     }
 
-    private static void addIfPresent(PriorityQueue<MachinePlan> plans, MachinePlan plan) {
-        if (plan != null) {
-            plans.add(plan);
+    /** Whether the limit of the request's team has no place for another task of it. */
+    private boolean isLimited(PlacementRequest request) {
+        return !quotaUsage(request.job).fitsLimit(request.job.cpus(), request.job.gpus());
+    }
+
+    private QuotaUsage quotaUsage(JobSpec job) {
+        return quotaUsages.get(job.team());
+    }
+
+    private void addPlans(PlacementRequest request, PriorityQueue<MachinePlan> plans) {
+        machines.forEach(machine -> cheapestPlan(request, machine).ifPresent(plans::add));
+    }
+
+    /** Carries out the cheapest plan, unless it has become dearer since it was made. */
+    private void placeOneTask(PlacementRequest request, PriorityQueue<MachinePlan> plans) {
+        MachinePlan earlier = plans.poll();
+        Optional<MachinePlan> current = cheapestPlan(request, earlier.machine);
+        if (current.isEmpty()) {
+            return;
+        }
+        if (current.get().cost > earlier.cost) {
+            plans.add(current.get());
+            return;
+        }
+        carryOut(request, current.get());
+        cheapestPlan(request, earlier.machine).ifPresent(plans::add);
+    }
+
+    private void carryOut(PlacementRequest request, MachinePlan plan) {
+        FreeCapacity capacity = plan.machine.capacity;
+        request.causedPreemption |= !plan.victims.isEmpty();
+        for (Victim victim : plan.victims) {
+            plan.machine.victims.remove(victim);
+            capacity.release(victim.job, 1);
+            bounds.includeCapacity(capacity);
+            quotaUsage(victim.job).release(victim.job, 1);
+            victimIds.add(victim.id);
         }
+        BinPacker.allocate(request, capacity, quotaUsage(request.job), 1);
     }
 
     /**
-     * The cheapest way to make room for one task of the job on that machine, or null; empty where
-     * there is room.
+     * The cheapest way to free enough for one task of the request on that machine; without victims
+     * where there is enough already, empty where there is no way.
      */
-    private static MachinePlan cheapestPlan(
-            PlacementRequest request, PreemptibleMachine place, Map<String, QuotaUsage> shares) {
-        FreeCapacity room = place.capacity;
-        if (!BinPacker.meetsConstraints(request, room)
-                || request.excludedMachines.contains(room.machineName)) {
-            return null;
-        }
-        // A team at its limit makes room for its higher work by stopping its lower.
-        QuotaUsage own = shares.get(request.job.team());
-        boolean limited = !own.fitsLimit(request.job.cpus(), request.job.gpus());
-        double ownCpus = 0;
-        double ownGpus = 0;
+    private Optional<MachinePlan> cheapestPlan(
+            PlacementRequest request, PreemptibleMachine machine) {
+        FreeCapacity capacity = machine.capacity;
+        if (!MachineFit.isAllowed(request, capacity)) {
+            return Optional.empty();
+        }
+        boolean limited = isLimited(request);
         if (!limited
-                && BinPacker.hasResources(request, room.freeCpus, room.freeGpus, room.freeMemGb)) {
-            return new MachinePlan(place, List.of(), 0);
-        }
-        double cpus = room.freeCpus;
-        double gpus = room.freeGpus;
-        double memGb = room.freeMemGb;
-        double lost = 0;
-        List<Victim> stopped = new ArrayList<>();
-        for (Victim victim : place.victims) {
-            boolean sameTeam = victim.job.team().equals(request.job.team());
-            if (!mayPreempt(request, victim, shares) || limited && !sameTeam) {
+                && MachineFit.hasResources(
+                        request, capacity.freeCpus, capacity.freeGpus, capacity.freeMemGb)) {
+            return Optional.of(new MachinePlan(machine, List.of(), 0));
+        }
+        QuotaUsage quotaUsage = quotaUsage(request.job);
+        MachinePlanBuilder plan = new MachinePlanBuilder(request, machine);
+        for (Victim victim : machine.victims) {
+            // A team at its limit makes room for its higher work by stopping its lower.
+            if (!mayPreempt(request, victim) || limited && !isSameTeam(request, victim)) {
                 continue;
             }
-            cpus += victim.job.cpus();
-            gpus += victim.job.gpus();
-            memGb += victim.job.memGb();
-            ownCpus += sameTeam ? victim.job.cpus() : 0;
-            ownGpus += sameTeam ? victim.job.gpus() : 0;
-            lost += (victim.lostWorkS + 1) * victim.job.cpus();
-            stopped.add(victim);
-            if (BinPacker.hasResources(request, cpus, gpus, memGb)
-                    && own.fitsLimit(request.job.cpus() - ownCpus, request.job.gpus() - ownGpus)) {
-                return new MachinePlan(place, stopped, lost);
+            plan.add(victim);
+            if (plan.isEnough(quotaUsage)) {
+                return Optional.of(plan.build());
             }
         }
-        return null;
+        return Optional.empty();
+    }
+
+    private static boolean isSameTeam(PlacementRequest request, Victim victim) {
+        return victim.job.team().equals(request.job.team());
     }
 
-    private static boolean mayPreempt(
-            PlacementRequest request, Victim victim, Map<String, QuotaUsage> shares) {
+    private boolean mayPreempt(PlacementRequest request, Victim victim) {
         if (request.job.priority().compareTo(victim.job.priority()) < 0) {
             return true;
         }
-        QuotaUsage other = shares.get(victim.job.team());
-        // Of any rank by the protocol; but what ranks higher than the guarantee's own work is left
-        // alone here.
+        // Of any priority by the protocol; but what ranks higher than the guarantee's own work is
+        // left alone here.
         return request.withinGuarantee
-                && other != null
                 && request.job.priority() == victim.job.priority()
-                && !victim.job.team().equals(request.job.team())
-                && other.usedCpus - victim.job.cpus() >= other.team.guaranteedCpus();
+                && !isSameTeam(request, victim)
+                && runsBeyondGuarantee(victim);
+    }
+
+    private boolean runsBeyondGuarantee(Victim victim) {
+        QuotaUsage usage = quotaUsage(victim.job);
+        return usage != null && usage.usedCpus - victim.job.cpus() >= usage.team.guaranteedCpus();
     }
 }
--- a/src/main/java/io/pepperfield/placement/UnschedulableDemand.java
+++ b/src/main/java/io/pepperfield/placement/UnschedulableDemand.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * What has found no machine in a pass. Rooms only shrink while tasks are placed, so nothing that
- * needs as much or more of the same kind of machine can find one either; a swarm of waiting jobs
- * then costs a look at the whole fleet for each kind and not for each job.
+ * What has found no machine in a pass. Capacities only shrink while tasks are placed, so nothing
+ * that needs as much or more of the same machines can find one either; a swarm of waiting jobs then
+ * costs a look at the whole fleet for each set of constraints and not for each job.
  */
 final class UnschedulableDemand {
 
@@ -17,11 +17,9 @@
     private record MachineConstraints(List<String> types, String zone, boolean spot, String image) {
         static MachineConstraints of(PlacementRequest request) {
             JobSpec job = request.job;
+            String requiredImage = request.imageLocalityRequired ? job.image() : "";
             return new MachineConstraints(
-                    job.machineTypes(),
-                    job.zone(),
-                    job.spotAllowed(),
-                    request.imageLocalityRequired ? job.image() : "");
+                    job.machineTypes(), job.zone(), job.spotAllowed(), requiredImage);
         }
     }
 
@@ -36,37 +34,37 @@
         }
     }
 
-    /** Of each kind the smallest sizes, none of which is within another. */
+    /** For each set of constraints the smallest sizes, none of which fits within another. */
     private final Map<MachineConstraints, List<TaskSize>> minimalSizes = new HashMap<>();
 
     /** Whether the request cannot find a machine, by what has found none before. */
     boolean covers(PlacementRequest request) {
         TaskSize size = TaskSize.of(request.job);
-        for (TaskSize unplaced :
+        for (TaskSize unschedulable :
                 minimalSizes.getOrDefault(MachineConstraints.of(request), List.of())) {
-            if (unplaced.fitsWithin(size)) {
+            if (unschedulable.fitsWithin(size)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** The request has found no machine among all that its kind allows. */
+    /** The request has found no machine among all that its constraints allow. */
     void add(PlacementRequest request) {
         JobSpec job = request.job;
         if (job.sameZone() || job.spreadOverZones() || !request.excludedMachines.isEmpty()) {
-            // Zones or machines to avoid make it a case of its own.
+            // Zones or excluded machines make it a case of its own, which says nothing of others.
             return;
         }
         TaskSize size = TaskSize.of(job);
         List<TaskSize> sizes =
                 minimalSizes.computeIfAbsent(
-                        MachineConstraints.of(request), kind -> new ArrayList<>());
+                        MachineConstraints.of(request), constraints -> new ArrayList<>());
         sizes.removeIf(size::fitsWithin);
         sizes.add(size);
     }
 
-    /** Room has been given back. */
+    /** Capacity has been given back. */
     void clear() {
         minimalSizes.clear();
     }
