--- /dev/null
+++ b/src/main/java/io/pepperfield/lifecycle/AttemptStarter.java
@@ -0,0 +1,69 @@
+package io.pepperfield.lifecycle;
+
+import io.pepperfield.dispatch.Dispatcher;
+import io.pepperfield.fleet.Attempt;
+import io.pepperfield.fleet.Fleet;
+import io.pepperfield.fleet.LiveAttempts;
+import io.pepperfield.fleet.Machine;
+import io.pepperfield.jobs.Job;
+import io.pepperfield.jobs.JobSpec;
+import io.pepperfield.loop.Loop;
+import io.pepperfield.store.FencedWriter;
+
+/**
+ * Starts and stops attempts. An intent is durable before its run order may leave. Confined to the
+ * event loop.
+ */
+final class AttemptStarter implements Dispatcher.AttemptControl {
+
+    private final Loop loop;
+    private final Fleet fleet;
+    private final LiveAttempts liveAttempts;
+    private final RunRecordStore runRecords;
+    private final DirectOrders directOrders;
+    private boolean termEnded;
+
+    AttemptStarter(
+            Loop loop,
+            Fleet fleet,
+            LiveAttempts liveAttempts,
+            RunRecordStore runRecords,
+            DirectOrders directOrders) {
+        this.loop = loop;
+        this.fleet = fleet;
+        this.liveAttempts = liveAttempts;
+        this.runRecords = runRecords;
+        this.directOrders = directOrders;
+    }
+
+    /** The term has ended: what becomes durable from now on starts nothing. */
+    void endTerm() {
+        termEnded = true;
+    }
+
+    @Override
+    public void start(Job job, int task, Machine machine) {
+        Attempt attempt =
+                fleet.intendAttempt(job, task, job.startAttempt(task), machine, loop.now());
+        liveAttempts.add(attempt);
+        runRecords.markChanged(job, task, intentPriority(job), () -> sendRunOrder(attempt));
+    }
+
+    private static FencedWriter.Priority intentPriority(Job job) {
+        return job.effectiveSpec().priority() == JobSpec.Priority.BEST_EFFORT
+                ? FencedWriter.Priority.BATCHED
+                : FencedWriter.Priority.INTENT;
+    }
+
+    private void sendRunOrder(Attempt attempt) {
+        if (!termEnded && fleet.intentIsDurable(attempt)) {
+            directOrders.enqueue(attempt);
+        }
+    }
+
+    @Override
+    public void stop(Attempt attempt, double gracePeriodS) {
+        fleet.requestStop(attempt, gracePeriodS);
+        directOrders.enqueue(attempt);
+    }
+}
--- /dev/null
+++ b/src/main/java/io/pepperfield/lifecycle/JobCompletion.java
@@ -0,0 +1,109 @@
+package io.pepperfield.lifecycle;
+
+import io.pepperfield.dispatch.Dispatcher;
+import io.pepperfield.fleet.Attempt;
+import io.pepperfield.fleet.LiveAttempts;
+import io.pepperfield.jobs.Job;
+import io.pepperfield.jobs.JobMessages;
+import io.pepperfield.jobs.PriorityInheritance;
+import io.pepperfield.jobs.Status;
+import io.pepperfield.loop.Loop;
+import io.pepperfield.store.FencedWriter;
+import io.pepperfield.store.Keys;
+import java.util.Map;
+
+/**
+ * Ends jobs: writes the final state of a job whose tasks are all done, stops what is left of a job
+ * that has ended, and drops it once nothing of it may be alive. Confined to the event loop.
+ */
+final class JobCompletion {
+
+    private final Loop loop;
+    private final DurableState durable;
+    private final Map<String, Job> jobs;
+    private final LiveAttempts liveAttempts;
+    private final RunRecordStore runRecords;
+    private final PriorityInheritance priorityInheritance;
+    private final Dispatcher.AttemptControl attemptControl;
+    private final Runnable onWorkChanged;
+
+    /**
+     * @param jobs by id; those that are over are removed from it
+     * @param onWorkChanged to be run when what waits or what may be alive has changed
+     */
+    JobCompletion(
+            Loop loop,
+            DurableState durable,
+            Map<String, Job> jobs,
+            LiveAttempts liveAttempts,
+            RunRecordStore runRecords,
+            PriorityInheritance priorityInheritance,
+            Dispatcher.AttemptControl attemptControl,
+            Runnable onWorkChanged) {
+        this.loop = loop;
+        this.durable = durable;
+        this.jobs = jobs;
+        this.liveAttempts = liveAttempts;
+        this.runRecords = runRecords;
+        this.priorityInheritance = priorityInheritance;
+        this.attemptControl = attemptControl;
+        this.onWorkChanged = onWorkChanged;
+    }
+
+    /** Whether the job is still open and all its tasks are done; services never are. */
+    static boolean isAllDone(Job job) {
+        return job.finalStatus() == null && !job.spec.isService() && job.allDone();
+    }
+
+    /**
+     * Writes the final state of a job whose tasks are all done, and does nothing for any other.
+     *
+     * @param onDurable run once a final state is durable, this one or an earlier one
+     */
+    void finishIfAllDone(Job job, Runnable onDurable) {
+        if (!isAllDone(job)) {
+            return;
+        }
+        String key = Keys.FINAL_STATE_PREFIX + job.spec.id();
+        long doneMs = loop.wallMs();
+        durable.writer()
+                .enqueue(
+                        key,
+                        FencedWriter.Priority.FINAL_STATE,
+                        () -> JobMessages.encodeDone(doneMs),
+                        () -> {
+                            onDurable.run();
+                            jobEnded(job, Status.DONE);
+                        },
+                        () -> {
+                            onDurable.run();
+                            jobEnded(job, storedFinalStatus(key));
+                        });
+    }
+
+    private Status storedFinalStatus(String key) {
+        return JobMessages.decodeFinalStatus(durable.replica().get(key).value());
+    }
+
+    /** The job has a durable final state: whatever is left of it is stopped. */
+    void jobEnded(Job job, Status status) {
+        job.finalStatus(status, durable.jobIndex().get(job.spec.id()).lastKnownOpenAt());
+        priorityInheritance.removed(job.spec);
+        if (status == Status.DONE) {
+            runRecords.discardPending(job);
+        }
+        for (Attempt attempt : liveAttempts.snapshot(job)) {
+            attemptControl.stop(attempt, 0);
+        }
+        removeIfFinished(job);
+        onWorkChanged.run();
+    }
+
+    /** Drops a job that has ended and of which nothing may be alive. */
+    void removeIfFinished(Job job) {
+        if (job.finalStatus() != null && !liveAttempts.hasAny(job)) {
+            jobs.remove(job.spec.id());
+            runRecords.jobFinished(job);
+        }
+    }
+}
--- a/src/main/java/io/pepperfield/lifecycle/JobRecovery.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobRecovery.java
@@ -7,10 +7,11 @@
 import io.pepperfield.jobs.JobIndex;
 import io.pepperfield.jobs.TaskState;
 import io.pepperfield.loop.Loop;
+import java.util.Optional;
 
 /**
- * Rebuilds one job and its attempts from the run records of earlier leaders. Whatever a record
- * calls live counts as possibly alive.
+ * Rebuilds jobs and their attempts at failover from the run records of earlier leaders. Whatever a
+ * record calls live counts as possibly alive. Confined to the event loop.
  */
 final class JobRecovery {
 
@@ -19,53 +20,57 @@
     private final double now;
     private final long wallClockMs;
 
-    JobRecovery(Fleet fleet, LiveAttempts ledger, Loop loop) {
+    JobRecovery(Fleet fleet, LiveAttempts liveAttempts, Loop loop) {
         this.fleet = fleet;
-        this.liveAttempts = ledger;
+        this.liveAttempts = liveAttempts;
         this.now = loop.now();
         this.wallClockMs = loop.wallMs();
     }
 
-    /** The job as its records say, or null where it has ended and nothing of it may be alive. */
-    Job restore(JobIndex.JobRecord record) {
+    /** The job as its records say; empty where it has ended and nothing of it may be alive. */
+    Optional<Job> restore(JobIndex.JobRecord record) {
         double ageS = Math.max(0, (wallClockMs - record.spec().acceptedMs()) / 1000.0);
         Job job = new Job(record.spec(), now - ageS);
         if (record.finalStatus() != null) {
             job.finalStatus(record.finalStatus(), record.lastKnownOpenAt());
         }
-        boolean live = false;
-        for (TaskState line : record.taskStates()) {
-            live |= restore(job, line);
+        boolean anyLive = false;
+        for (TaskState state : record.taskStates()) {
+            restoreTask(job, state);
+            anyLive |= state.phase() == TaskState.Phase.LIVE;
         }
-        if (job.finalStatus() != null && !live) {
-            return null;
+        if (job.finalStatus() != null && !anyLive) {
+            return Optional.empty();
         }
         if (job.doneTaskCount() > 0) {
             job.recordSuccess();
         }
-        return job;
+        return Optional.of(job);
     }
 
-    /** Takes one task's record; true where it names an attempt that may be alive. */
-    private boolean restore(Job job, TaskState line) {
-        boolean live = line.phase() == TaskState.Phase.LIVE;
-        job.restoreAttempt(line.task(), line.attempt(), live);
-        if (line.phase() == TaskState.Phase.DONE) {
-            job.markDone(line.task());
-        } else if (line.phase() == TaskState.Phase.FAILED) {
-            // Or every change of leader would let a job that fails everywhere loose on the fleet
-            // once more.
-            job.recordEarlierFailure();
-        } else if (live) {
-            restoreAttempt(job, line);
+    private void restoreTask(Job job, TaskState state) {
+        boolean live = state.phase() == TaskState.Phase.LIVE;
+        job.restoreAttempt(state.task(), state.attempt(), live);
+        switch (state.phase()) {
+            case DONE -> job.markDone(state.task());
+            // Or every failover would let a job that fails everywhere loose on the fleet once more.
+            case FAILED -> job.recordEarlierFailure();
+            case LIVE -> restoreLiveAttempt(job, state);
+            case GONE -> {
+                // The task waits again, as does one without a record.
+            }
         }
-        return live;
     }
 
-    private void restoreAttempt(Job job, TaskState line) {
+    private void restoreLiveAttempt(Job job, TaskState state) {
         Attempt attempt =
                 fleet.restoreAttempt(
-                        job, line.task(), line.attempt(), line.machine(), line.incarnation(), now);
+                        job,
+                        state.task(),
+                        state.attempt(),
+                        state.machine(),
+                        state.incarnation(),
+                        now);
         liveAttempts.add(attempt);
         if (job.finalStatus() != null) {
             fleet.requestStop(attempt, 0);
--- a/src/main/java/io/pepperfield/lifecycle/JobTracker.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobTracker.java
@@ -10,101 +10,96 @@
 import io.pepperfield.fleet.Machine;
 import io.pepperfield.jobs.Job;
 import io.pepperfield.jobs.JobIndex;
-import io.pepperfield.jobs.JobMessages;
-import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.jobs.PriorityInheritance;
 import io.pepperfield.jobs.SharedRunRecords;
 import io.pepperfield.jobs.Status;
 import io.pepperfield.loop.Loop;
-import io.pepperfield.store.FencedWriter;
-import io.pepperfield.store.Keys;
-import io.pepperfield.store.Replica;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
  * The leader's jobs with the attempts at their tasks, from the first intent to the final state, and
- * the durable records of both. An intent is durable before its order may leave, and a completion
- * before its machine may forget it.
+ * the durable records of both: which jobs there are and what they wait for is decided here, starts
+ * and stops by {@link AttemptStarter}, ends of attempts by {@link AttemptOutcomes}, final states by
+ * {@link JobCompletion}. Confined to the event loop.
  */
 public final class JobTracker implements Dispatcher.AttemptControl {
 
-    private static final Logger LOG = LoggerFactory.getLogger(JobTracker.class);
     private static final Runnable NO_EFFECT = () -> {};
 
     private final Loop loop;
-    private final Replica replica;
     private final JobIndex jobIndex;
-    private final FencedWriter writer;
     private final Fleet fleet;
-    private final DirectOrders directOrders;
     private final Runnable onWorkChanged;
-    private final double heartbeatIntervalS;
-    private final double billingUnitS;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final PriorityInheritance priorityInheritance =
-            new PriorityInheritance((id, rank) -> jobs.get(id).setEffectivePriority(rank));
+            new PriorityInheritance((id, priority) -> jobs.get(id).setEffectivePriority(priority));
     private final LiveAttempts liveAttempts = new LiveAttempts();
     private final RunRecordStore runRecords;
-
-    private boolean stopped;
+    private final AttemptStarter attemptStarter;
+    private final AttemptOutcomes attemptOutcomes;
+    private final JobCompletion completion;
 
     /**
-     * @param token this leadership's token
-     * @param workChanged to be run when what waits or what may be alive has changed
+     * Creates the tracker of one term, without jobs.
+     *
+     * @param fencingToken of the term
+     * @param onWorkChanged to be run when what waits or what may be alive has changed
      */
     public JobTracker(
             Loop loop,
             Settings settings,
             DurableState durable,
-            FencingToken token,
+            FencingToken fencingToken,
             Fleet fleet,
-            DirectOrders direct,
-            Runnable workChanged) {
+            DirectOrders directOrders,
+            Runnable onWorkChanged) {
         this.loop = loop;
-        this.replica = durable.replica();
         this.jobIndex = durable.jobIndex();
-        this.writer = durable.writer();
         this.fleet = fleet;
-        this.directOrders = direct;
-        this.onWorkChanged = workChanged;
-        this.heartbeatIntervalS = settings.deployment().workerTimings().heartbeatIntervalS();
-        this.billingUnitS = settings.operators().billingUnitS();
-        int linesInRecord = 2 * settings.deployment().storeLimits().maxTransactionOps();
-        SharedRunRecords shared = new SharedRunRecords(token, linesInRecord);
+        this.onWorkChanged = onWorkChanged;
+        int tasksPerRecord = 2 * settings.deployment().storeLimits().maxTransactionOps();
         this.runRecords =
                 new RunRecordStore(
-                        writer, replica, liveAttempts, shared, durable.transactionLimits());
-    }
-
-    /** The jobs that have not ended or may still have something alive, by id. */
+                        durable, liveAttempts, new SharedRunRecords(fencingToken, tasksPerRecord));
+        this.attemptStarter =
+                new AttemptStarter(loop, fleet, liveAttempts, runRecords, directOrders);
+        this.completion =
+                new JobCompletion(
+                        loop,
+                        durable,
+                        jobs,
+                        liveAttempts,
+                        runRecords,
+                        priorityInheritance,
+                        attemptStarter,
+                        onWorkChanged);
+        this.attemptOutcomes =
+                new AttemptOutcomes(
+                        loop, settings, liveAttempts, runRecords, completion, onWorkChanged);
+    }
+
+    /** The jobs that have not ended or may still have an attempt alive, by id; a live view. */
     public Map<String, Job> jobs() {
         return jobs;
     }
 
-    /** What may be alive, by job and by team. */
+    /** The attempts that may be alive, by job and by team. */
     public LiveAttempts liveAttempts() {
         return liveAttempts;
     }
 
-    /** The leadership has ended: what becomes durable from now on starts nothing. */
+    /** The term has ended: what becomes durable from now on starts nothing. */
     public void stop() {
-        stopped = true;
+        attemptStarter.endTerm();
     }
 
-    // ---- taking over
-
     /** Reads all jobs from the replica, which must hold what earlier leaders have written. */
     public void restoreAll() {
         JobRecovery recovery = new JobRecovery(fleet, liveAttempts, loop);
         for (JobIndex.JobRecord record : jobIndex.all()) {
-            boolean skipped = record.finalStatus() == Status.DONE || record.unreadable();
-            Job job = skipped ? null : recovery.restore(record);
-            if (job != null) {
-                jobs.put(job.spec.id(), job);
-                finishIfAllDone(job, NO_EFFECT);
+            if (record.finalStatus() != Status.DONE && !record.unreadable()) {
+                recovery.restore(record).ifPresent(this::addRestored);
             }
         }
         runRecords.restore(jobIndex.jobsBySharedRecord(), jobs);
@@ -113,7 +108,10 @@
                 .forEach(job -> trackDependencies(job, jobIndex.get(job.spec.id())));
     }
 
-    // ---- what the replica brings
+    private void addRestored(Job job) {
+        jobs.put(job.spec.id(), job);
+        completion.finishIfAllDone(job, NO_EFFECT);
+    }
 
     /** The replica brought a new job or a final state. */
     public void jobChanged(String id) {
@@ -124,7 +122,7 @@
         Job job = jobs.get(id);
         if (record.finalStatus() != null) {
             if (job != null && job.finalStatus() == null) {
-                jobEnded(job, record.finalStatus());
+                completion.jobEnded(job, record.finalStatus());
             }
         } else if (job == null) {
             accept(record);
@@ -141,7 +139,7 @@
         onWorkChanged.run();
     }
 
-    /** A job that is not over waits for those that it needs, and lends them its rank. */
+    /** An open job waits for its dependencies, and lends them its priority. */
     private void trackDependencies(Job job, JobIndex.JobRecord record) {
         if (!record.ready()) {
             job.awaitDependencies();
@@ -158,149 +156,24 @@
         return loop.now() - Math.max(0, sinceMs / 1000.0);
     }
 
-    // ---- attempts
-
     /** Intends the attempt; its run order leaves once the intent is durable. */
     @Override
     public void start(Job job, int task, Machine machine) {
-        Attempt attempt =
-                fleet.intendAttempt(job, task, job.startAttempt(task), machine, loop.now());
-        liveAttempts.add(attempt);
-        boolean bestEffort = job.effectiveSpec().priority() == JobSpec.Priority.BEST_EFFORT;
-        FencedWriter.Priority priority =
-                bestEffort ? FencedWriter.Priority.BATCHED : FencedWriter.Priority.INTENT;
-        runRecords.markChanged(job, task, priority, () -> sendRunOrder(attempt));
-    }
-
-    private void sendRunOrder(Attempt attempt) {
-        if (!stopped && fleet.intentIsDurable(attempt)) {
-            directOrders.enqueue(attempt);
-        }
+        attemptStarter.start(job, task, machine);
     }
 
     @Override
-    public void stop(Attempt attempt, double drainS) {
-        fleet.requestStop(attempt, drainS);
-        directOrders.enqueue(attempt);
+    public void stop(Attempt attempt, double gracePeriodS) {
+        attemptStarter.stop(attempt, gracePeriodS);
     }
 
     /** A worker reports the attempt completed; true where its job was still open. */
     public boolean attemptCompleted(Attempt attempt) {
-        Job job = attempt.job;
-        liveAttempts.remove(attempt);
-        onWorkChanged.run();
-        if (job.finalStatus() != null) {
-            attempt.acknowledge();
-            removeIfFinished(job);
-            return false;
-        }
-        job.markDone(attempt.task);
-        job.recordSuccess();
-        // Done must be durable before the machine may forget it, or a later leader would run the
-        // task again.
-        if (allDone(job) && runRecords.sharesRecord(job)) {
-            // The final state says it as well, and spares the record that others share a change for
-            // each of them.
-            finishIfAllDone(job, attempt::acknowledge);
-        } else {
-            runRecords.markChanged(
-                    job, attempt.task, FencedWriter.Priority.BACKGROUND, attempt::acknowledge);
-            finishIfAllDone(job, NO_EFFECT);
-        }
-        return true;
+        return attemptOutcomes.completed(attempt);
     }
 
     /** The attempt is proven gone without being completed; its task waits again. */
     public void attemptGone(Attempt attempt, Heartbeat.Cause cause) {
-        Job job = attempt.job;
-        liveAttempts.remove(attempt);
-        onWorkChanged.run();
-        boolean failed = cause == Heartbeat.Cause.ERROR || cause == Heartbeat.Cause.NO_SUCH;
-        if (failed) {
-            countFailure(attempt, cause);
-        }
-        if (blamesMachine(job, cause, failed)) {
-            attempt.machine.quarantine(loop.now() + 2 * heartbeatIntervalS);
-        }
-        if (failed) {
-            job.markFailed(attempt.task);
-        }
-        job.requeue(attempt.task);
-        runRecords.markChanged(job, attempt.task, FencedWriter.Priority.BACKGROUND, null);
-        removeIfFinished(job);
-    }
-
-    private void countFailure(Attempt attempt, Heartbeat.Cause cause) {
-        // One line for a job: the tasks of a broken array fail by the hundred.
-        LOG.debug(
-                "{} attempt {} failed on {}: {}",
-                attempt.taskRef,
-                attempt.number,
-                attempt.machine.describe(),
-                cause);
-        Job job = attempt.job;
-        if (job.recordFailure(attempt.machine.name, loop.now(), heartbeatIntervalS, billingUnitS)) {
-            LOG.info(
-                    "{} has failed on {} and is tried one task at a time until one is completed",
-                    job.spec.id(),
-                    job.failedMachines());
-        }
-    }
-
-    /**
-     * Whether the end of an attempt speaks against its machine. What fails of a job that nowhere
-     * succeeded says nothing about the machine: several broken jobs would idle the fleet.
-     */
-    private static boolean blamesMachine(Job job, Heartbeat.Cause cause, boolean failed) {
-        if (failed) {
-            return job.doneTaskCount() > 0;
-        }
-        return cause != Heartbeat.Cause.STOPPED && cause != Heartbeat.Cause.OTHER;
-    }
-
-    // ---- final states
-
-    private static boolean allDone(Job job) {
-        return job.finalStatus() == null && !job.spec.isService() && job.allDone();
-    }
-
-    private void finishIfAllDone(Job job, Runnable settle) {
-        if (!allDone(job)) {
-            return;
-        }
-        String key = Keys.FINAL_STATE_PREFIX + job.spec.id();
-        long doneMs = loop.wallMs();
-        writer.enqueue(
-                key,
-                FencedWriter.Priority.FINAL_STATE,
-                () -> JobMessages.encodeDone(doneMs),
-                () -> {
-                    settle.run();
-                    jobEnded(job, Status.DONE);
-                },
-                () -> {
-                    settle.run();
-                    jobEnded(job, JobMessages.decodeFinalStatus(replica.get(key).value()));
-                });
-    }
-
-    private void jobEnded(Job job, Status end) {
-        job.finalStatus(end, jobIndex.get(job.spec.id()).lastKnownOpenAt());
-        priorityInheritance.removed(job.spec);
-        if (end == Status.DONE) {
-            runRecords.dropPending(job);
-        }
-        for (Attempt attempt : liveAttempts.snapshot(job)) {
-            stop(attempt, 0);
-        }
-        removeIfFinished(job);
-        onWorkChanged.run();
-    }
-
-    private void removeIfFinished(Job job) {
-        if (job.finalStatus() != null && !liveAttempts.hasAny(job)) {
-            jobs.remove(job.spec.id());
-            runRecords.jobFinished(job);
-        }
+        attemptOutcomes.gone(attempt, cause);
     }
 }
--- a/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
+++ b/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
@@ -11,115 +11,94 @@
 import io.pepperfield.store.Replica;
 import io.pepperfield.store.TransactionLimits;
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 
 /**
- * The leader's durable run records: which key holds a task's line, and what is written under it.
+ * The leader's durable run records: which key holds a task's state, and what is written under it.
+ * Small jobs share a record; a large one has several of its own. Confined to the event loop.
  */
 final class RunRecordStore {
 
-    /** Each transaction is guarded by it. */
-    private static final int LEADER_PRECONDITIONS = 1;
-
     private final FencedWriter writer;
     private final Replica replica;
     private final LiveAttempts liveAttempts;
     private final SharedRunRecords sharedRecords;
-
     private final TransactionLimits limits;
+    private final DeferredIntents deferredIntents;
 
-    /** First keys of the records that this leader has divided. */
+    /** First keys of the records that this leader has split. */
     private final Set<String> splitRecordKeys = new HashSet<>();
 
-    /**
-     * Jobs of shared records whose intents the last writing has left to the next one: each is
-     * guarded by its job's final state, and a transaction takes only so many guards.
-     */
-    private final Set<String> deferredIntents = new HashSet<>();
-
-    /**
-     * @param limits of a transaction: a record is only divided if it fits into one
-     */
     RunRecordStore(
-            FencedWriter writer,
-            Replica replica,
-            LiveAttempts ledger,
-            SharedRunRecords shared,
-            TransactionLimits limits) {
-        this.writer = writer;
-        this.replica = replica;
-        this.liveAttempts = ledger;
-        this.sharedRecords = shared;
-        this.limits = limits;
+            DurableState durable, LiveAttempts liveAttempts, SharedRunRecords sharedRecords) {
+        this.writer = durable.writer();
+        this.replica = durable.replica();
+        this.liveAttempts = liveAttempts;
+        this.sharedRecords = sharedRecords;
+        this.limits = durable.transactionLimits();
+        this.deferredIntents = new DeferredIntents(liveAttempts, limits);
     }
 
     /** Takes over an earlier leader's shared records. */
-    void restore(Map<String, List<String>> records, Map<String, Job> jobs) {
-        records.forEach((key, ids) -> sharedRecords.restore(key, ids, jobs));
+    void restore(Map<String, List<String>> jobsBySharedRecord, Map<String, Job> jobs) {
+        jobsBySharedRecord.forEach((key, ids) -> sharedRecords.restore(key, ids, jobs));
     }
 
-    /** The task's line has changed; {@code effect} runs once it is durable. */
-    void markChanged(Job job, int task, FencedWriter.Priority priority, Runnable effect) {
-        String key = sharedRecordKey(job);
-        if (key != null) {
-            writer.enqueue(
-                    key,
-                    priority,
-                    sharedContent(key),
-                    () -> absentEndKeys(sharedRecords.jobs(key)),
-                    effect == null ? null : () -> runUnlessDeferred(job, task, priority, effect),
-                    null);
+    /**
+     * The task's state has changed and is to be written.
+     *
+     * @param onDurable run once it is durable, or null
+     */
+    void markChanged(Job job, int task, FencedWriter.Priority priority, Runnable onDurable) {
+        Optional<String> sharedKey = sharedRecordKey(job);
+        if (sharedKey.isPresent()) {
+            markSharedChanged(sharedKey.get(), job, task, priority, onDurable);
             return;
         }
-        int chunk = task / job.spec.tasksPerRunRecord();
+        int recordIndex = task / job.spec.tasksPerRunRecord();
+        String ownKey = Keys.runRecord(job.spec.id(), recordIndex);
         writer.enqueue(
-                Keys.runRecord(job.spec.id(), chunk),
+                ownKey,
                 priority,
-                ownContent(job, chunk),
-                () -> absentEndKeys(List.of(job)),
-                effect,
+                ownContent(ownKey, job, recordIndex),
+                () -> deferredIntents.requiredAbsentKeys(List.of(job)),
+                onDurable,
                 null);
     }
 
-    /** What was left out of this writing is not durable yet: it goes into the next one. */
-    private void runUnlessDeferred(
-            Job job, int task, FencedWriter.Priority priority, Runnable effect) {
-        if (deferredIntents.contains(job.spec.id())) {
-            markChanged(job, task, priority, effect);
-        } else {
-            effect.run();
-        }
+    private void markSharedChanged(
+            String key, Job job, int task, FencedWriter.Priority priority, Runnable onDurable) {
+        Runnable unlessDeferred =
+                onDurable == null ? null : () -> runUnlessDeferred(job, task, priority, onDurable);
+        writer.enqueue(
+                key,
+                priority,
+                sharedContent(key),
+                () -> deferredIntents.requiredAbsentKeys(sharedRecords.jobs(key)),
+                unlessDeferred,
+                null);
     }
 
-    private void deferExcessIntents(Collection<Job> jobs) {
-        int left =
-                Math.max(
-                        1,
-                        limits.maxPreconditions() - TaskState.SPLIT_PARTS - LEADER_PRECONDITIONS);
-        for (Job job : jobs) {
-            deferredIntents.remove(job.spec.id());
-            if (hasPendingIntent(job) && left-- <= 0) {
-                deferredIntents.add(job.spec.id());
-            }
+    /** What was left out of this write is not durable yet: it goes into the next one. */
+    private void runUnlessDeferred(
+            Job job, int task, FencedWriter.Priority priority, Runnable onDurable) {
+        if (deferredIntents.isDeferred(job)) {
+            markChanged(job, task, priority, onDurable);
+        } else {
+            onDurable.run();
         }
     }
 
-    private boolean hasPendingIntent(Job job) {
-        return job.finalStatus() == null
-                && liveAttempts.attemptsOf(job).stream()
-                        .anyMatch(attempt -> attempt.phase() == Attempt.Phase.INTENDED);
-    }
-
     private FencedWriter.Content sharedContent(String key) {
         return new FencedWriter.Content() {
             @Override
             public Map<String, JsonNode> values() {
-                deferExcessIntents(sharedRecords.jobs(key));
+                deferredIntents.deferExcess(sharedRecords.jobs(key));
                 return sharedRecords.encodeRecord(key, member -> taskStates(member, 0));
             }
 
@@ -130,37 +109,34 @@
         };
     }
 
-    private FencedWriter.Content ownContent(Job job, int chunk) {
+    private FencedWriter.Content ownContent(String key, Job job, int recordIndex) {
         return new FencedWriter.Content() {
             @Override
             public Map<String, JsonNode> values() {
-                return isSplit(job, chunk)
-                        ? splitValues(job, chunk)
-                        : Map.of(
-                                Keys.runRecord(job.spec.id(), chunk),
-                                TaskState.encode(taskStates(job, chunk)));
+                return isSplit(job, recordIndex)
+                        ? splitValues(job, recordIndex)
+                        : Map.of(key, TaskState.encode(taskStates(job, recordIndex)));
             }
 
             @Override
             public boolean split() {
-                return maySplit()
-                        && !isSplit(job, chunk)
-                        && splitRecordKeys.add(Keys.runRecord(job.spec.id(), chunk));
+                return maySplit() && !isSplit(job, recordIndex) && splitRecordKeys.add(key);
             }
         };
     }
 
+    /** A record is only split if all its parts fit into one transaction. */
     private boolean maySplit() {
         return TaskState.SPLIT_PARTS <= limits.maxMutations();
     }
 
-    /** Whether this leader or an earlier one has divided the record. */
-    private boolean isSplit(Job job, int chunk) {
-        if (splitRecordKeys.contains(Keys.runRecord(job.spec.id(), chunk))) {
+    /** Whether this leader or an earlier one has split the record. */
+    private boolean isSplit(Job job, int recordIndex) {
+        if (splitRecordKeys.contains(Keys.runRecord(job.spec.id(), recordIndex))) {
             return true;
         }
         for (int part = 1; part < TaskState.SPLIT_PARTS; part++) {
-            if (replica.get(job.spec.splitRecordKey(chunk, part)) != null) {
+            if (replica.get(job.spec.splitRecordKey(recordIndex, part)) != null) {
                 return true;
             }
         }
@@ -168,48 +144,42 @@
     }
 
     /**
-     * The lines of a divided record. All parts are written together, so that none is ever missing
-     * and none is found in two of them. A part without a line is not written yet.
+     * The parts of a split record by key. All parts are written together, so that no task is ever
+     * missing and none is found in two of them. A part without a task is not written yet.
      */
-    private Map<String, JsonNode> splitValues(Job job, int chunk) {
+    private Map<String, JsonNode> splitValues(Job job, int recordIndex) {
         List<List<TaskState>> parts =
                 TaskState.split(
-                        taskStates(job, chunk),
-                        chunk * job.spec.tasksPerRunRecord(),
+                        taskStates(job, recordIndex),
+                        firstTask(job, recordIndex),
                         job.spec.tasksPerRunRecord());
         Map<String, JsonNode> values = new LinkedHashMap<>();
         for (int part = 0; part < TaskState.SPLIT_PARTS; part++) {
             if (part == 0 || !parts.get(part).isEmpty()) {
-                values.put(job.spec.splitRecordKey(chunk, part), TaskState.encode(parts.get(part)));
+                values.put(
+                        job.spec.splitRecordKey(recordIndex, part),
+                        TaskState.encode(parts.get(part)));
             }
         }
         return values;
     }
 
-    /**
-     * The final states that must not exist when intents of these jobs become durable: once a
-     * cancellation has taken effect, no start is intended any more, although this leader may not
-     * have heard of it yet.
-     */
-    private List<String> absentEndKeys(Collection<Job> of) {
-        return of.stream()
-                .filter(job -> hasPendingIntent(job) && !deferredIntents.contains(job.spec.id()))
-                .map(job -> Keys.FINAL_STATE_PREFIX + job.spec.id())
-                .toList();
+    private static int firstTask(Job job, int recordIndex) {
+        return recordIndex * job.spec.tasksPerRunRecord();
     }
 
     /** Whether the job shares its record with other small ones. */
     boolean sharesRecord(Job job) {
-        return sharedRecordKey(job) != null;
+        return sharedRecordKey(job).isPresent();
     }
 
     /**
-     * The job has ended: what waits to be written of its own records says less than its final
-     * state, and is spared.
+     * The job is done: what waits to be written of its own records says less than its final state,
+     * and is spared.
      */
-    void dropPending(Job job) {
-        for (int chunk = 0; chunk < job.spec.runRecordCount() && !sharesRecord(job); chunk++) {
-            writer.discard(Keys.runRecord(job.spec.id(), chunk));
+    void discardPending(Job job) {
+        for (int index = 0; index < job.spec.runRecordCount() && !sharesRecord(job); index++) {
+            writer.discard(Keys.runRecord(job.spec.id(), index));
         }
     }
 
@@ -218,45 +188,49 @@
         sharedRecords.remove(job.spec.id());
     }
 
-    /** The run record that the job shares with other small ones, or null. */
-    private String sharedRecordKey(Job job) {
-        return sharedRecords.recordKeyFor(
-                job, replica.get(Keys.runRecord(job.spec.id(), 0)) != null);
+    /** The key of the record that the job shares with other small ones, if it does. */
+    private Optional<String> sharedRecordKey(Job job) {
+        boolean hasOwnRecord = replica.get(Keys.runRecord(job.spec.id(), 0)) != null;
+        return Optional.ofNullable(sharedRecords.recordKeyFor(job, hasOwnRecord));
     }
 
-    private List<TaskState> taskStates(Job job, int chunk) {
-        List<TaskState> lines = new ArrayList<>();
-        int end = Math.min(job.spec.tasks(), (chunk + 1) * job.spec.tasksPerRunRecord());
-        for (int task = chunk * job.spec.tasksPerRunRecord(); task < end; task++) {
-            int number = job.lastAttempt(task);
-            Attempt attempt = liveAttempts.get(job, task);
-            if (attempt != null
-                    && attempt.phase() == Attempt.Phase.INTENDED
-                    && deferredIntents.contains(job.spec.id())) {
-                // As it was before: no order for this attempt has left.
-                attempt = null;
-                number--;
-            }
-            if (job.isDone(task)) {
-                lines.add(new TaskState(task, number, TaskState.Phase.DONE, "", 0));
-            } else if (attempt != null) {
-                lines.add(
-                        new TaskState(
-                                task,
-                                number,
-                                TaskState.Phase.LIVE,
-                                attempt.machine.name,
-                                attempt.incarnation));
-            } else if (number > 0) {
-                lines.add(
-                        new TaskState(
-                                task,
-                                number,
-                                job.hasFailed(task) ? TaskState.Phase.FAILED : TaskState.Phase.GONE,
-                                "",
-                                0));
-            }
+    /** The states of the record's tasks, except of those that were never started. */
+    private List<TaskState> taskStates(Job job, int recordIndex) {
+        List<TaskState> states = new ArrayList<>();
+        int end = Math.min(job.spec.tasks(), firstTask(job, recordIndex + 1));
+        for (int task = firstTask(job, recordIndex); task < end; task++) {
+            addTaskState(job, task, states);
+        }
+        return states;
+    }
+
+    private void addTaskState(Job job, int task, List<TaskState> states) {
+        int number = job.lastAttempt(task);
+        Attempt attempt = liveAttempts.get(job, task);
+        if (attempt != null && deferredIntents.isDeferred(attempt)) {
+            // As it was before: no order for this attempt has left.
+            attempt = null;
+            number--;
         }
-        return lines;
+        if (job.isDone(task)) {
+            states.add(withoutMachine(task, number, TaskState.Phase.DONE));
+        } else if (attempt != null) {
+            states.add(
+                    new TaskState(
+                            task,
+                            number,
+                            TaskState.Phase.LIVE,
+                            attempt.machine.name,
+                            attempt.incarnation));
+        } else if (number > 0) {
+            boolean failed = job.hasFailed(task);
+            states.add(
+                    withoutMachine(
+                            task, number, failed ? TaskState.Phase.FAILED : TaskState.Phase.GONE));
+        }
+    }
+
+    private static TaskState withoutMachine(int task, int attempt, TaskState.Phase phase) {
+        return new TaskState(task, attempt, phase, "", 0);
     }
 }
