--- a/src/main/java/io/pepperfield/lifecycle/DirectOrders.java
+++ b/src/main/java/io/pepperfield/lifecycle/DirectOrders.java
@@ -15,60 +15,65 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Orders that need not wait for a machine's next report: what came together for one goes in one
- * message.
+ * Sends orders that need not wait for a machine's next heartbeat: what came together for one
+ * machine goes in one message. Confined to the event loop.
  */
 public final class DirectOrders {
 
     private final Loop loop;
     private final Fleet fleet;
     private final Leadership leadership;
-    private final PartitionOrderRouter workers;
+    private final PartitionOrderRouter orderRouter;
     private final BooleanSupplier storeIsFresh;
     private final Map<Machine, List<Attempt>> pendingByMachine = new LinkedHashMap<>();
-    private boolean stopped;
+    private boolean termEnded;
 
     /**
-     * @param fresh whether the state service has answered of late, or starts have to wait
+     * Creates the sender of one term.
+     *
+     * @param storeIsFresh whether the state service has answered of late; if not, starts wait
      */
     public DirectOrders(
             Loop loop,
             Fleet fleet,
             Leadership leadership,
-            PartitionOrderRouter workers,
-            BooleanSupplier fresh) {
+            PartitionOrderRouter orderRouter,
+            BooleanSupplier storeIsFresh) {
         this.loop = loop;
         this.fleet = fleet;
         this.leadership = leadership;
-        this.workers = workers;
-        this.storeIsFresh = fresh;
+        this.orderRouter = orderRouter;
+        this.storeIsFresh = storeIsFresh;
     }
 
-    /** The leadership has ended: what is still answered changes nothing. */
+    /** The term has ended: what is still answered changes nothing. */
     public void stop() {
-        stopped = true;
+        termEnded = true;
     }
 
+    /** The attempt's order is to leave with the next {@link #flush()}, if there is one to give. */
     void enqueue(Attempt attempt) {
         if (attempt.phase() != Attempt.Phase.INTENDED && attempt.live()) {
-            pendingByMachine.computeIfAbsent(attempt.machine, m -> new ArrayList<>()).add(attempt);
+            pendingByMachine
+                    .computeIfAbsent(attempt.machine, machine -> new ArrayList<>())
+                    .add(attempt);
         }
     }
 
-    /** At the end of each batch of commands. */
+    /** To be called at the end of each batch of commands. */
     public void flush() {
-        // What does not go directly goes with the answer to the machine's next report.
+        // What does not go directly goes with the answer to the machine's next heartbeat.
         if (!pendingByMachine.isEmpty() && leadership.holdsValidLease()) {
             boolean mayStart = storeIsFresh.getAsBoolean();
             pendingByMachine.forEach((machine, attempts) -> send(machine, attempts, mayStart));
         }
         pendingByMachine.clear();
-        workers.flush();
+        orderRouter.flush();
     }
 
     private void send(Machine machine, List<Attempt> attempts, boolean mayStart) {
         List<Order> orders = new ArrayList<>();
-        List<Attempt> runs = new ArrayList<>();
+        List<Attempt> starting = new ArrayList<>();
         for (Attempt attempt : attempts) {
             if (!attempt.live() || attempt.incarnation != machine.incarnation()) {
                 continue;
@@ -77,23 +82,25 @@
                 orders.add(new Order.Stop(attempt.taskRef, attempt.number, attempt.gracePeriodS()));
             } else if (attempt.phase() == Attempt.Phase.ORDERED && mayStart) {
                 orders.add(new Order.Run(attempt.taskRef, attempt.number));
-                runs.add(attempt);
+                starting.add(attempt);
             }
         }
         if (orders.isEmpty() || machine.releasing()) {
             return;
         }
-        fleet.directOrdersLeaving(runs);
-        workers.sendOrders(
+        fleet.directOrdersLeaving(starting);
+        orderRouter.sendOrders(
                 machine.reportingController(),
                 machine.address(),
                 leadership.fencingToken(),
                 machine.incarnation(),
                 orders,
-                result -> {
-                    if (!stopped && result instanceof WorkerClient.Result.Responded heard) {
-                        fleet.handleDirectResponse(heard.heartbeat(), loop.now());
-                    }
-                });
+                this::answered);
+    }
+
+    private void answered(WorkerClient.Result result) {
+        if (!termEnded && result instanceof WorkerClient.Result.Responded responded) {
+            fleet.handleDirectResponse(responded.heartbeat(), loop.now());
+        }
     }
 }
--- a/src/main/java/io/pepperfield/lifecycle/DurableState.java
+++ b/src/main/java/io/pepperfield/lifecycle/DurableState.java
@@ -7,12 +7,11 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * What one controller shares with the state service: its copy of the keys, what they say of jobs,
- * and its guarded writes.
+ * What one controller shares with the state service: its replica of the keys, the index of jobs
+ * made from it, and its fenced writes. Confined to the event loop.
  *
- * @param transactionLimits of one of its transactions
- * @param lastConfirmedAt sending time of the last question that was answered with all changes up to
- *     then
+ * @param transactionLimits of one transaction with the state service
+ * @param lastConfirmedAt loop time in seconds up to which the replica is known to hold all changes
  */
 public record DurableState(
         Replica replica,
