--- a/src/main/java/io/pepperfield/cluster/ClusterState.java
+++ b/src/main/java/io/pepperfield/cluster/ClusterState.java
@@ -19,7 +19,11 @@
 import java.util.Map;
 
 /**
- * What the parts of one leadership share: the jobs, the machines, and what may be alive on them.
+ * What the duties of one term share: the jobs, the machines, and the attempts that may be alive on
+ * them. All of it is live state, confined to the event loop.
+ *
+ * @param jobs by id: those that have not ended or may still have an attempt alive
+ * @param passDurations how long passes of dispatch and autoscaling took
  */
 public record ClusterState(
         Loop loop,
@@ -33,6 +37,12 @@
         BootTracker bootTracker,
         LatencyHistograms passDurations) {
 
+    /** Heartbeat intervals after which a machine without a heartbeat counts as unreachable. */
+    private static final double TIMEOUT_INTERVALS = 2.25;
+
+    /** Heartbeat intervals after which a machine without a heartbeat gets no more tasks. */
+    private static final double SCHEDULABLE_INTERVALS = 1.5;
+
     /** Seconds between two heartbeats of a worker. */
     public double heartbeatIntervalS() {
         return settings.deployment().workerTimings().heartbeatIntervalS();
@@ -44,48 +54,57 @@
     }
 
     /**
-     * A report is due within 1.25 periods; a probe is sent after 1.5 and has half a period for its
-     * answer.
+     * Seconds without a heartbeat after which a machine counts as unreachable: a heartbeat is due
+     * within 1.25 intervals; a probe is sent after 1.5 and has half an interval for its answer.
      */
     public double heartbeatTimeoutS() {
-        return 2.25 * heartbeatIntervalS();
+        return TIMEOUT_INTERVALS * heartbeatIntervalS();
     }
 
-    /** What each team uses of its guarantee and limit, by team. */
+    /** A new account of what each team uses of its guarantee and limit, by team. */
     public Map<String, QuotaUsage> quotaUsages() {
-        Map<String, QuotaUsage> shares = new HashMap<>();
+        Map<String, QuotaUsage> quotaUsages = new HashMap<>();
         settings.deployment()
                 .teams()
-                .forEach(
-                        (name, team) ->
-                                shares.put(
-                                        name,
-                                        new QuotaUsage(
-                                                team,
-                                                liveAttempts.usedCpus(name),
-                                                liveAttempts.usedGpus(name),
-                                                liveAttempts.replicaCpus(name),
-                                                liveAttempts.replicaGpus(name))));
-        return shares;
+                .forEach((name, team) -> quotaUsages.put(name, quotaUsage(name, team)));
+        return quotaUsages;
+    }
+
+    private QuotaUsage quotaUsage(String name, Settings.Team team) {
+        return new QuotaUsage(
+                team,
+                liveAttempts.usedCpus(name),
+                liveAttempts.usedGpus(name),
+                liveAttempts.replicaCpus(name),
+                liveAttempts.replicaGpus(name));
     }
 
     /**
-     * The machines that may take tasks now; with {@code full} also those that have no room left.
+     * A new account of the machines that may take tasks now.
+     *
+     * @param now loop time in seconds
+     * @param includeFull also those that have no CPU left
      */
-    public List<FreeCapacity> freeCapacities(double now, boolean full) {
-        List<FreeCapacity> rooms = new ArrayList<>();
+    public List<FreeCapacity> freeCapacities(double now, boolean includeFull) {
+        List<FreeCapacity> capacities = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
             MachineType type = machineTypes.get(machine.type());
-            // What is late, deaf or not yet known to hear this leader gets no work: it could not be
-            // told so.
             if (type != null
-                    && machine.isSchedulable(now)
-                    && machine.unreachableFor(now) < 1.5 * heartbeatIntervalS()
-                    && (full || machine.freeCpus(type) > 0)) {
-                rooms.add(freeCapacity(machine, type));
+                    && mayTakeTasks(machine, now)
+                    && (includeFull || machine.freeCpus(type) > 0)) {
+                capacities.add(freeCapacity(machine, type));
             }
         }
-        return rooms;
+        return capacities;
+    }
+
+    /**
+     * What is late, hears nothing or is not yet known to hear this leader gets no work: it could
+     * not be told to start it.
+     */
+    private boolean mayTakeTasks(Machine machine, double now) {
+        return machine.isSchedulable(now)
+                && machine.unreachableFor(now) < SCHEDULABLE_INTERVALS * heartbeatIntervalS();
     }
 
     private static FreeCapacity freeCapacity(Machine machine, MachineType type) {
@@ -101,16 +120,16 @@
     }
 
     /**
-     * Seconds run since its last checkpoint or its start, which stopping it at once would throw
-     * away.
+     * Seconds of work since the attempt's last checkpoint or its start, which would be lost if it
+     * were stopped at once.
      */
     public static double lostWorkS(Attempt attempt, double now) {
         if (!attempt.running()) {
             return 0;
         }
-        double ran = now - attempt.runningSince();
+        double runS = now - attempt.runningSince();
         return attempt.job.spec.takesCheckpoints()
-                ? ran % attempt.job.spec.checkpointIntervalS()
-                : ran;
+                ? runS % attempt.job.spec.checkpointIntervalS()
+                : runS;
     }
 }
--- a/src/main/java/io/pepperfield/cluster/LatencyHistograms.java
+++ b/src/main/java/io/pepperfield/cluster/LatencyHistograms.java
@@ -5,38 +5,45 @@
 import java.util.stream.Collectors;
 import org.HdrHistogram.Histogram;
 
-/** How long requests took, by kind, since the last summary. */
+/** How long things took, by kind, since the last summary. Confined to the event loop. */
 public final class LatencyHistograms {
 
     private static final long MAX_RECORDED_MICROS = 60_000_000;
+    private static final int SIGNIFICANT_DIGITS = 2;
+    private static final double MICROS_PER_MS = 1e3;
 
     private final Map<String, Histogram> histograms = new TreeMap<>();
 
     /** Counts one duration in seconds under its kind. */
     public void record(String kind, double seconds) {
+        long micros = Math.min(MAX_RECORDED_MICROS, Math.max(0, Math.round(seconds * 1e6)));
         histograms
-                .computeIfAbsent(kind, k -> new Histogram(MAX_RECORDED_MICROS, 2))
-                .recordValue(Math.min(MAX_RECORDED_MICROS, Math.max(0, Math.round(seconds * 1e6))));
+                .computeIfAbsent(
+                        kind, name -> new Histogram(MAX_RECORDED_MICROS, SIGNIFICANT_DIGITS))
+                .recordValue(micros);
     }
 
-    /** One line with count, median, 99th percentile and longest in milliseconds; starts anew. */
+    /**
+     * One line with count, median, 99th percentile and longest in milliseconds of each kind; starts
+     * anew.
+     */
     public String summarizeAndReset() {
         String line =
                 histograms.entrySet().stream()
-                        .filter(e -> e.getValue().getTotalCount() > 0)
-                        .map(
-                                e -> {
-                                    Histogram h = e.getValue();
-                                    return String.format(
-                                            "%s %d (%.1f/%.1f/%.1f ms)",
-                                            e.getKey(),
-                                            h.getTotalCount(),
-                                            h.getValueAtPercentile(50) / 1e3,
-                                            h.getValueAtPercentile(99) / 1e3,
-                                            h.getMaxValue() / 1e3);
-                                })
+                        .filter(entry -> entry.getValue().getTotalCount() > 0)
+                        .map(entry -> describe(entry.getKey(), entry.getValue()))
                         .collect(Collectors.joining(", "));
         histograms.values().forEach(Histogram::reset);
         return line;
     }
+
+    private static String describe(String kind, Histogram histogram) {
+        return String.format(
+                "%s %d (%.1f/%.1f/%.1f ms)",
+                kind,
+                histogram.getTotalCount(),
+                histogram.getValueAtPercentile(50) / MICROS_PER_MS,
+                histogram.getValueAtPercentile(99) / MICROS_PER_MS,
+                histogram.getMaxValue() / MICROS_PER_MS);
+    }
 }
