--- a/src/main/java/io/pepperfield/lifecycle/AttemptOutcomes.java
+++ b/src/main/java/io/pepperfield/lifecycle/AttemptOutcomes.java
@@ -98,7 +98,7 @@
             job.markFailed(attempt.task);
         }
         job.requeue(attempt.task);
-        runRecords.markChanged(job, attempt.task, FencedWriter.Priority.BACKGROUND, null);
+        runRecords.markChanged(job, attempt.task, FencedWriter.Priority.BACKGROUND);
         completion.removeIfFinished(job);
     }
 
--- a/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
+++ b/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
@@ -24,6 +24,8 @@
  */
 final class RunRecordStore {
 
+    private static final Runnable NO_EFFECT = () -> {};
+
     private final FencedWriter writer;
     private final Replica replica;
     private final LiveAttempts liveAttempts;
@@ -49,38 +51,50 @@
         jobsBySharedRecord.forEach((key, ids) -> sharedRecords.restore(key, ids, jobs));
     }
 
-    /**
-     * The task's state has changed and is to be written.
-     *
-     * @param onDurable run once it is durable, or null
-     */
+    /** The task's state has changed and is to be written; nothing depends on when. */
+    void markChanged(Job job, int task, FencedWriter.Priority priority) {
+        enqueue(job, task, priority, Optional.empty());
+    }
+
+    /** The task's state has changed and is to be written; {@code onDurable} runs once it is. */
     void markChanged(Job job, int task, FencedWriter.Priority priority, Runnable onDurable) {
+        enqueue(job, task, priority, Optional.of(onDurable));
+    }
+
+    private void enqueue(
+            Job job, int task, FencedWriter.Priority priority, Optional<Runnable> onDurable) {
         Optional<String> sharedKey = sharedRecordKey(job);
         if (sharedKey.isPresent()) {
-            markSharedChanged(sharedKey.get(), job, task, priority, onDurable);
-            return;
+            Runnable unlessDeferred =
+                    onDurable
+                            .<Runnable>map(run -> () -> runUnlessDeferred(job, task, priority, run))
+                            .orElse(NO_EFFECT);
+            enqueueShared(sharedKey.get(), priority, unlessDeferred);
+        } else {
+            int recordIndex = task / job.spec.tasksPerRunRecord();
+            enqueueOwn(job, recordIndex, priority, onDurable.orElse(NO_EFFECT));
         }
-        int recordIndex = task / job.spec.tasksPerRunRecord();
-        String ownKey = Keys.runRecord(job.spec.id(), recordIndex);
+    }
+
+    private void enqueueShared(String key, FencedWriter.Priority priority, Runnable onDurable) {
         writer.enqueue(
-                ownKey,
+                key,
                 priority,
-                ownContent(ownKey, job, recordIndex),
-                () -> deferredIntents.requiredAbsentKeys(List.of(job)),
+                sharedContent(key),
+                () -> deferredIntents.requiredAbsentKeys(sharedRecords.jobs(key)),
                 onDurable,
                 null);
     }
 
-    private void markSharedChanged(
-            String key, Job job, int task, FencedWriter.Priority priority, Runnable onDurable) {
-        Runnable unlessDeferred =
-                onDurable == null ? null : () -> runUnlessDeferred(job, task, priority, onDurable);
+    private void enqueueOwn(
+            Job job, int recordIndex, FencedWriter.Priority priority, Runnable onDurable) {
+        String key = Keys.runRecord(job.spec.id(), recordIndex);
         writer.enqueue(
                 key,
                 priority,
-                sharedContent(key),
-                () -> deferredIntents.requiredAbsentKeys(sharedRecords.jobs(key)),
-                unlessDeferred,
+                ownContent(key, job, recordIndex),
+                () -> deferredIntents.requiredAbsentKeys(List.of(job)),
+                onDurable,
                 null);
     }
 
