--- a/src/test/java/io/pepperfield/dispatch/DispatcherTest.java
+++ b/src/test/java/io/pepperfield/dispatch/DispatcherTest.java
@@ -33,7 +33,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Starting and stopping in one pass over real books. */
+/** Starting and stopping in one pass over a real fleet and its live attempts. */
 class DispatcherTest implements Loop, NoOpFleetListener, Dispatcher.AttemptControl {
 
     private final Settings settings = settings();
@@ -41,20 +41,19 @@
     private final Fleet fleet = new Fleet(this, new FencingToken(10), 3);
     private final LiveAttempts liveAttempts = new LiveAttempts();
     private final Map<String, Job> jobs = new LinkedHashMap<>();
-    private final Dispatcher dispatcher =
-            new Dispatcher(
-                    new ClusterState(
-                            this,
-                            settings,
-                            new Objectives(settings.deployment().objectives()),
-                            types,
-                            fleet,
-                            liveAttempts,
-                            jobs,
-                            null,
-                            new BootTracker(types, 60),
-                            new LatencyHistograms()),
-                    this);
+    private final ClusterState cluster =
+            new ClusterState(
+                    this,
+                    settings,
+                    new Objectives(settings.deployment().objectives()),
+                    types,
+                    fleet,
+                    liveAttempts,
+                    jobs,
+                    null,
+                    new BootTracker(types, 60),
+                    new LatencyHistograms());
+    private final Dispatcher dispatcher = new Dispatcher(cluster, this);
     private final List<String> actions = new ArrayList<>();
     private double now = 0.5;
 
@@ -67,14 +66,14 @@
     }
 
     private Job job(
-            String id, String workload, String team, Priority rank, String image, int tasks) {
+            String id, String workload, String team, Priority priority, String image, int tasks) {
         Job job =
                 new Job(
                         new JobSpecBuilder()
                                 .id(id)
                                 .workload(workload)
                                 .team(team)
-                                .rank(rank)
+                                .rank(priority)
                                 .tasks(tasks)
                                 .cpus(4)
                                 .image(image)
@@ -86,7 +85,7 @@
         return job;
     }
 
-    private void heartbeat(String machine, int serial, Heartbeat.AttemptStatus... lines) {
+    private void heartbeat(String machine, int serial, Heartbeat.AttemptStatus... attempts) {
         fleet.expectMachine(machine, "box", "east", false, 0, 0);
         fleet.handleHeartbeat(
                 new Heartbeat(
@@ -99,7 +98,7 @@
                         serial,
                         new FencingToken(10),
                         null,
-                        List.of(lines)),
+                        List.of(attempts)),
                 now());
     }
 
@@ -112,8 +111,8 @@
     }
 
     @Override
-    public void stop(Attempt attempt, double drainS) {
-        fleet.requestStop(attempt, drainS);
+    public void stop(Attempt attempt, double gracePeriodS) {
+        fleet.requestStop(attempt, gracePeriodS);
         actions.add("stop " + attempt.taskRef);
     }
 
@@ -224,6 +223,42 @@
         assertEquals(List.of("start run-000001/0 on m1", "start run-000009/0 on m1"), actions);
     }
 
+    /** A plan is made without any effect; only carrying it out starts and stops attempts. */
+    @Test
+    void planningChangesNothingInTheCluster() {
+        types.update(List.of(new MachineType("box", 8, 0, 32, 20, 1, 1, 0.4, 5, List.of("east"))));
+        heartbeat("m1", 1);
+        heartbeat("m2", 1);
+        Job array = job("run-000001", "batch", "red", Priority.BEST_EFFORT, "img", 2);
+        start(array, 0, fleet.get("m1"));
+        start(array, 1, fleet.get("m1"));
+        heartbeat("m1", 2, running(0), running(1));
+        Job urgent = job("run-000002", "batch", "blue", Priority.URGENT, "img", 3);
+        actions.clear();
+        DispatchPlan plan =
+                DispatchPlanner.plan(
+                        new ClusterView(cluster, now), dispatcher.pendingRequests(now));
+        Machine free = fleet.get("m2");
+        assertEquals(
+                List.of(
+                        new DispatchPlan.Start(urgent, free),
+                        new DispatchPlan.Start(urgent, free),
+                        new DispatchPlan.Preempt(liveAttempts.get(array, 0))),
+                plan.actions());
+        assertEquals(List.of(urgent), plan.reservations());
+        assertEquals(List.of(), actions);
+        assertEquals(2, liveAttempts.size());
+        assertEquals(0, free.liveAttemptCount());
+        assertFalse(liveAttempts.get(array, 0).stopRequested());
+        dispatcher.runPassIfDue();
+        assertEquals(
+                List.of(
+                        "start run-000002/0 on m2",
+                        "start run-000002/1 on m2",
+                        "stop run-000001/0"),
+                actions);
+    }
+
     /**
      * What a job does that fails everywhere says nothing of its machines; what fails here and
      * succeeds elsewhere does.
--- a/src/test/java/io/pepperfield/placement/BinPackerTest.java
+++ b/src/test/java/io/pepperfield/placement/BinPackerTest.java
@@ -10,7 +10,6 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
@@ -31,101 +30,103 @@
     }
 
     private List<String> play(String[] words) {
-        Map<String, String> f = new HashMap<>();
-        Arrays.stream(words)
-                .filter(w -> w.contains("="))
-                .forEach(
-                        w ->
-                                f.put(
-                                        w.substring(0, w.indexOf('=')),
-                                        w.substring(w.indexOf('=') + 1)));
+        Map<String, String> fields = fields(words);
         switch (words[0]) {
             case "new" -> {
                 requests.clear();
                 freeCapacities.clear();
                 quotaUsages.clear();
             }
-            case "team" ->
-                    quotaUsages.put(
-                            words[1],
-                            new QuotaUsage(
-                                    new Settings.Team(
-                                            words[1],
-                                            number(f, "guaranteed", 0),
-                                            number(f, "most", 0),
-                                            0,
-                                            0),
-                                    number(f, "used", 0),
-                                    0,
-                                    number(f, "lasting", 0),
-                                    0));
-            case "machine" ->
-                    freeCapacities.add(
-                            new FreeCapacity(
-                                    words[1],
-                                    "box",
-                                    f.getOrDefault("zone", "east"),
-                                    f.containsKey("spot"),
-                                    Set.of(f.getOrDefault("has", "nothing")),
-                                    new Capacity(number(f, "cpus", 8), 0, 64),
-                                    new Capacity(number(f, "most", 64), 0, 64)));
-            case "job" -> {
-                Shape shape =
-                        Shape.valueOf(f.getOrDefault("shape", "array").toUpperCase(Locale.ROOT));
-                int waiting = (int) number(f, "waiting", 1);
-                Map<String, Integer> perZone = new HashMap<>();
-                if (f.containsKey("live")) {
-                    perZone.put(f.get("live"), 1);
-                }
-                JobSpec job =
-                        new JobSpecBuilder()
-                                .id(words[1])
-                                .team(f.getOrDefault("team", "red"))
-                                .shape(shape)
-                                .rank(
-                                        Priority.valueOf(
-                                                f.getOrDefault("rank", "standard")
-                                                        .toUpperCase(Locale.ROOT)))
-                                .tasks((int) number(f, "tasks", waiting))
-                                .cpus(number(f, "cpus", 4))
-                                .image(f.getOrDefault("image", "img"))
-                                .zone(f.get("zone"))
-                                .oneZone(f.containsKey("together"))
-                                .spread(f.containsKey("spread"))
-                                .spot(f.containsKey("spot"))
-                                .build();
-                Set<String> avoid =
-                        f.containsKey("avoid")
-                                ? new HashSet<>(Set.of(f.get("avoid")))
-                                : new HashSet<>();
-                requests.add(
-                        PlacementRequest.builder(job, waiting)
-                                .withinGuarantee(f.containsKey("within"))
-                                .readyAt(requests.size())
-                                .tasksPerZone(perZone)
-                                .excludedMachines(avoid)
-                                .overdue(f.containsKey("overdue"))
-                                .reserved(f.containsKey("promised"))
-                                .waitedS(number(f, "waited", 0))
-                                .build());
-            }
+            case "team" -> quotaUsages.put(words[1], team(words[1], fields));
+            case "machine" -> freeCapacities.add(machine(words[1], fields));
+            case "job" -> requests.add(request(words[1], fields));
             default -> {
-                Map<String, Integer> counts = new LinkedHashMap<>();
-                BinPacker.place(requests, freeCapacities, quotaUsages)
-                        .forEach(
-                                c ->
-                                        counts.merge(
-                                                c.jobId() + " on " + c.machineName(),
-                                                1,
-                                                Integer::sum));
-                return counts.entrySet().stream()
-                        .map(e -> e.getValue() + " of " + e.getKey())
-                        .toList();
+                return placementCounts();
             }
         }
         return List.of();
     }
 
+    private static Map<String, String> fields(String[] words) {
+        Map<String, String> fields = new HashMap<>();
+        Arrays.stream(words)
+                .map(word -> word.split("=", 2))
+                .filter(parts -> parts.length == 2)
+                .forEach(parts -> fields.put(parts[0], parts[1]));
+        return fields;
+    }
+
+    private static QuotaUsage team(String name, Map<String, String> fields) {
+        return new QuotaUsage(
+                new Settings.Team(
+                        name, number(fields, "guaranteed", 0), number(fields, "most", 0), 0, 0),
+                number(fields, "used", 0),
+                0,
+                number(fields, "lasting", 0),
+                0);
+    }
+
+    private static FreeCapacity machine(String name, Map<String, String> fields) {
+        return new FreeCapacity(
+                name,
+                "box",
+                fields.getOrDefault("zone", "east"),
+                fields.containsKey("spot"),
+                Set.of(fields.getOrDefault("has", "nothing")),
+                new Capacity(number(fields, "cpus", 8), 0, 64),
+                new Capacity(number(fields, "most", 64), 0, 64));
+    }
+
+    private PlacementRequest request(String id, Map<String, String> fields) {
+        int waitingTasks = (int) number(fields, "waiting", 1);
+        Map<String, Integer> tasksPerZone = new HashMap<>();
+        if (fields.containsKey("live")) {
+            tasksPerZone.put(fields.get("live"), 1);
+        }
+        Set<String> excludedMachines =
+                fields.containsKey("avoid") ? Set.of(fields.get("avoid")) : Set.of();
+        return PlacementRequest.builder(job(id, waitingTasks, fields), waitingTasks)
+                .withinGuarantee(fields.containsKey("within"))
+                .readyAt(requests.size())
+                .tasksPerZone(tasksPerZone)
+                .excludedMachines(excludedMachines)
+                .overdue(fields.containsKey("overdue"))
+                .reserved(fields.containsKey("promised"))
+                .waitedS(number(fields, "waited", 0))
+                .build();
+    }
+
+    private static JobSpec job(String id, int waitingTasks, Map<String, String> fields) {
+        return new JobSpecBuilder()
+                .id(id)
+                .team(fields.getOrDefault("team", "red"))
+                .shape(Shape.valueOf(upperCase(fields, "shape", "array")))
+                .rank(Priority.valueOf(upperCase(fields, "rank", "standard")))
+                .tasks((int) number(fields, "tasks", waitingTasks))
+                .cpus(number(fields, "cpus", 4))
+                .image(fields.getOrDefault("image", "img"))
+                .zone(fields.get("zone"))
+                .oneZone(fields.containsKey("together"))
+                .spread(fields.containsKey("spread"))
+                .spot(fields.containsKey("spot"))
+                .build();
+    }
+
+    private List<String> placementCounts() {
+        Map<String, Integer> counts = new LinkedHashMap<>();
+        for (BinPacker.Placement placement :
+                BinPacker.place(requests, freeCapacities, quotaUsages)) {
+            counts.merge(placement.jobId() + " on " + placement.machineName(), 1, Integer::sum);
+        }
+        return counts.entrySet().stream()
+                .map(count -> count.getValue() + " of " + count.getKey())
+                .toList();
+    }
+
+    private static String upperCase(Map<String, String> fields, String name, String otherwise) {
+        return fields.getOrDefault(name, otherwise).toUpperCase(Locale.ROOT);
+    }
+
     private static double number(Map<String, String> fields, String name, double otherwise) {
         return fields.containsKey(name) ? Double.parseDouble(fields.get(name)) : otherwise;
     }
