--- a/src/test/java/io/pepperfield/placement/PreemptionPlannerTest.java
+++ b/src/test/java/io/pepperfield/placement/PreemptionPlannerTest.java
@@ -8,7 +8,6 @@
 import io.pepperfield.standin.JobSpecBuilder;
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -31,8 +30,10 @@
 
     private static PlacementRequest request(Priority rank, double cpus, boolean guaranteed) {
         PlacementRequest request =
-                new PlacementRequest(
-                        job("red", rank, cpus), 1, guaranteed, 0, new HashMap<>(), new HashSet<>());
+                PlacementRequest.builder(job("red", rank, cpus), 1)
+                        .withinGuarantee(guaranteed)
+                        .tasksPerZone(new HashMap<>())
+                        .build();
         request.unschedulable = true;
         return request;
     }
@@ -46,7 +47,13 @@
             PlacementRequest request, double free, PreemptionPlanner.Victim... victims) {
         FreeCapacity room =
                 new FreeCapacity(
-                        "m1", "box", "east", false, Set.of(), free, 0, 64, new Capacity(64, 0, 64));
+                        "m1",
+                        "box",
+                        "east",
+                        false,
+                        Set.of(),
+                        new Capacity(free, 0, 64),
+                        new Capacity(64, 0, 64));
         return PreemptionPlanner.selectVictims(
                 new ArrayList<>(List.of(request)),
                 List.of(new PreemptionPlanner.PreemptibleMachine(room, List.of(victims))),
