--- a/src/main/java/io/pepperfield/lifecycle/JobCompletion.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobCompletion.java
@@ -4,7 +4,7 @@
 import io.pepperfield.fleet.Attempt;
 import io.pepperfield.fleet.LiveAttempts;
 import io.pepperfield.jobs.Job;
-import io.pepperfield.jobs.JobMessages;
+import io.pepperfield.jobs.JobCodec;
 import io.pepperfield.jobs.PriorityInheritance;
 import io.pepperfield.jobs.Status;
 import io.pepperfield.loop.Loop;
@@ -67,10 +67,10 @@
         String key = Keys.FINAL_STATE_PREFIX + job.spec.id();
         long doneMs = loop.wallMs();
         durable.writer()
-                .enqueue(
+                .enqueueOnce(
                         key,
                         FencedWriter.Priority.FINAL_STATE,
-                        () -> JobMessages.encodeDone(doneMs),
+                        () -> JobCodec.encodeDone(doneMs),
                         () -> {
                             onDurable.run();
                             jobEnded(job, Status.DONE);
@@ -82,12 +82,12 @@
     }
 
     private Status storedFinalStatus(String key) {
-        return JobMessages.decodeFinalStatus(durable.replica().get(key).value());
+        return JobCodec.decodeFinalStatus(durable.replica().find(key).orElseThrow().value());
     }
 
     /** The job has a durable final state: whatever is left of it is stopped. */
     void jobEnded(Job job, Status status) {
-        job.finalStatus(status, durable.jobIndex().get(job.spec.id()).lastKnownOpenAt());
+        job.finish(status, durable.jobIndex().get(job.spec.id()).lastKnownOpenAt());
         priorityInheritance.removed(job.spec);
         if (status == Status.DONE) {
             runRecords.discardPending(job);
--- a/src/main/java/io/pepperfield/lifecycle/JobRecovery.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobRecovery.java
@@ -28,7 +28,7 @@
     }
 
     /** The job as its records say; empty where it has ended and nothing of it may be alive. */
-    Optional<Job> restore(JobIndex.JobRecord record) {
+    Optional<Job> restore(JobRecord record) {
         double ageS = Math.max(0, (wallClockMs - record.spec().acceptedMs()) / 1000.0);
         Job job = new Job(record.spec(), now - ageS);
         if (record.finalStatus() != null) {
--- a/src/main/java/io/pepperfield/lifecycle/JobTracker.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobTracker.java
@@ -9,8 +9,8 @@
 import io.pepperfield.fleet.LiveAttempts;
 import io.pepperfield.fleet.Machine;
 import io.pepperfield.jobs.Job;
-import io.pepperfield.jobs.JobCodec;
 import io.pepperfield.jobs.JobIndex;
+import io.pepperfield.jobs.JobRecord;
 import io.pepperfield.jobs.PriorityInheritance;
 import io.pepperfield.jobs.SharedRunRecords;
 import io.pepperfield.jobs.Status;
@@ -98,7 +98,7 @@
     /** Reads all jobs from the replica, which must hold what earlier leaders have written. */
     public void restoreAll() {
         JobRecovery recovery = new JobRecovery(fleet, liveAttempts, loop);
-        for (JobIndex.JobRecord record : jobIndex.all()) {
+        for (JobRecord record : jobIndex.all()) {
             if (record.finalStatus() != Status.DONE && !record.unreadable()) {
                 recovery.restore(record).ifPresent(this::addRestored);
             }
@@ -141,7 +141,7 @@
     }
 
     /** An open job waits for its dependencies, and lends them its priority. */
-    private void trackDependencies(Job job, JobIndex.JobRecord record) {
+    private void trackDependencies(Job job, JobRecord record) {
         if (!record.ready()) {
             job.awaitDependencies();
         } else if (!job.spec.dependencies().isEmpty()) {
--- a/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
+++ b/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
@@ -26,8 +26,6 @@
 
     private static final Runnable NO_EFFECT = () -> {};
 
-    private static final Runnable NO_CALLBACK = () -> {};
-
     private final FencedWriter writer;
     private final Replica replica;
     private final LiveAttempts liveAttempts;
@@ -84,8 +82,7 @@
                 priority,
                 sharedContent(key),
                 () -> deferredIntents.requiredAbsentKeys(sharedRecords.jobs(key)),
-                onDurable,
-                null);
+                onDurable);
     }
 
     private void enqueueOwn(
@@ -96,8 +93,7 @@
                 priority,
                 ownContent(key, job, recordIndex),
                 () -> deferredIntents.requiredAbsentKeys(List.of(job)),
-                onDurable,
-                null);
+                onDurable);
     }
 
     /** What was left out of this write is not durable yet: it goes into the next one. */
@@ -152,7 +148,7 @@
             return true;
         }
         for (int part = 1; part < TaskState.SPLIT_PARTS; part++) {
-            if (replica.get(job.spec.splitRecordKey(recordIndex, part)) != null) {
+            if (replica.contains(job.spec.splitRecordKey(recordIndex, part))) {
                 return true;
             }
         }
@@ -206,7 +202,7 @@
 
     /** The key of the record that the job shares with other small ones, if it does. */
     private Optional<String> sharedRecordKey(Job job) {
-        boolean hasOwnRecord = replica.get(Keys.runRecord(job.spec.id(), 0)) != null;
+        boolean hasOwnRecord = replica.contains(Keys.runRecord(job.spec.id(), 0));
         return Optional.ofNullable(sharedRecords.recordKeyFor(job, hasOwnRecord));
     }
 
