--- a/src/main/java/io/pepperfield/controller/Controller.java
+++ b/src/main/java/io/pepperfield/controller/Controller.java
@@ -166,7 +166,7 @@
                         membership,
                         leaseRenewal,
                         pauseDetector);
-        peers.handler(
+        peers.setHandler(
                 new PeerMessageReceiver(
                         storedStateCompatibility,
                         pauseDetector,
@@ -272,7 +272,7 @@
         if (key.equals(Keys.LEADER)) {
             leadership.leaderKeyChanged(data, stamp);
             if (!leadership.leaderNode().isEmpty()) {
-                heartbeatForwarder.leader(leadership.leaderNode());
+                heartbeatForwarder.leaderChanged(leadership.leaderNode());
             }
             return;
         }
--- a/src/main/java/io/pepperfield/controller/Leader.java
+++ b/src/main/java/io/pepperfield/controller/Leader.java
@@ -246,15 +246,15 @@
             PeerMessages.ForwardedHeartbeat beat, String through) {
         Heartbeat report = fullHeartbeat(beat);
         if (report == null) {
-            return new PeerMessages.LeaderVerdict.FullHeartbeatRequired();
+            return PeerMessages.LeaderVerdict.FULL_HEARTBEAT_REQUIRED;
         }
         if (report.fencingToken().isNewerThan(leadership.fencingToken())) {
             leadership.observeFencingToken(report.fencingToken());
-            return new PeerMessages.LeaderVerdict.Refused();
+            return PeerMessages.LeaderVerdict.REFUSED;
         }
         List<Order> orders = acceptHeartbeat(report, through);
         if (orders == null) {
-            return new PeerMessages.LeaderVerdict.Refused();
+            return PeerMessages.LeaderVerdict.REFUSED;
         }
         return new PeerMessages.LeaderVerdict.Orders(
                 Order.replyBody(leadership.fencingToken(), orders).path("orders"));
--- a/src/main/java/io/pepperfield/controller/PeerMessageReceiver.java
+++ b/src/main/java/io/pepperfield/controller/PeerMessageReceiver.java
@@ -57,7 +57,7 @@
                 token,
                 message.incarnation(),
                 message.orders(),
-                heartbeatForwarder::heard);
+                heartbeatForwarder::addDirectOrderReply);
     }
 
     @Override
--- a/src/main/java/io/pepperfield/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/io/pepperfield/heartbeat/HeartbeatHandler.java
@@ -215,7 +215,7 @@
             ObjectNode body = Json.object().put("epoch", forwarder.fencingToken().value());
             body.set("orders", orders.orders());
             answer.accept(HttpReply.json(200, body));
-        } else if (verdict == null) {
+        } else if (verdict instanceof PeerMessages.LeaderVerdict.Unreachable) {
             renewLeaseWithoutLeader(report, answer);
         } else {
             answer.accept(HttpReply.error(503, "an old report"));
--- a/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
+++ b/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
@@ -13,6 +13,7 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.UUID;
 import java.util.function.Consumer;
@@ -27,9 +28,7 @@
     /** Workers wait so long for an answer. */
     private static final double WORKER_TIMEOUT_S = 4;
 
-    /**
-     * A report of a worker that waits for its answer; null verdicts mean that no leader answered.
-     */
+    /** A worker's heartbeat that waits for its verdict. */
     private static final class PendingHeartbeat {
         final Heartbeat heartbeat;
         final byte[] encoded;
@@ -49,7 +48,7 @@
     private final double heartbeatIntervalS;
     private final String incarnation = UUID.randomUUID().toString();
     private final ArrayDeque<PendingHeartbeat> pending = new ArrayDeque<>();
-    private final ArrayDeque<byte[]> heard = new ArrayDeque<>();
+    private final ArrayDeque<byte[]> directOrderReplies = new ArrayDeque<>();
     private final ArrayDeque<String> cachedToSend = new ArrayDeque<>();
     private final HeartbeatCache cache;
     private Settings.Member leader;
@@ -74,7 +73,7 @@
      * Who leads, as this node knows it; another node than before has none of this part's reports
      * yet.
      */
-    public void leader(String node) {
+    public void leaderChanged(String node) {
         if (leader != null && leader.node().equals(node) || leader == null && node.isEmpty()) {
             return;
         }
@@ -147,16 +146,16 @@
     }
 
     /**
-     * Passes a worker's report on; called back with the leader's word, or with null where there is
-     * none.
+     * Forwards a worker's heartbeat; called back once, with the leader's verdict or {@link
+     * LeaderVerdict#UNREACHABLE}.
      */
     public void submit(Heartbeat report, byte[] raw, Consumer<LeaderVerdict> done) {
         pending.add(new PendingHeartbeat(report, raw, done));
     }
 
-    /** A worker's answer to direct orders, for the leader. */
-    public void heard(byte[] raw) {
-        heard.add(raw);
+    /** A worker's reply to direct orders, for the leader. */
+    public void addDirectOrderReply(byte[] encoded) {
+        directOrderReplies.add(encoded);
     }
 
     /** To be called at the end of each batch of commands, and often otherwise. */
@@ -164,10 +163,11 @@
         double now = loop.now();
         if (leader == null) {
             failPending();
-            heard.clear();
+            directOrderReplies.clear();
             return;
         }
-        boolean news = !pending.isEmpty() || !heard.isEmpty() || !cachedToSend.isEmpty();
+        boolean news =
+                !pending.isEmpty() || !directOrderReplies.isEmpty() || !cachedToSend.isEmpty();
         // Spaced, so that what comes from many workers costs the leader few messages; a word now
         // and then shows that
         // this node is there.
@@ -179,7 +179,7 @@
 
     private void failPending() {
         while (!pending.isEmpty()) {
-            pending.poll().onVerdict.accept(null);
+            pending.poll().onVerdict.accept(LeaderVerdict.UNREACHABLE);
         }
     }
 
@@ -189,8 +189,8 @@
         HeartbeatBatchBuilder message =
                 new HeartbeatBatchBuilder(settings.node(), incarnation, ++sequence, fencingToken);
         List<PendingHeartbeat> batch = addHeartbeats(message);
-        while (!heard.isEmpty() && message.hasRoom()) {
-            message.addDirectOrderReply(heard.poll());
+        while (!directOrderReplies.isEmpty() && message.hasRoom()) {
+            message.addDirectOrderReply(directOrderReplies.poll());
         }
         addCached(message, now);
         Settings.Member to = leader;
@@ -201,7 +201,7 @@
                 to.address().port(),
                 1,
                 "POST",
-                "/peer/relay",
+                Peers.HEARTBEATS_PATH,
                 message.write(),
                 Math.round(1000 * Math.min(heartbeatIntervalS / 2, WORKER_TIMEOUT_S / 3)),
                 outcome -> loop.post(() -> replyReceived(to, now, batch, outcome)));
@@ -234,33 +234,34 @@
     private void replyReceived(
             Settings.Member from, double sent, List<PendingHeartbeat> batch, HttpOutcome outcome) {
         requestInFlight = false;
-        HeartbeatBatchReply answer = parseReply(outcome, batch.size());
-        if (answer == null || from != leader) {
+        Optional<HeartbeatBatchReply> parsed = parseReply(outcome, batch.size());
+        if (parsed.isEmpty() || from != leader) {
             batch.forEach(this::fail);
             return;
         }
-        fencingToken = FencingToken.newest(fencingToken, answer.fencingToken());
-        partitionOwners = answer.partitionOwners();
+        HeartbeatBatchReply reply = parsed.get();
+        fencingToken = FencingToken.newest(fencingToken, reply.fencingToken());
+        partitionOwners = reply.partitionOwners();
         leaderReachable = true;
         leaderAnsweredAt = Math.max(leaderAnsweredAt, sent);
-        double knownUpTo = sent - answer.stateContactAgeS();
+        double knownUpTo = sent - reply.stateContactAgeS();
         for (int i = 0; i < batch.size(); i++) {
-            applyVerdict(batch.get(i), answer.verdicts().get(i), knownUpTo);
+            applyVerdict(batch.get(i), reply.verdicts().get(i), knownUpTo);
         }
         cache.evictOlderThan(
                 loop.now() - settings.deployment().workerTimings().cancellationDeadlineS());
     }
 
-    private static HeartbeatBatchReply parseReply(HttpOutcome outcome, int reports) {
+    private static Optional<HeartbeatBatchReply> parseReply(HttpOutcome outcome, int heartbeats) {
         if (outcome instanceof HttpOutcome.Answered answered && answered.status() == 200) {
-            return PeerMessages.readBatchReply(answered.json(), reports);
+            return PeerMessages.readBatchReply(answered.json(), heartbeats);
         }
-        return null;
+        return Optional.empty();
     }
 
     private void fail(PendingHeartbeat report) {
         cache.markNotForwarded(report.heartbeat.machine());
-        report.onVerdict.accept(null);
+        report.onVerdict.accept(LeaderVerdict.UNREACHABLE);
     }
 
     private void applyVerdict(PendingHeartbeat report, LeaderVerdict verdict, double knownUpTo) {
--- a/src/main/java/io/pepperfield/peer/PeerMessages.java
+++ b/src/main/java/io/pepperfield/peer/PeerMessages.java
@@ -11,6 +11,7 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
 
@@ -55,16 +56,28 @@
             List<Heartbeat> directOrderReplies,
             List<CachedHeartbeat> cachedHeartbeats) {}
 
-    /** The leader's answer to one report. */
+    /** The leader's verdict on one heartbeat. */
     public sealed interface LeaderVerdict {
+        /** The verdict on a late copy, or on a machine that was returned. */
+        LeaderVerdict REFUSED = new Refused();
+
+        /** The verdict on a repeated heartbeat of which the leader lacks the earlier one. */
+        LeaderVerdict FULL_HEARTBEAT_REQUIRED = new FullHeartbeatRequired();
+
+        /** The outcome where no leader answered. */
+        LeaderVerdict UNREACHABLE = new Unreachable();
+
         /** To be answered with these orders. */
         record Orders(JsonNode orders) implements LeaderVerdict {}
 
         /** A late copy, or of a machine that was returned. */
         record Refused() implements LeaderVerdict {}
 
-        /** The leader lacks the report that a short one repeats. */
+        /** The leader lacks the heartbeat that a short one repeats. */
         record FullHeartbeatRequired() implements LeaderVerdict {}
+
+        /** No leader answered; known to the sender only and never part of a message. */
+        record Unreachable() implements LeaderVerdict {}
     }
 
     /** The leader's answer to a batch, with one verdict for each of its reports. */
@@ -77,6 +90,8 @@
     /** Orders that a partition owner is to hand to a worker at once. */
     public record DirectOrderMessage(String address, long incarnation, JsonNode orders) {}
 
+    private static final String FULL_HEARTBEAT_WORD = "whole";
+
     private PeerMessages() {}
 
     /**
@@ -89,19 +104,19 @@
                 new String(plain ? report : Json.write(Json.read(report)), StandardCharsets.UTF_8));
     }
 
-    /** Null where the message is not one of this version's: it is refused whole. */
-    public static HeartbeatBatch readBatch(JsonNode message) {
+    /** Empty where the message is not one of this version's: it is refused whole. */
+    public static Optional<HeartbeatBatch> readBatch(JsonNode message) {
         if (!message.path("node").isTextual()
                 || !message.path("life").isTextual()
                 || !message.path("seq").isIntegralNumber()
                 || !message.path("epoch").isIntegralNumber()
                 || !message.path("beats").isArray()) {
-            return null;
+            return Optional.empty();
         }
-        List<ForwardedHeartbeat> beats = new ArrayList<>();
+        List<ForwardedHeartbeat> heartbeats = new ArrayList<>();
         for (JsonNode beat : message.path("beats")) {
             if (beat.isArray() && beat.size() == 5) {
-                beats.add(
+                heartbeats.add(
                         new ForwardedHeartbeat.Repeated(
                                 beat.path(0).asText(),
                                 beat.path(1).asLong(),
@@ -111,35 +126,43 @@
             } else {
                 Heartbeat report = Heartbeat.parse(beat);
                 if (report == null) {
-                    return null;
+                    return Optional.empty();
                 }
-                beats.add(new ForwardedHeartbeat.Full(report));
+                heartbeats.add(new ForwardedHeartbeat.Full(report));
             }
         }
-        List<Heartbeat> heard = new ArrayList<>();
-        for (JsonNode report : message.path("heard")) {
-            Heartbeat read = Heartbeat.parse(report);
-            if (read != null) {
-                heard.add(read);
+        return Optional.of(
+                new HeartbeatBatch(
+                        message.path("node").textValue(),
+                        message.path("life").textValue(),
+                        message.path("seq").longValue(),
+                        new FencingToken(message.path("epoch").longValue()),
+                        heartbeats,
+                        readDirectOrderReplies(message),
+                        readCachedHeartbeats(message)));
+    }
+
+    private static List<Heartbeat> readDirectOrderReplies(JsonNode message) {
+        List<Heartbeat> replies = new ArrayList<>();
+        for (JsonNode item : message.path("heard")) {
+            Heartbeat reply = Heartbeat.parse(item);
+            if (reply != null) {
+                replies.add(reply);
             }
         }
-        List<CachedHeartbeat> kept = new ArrayList<>();
+        return replies;
+    }
+
+    private static List<CachedHeartbeat> readCachedHeartbeats(JsonNode message) {
+        List<CachedHeartbeat> cached = new ArrayList<>();
         for (JsonNode item : message.path("kept")) {
-            Heartbeat read = Heartbeat.parse(item.path("report"));
-            if (read != null) {
-                kept.add(
-                        new CachedHeartbeat(
-                                read, Math.max(0, item.path("ageMs").asLong() / 1000.0)));
+            Heartbeat heartbeat = Heartbeat.parse(item.path("report"));
+            if (heartbeat != null) {
+                double ageS = item.path("ageMs").asLong() / 1000.0;
+                cached.add(new CachedHeartbeat(heartbeat, Math.max(0, ageS)));
             }
         }
-        return new HeartbeatBatch(
-                message.path("node").textValue(),
-                message.path("life").textValue(),
-                message.path("seq").longValue(),
-                new FencingToken(message.path("epoch").longValue()),
-                beats,
-                heard,
-                kept);
+        return cached;
     }
 
     /** Encodes the answer to a batch. */
@@ -161,36 +184,41 @@
             } else {
                 answers.add(
                         verdict instanceof LeaderVerdict.FullHeartbeatRequired
-                                ? "whole"
+                                ? FULL_HEARTBEAT_WORD
                                 : "refused");
             }
         }
         return Json.write(node);
     }
 
-    /** Null where the message is not an answer to that many reports. */
-    static HeartbeatBatchReply readBatchReply(JsonNode message, int beats) {
+    /** Empty where the message is not a reply to that many heartbeats. */
+    static Optional<HeartbeatBatchReply> readBatchReply(JsonNode message, int heartbeats) {
         if (!message.path("epoch").isIntegralNumber()
                 || !message.path("contactAgoMs").isNumber()
-                || message.path("answers").size() != beats) {
-            return null;
+                || message.path("answers").size() != heartbeats) {
+            return Optional.empty();
         }
-        Set<String> live = new TreeSet<>();
-        message.path("live").forEach(name -> live.add(name.asText()));
+        Set<String> partitionOwners = new TreeSet<>();
+        message.path("live").forEach(name -> partitionOwners.add(name.asText()));
         List<LeaderVerdict> verdicts = new ArrayList<>();
         for (JsonNode answer : message.path("answers")) {
-            verdicts.add(
-                    answer.isArray()
-                            ? new LeaderVerdict.Orders(answer)
-                            : answer.asText().equals("whole")
-                                    ? new LeaderVerdict.FullHeartbeatRequired()
-                                    : new LeaderVerdict.Refused());
+            verdicts.add(readVerdict(answer));
+        }
+        return Optional.of(
+                new HeartbeatBatchReply(
+                        new FencingToken(message.path("epoch").longValue()),
+                        message.path("contactAgoMs").doubleValue() / 1000,
+                        partitionOwners,
+                        verdicts));
+    }
+
+    private static LeaderVerdict readVerdict(JsonNode verdict) {
+        if (verdict.isArray()) {
+            return new LeaderVerdict.Orders(verdict);
         }
-        return new HeartbeatBatchReply(
-                new FencingToken(message.path("epoch").longValue()),
-                message.path("contactAgoMs").doubleValue() / 1000,
-                live,
-                verdicts);
+        return verdict.asText().equals(FULL_HEARTBEAT_WORD)
+                ? LeaderVerdict.FULL_HEARTBEAT_REQUIRED
+                : LeaderVerdict.REFUSED;
     }
 
     static byte[] writeCancelledJobs(List<String> ids) {
--- a/src/main/java/io/pepperfield/peer/Peers.java
+++ b/src/main/java/io/pepperfield/peer/Peers.java
@@ -12,6 +12,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 
 /**
@@ -46,6 +47,16 @@
         ISOLATED
     }
 
+    /** Where a partition owner sends the heartbeats of its partition. */
+    static final String HEARTBEATS_PATH = "/peer/relay";
+
+    private static final String CONTACT_PATH = "/peer/contact";
+    private static final String ORDERS_PATH = "/peer/orders";
+    private static final String CANCELLED_PATH = "/peer/cancelled";
+
+    /** Reported where the store has never been reached, so that the number stays exact. */
+    private static final double MAX_CONTACT_AGO_S = 1e9;
+
     private final Loop loop;
     private final Settings settings;
     private final HttpSender client;
@@ -67,8 +78,8 @@
     }
 
     /** Sets what receives the other nodes' messages; called once, before the first message. */
-    public void handler(Handler of) {
-        handler = of;
+    public void setHandler(Handler receiver) {
+        handler = receiver;
     }
 
     /**
@@ -91,7 +102,7 @@
                     member.address().port(),
                     2,
                     "GET",
-                    "/peer/contact",
+                    CONTACT_PATH,
                     null,
                     Math.round(heartbeatIntervalS * 500),
                     outcome -> loop.post(() -> contactReceived(member.node(), now, outcome)));
@@ -136,7 +147,7 @@
                 owner.address().port(),
                 2,
                 "POST",
-                "/peer/orders",
+                ORDERS_PATH,
                 PeerMessages.writeDirectOrders(orderToken, messages),
                 Math.round(heartbeatIntervalS * 500),
                 outcome -> {});
@@ -154,7 +165,7 @@
                     member.address().port(),
                     2,
                     "POST",
-                    "/peer/cancelled",
+                    CANCELLED_PATH,
                     body,
                     Math.round(heartbeatIntervalS * 500),
                     outcome -> {});
@@ -187,45 +198,52 @@
     /** Takes another node's message. */
     public void handle(InboundRequest call, Consumer<HttpReply> answer) {
         switch (call.method() + " " + call.path()) {
-            case "GET /peer/contact" -> {
-                double ago = Math.min(1e9, loop.now() - ownConfirmedAt);
-                answer.accept(
-                        HttpReply.json(
-                                200,
-                                Json.object()
-                                        .put("contactAgoMs", Math.round(ago * 1000))
-                                        .put("epoch", fencingToken.value())));
-            }
-            case "POST /peer/relay" -> {
-                PeerMessages.HeartbeatBatch batch = PeerMessages.readBatch(Json.read(call.body()));
-                if (batch == null) {
-                    answer.accept(HttpReply.error(400, "not a message of this version"));
-                } else {
-                    handler.heartbeatBatchReceived(batch, answer);
-                }
-            }
-            case "POST /peer/orders" -> {
-                JsonNode body = Json.read(call.body());
-                PeerMessages.readDirectOrders(body)
-                        .forEach(
-                                message ->
-                                        handler.directOrdersReceived(
-                                                new FencingToken(body.path("epoch").longValue()),
-                                                message));
+            case "GET " + CONTACT_PATH -> answer.accept(describeContact());
+            case "POST " + HEARTBEATS_PATH -> handleHeartbeats(call, answer);
+            case "POST " + ORDERS_PATH -> {
+                handleDirectOrders(Json.read(call.body()));
                 answer.accept(HttpReply.empty(200));
             }
-            case "POST /peer/cancelled" -> {
+            case "POST " + CANCELLED_PATH -> {
                 handler.jobsCancelled(PeerMessages.readCancelledJobs(Json.read(call.body())));
                 answer.accept(HttpReply.empty(200));
             }
-            default -> {
-                Endpoint service = call.method().equals("POST") ? endpoints.get(call.path()) : null;
-                if (service == null) {
-                    answer.accept(HttpReply.error(404, "no such path"));
-                } else {
-                    service.handle(call, answer);
-                }
-            }
+            default -> handleAtEndpoint(call, answer);
+        }
+    }
+
+    private HttpReply describeContact() {
+        double contactAgoS = Math.min(MAX_CONTACT_AGO_S, loop.now() - ownConfirmedAt);
+        return HttpReply.json(
+                200,
+                Json.object()
+                        .put("contactAgoMs", Math.round(contactAgoS * 1000))
+                        .put("epoch", fencingToken.value()));
+    }
+
+    private void handleHeartbeats(InboundRequest call, Consumer<HttpReply> answer) {
+        Optional<PeerMessages.HeartbeatBatch> batch =
+                PeerMessages.readBatch(Json.read(call.body()));
+        if (batch.isEmpty()) {
+            answer.accept(HttpReply.error(400, "not a message of this version"));
+        } else {
+            handler.heartbeatBatchReceived(batch.get(), answer);
+        }
+    }
+
+    private void handleDirectOrders(JsonNode body) {
+        FencingToken orderToken = new FencingToken(body.path("epoch").longValue());
+        for (PeerMessages.DirectOrderMessage message : PeerMessages.readDirectOrders(body)) {
+            handler.directOrdersReceived(orderToken, message);
+        }
+    }
+
+    private void handleAtEndpoint(InboundRequest call, Consumer<HttpReply> answer) {
+        Endpoint endpoint = call.method().equals("POST") ? endpoints.get(call.path()) : null;
+        if (endpoint == null) {
+            answer.accept(HttpReply.error(404, "no such path"));
+        } else {
+            endpoint.handle(call, answer);
         }
     }
 }
--- a/src/test/java/io/pepperfield/peer/PartitionsTest.java
+++ b/src/test/java/io/pepperfield/peer/PartitionsTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pepperfield.http.Json;
@@ -10,6 +9,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
@@ -49,6 +49,7 @@
         assertEquals(
                 1,
                 PeerMessages.readBatch(Json.read(good.getBytes(StandardCharsets.UTF_8)))
+                        .orElseThrow()
                         .heartbeats()
                         .size());
         for (String bad :
@@ -60,8 +61,10 @@
                         good.replace("1,2,3,7", "1,2"),
                         good.replace("\"seq\":1", "\"seq\":\"1\""),
                         good.substring(0, 40))) {
-            assertNull(
-                    PeerMessages.readBatch(Json.read(bad.getBytes(StandardCharsets.UTF_8))), bad);
+            assertEquals(
+                    Optional.empty(),
+                    PeerMessages.readBatch(Json.read(bad.getBytes(StandardCharsets.UTF_8))),
+                    bad);
         }
     }
 
--- a/src/test/java/io/pepperfield/peer/PeerForms.java
+++ b/src/test/java/io/pepperfield/peer/PeerForms.java
@@ -39,13 +39,16 @@
         this.file = file;
         sender = new RecordingSender(file);
         peers = new Peers(loop, SETTINGS, sender);
-        peers.handler(this);
+        peers.setHandler(this);
     }
 
     /** Adds them. */
     public static void write(FormFile file) {
         byte[] batch = batch();
-        file.addRead("batch", Json.read(batch), form -> told(PeerMessages.readBatch(form)));
+        file.addRead(
+                "batch",
+                Json.read(batch),
+                form -> PeerMessages.readBatch(form).map(PeerForms::told).orElse("refused"));
         List<LeaderVerdict> verdicts =
                 List.of(
                         new LeaderVerdict.Orders(
@@ -94,9 +97,6 @@
     }
 
     private static String told(HeartbeatBatch batch) {
-        if (batch == null) {
-            return "refused";
-        }
         StringBuilder told =
                 new StringBuilder(
                         String.join(
@@ -135,15 +135,16 @@
     }
 
     private static String rewriteAnswer(JsonNode form) {
-        HeartbeatBatchReply answer = PeerMessages.readBatchReply(form, 3);
-        return answer == null
-                ? null
-                : text(
-                        PeerMessages.writeBatchReply(
-                                answer.fencingToken(),
-                                answer.stateContactAgeS(),
-                                answer.partitionOwners(),
-                                answer.verdicts()));
+        return PeerMessages.readBatchReply(form, 3).map(PeerForms::text).orElse(null);
+    }
+
+    private static String text(HeartbeatBatchReply answer) {
+        return text(
+                PeerMessages.writeBatchReply(
+                        answer.fencingToken(),
+                        answer.stateContactAgeS(),
+                        answer.partitionOwners(),
+                        answer.verdicts()));
     }
 
     private static String text(byte[] form) {
@@ -171,7 +172,7 @@
                                         "batch to the leader",
                                         method + " " + path + " " + withoutProcess(body)),
                         SETTINGS);
-        forwarder.leader("node-1");
+        forwarder.leaderChanged("node-1");
         byte[] report = WorkerForms.report();
         forwarder.submit(Heartbeat.parse(Json.read(report)), report, verdict -> {});
         forwarder.flush();
--- a/src/test/java/io/pepperfield/peer/VersionsTest.java
+++ b/src/test/java/io/pepperfield/peer/VersionsTest.java
@@ -96,7 +96,7 @@
             }
             case "leader" -> leader(said);
             case "relay" -> {
-                PeerMessages.HeartbeatBatch batch = PeerMessages.readBatch(said);
+                PeerMessages.HeartbeatBatch batch = PeerMessages.readBatch(said).orElseThrow();
                 yield List.of(
                         batch.sender()
                                 + " "
@@ -106,7 +106,8 @@
                                 + " kept");
             }
             case "answer" -> {
-                PeerMessages.HeartbeatBatchReply answer = PeerMessages.readBatchReply(said, 3);
+                PeerMessages.HeartbeatBatchReply answer =
+                        PeerMessages.readBatchReply(said, 3).orElseThrow();
                 yield told(
                         answer.fencingToken()
                                 + " "
