--- a/src/main/java/io/pepperfield/controller/Controller.java
+++ b/src/main/java/io/pepperfield/controller/Controller.java
@@ -13,6 +13,7 @@
 import io.pepperfield.health.LeaseRenewal;
 import io.pepperfield.health.MembershipLog;
 import io.pepperfield.health.PauseDetector;
+import io.pepperfield.heartbeat.ClusterLinks;
 import io.pepperfield.heartbeat.HeartbeatHandler;
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.InboundRequest;
@@ -159,10 +160,7 @@
                 new HeartbeatHandler(
                         loop,
                         settings,
-                        leadership,
-                        forwarder,
-                        peers,
-                        synchronizer,
+                        new ClusterLinks(leadership, synchronizer, forwarder, peers),
                         membership,
                         leaseRenewal,
                         pauseDetector);
@@ -187,7 +185,7 @@
                         leadership,
                         synchronizer,
                         membership,
-                        heartbeatHandler,
+                        heartbeatHandler.partitions(),
                         admission);
         this.router =
                 new RequestRouter(
@@ -403,7 +401,7 @@
             LOG.info(
                     "{}, partitions of {}",
                     leader.overview().summary(),
-                    heartbeatHandler.partitionOwners(now));
+                    heartbeatHandler.partitions().owners(now));
         }
     }
 
@@ -474,7 +472,7 @@
                         cloud,
                         machineTypes,
                         leaseRenewal);
-        heartbeatHandler.setLeader(leader);
+        heartbeatHandler.leadershipBegins(leader);
         leader.recoverState();
         heartbeatForwarder.cachedHeartbeats(loop.now()).forEach(leader::restoreCachedHeartbeat);
     }
@@ -499,7 +497,7 @@
         if (leader != null) {
             leader.stop();
             leader = null;
-            heartbeatHandler.setLeader(null);
+            heartbeatHandler.leadershipEnds();
         }
         writer.reset();
     }
--- a/src/main/java/io/pepperfield/controller/Leader.java
+++ b/src/main/java/io/pepperfield/controller/Leader.java
@@ -35,6 +35,7 @@
 import io.pepperfield.store.Keys;
 import io.pepperfield.store.Replica;
 import java.util.List;
+import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -209,16 +210,18 @@
     // ---- reports
 
     @Override
-    public List<Order> acceptHeartbeat(Heartbeat report, String through) {
+    public Optional<List<Order>> acceptHeartbeat(Heartbeat report, String through) {
         double now = loop.now();
         fleet.suspendStarts(!isStateFresh(now));
         List<Order> orders = fleet.handleHeartbeat(report, now);
         if (orders == null) {
-            return null;
+            return Optional.empty();
         }
         Machine machine = fleet.get(report.machine());
         machine.setReportingController(through);
-        return leaseRenewal.mayRenew(cancellationWatermark(machine), now) ? orders : null;
+        return leaseRenewal.mayRenew(cancellationWatermark(machine), now)
+                ? Optional.of(orders)
+                : Optional.empty();
     }
 
     /**
@@ -252,12 +255,12 @@
             leadership.observeFencingToken(report.fencingToken());
             return PeerMessages.LeaderVerdict.REFUSED;
         }
-        List<Order> orders = acceptHeartbeat(report, through);
-        if (orders == null) {
+        Optional<List<Order>> orders = acceptHeartbeat(report, through);
+        if (orders.isEmpty()) {
             return PeerMessages.LeaderVerdict.REFUSED;
         }
         return new PeerMessages.LeaderVerdict.Orders(
-                Order.replyBody(leadership.fencingToken(), orders).path("orders"));
+                Order.replyBody(leadership.fencingToken(), orders.get()).path("orders"));
     }
 
     /** The report itself, or null where it only names one before that is not known here. */
--- a/src/main/java/io/pepperfield/heartbeat/LeaderHeartbeats.java
+++ b/src/main/java/io/pepperfield/heartbeat/LeaderHeartbeats.java
@@ -4,25 +4,27 @@
 import io.pepperfield.fleet.Order;
 import io.pepperfield.peer.PeerMessages;
 import java.util.List;
+import java.util.Optional;
 
 /** What the leader does with heartbeats, whichever controller a worker has sent them to. */
 public interface LeaderHeartbeats {
 
     /**
-     * Takes a worker's report.
+     * Takes a worker's heartbeat.
      *
-     * @param through the controller that forwarded it, or empty where the worker sent it here
-     * @return the orders that answer it, or null where it must not be answered with 200
+     * @param reportingController the controller that forwarded it, or empty where the worker sent
+     *     it here
+     * @return the orders that answer it; empty where it is refused
      */
-    List<Order> acceptHeartbeat(Heartbeat report, String through);
+    Optional<List<Order>> acceptHeartbeat(Heartbeat heartbeat, String reportingController);
 
-    /** Takes a report that another controller has passed on, and gives the answer for it. */
+    /** Takes a heartbeat that another controller has forwarded, and gives the verdict on it. */
     PeerMessages.LeaderVerdict acceptForwardedHeartbeat(
-            PeerMessages.ForwardedHeartbeat beat, String through);
+            PeerMessages.ForwardedHeartbeat forwarded, String reportingController);
 
-    /** Takes a worker's answer to direct orders. */
-    void directOrderReplyReceived(Heartbeat report);
+    /** Takes a worker's reply to direct orders. */
+    void directOrderReplyReceived(Heartbeat heartbeat);
 
-    /** Takes what another controller remembers of a machine. */
-    void restoreCachedHeartbeat(PeerMessages.CachedHeartbeat kept);
+    /** Takes a heartbeat that another controller answered before this leader was elected. */
+    void restoreCachedHeartbeat(PeerMessages.CachedHeartbeat cached);
 }
--- a/src/main/java/io/pepperfield/heartbeat/LogOnce.java
+++ b/src/main/java/io/pepperfield/heartbeat/LogOnce.java
@@ -5,22 +5,22 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * Says of each sender and fault once what is wrong with its messages: a broken one sends thousands.
- */
+/** Logs each fault of a sender's messages once: a broken sender repeats it thousands of times. */
 final class LogOnce {
 
     private static final Logger LOG = LoggerFactory.getLogger(LogOnce.class);
+
+    /** Bounds the memory; whatever comes after so many is not logged. */
     private static final int MAX_ENTRIES = 10_000;
 
     private final Set<String> logged = new HashSet<>();
 
-    /** True where it had not been said before. */
+    /** Logs the fault; returns whether it had not been logged before. */
     boolean warn(String sender, String fault) {
         if (logged.size() >= MAX_ENTRIES || !logged.add(sender + ": " + fault)) {
             return false;
         }
-        LOG.warn("{}: {}; not said again", sender, fault);
+        LOG.warn("bad message: sender={} fault=\"{}\" (logged once)", sender, fault);
         return true;
     }
 }
--- /dev/null
+++ b/src/main/java/io/pepperfield/heartbeat/PartitionOwnerRole.java
@@ -0,0 +1,66 @@
+package io.pepperfield.heartbeat;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pepperfield.fleet.Heartbeat;
+import io.pepperfield.health.PauseDetector;
+import io.pepperfield.http.Json;
+import io.pepperfield.peer.HeartbeatForwarder;
+import io.pepperfield.peer.PeerMessages.LeaderVerdict;
+import java.util.Optional;
+import java.util.function.Consumer;
+
+/** Answers the heartbeats of this controller's partition with the verdicts of another leader. */
+final class PartitionOwnerRole {
+
+    private final HeartbeatForwarder forwarder;
+    private final PauseDetector pauseDetector;
+    private final MisroutedMachines misroutedMachines;
+    private final LeaderlessRole leaderlessRole;
+
+    PartitionOwnerRole(
+            HeartbeatForwarder forwarder,
+            PauseDetector pauseDetector,
+            MisroutedMachines misroutedMachines,
+            LeaderlessRole leaderlessRole) {
+        this.forwarder = forwarder;
+        this.pauseDetector = pauseDetector;
+        this.misroutedMachines = misroutedMachines;
+        this.leaderlessRole = leaderlessRole;
+    }
+
+    /** Whether a leader answers what this controller forwards. */
+    boolean isActive(double now) {
+        return forwarder.leaderReachable(now);
+    }
+
+    /**
+     * @param encoded the heartbeat as it came
+     * @param done called once, perhaps later, on the event loop
+     */
+    void answer(Heartbeat heartbeat, byte[] encoded, double now, Consumer<HeartbeatVerdict> done) {
+        Optional<String> owner =
+                misroutedMachines.redirect(heartbeat.machine(), forwarder.partitionOwners(), now);
+        if (owner.isPresent()) {
+            done.accept(new HeartbeatVerdict.Redirected(owner.get()));
+            return;
+        }
+        forwarder.submit(
+                heartbeat, encoded, verdict -> done.accept(fromLeader(heartbeat, verdict)));
+    }
+
+    private HeartbeatVerdict fromLeader(Heartbeat heartbeat, LeaderVerdict verdict) {
+        if (pauseDetector.checkStale()) {
+            return HeartbeatVerdict.Refused.PROCESS_PAUSED;
+        }
+        if (verdict instanceof LeaderVerdict.Orders orders
+                && forwarder.fencingToken().isAtLeast(heartbeat.fencingToken())) {
+            ObjectNode body = Json.object().put("epoch", forwarder.fencingToken().value());
+            body.set("orders", orders.orders());
+            return new HeartbeatVerdict.Accepted(body);
+        }
+        if (verdict instanceof LeaderVerdict.Unreachable) {
+            return leaderlessRole.renewLease(heartbeat);
+        }
+        return HeartbeatVerdict.Refused.OUTDATED_HEARTBEAT;
+    }
+}
--- a/src/main/java/io/pepperfield/overview/ControllerOverview.java
+++ b/src/main/java/io/pepperfield/overview/ControllerOverview.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.admission.Admission;
 import io.pepperfield.config.Settings;
-import io.pepperfield.heartbeat.HeartbeatHandler;
+import io.pepperfield.heartbeat.PartitionAssignment;
 import io.pepperfield.http.Json;
 import io.pepperfield.leadership.Leadership;
 import io.pepperfield.peer.Membership;
@@ -18,7 +18,7 @@
     private final Leadership leadership;
     private final ReplicaSynchronizer synchronizer;
     private final Membership membership;
-    private final HeartbeatHandler heartbeatHandler;
+    private final PartitionAssignment partitions;
 
     /** Null where it is switched off. */
     private final Admission admission;
@@ -31,13 +31,13 @@
             Leadership leadership,
             ReplicaSynchronizer sync,
             Membership members,
-            HeartbeatHandler reports,
+            PartitionAssignment partitions,
             Admission admission) {
         this.settings = settings;
         this.leadership = leadership;
         this.synchronizer = sync;
         this.membership = members;
-        this.heartbeatHandler = reports;
+        this.partitions = partitions;
         this.admission = admission;
     }
 
@@ -80,6 +80,6 @@
         if (!membership.liveMembers(now).contains(node)) {
             return "silent";
         }
-        return heartbeatHandler.hasReceiveFailure(node, now) ? "hears no workers" : "takes part";
+        return partitions.hasReceiveFailure(node, now) ? "hears no workers" : "takes part";
     }
 }
