--- a/src/main/java/io/pepperfield/controller/Controller.java
+++ b/src/main/java/io/pepperfield/controller/Controller.java
@@ -472,9 +472,11 @@
                         cloud,
                         machineTypes,
                         leaseRenewal);
-        heartbeatHandler.leadershipBegins(leader);
+        heartbeatHandler.leadershipBegins(leader.heartbeats());
         leader.recoverState();
-        heartbeatForwarder.cachedHeartbeats(loop.now()).forEach(leader::restoreCachedHeartbeat);
+        heartbeatForwarder
+                .cachedHeartbeats(loop.now())
+                .forEach(leader.heartbeats()::restoreCachedHeartbeat);
     }
 
     @Override
--- a/src/main/java/io/pepperfield/controller/Leader.java
+++ b/src/main/java/io/pepperfield/controller/Leader.java
@@ -14,15 +14,11 @@
 import io.pepperfield.config.Settings;
 import io.pepperfield.dispatch.Dispatcher;
 import io.pepperfield.fencing.FencingToken;
-import io.pepperfield.fleet.Attempt;
 import io.pepperfield.fleet.Fleet;
-import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.Machine;
-import io.pepperfield.fleet.Order;
 import io.pepperfield.health.FailureDetector;
 import io.pepperfield.health.LeaseRenewal;
 import io.pepperfield.heartbeat.LeaderHeartbeats;
-import io.pepperfield.jobs.Job;
 import io.pepperfield.leadership.Leadership;
 import io.pepperfield.lifecycle.DirectOrders;
 import io.pepperfield.lifecycle.DurableState;
@@ -30,31 +26,26 @@
 import io.pepperfield.loop.Loop;
 import io.pepperfield.overview.LeaderOverview;
 import io.pepperfield.peer.PartitionOrderRouter;
-import io.pepperfield.peer.PeerMessages;
 import io.pepperfield.store.FencedWriter;
 import io.pepperfield.store.Keys;
 import io.pepperfield.store.Replica;
-import java.util.List;
-import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The leading controller, for as long as one leadership lasts: what runs where, and what is rented.
+ * The leading controller, for as long as one leadership lasts: creates the parts that track jobs,
+ * place tasks, rent machines and detect failures, and calls them in turn. Confined to the event
+ * loop.
  */
-public final class Leader implements Fleet.Listener, LeaderHeartbeats {
+final class Leader {
 
     private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
 
-    /** Of a report period: how old the state service's last answer may be for starts. */
-    private static final double FRESH_INTERVALS = 0.8;
-
     private final Loop loop;
     private final Settings settings;
     private final Leadership leadership;
     private final DurableState durable;
     private final MachineTypes machineTypes;
-    private final LeaseRenewal leaseRenewal;
     private final Fleet fleet;
     private final InstanceLifecycle instanceLifecycle;
     private final JobTracker jobs;
@@ -65,15 +56,19 @@
     private final Dispatcher dispatcher;
     private final Autoscaler autoscaler;
     private final FailureDetector failureDetector;
+    private final QueueCounter queueCounter;
+    private final LeaderHeartbeatProcessor heartbeats;
     private final double heartbeatIntervalS;
     private final double leaseS;
+
+    /** Loop times in seconds. */
     private final double startedAt;
+
     private double fencingTokenRequestedAt;
     private double bootsUpdatedAt = Double.NEGATIVE_INFINITY;
-    private boolean acting;
 
-    /** Null where admission is switched off, and before its first count. */
-    private QueueWaitPredictor queueWaits;
+    /** Whether the machines are known well enough to decide about them. */
+    private boolean acting;
 
     Leader(
             Loop loop,
@@ -82,43 +77,41 @@
             DurableState durable,
             PartitionOrderRouter workers,
             CloudProvider cloud,
-            MachineTypes types,
-            LeaseRenewal renewal) {
+            MachineTypes machineTypes,
+            LeaseRenewal leaseRenewal) {
         this.loop = loop;
         this.settings = settings;
         this.leadership = leadership;
         this.durable = durable;
-        this.machineTypes = types;
-        this.leaseRenewal = renewal;
+        this.machineTypes = machineTypes;
         this.heartbeatIntervalS = settings.deployment().workerTimings().heartbeatIntervalS();
         this.leaseS = settings.deployment().workerTimings().leaseS();
         this.startedAt = loop.now();
         this.fencingTokenRequestedAt = startedAt;
-        this.fleet = new Fleet(this, leadership.fencingToken(), leaseS / 2);
-        this.instanceLifecycle = instanceLifecycle(cloud);
+        FleetEventRouter fleetEvents = new FleetEventRouter(loop);
+        this.fleet = new Fleet(fleetEvents, leadership.fencingToken(), leaseS / 2);
+        this.instanceLifecycle = createInstanceLifecycle(cloud);
+        StoreFreshness storeFreshness =
+                new StoreFreshness(loop, durable.lastConfirmedAt(), heartbeatIntervalS);
         this.directOrders =
-                new DirectOrders(loop, fleet, leadership, workers, () -> isStateFresh(loop.now()));
-        this.jobs =
-                new JobTracker(
-                        loop,
-                        settings,
-                        durable,
-                        leadership.fencingToken(),
-                        fleet,
-                        directOrders,
-                        this::wakeDispatcher);
-        this.cluster = clusterState();
+                new DirectOrders(loop, fleet, leadership, workers, storeFreshness::isFresh);
+        this.jobs = createJobTracker();
+        this.cluster = createClusterState();
         this.dispatcher = new Dispatcher(cluster, jobs);
         this.autoscaler = new Autoscaler(cluster);
+        this.queueCounter = new QueueCounter(loop, jobs.jobs());
         this.overview =
                 new LeaderOverview(cluster, dispatcher, durable.writer(), durable.jobIndex());
         this.failureDetector = new FailureDetector(cluster, dispatcher, workers, jobs);
         this.inventory =
                 new InventoryReconciler(
                         loop, cloud, settings.deployment().cloudLimits(), fleet, instanceLifecycle);
+        this.heartbeats =
+                new LeaderHeartbeatProcessor(loop, fleet, leadership, leaseRenewal, storeFreshness);
+        fleetEvents.connect(jobs, dispatcher, autoscaler, cluster.bootTracker(), queueCounter);
     }
 
-    private InstanceLifecycle instanceLifecycle(CloudProvider cloud) {
+    private InstanceLifecycle createInstanceLifecycle(CloudProvider cloud) {
         return new InstanceLifecycle(
                 loop,
                 cloud,
@@ -130,7 +123,18 @@
                 leadership::holdsValidLease);
     }
 
-    private ClusterState clusterState() {
+    private JobTracker createJobTracker() {
+        return new JobTracker(
+                loop,
+                settings,
+                durable,
+                leadership.fencingToken(),
+                fleet,
+                directOrders,
+                this::wakeDispatcher);
+    }
+
+    private ClusterState createClusterState() {
         return new ClusterState(
                 loop,
                 settings,
@@ -156,15 +160,16 @@
         durable.replica()
                 .forEachWithPrefix(
                         Keys.RENTAL_PREFIX,
-                        (key, data) ->
+                        (key, value) ->
                                 instanceLifecycle.restore(
-                                        key.substring(Keys.RENTAL_PREFIX.length()), data));
+                                        key.substring(Keys.RENTAL_PREFIX.length()), value));
         jobs.restoreAll();
         if (machineTypes.known()) {
             machineTypesReceived();
         }
         LOG.info(
-                "taking over {} jobs, {} attempts, {} machines",
+                "state recovered: fencingToken={} jobs={} attempts={} instances={}",
+                leadership.fencingToken(),
                 jobs.jobs().size(),
                 jobs.liveAttempts().size(),
                 fleet.machines().size());
@@ -184,7 +189,7 @@
         jobs.jobChanged(id);
     }
 
-    /** Keeps the types where a controller that cannot ask the cloud finds them. */
+    /** Stores the machine types for controllers that cannot ask the cloud. */
     void machineTypesReceived() {
         Replica.Entry known = durable.replica().get(Keys.MACHINE_TYPES);
         if (known == null
@@ -199,169 +204,28 @@
         }
     }
 
-    /**
-     * The token was minted anew; orders under the one before are refused by whoever has seen it.
-     */
+    /** Orders under an older token are refused from now on by whoever has seen the new one. */
     void fencingTokenRenewed(FencingToken token) {
         fleet.renewFencingToken(token);
         fencingTokenRequestedAt = loop.now();
     }
 
-    // ---- reports
-
-    @Override
-    public Optional<List<Order>> acceptHeartbeat(Heartbeat report, String through) {
-        double now = loop.now();
-        fleet.suspendStarts(!isStateFresh(now));
-        List<Order> orders = fleet.handleHeartbeat(report, now);
-        if (orders == null) {
-            return Optional.empty();
-        }
-        Machine machine = fleet.get(report.machine());
-        machine.setReportingController(through);
-        return leaseRenewal.mayRenew(cancellationWatermark(machine), now)
-                ? Optional.of(orders)
-                : Optional.empty();
-    }
-
-    /**
-     * Up to when all cancellations are settled on a machine whose report is being answered. A run
-     * order on its way, whose job was cancelled since, could begin after the last stop that this
-     * leader can give.
-     */
-    private double cancellationWatermark(Machine machine) {
-        return fleet.cancelledAttemptsThatMayStart(machine).stream()
-                .mapToDouble(attempt -> attempt.job.lastKnownOpenAt())
-                .min()
-                .orElse(Double.POSITIVE_INFINITY);
-    }
-
-    /**
-     * Whether the state service has answered of late: a follow is held for half a period, and as
-     * much again is not the ordinary case.
-     */
-    private boolean isStateFresh(double now) {
-        return now - durable.lastConfirmedAt().getAsDouble() < FRESH_INTERVALS * heartbeatIntervalS;
-    }
-
-    @Override
-    public PeerMessages.LeaderVerdict acceptForwardedHeartbeat(
-            PeerMessages.ForwardedHeartbeat beat, String through) {
-        Heartbeat report = fullHeartbeat(beat);
-        if (report == null) {
-            return PeerMessages.LeaderVerdict.FULL_HEARTBEAT_REQUIRED;
-        }
-        if (report.fencingToken().isNewerThan(leadership.fencingToken())) {
-            leadership.observeFencingToken(report.fencingToken());
-            return PeerMessages.LeaderVerdict.REFUSED;
-        }
-        Optional<List<Order>> orders = acceptHeartbeat(report, through);
-        if (orders.isEmpty()) {
-            return PeerMessages.LeaderVerdict.REFUSED;
-        }
-        return new PeerMessages.LeaderVerdict.Orders(
-                Order.replyBody(leadership.fencingToken(), orders.get()).path("orders"));
-    }
-
-    /** The report itself, or null where it only names one before that is not known here. */
-    private Heartbeat fullHeartbeat(PeerMessages.ForwardedHeartbeat beat) {
-        if (beat instanceof PeerMessages.ForwardedHeartbeat.Repeated same) {
-            return fleet.expandRepeatedHeartbeat(
-                    same.machine(),
-                    same.incarnation(),
-                    same.baseSerial(),
-                    same.serial(),
-                    same.fencingToken());
-        }
-        return ((PeerMessages.ForwardedHeartbeat.Full) beat).heartbeat();
-    }
-
-    @Override
-    public void directOrderReplyReceived(Heartbeat report) {
-        fleet.handleDirectResponse(report, loop.now());
-    }
-
-    @Override
-    public void restoreCachedHeartbeat(PeerMessages.CachedHeartbeat kept) {
-        fleet.handleCachedHeartbeat(kept.heartbeat(), loop.now() - kept.ageS());
-    }
-
-    /** Counts what waits of each team, for admission. */
-    void countQueuedTasks(QueueWaitPredictor queues) {
-        queueWaits = queues;
-        double now = loop.now();
-        queues.beginRecount();
-        for (Job job : jobs.jobs().values()) {
-            // What waits for other jobs, or fails wherever it is tried, says nothing about the
-            // queue.
-            if (job.finalStatus() == null
-                    && !job.isAwaitingDependencies()
-                    && !job.isCrashLooping()) {
-                int waiting = job.pendingTaskCount();
-                if (waiting > 0) {
-                    queues.addWaiting(
-                            job.spec.team(),
-                            job.effectiveSpec().priority(),
-                            waiting,
-                            now - job.readyAt());
-                }
-            }
-        }
-        queues.finishRecount(now);
-    }
-
-    // ---- events in the fleet
-
-    @Override
-    public void attemptStarted(Attempt attempt) {
-        if (queueWaits != null) {
-            queueWaits.recordStart(attempt.job.spec.team(), attempt.job.effectiveSpec().priority());
-        }
-        if (LOG.isDebugEnabled()) {
-            LOG.debug(
-                    "{} ({}) attempt {} runs on {}: {} s after its intent, {} s after its submission",
-                    attempt.taskRef,
-                    attempt.job.spec.workload(),
-                    attempt.number,
-                    attempt.machine.name,
-                    tenths(loop.now() - attempt.intendedAt),
-                    tenths(loop.now() - attempt.job.readyAt()));
-        }
+    /** Counts the waiting tasks of each team, for admission. */
+    void countQueuedTasks(QueueWaitPredictor queueWaits) {
+        queueCounter.count(queueWaits);
     }
 
-    private static double tenths(double seconds) {
-        return Math.round(seconds * 10) / 10.0;
+    /** Takes heartbeats, wherever workers have sent them. */
+    LeaderHeartbeats heartbeats() {
+        return heartbeats;
     }
 
-    @Override
-    public void attemptCompleted(Attempt attempt, double ranS) {
-        if (jobs.attemptCompleted(attempt) && ranS > 0) {
-            autoscaler.taskFinished(attempt.job, ranS);
-        }
-    }
-
-    @Override
-    public void attemptGone(Attempt attempt, Heartbeat.Cause cause) {
-        jobs.attemptGone(attempt, cause);
-    }
-
-    @Override
-    public void machineAppeared(Machine machine) {
-        // A line for each machine of a large fleet would fill the log at every take-over.
-        LOG.debug(
-                "{} reports, {} s after its rental",
-                machine.describe(),
-                Math.round(loop.now() - machine.rentedAt()));
-        // One from before this leader may have been up for long already.
-        if (!machine.ready() && machine.rentedAt() >= startedAt) {
-            cluster.bootTracker().machineBooted(machine, loop.now());
-        }
-        dispatcher.requestPass();
+    /** What operators see of this leadership. */
+    LeaderOverview overview() {
+        return overview;
     }
 
-    // ---- the rounds
-
-    /** At the end of each batch of commands. */
+    /** To be called at the end of each batch of commands. */
     void flush() {
         if (acting && leadership.holdsValidLease()) {
             dispatcher.runPassIfDue();
@@ -370,7 +234,7 @@
         directOrders.flush();
     }
 
-    /** To be called several times in a report period. */
+    /** To be called several times in a heartbeat interval. */
     void tick() {
         if (!leadership.holdsValidLease()) {
             return;
@@ -384,7 +248,7 @@
     }
 
     /**
-     * Whether all machines are known, or have had the time of a report to make themselves known.
+     * Whether all machines are known, or have had a heartbeat interval to make themselves known.
      */
     private boolean mayAct(double now) {
         return now - startedAt >= heartbeatIntervalS
@@ -397,8 +261,8 @@
             cluster.bootTracker().update(fleet, now);
         }
         if (!failureDetector.tick(now)) {
-            // All of them dead at once is less likely than this node cut off, while another may
-            // reach them.
+            // All of them dead at once is less likely than this controller cut off, while another
+            // may reach them.
             leadership.stepDown("no worker reports here", leaseS);
             return;
         }
@@ -414,9 +278,4 @@
             leadership.renewFencingToken();
         }
     }
-
-    /** What operators see of this leadership. */
-    LeaderOverview overview() {
-        return overview;
-    }
 }
--- /dev/null
+++ b/src/main/java/io/pepperfield/controller/LeaderHeartbeatProcessor.java
@@ -0,0 +1,108 @@
+package io.pepperfield.controller;
+
+import io.pepperfield.fleet.Fleet;
+import io.pepperfield.fleet.Heartbeat;
+import io.pepperfield.fleet.Machine;
+import io.pepperfield.fleet.Order;
+import io.pepperfield.health.LeaseRenewal;
+import io.pepperfield.heartbeat.LeaderHeartbeats;
+import io.pepperfield.leadership.Leadership;
+import io.pepperfield.loop.Loop;
+import io.pepperfield.peer.PeerMessages;
+import io.pepperfield.peer.PeerMessages.ForwardedHeartbeat;
+import io.pepperfield.peer.PeerMessages.LeaderVerdict;
+import java.util.List;
+import java.util.Optional;
+
+/** Applies heartbeats to the leader's fleet, and decides whether they renew a lease. */
+final class LeaderHeartbeatProcessor implements LeaderHeartbeats {
+
+    private final Loop loop;
+    private final Fleet fleet;
+    private final Leadership leadership;
+    private final LeaseRenewal leaseRenewal;
+    private final StoreFreshness storeFreshness;
+
+    LeaderHeartbeatProcessor(
+            Loop loop,
+            Fleet fleet,
+            Leadership leadership,
+            LeaseRenewal leaseRenewal,
+            StoreFreshness storeFreshness) {
+        this.loop = loop;
+        this.fleet = fleet;
+        this.leadership = leadership;
+        this.leaseRenewal = leaseRenewal;
+        this.storeFreshness = storeFreshness;
+    }
+
+    @Override
+    public Optional<List<Order>> acceptHeartbeat(Heartbeat heartbeat, String reportingController) {
+        double now = loop.now();
+        fleet.suspendStarts(!storeFreshness.isFresh());
+        List<Order> orders = fleet.handleHeartbeat(heartbeat, now);
+        if (orders == null) {
+            return Optional.empty();
+        }
+        Machine machine = fleet.get(heartbeat.machine());
+        machine.setReportingController(reportingController);
+        return leaseRenewal.mayRenew(cancellationWatermark(machine), now)
+                ? Optional.of(orders)
+                : Optional.empty();
+    }
+
+    /**
+     * Loop time up to which all cancellations are settled on a machine whose heartbeat is being
+     * answered. A run order on its way, whose job was cancelled since, could begin after the last
+     * stop that this leader can give.
+     */
+    private double cancellationWatermark(Machine machine) {
+        return fleet.cancelledAttemptsThatMayStart(machine).stream()
+                .mapToDouble(attempt -> attempt.job.lastKnownOpenAt())
+                .min()
+                .orElse(Double.POSITIVE_INFINITY);
+    }
+
+    @Override
+    public LeaderVerdict acceptForwardedHeartbeat(
+            ForwardedHeartbeat forwarded, String reportingController) {
+        Optional<Heartbeat> heartbeat = fullHeartbeat(forwarded);
+        if (heartbeat.isEmpty()) {
+            return LeaderVerdict.FULL_HEARTBEAT_REQUIRED;
+        }
+        if (heartbeat.get().fencingToken().isNewerThan(leadership.fencingToken())) {
+            leadership.observeFencingToken(heartbeat.get().fencingToken());
+            return LeaderVerdict.REFUSED;
+        }
+        Optional<List<Order>> orders = acceptHeartbeat(heartbeat.get(), reportingController);
+        if (orders.isEmpty()) {
+            return LeaderVerdict.REFUSED;
+        }
+        return new LeaderVerdict.Orders(
+                Order.replyBody(leadership.fencingToken(), orders.get()).path("orders"));
+    }
+
+    /** Empty where it only refers to an earlier heartbeat that is not known here. */
+    private Optional<Heartbeat> fullHeartbeat(ForwardedHeartbeat forwarded) {
+        if (forwarded instanceof ForwardedHeartbeat.Repeated repeated) {
+            return Optional.ofNullable(
+                    fleet.expandRepeatedHeartbeat(
+                            repeated.machine(),
+                            repeated.incarnation(),
+                            repeated.baseSerial(),
+                            repeated.serial(),
+                            repeated.fencingToken()));
+        }
+        return Optional.of(((ForwardedHeartbeat.Full) forwarded).heartbeat());
+    }
+
+    @Override
+    public void directOrderReplyReceived(Heartbeat heartbeat) {
+        fleet.handleDirectResponse(heartbeat, loop.now());
+    }
+
+    @Override
+    public void restoreCachedHeartbeat(PeerMessages.CachedHeartbeat cached) {
+        fleet.handleCachedHeartbeat(cached.heartbeat(), loop.now() - cached.ageS());
+    }
+}
