--- /dev/null
+++ b/src/main/java/io/pepperfield/controller/CancellationAnnouncer.java
@@ -0,0 +1,30 @@
+package io.pepperfield.controller;
+
+import io.pepperfield.peer.Peers;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Tells the other controllers which cancellations users have been told of here, in one message for
+ * each batch of commands.
+ */
+final class CancellationAnnouncer {
+
+    private final Peers peers;
+    private final List<String> pendingJobs = new ArrayList<>();
+
+    CancellationAnnouncer(Peers peers) {
+        this.peers = peers;
+    }
+
+    void add(String jobId) {
+        pendingJobs.add(jobId);
+    }
+
+    void flush() {
+        if (!pendingJobs.isEmpty()) {
+            peers.announceCancelled(pendingJobs);
+            pendingJobs.clear();
+        }
+    }
+}
--- a/src/main/java/io/pepperfield/controller/ControllerServer.java
+++ b/src/main/java/io/pepperfield/controller/ControllerServer.java
@@ -19,6 +19,7 @@
 import io.pepperfield.rollout.Rollout;
 import io.pepperfield.store.HttpKeyValueStore;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -31,6 +32,8 @@
     /** A follow holds all changes at once; beyond this the keys are read in pages instead. */
     private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
+    private static final double BYTES_PER_MIB = 1048576.0;
+
     private final Settings settings;
     private final Release release;
     private final EventLoop eventLoop = new EventLoop();
@@ -41,7 +44,7 @@
 
     /** Creates a controller's process; it listens from {@link #start} on. */
     public ControllerServer(Settings settings) {
-        this(settings, null);
+        this(settings, Release.CURRENT);
     }
 
     /**
@@ -51,92 +54,100 @@
      */
     public ControllerServer(Settings settings, Release release) {
         this.settings = settings;
-        this.release = release;
+        this.release = release == null ? Release.CURRENT : release;
     }
 
-    private Rollout rollout(HttpKeyValueStore state) {
+    private Optional<Rollout> createRollout(HttpKeyValueStore store) {
         if (!settings.operators().isEnabled(Feature.ROLLOUT)) {
-            return null;
+            return Optional.empty();
         }
-        return new Rollout(eventLoop, settings, state, release == null ? Release.CURRENT : release);
+        return Optional.of(new Rollout(eventLoop, settings, store, release));
     }
 
     /** Listens; gives the port for users and workers. */
     public int start() throws InterruptedException {
+        warnOfQuotaShortage();
+        HttpClient client = new HttpClient(network, MAX_RESPONSE_BYTES);
+        Peers peers = new Peers(eventLoop, settings, client);
+        Controller controller = createController(client, peers);
+        eventLoop.setHandlers(controller::flush, controller::commandFailed);
+        userServer = createUserServer(controller);
+        peerServer = createPeerServer(peers);
+        int port = userServer.start(settings.bindAddress().host(), settings.bindAddress().port());
+        peerServer.start(settings.peerAddress().host(), settings.peerAddress().port());
+        eventLoop.post(controller::start);
+        LOG.info(
+                "listening: controller={} zone={} address={}:{}",
+                settings.node(),
+                settings.zone(),
+                settings.bindAddress().host(),
+                port);
+        return port;
+    }
+
+    private void warnOfQuotaShortage() {
+        double memoryMib = Runtime.getRuntime().maxMemory() / BYTES_PER_MIB;
         List<String> shortage =
-                QuotaShortage.warnings(
-                        settings.deployment().processQuota(),
-                        Runtime.getRuntime().maxMemory() / 1048576.0);
+                QuotaShortage.warnings(settings.deployment().processQuota(), memoryMib);
         if (!shortage.isEmpty()) {
             LOG.warn(
-                    "starting, but short of what the deployment may need: {}",
+                    "starting with less than the deployment may need: {}",
                     String.join("; ", shortage));
         }
-        HttpClient client = new HttpClient(network, MAX_RESPONSE_BYTES);
-        HttpKeyValueStore state = new HttpKeyValueStore(eventLoop, client, settings.storeAddress());
-        Rollout rollout = rollout(state);
+    }
+
+    private Controller createController(HttpClient client, Peers peers) {
+        HttpKeyValueStore store = new HttpKeyValueStore(eventLoop, client, settings.storeAddress());
+        Optional<Rollout> rollout = createRollout(store);
         HttpCloudProvider cloud =
                 new HttpCloudProvider(
                         eventLoop,
                         client,
                         settings.cloudAddress(),
                         settings.deployment().cloudLimits().requestsPerS());
-        HttpWorkerClient workers =
-                new HttpWorkerClient(
-                        eventLoop,
-                        new HttpClient(
-                                network,
-                                MAX_RESPONSE_BYTES,
-                                settings.deployment().processQuota().maxSockets() * 15 / 100),
-                        settings.deployment().workerTimings().heartbeatIntervalS());
-        Peers peers = new Peers(eventLoop, settings, client);
-        HeartbeatForwarder forwarder = new HeartbeatForwarder(eventLoop, client, settings);
-        Controller controller =
-                new Controller(
-                        eventLoop,
-                        settings,
-                        rollout == null ? state : rollout.keyValueStore(),
+        ExternalSystems external =
+                new ExternalSystems(
+                        rollout.map(Rollout::keyValueStore).orElse(store),
                         cloud,
-                        workers,
+                        createWorkerClient(),
                         peers,
-                        forwarder,
-                        state::setRates,
-                        rollout);
-        eventLoop.setHandlers(controller::flush, controller::commandFailed);
+                        new HeartbeatForwarder(eventLoop, client, settings),
+                        store::setRates);
+        return new Controller(eventLoop, settings, external, rollout);
+    }
+
+    private HttpWorkerClient createWorkerClient() {
+        int sockets = settings.deployment().processQuota().maxSockets() * 15 / 100;
+        return new HttpWorkerClient(
+                eventLoop,
+                new HttpClient(network, MAX_RESPONSE_BYTES, sockets),
+                settings.deployment().workerTimings().heartbeatIntervalS());
+    }
+
+    private HttpServer createUserServer(Controller controller) {
         int sockets = settings.deployment().processQuota().maxSockets();
-        userServer =
-                new HttpServer(
-                                network,
-                                sockets * 7 / 10,
-                                new PendingQueryLimit(
-                                        Controller.JOBS_PATH,
-                                        Controller.maxConcurrentQueries(settings),
-                                        (call, answer) ->
-                                                eventLoop.post(
-                                                        () -> handle(controller, call, answer))))
-                        .limitConnections(Controller.HEARTBEAT_PATH, sockets * 6 / 10);
-        peerServer =
-                new HttpServer(
-                        network,
-                        sockets / 10,
-                        4 * HttpServer.MAX_REQUEST_BYTES,
-                        (call, answer) -> eventLoop.post(() -> peers.handle(call, answer)));
-        int port = userServer.start(settings.bindAddress().host(), settings.bindAddress().port());
-        peerServer.start(settings.peerAddress().host(), settings.peerAddress().port());
-        eventLoop.post(controller::start);
-        LOG.info(
-                "{} in {} listens on {}:{}",
-                settings.node(),
-                settings.zone(),
-                settings.bindAddress().host(),
-                port);
-        return port;
+        PendingQueryLimit requests =
+                new PendingQueryLimit(
+                        Controller.JOBS_PATH,
+                        Controller.maxConcurrentQueries(settings),
+                        (request, answer) ->
+                                eventLoop.post(() -> handle(controller, request, answer)));
+        return new HttpServer(network, sockets * 7 / 10, requests)
+                .limitConnections(Controller.HEARTBEAT_PATH, sockets * 6 / 10);
+    }
+
+    private HttpServer createPeerServer(Peers peers) {
+        return new HttpServer(
+                network,
+                settings.deployment().processQuota().maxSockets() / 10,
+                4 * HttpServer.MAX_REQUEST_BYTES,
+                (request, answer) -> eventLoop.post(() -> peers.handle(request, answer)));
     }
 
     private static void handle(
-            Controller controller, InboundRequest call, Consumer<HttpReply> answer) {
+            Controller controller, InboundRequest request, Consumer<HttpReply> answer) {
         try {
-            controller.handle(call, answer);
+            controller.handle(request, answer);
         } catch (RuntimeException e) {
             // Without an answer the client would wait in vain, and its place among the questions be
             // lost.
--- /dev/null
+++ b/src/main/java/io/pepperfield/controller/CurrentLeader.java
@@ -0,0 +1,67 @@
+package io.pepperfield.controller;
+
+import io.pepperfield.health.MembershipLog;
+import io.pepperfield.heartbeat.HeartbeatHandler;
+import io.pepperfield.loop.Loop;
+import io.pepperfield.peer.HeartbeatForwarder;
+import java.util.Optional;
+import java.util.function.Supplier;
+
+/**
+ * This controller's leader: present from the recovery of its state until the leadership ends.
+ * Confined to the event loop.
+ */
+final class CurrentLeader {
+
+    private final Loop loop;
+    private final HeartbeatHandler heartbeatHandler;
+    private final HeartbeatForwarder heartbeatForwarder;
+    private final MembershipLog membershipLog;
+    private final Supplier<Leader> factory;
+    private Optional<Leader> leader = Optional.empty();
+
+    /**
+     * @param factory creates the leader of a leadership that begins
+     */
+    CurrentLeader(
+            Loop loop,
+            HeartbeatHandler heartbeatHandler,
+            HeartbeatForwarder heartbeatForwarder,
+            MembershipLog membershipLog,
+            Supplier<Leader> factory) {
+        this.loop = loop;
+        this.heartbeatHandler = heartbeatHandler;
+        this.heartbeatForwarder = heartbeatForwarder;
+        this.membershipLog = membershipLog;
+        this.factory = factory;
+    }
+
+    Optional<Leader> get() {
+        return leader;
+    }
+
+    boolean isPresent() {
+        return leader.isPresent();
+    }
+
+    /** Creates the leader and recovers its state; the replica must be current. */
+    void begin() {
+        Leader started = factory.get();
+        leader = Optional.of(started);
+        heartbeatHandler.leadershipBegins(started.heartbeats());
+        started.recoverState();
+        heartbeatForwarder
+                .cachedHeartbeats(loop.now())
+                .forEach(started.heartbeats()::restoreCachedHeartbeat);
+    }
+
+    /** The leadership has ended, whether or not its state had been recovered. */
+    void end() {
+        membershipLog.reset();
+        if (leader.isPresent()) {
+            leader.get().stop();
+            leader = Optional.empty();
+            heartbeatHandler.leadershipEnds();
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/io/pepperfield/controller/LeadershipTransitions.java
@@ -0,0 +1,87 @@
+package io.pepperfield.controller;
+
+import io.pepperfield.admission.Admission;
+import io.pepperfield.fencing.FencingToken;
+import io.pepperfield.leadership.Leadership;
+import io.pepperfield.loop.Loop;
+import io.pepperfield.store.FencedWriter;
+import io.pepperfield.store.ReplicaSynchronizer;
+import java.util.Optional;
+
+/**
+ * What changes on this controller when it is elected or loses the leadership, in this order. The
+ * leader begins once the replica holds everything that was written before the election.
+ */
+final class LeadershipTransitions implements Leadership.Listener {
+
+    private final Loop loop;
+    private final double retryS;
+    private final Leadership leadership;
+    private final ReplicaSynchronizer synchronizer;
+    private final RoleRateLimits rateLimits;
+    private final FencedWriter writer;
+    private final Optional<Admission> admission;
+    private final CurrentLeader currentLeader;
+
+    /**
+     * @param retryS seconds between two attempts to read what was written before the election
+     */
+    LeadershipTransitions(
+            Loop loop,
+            double retryS,
+            Leadership leadership,
+            ReplicaSynchronizer synchronizer,
+            RoleRateLimits rateLimits,
+            FencedWriter writer,
+            Optional<Admission> admission,
+            CurrentLeader currentLeader) {
+        this.loop = loop;
+        this.retryS = retryS;
+        this.leadership = leadership;
+        this.synchronizer = synchronizer;
+        this.rateLimits = rateLimits;
+        this.writer = writer;
+        this.admission = admission;
+        this.currentLeader = currentLeader;
+    }
+
+    @Override
+    public void elected(FencingToken token) {
+        rateLimits.applyForRole(true);
+        writer.reset();
+        admission.ifPresent(present -> present.elected(token));
+        confirmReplica(token);
+    }
+
+    private void confirmReplica(FencingToken elected) {
+        synchronizer.awaitReadIndex(current -> replicaConfirmed(elected, current));
+    }
+
+    /**
+     * @param current whether the replica holds everything written before it was asked for
+     */
+    private void replicaConfirmed(FencingToken elected, boolean current) {
+        if (leadership.fencingToken().isOlderThan(elected) || currentLeader.isPresent()) {
+            return;
+        }
+        if (current) {
+            currentLeader.begin();
+        } else {
+            loop.after(retryS, () -> confirmReplica(elected));
+        }
+    }
+
+    @Override
+    public void fencingTokenRenewed(FencingToken token) {
+        admission.ifPresent(present -> present.fencingTokenRenewed(token));
+        currentLeader.get().ifPresent(leader -> leader.fencingTokenRenewed(token));
+    }
+
+    @Override
+    public void leadershipLost(String why) {
+        rateLimits.applyForRole(false);
+        admission.ifPresent(Admission::deposed);
+        currentLeader.end();
+        writer.reset();
+    }
+}
--- /dev/null
+++ b/src/main/java/io/pepperfield/controller/LiveControllerCount.java
@@ -0,0 +1,40 @@
+package io.pepperfield.controller;
+
+import io.pepperfield.config.Settings;
+import io.pepperfield.loop.Loop;
+import io.pepperfield.peer.HeartbeatForwarder;
+import io.pepperfield.peer.Membership;
+
+/** How many controllers are live, as far as this one knows. */
+final class LiveControllerCount {
+
+    private final Loop loop;
+    private final Settings settings;
+    private final Membership membership;
+    private final HeartbeatForwarder heartbeatForwarder;
+    private final CurrentLeader currentLeader;
+
+    LiveControllerCount(
+            Loop loop,
+            Settings settings,
+            Membership membership,
+            HeartbeatForwarder heartbeatForwarder,
+            CurrentLeader currentLeader) {
+        this.loop = loop;
+        this.settings = settings;
+        this.membership = membership;
+        this.heartbeatForwarder = heartbeatForwarder;
+        this.currentLeader = currentLeader;
+    }
+
+    /** By the leader's own view or its last reply; all that are configured where there is none. */
+    int estimate() {
+        double now = loop.now();
+        if (currentLeader.isPresent()) {
+            return membership.liveMembers(now).size();
+        }
+        return heartbeatForwarder.leaderReachable(now)
+                ? heartbeatForwarder.partitionOwners().size()
+                : settings.deployment().controllerCount();
+    }
+}
--- /dev/null
+++ b/src/main/java/io/pepperfield/controller/ReplicaChangeRouter.java
@@ -0,0 +1,106 @@
+package io.pepperfield.controller;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import io.pepperfield.cloud.MachineTypesRecord;
+import io.pepperfield.cluster.MachineTypes;
+import io.pepperfield.jobs.JobIndex;
+import io.pepperfield.jobs.JobMessages;
+import io.pepperfield.jobs.Status;
+import io.pepperfield.leadership.Leadership;
+import io.pepperfield.peer.HeartbeatForwarder;
+import io.pepperfield.store.Keys;
+import io.pepperfield.store.Replica;
+import java.util.List;
+
+/**
+ * Hands each change of the replica to those whom it concerns, and to the leader what has changed
+ * about jobs. Confined to the event loop.
+ */
+final class ReplicaChangeRouter implements Replica.Listener {
+
+    private final Replica replica;
+    private final StoredStateCompatibility compatibility;
+    private final Leadership leadership;
+    private final HeartbeatForwarder heartbeatForwarder;
+    private final MachineTypes machineTypes;
+    private final JobIndex jobIndex;
+    private final CurrentLeader currentLeader;
+
+    ReplicaChangeRouter(
+            Replica replica,
+            StoredStateCompatibility compatibility,
+            Leadership leadership,
+            HeartbeatForwarder heartbeatForwarder,
+            MachineTypes machineTypes,
+            JobIndex jobIndex,
+            CurrentLeader currentLeader) {
+        this.replica = replica;
+        this.compatibility = compatibility;
+        this.leadership = leadership;
+        this.heartbeatForwarder = heartbeatForwarder;
+        this.machineTypes = machineTypes;
+        this.jobIndex = jobIndex;
+        this.currentLeader = currentLeader;
+    }
+
+    @Override
+    public void changed(String key, JsonNode value, long modRevision) {
+        if (key.equals(Keys.LEADER)) {
+            leaderKeyChanged(value, modRevision);
+        } else if (key.startsWith(Keys.ROLLOUT_PREFIX)) {
+            compatibility.replicaChanged(key, value, modRevision);
+        } else {
+            stateChanged(key, value);
+        }
+    }
+
+    private void leaderKeyChanged(JsonNode value, long modRevision) {
+        leadership.leaderKeyChanged(value, modRevision);
+        if (!leadership.leaderNode().isEmpty()) {
+            heartbeatForwarder.leaderChanged(leadership.leaderNode());
+        }
+    }
+
+    private void stateChanged(String key, JsonNode value) {
+        if (key.equals(Keys.MACHINE_TYPES) && value != null && !machineTypes.known()) {
+            machineTypes.update(MachineTypesRecord.decode(value));
+        }
+        jobIndex.changed(key, value);
+        compactReplica(key);
+        if (key.startsWith(Keys.JOB_PREFIX) || key.startsWith(Keys.FINAL_STATE_PREFIX)) {
+            notifyLeader(key.substring(key.lastIndexOf('/') + 1));
+        }
+    }
+
+    /**
+     * The job index keeps specifications and run records in its own short form, the latter for as
+     * long as they say something; of their keys only the revisions are needed.
+     */
+    private void compactReplica(String key) {
+        if (key.startsWith(Keys.JOB_PREFIX)
+                || key.startsWith(Keys.RUN_RECORD_PREFIX)
+                || key.startsWith(Keys.SHARED_RUN_RECORD_PREFIX)) {
+            replica.compact(key);
+        }
+    }
+
+    /**
+     * Another controller has told a user that the job is cancelled, and thus it is durable: to be
+     * acted on before the store can be asked.
+     */
+    void cancelledByPeer(String jobId) {
+        jobIndex.changed(
+                Keys.FINAL_STATE_PREFIX + jobId, JobMessages.encodeFinalStatus(Status.CANCELLED));
+        notifyLeader(jobId);
+    }
+
+    /** Tells the leader which job has changed, and which dependents with it. */
+    private void notifyLeader(String jobId) {
+        List<String> affectedJobs = jobIndex.drainAffectedJobs();
+        if (currentLeader.isPresent()) {
+            Leader leader = currentLeader.get().get();
+            leader.jobChanged(jobId);
+            affectedJobs.forEach(leader::jobChanged);
+        }
+    }
+}
--- a/src/main/java/io/pepperfield/controller/RoleRateLimits.java
+++ b/src/main/java/io/pepperfield/controller/RoleRateLimits.java
@@ -46,7 +46,7 @@
     }
 
     /** So many controllers are known to be live. */
-    void liveControllers(int controllers, boolean leading) {
+    void setLiveControllers(int controllers, boolean leading) {
         if (controllers != liveControllers) {
             liveControllers = controllers;
             applyForRole(leading);
--- a/src/main/java/io/pepperfield/controller/StoredStateCompatibility.java
+++ b/src/main/java/io/pepperfield/controller/StoredStateCompatibility.java
@@ -8,6 +8,7 @@
 import io.pepperfield.rollout.StoredVersions;
 import io.pepperfield.store.Keys;
 import io.pepperfield.store.TransactionLimits;
+import java.util.Optional;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -24,27 +25,30 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(StoredStateCompatibility.class);
 
-    private final Rollout rollout;
+    private final Optional<Rollout> rollout;
     private final TransactionLimits limits;
 
     /** The rollout is switched off here, and records of a newer form exist. */
     private boolean newerVersionInUse;
 
     /**
-     * @param rollout null where operators have not switched it on
+     * @param rollout empty where operators have not switched it on
      */
-    StoredStateCompatibility(Rollout rollout, Settings settings) {
+    StoredStateCompatibility(Optional<Rollout> rollout, Settings settings) {
         this.rollout = rollout;
         this.limits =
-                rollout == null
-                        ? TransactionLimits.all(
-                                settings.deployment().storeLimits().maxTransactionOps())
-                        : rollout.transactionLimits();
+                rollout.map(Rollout::transactionLimits)
+                        .orElseGet(
+                                () ->
+                                        TransactionLimits.all(
+                                                settings.deployment()
+                                                        .storeLimits()
+                                                        .maxTransactionOps()));
     }
 
     /** Whether this controller may take part in the cluster. */
     boolean mayServe() {
-        return rollout == null ? !newerVersionInUse : rollout.gate().mayServe();
+        return rollout.isPresent() ? rollout.get().gate().mayServe() : !newerVersionInUse;
     }
 
     /** What one of the leader's transactions may hold. */
@@ -54,38 +58,40 @@
 
     /** Tasks in a run record of a new job, where the first form has so many. */
     int tasksPerRunRecord(int first) {
-        return rollout == null ? first : rollout.tasksPerRecord(first);
+        return rollout.isPresent() ? rollout.get().tasksPerRecord(first) : first;
     }
 
     /** The replica's news of a key below {@link Keys#ROLLOUT_PREFIX}. */
-    void replicaChanged(String key, JsonNode data, long stamp) {
-        if (rollout != null) {
-            rollout.changed(key, data, stamp);
+    void replicaChanged(String key, JsonNode value, long modRevision) {
+        if (rollout.isPresent()) {
+            rollout.get().changed(key, value, modRevision);
         } else if (key.equals(Keys.ROLLOUT_VERSION)) {
-            boolean newer =
-                    data != null
-                            && data.path("highest").asInt(Integer.MAX_VALUE) > StoredVersions.FIRST;
-            if (newer && !newerVersionInUse) {
-                LOG.error(
-                        "serving nobody: a newer stored-state version is in use, and rollout is off");
-            }
-            newerVersionInUse = newer;
+            recordVersion(value);
         }
     }
 
+    private void recordVersion(JsonNode value) {
+        boolean newer =
+                value != null
+                        && value.path("highest").asInt(Integer.MAX_VALUE) > StoredVersions.FIRST;
+        if (newer && !newerVersionInUse) {
+            LOG.error("serving nobody: a newer stored-state version is in use, and rollout is off");
+        }
+        newerVersionInUse = newer;
+    }
+
     /** To be called a few times per grant, once the replica is loaded. */
     void tick() {
-        if (rollout != null) {
-            rollout.tick();
-        }
+        rollout.ifPresent(Rollout::tick);
     }
 
     /** Whether the request is an operator's about the rollout. */
-    boolean handles(InboundRequest call) {
-        return rollout != null && call.path().startsWith(Rollout.PATH);
+    boolean handles(InboundRequest request) {
+        return rollout.isPresent() && request.path().startsWith(Rollout.PATH);
     }
 
-    void handle(InboundRequest call, Consumer<HttpReply> answer) {
-        rollout.handle(call, answer);
+    /** Answers a request that {@link #handles} has accepted. */
+    void handle(InboundRequest request, Consumer<HttpReply> answer) {
+        rollout.orElseThrow().handle(request, answer);
     }
 }
--- a/src/main/java/io/pepperfield/overview/ControllerOverview.java
+++ b/src/main/java/io/pepperfield/overview/ControllerOverview.java
@@ -10,6 +10,7 @@
 import io.pepperfield.leadership.Leadership;
 import io.pepperfield.peer.Membership;
 import io.pepperfield.store.ReplicaSynchronizer;
+import java.util.Optional;
 
 /** What operators see of one node ({@code GET /api/nodes}). */
 public final class ControllerOverview {
@@ -20,11 +21,11 @@
     private final Membership membership;
     private final PartitionAssignment partitions;
 
-    /** Null where it is switched off. */
-    private final Admission admission;
+    /** Empty where it is switched off. */
+    private final Optional<Admission> admission;
 
     /**
-     * Creates the overview of one controller; {@code admission} is null where it is switched off.
+     * Creates the overview of one controller; {@code admission} is empty where it is switched off.
      */
     public ControllerOverview(
             Settings settings,
@@ -32,7 +33,7 @@
             ReplicaSynchronizer sync,
             Membership members,
             PartitionAssignment partitions,
-            Admission admission) {
+            Optional<Admission> admission) {
         this.settings = settings;
         this.leadership = leadership;
         this.synchronizer = sync;
@@ -42,9 +43,9 @@
     }
 
     /**
-     * @param leader this node's leadership, or null while another node leads
+     * @param leader what this controller's leader shows; empty while another one leads
      */
-    public JsonNode describe(LeaderOverview leader, double now) {
+    public JsonNode describe(Optional<LeaderOverview> leader, double now) {
         ObjectNode node =
                 Json.object()
                         .put("node", settings.node())
@@ -55,13 +56,11 @@
                         .put(
                                 "stateContactS",
                                 Math.round(100 * (now - synchronizer.lastConfirmedAt())) / 100.0);
-        if (admission != null) {
-            admission.describe(node);
-        }
-        if (leader != null) {
+        admission.ifPresent(present -> present.describe(node));
+        if (leader.isPresent()) {
             ArrayNode controllers = node.putArray("controllers");
             settings.members().forEach(member -> describe(member, controllers.addObject(), now));
-            leader.describe(node);
+            leader.get().describe(node);
         }
         return node;
     }
--- a/src/test/java/io/pepperfield/standin/SimNode.java
+++ b/src/test/java/io/pepperfield/standin/SimNode.java
@@ -5,6 +5,7 @@
 import io.pepperfield.config.Feature;
 import io.pepperfield.config.Settings;
 import io.pepperfield.controller.Controller;
+import io.pepperfield.controller.ExternalSystems;
 import io.pepperfield.fleet.HttpWorkerClient;
 import io.pepperfield.http.HttpOutcome;
 import io.pepperfield.http.HttpReply;
@@ -16,7 +17,9 @@
 import io.pepperfield.peer.Peers;
 import io.pepperfield.rollout.Rollout;
 import io.pepperfield.store.HttpKeyValueStore;
+import io.pepperfield.store.KeyValueStore;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Function;
 
@@ -119,21 +122,18 @@
         HttpSender toState = version == Version.RECORDED ? RecordedVersion.around(sender) : sender;
         HttpKeyValueStore state = new HttpKeyValueStore(loop, toState, settings.storeAddress());
         peers = new Peers(loop, settings, sender);
-        Rollout rollout =
-                version.release() == null
-                        ? null
-                        : new Rollout(loop, settings, state, version.release());
-        controller =
-                new Controller(
-                        loop,
-                        settings,
-                        rollout == null ? state : rollout.keyValueStore(),
+        Optional<Rollout> rollout =
+                Optional.ofNullable(version.release())
+                        .map(release -> new Rollout(loop, settings, state, release));
+        ExternalSystems external =
+                new ExternalSystems(
+                        rollout.<KeyValueStore>map(Rollout::keyValueStore).orElse(state),
                         new HttpCloudProvider(loop, sender, settings.cloudAddress(), 20),
                         new HttpWorkerClient(loop, sender, SimulatedRegion.HEARTBEAT_INTERVAL_S),
                         peers,
                         new HeartbeatForwarder(loop, sender, settings),
-                        state::setRates,
-                        rollout);
+                        state::setRates);
+        controller = new Controller(loop, settings, external, rollout);
         controller.start();
     }
 
@@ -247,9 +247,7 @@
 
     /** The admissions per minute that it may use at this moment; none while it is down. */
     int admissionsPerMinute() {
-        return alive && controller.admission() != null
-                ? controller.admission().admissionsPerMinute()
-                : 0;
+        return alive ? controller.admission().map(Admission::admissionsPerMinute).orElse(0) : 0;
     }
 
     private void checkForm(boolean known, InboundRequest call) {
