--- a/src/main/java/io/pepperfield/controller/LeaderHeartbeatProcessor.java
+++ b/src/main/java/io/pepperfield/controller/LeaderHeartbeatProcessor.java
@@ -89,8 +89,8 @@
                     fleet.expandRepeatedHeartbeat(
                             repeated.machine(),
                             repeated.incarnation(),
-                            repeated.baseSerial(),
-                            repeated.serial(),
+                            repeated.baseSequence(),
+                            repeated.sequence(),
                             repeated.fencingToken()));
         }
         return Optional.of(((ForwardedHeartbeat.Full) forwarded).heartbeat());
--- a/src/main/java/io/pepperfield/peer/HeartbeatBatchBuilder.java
+++ b/src/main/java/io/pepperfield/peer/HeartbeatBatchBuilder.java
@@ -12,12 +12,12 @@
 final class HeartbeatBatchBuilder {
 
     /**
-     * The peers' listener takes four times as much as one for users; a report alone may be a
-     * quarter of it.
+     * The peers' listener takes four times as much as the users' one; a heartbeat alone may be a
+     * quarter of that.
      */
     private static final int MAX_BYTES = 128 * 1024;
 
-    /** About what a repeated report takes. */
+    /** About what a repeated heartbeat takes. */
     private static final int REPEATED_BYTES = 64;
 
     private final ObjectNode body;
@@ -27,14 +27,15 @@
     private int bytes;
 
     /**
-     * @param life names the sending process
-     * @param sequence numbers its messages
+     * @param sender the name of the sending controller
+     * @param incarnation identifies its process
+     * @param sequence numbers the messages of that process
      */
-    HeartbeatBatchBuilder(String node, String life, long sequence, FencingToken token) {
+    HeartbeatBatchBuilder(String sender, String incarnation, long sequence, FencingToken token) {
         body =
                 Json.object()
-                        .put("node", node)
-                        .put("life", life)
+                        .put("node", sender)
+                        .put("life", incarnation)
                         .put("seq", sequence)
                         .put("epoch", token.value());
         heartbeats = body.putArray("beats");
@@ -46,36 +47,38 @@
         return bytes < MAX_BYTES;
     }
 
-    /** A report that differs from one that the leader has only in its serial and token. */
-    void addRepeated(Heartbeat report, Heartbeat before) {
+    /**
+     * Adds one that differs from an earlier one, which the leader has, only in sequence and token.
+     */
+    void addRepeated(Heartbeat heartbeat, Heartbeat earlier) {
         heartbeats
                 .addArray()
-                .add(report.machine())
-                .add(report.incarnation())
-                .add(before.sequence())
-                .add(report.sequence())
-                .add(report.fencingToken().value());
+                .add(heartbeat.machine())
+                .add(heartbeat.incarnation())
+                .add(earlier.sequence())
+                .add(heartbeat.sequence())
+                .add(heartbeat.fencingToken().value());
         bytes += REPEATED_BYTES;
     }
 
-    void addFull(byte[] raw) {
-        heartbeats.addRawValue(PeerMessages.embedded(raw));
-        bytes += raw.length;
+    void addFull(byte[] encoded) {
+        heartbeats.addRawValue(PeerMessages.embedded(encoded));
+        bytes += encoded.length;
     }
 
-    /** A worker's answer to direct orders. */
-    void addDirectOrderReply(byte[] raw) {
-        directOrderReplies.addRawValue(PeerMessages.embedded(raw));
-        bytes += raw.length;
+    /** Adds a worker's reply to direct orders. */
+    void addDirectOrderReply(byte[] encoded) {
+        directOrderReplies.addRawValue(PeerMessages.embedded(encoded));
+        bytes += encoded.length;
     }
 
-    /** A remembered report of that age, for a leader that begins. */
-    void addCached(byte[] raw, double ageS) {
+    /** Adds a cached heartbeat of that age, for a leader that was just elected. */
+    void addCached(byte[] encoded, double ageS) {
         cachedHeartbeats
                 .addObject()
                 .put("ageMs", Math.round(ageS * 1000))
-                .putRawValue("report", PeerMessages.embedded(raw));
-        bytes += raw.length;
+                .putRawValue("report", PeerMessages.embedded(encoded));
+        bytes += encoded.length;
     }
 
     byte[] write() {
--- a/src/main/java/io/pepperfield/peer/HeartbeatCache.java
+++ b/src/main/java/io/pepperfield/peer/HeartbeatCache.java
@@ -8,21 +8,21 @@
 import java.util.Map;
 
 /**
- * The last answered report of each machine of this node's partition, remembered so that a new
- * leader need not wait for the next.
+ * The last answered heartbeat of each machine in this controller's partition, kept so that a new
+ * leader need not wait for the next one.
  */
 final class HeartbeatCache {
 
-    /** Of a report period: a report is due within this time of the one before. */
+    /** In heartbeat intervals: the next heartbeat is due within this time. */
     private static final double RECENT_INTERVALS = 1.25;
 
-    /** Below this many machines nothing is forgotten. */
+    /** Up to this many machines nothing is evicted. */
     private static final int EVICTION_THRESHOLD = 64;
 
     private final double recentS;
     private final Map<String, Entry> entries = new HashMap<>();
 
-    /** One machine's last report. */
+    /** One machine's last heartbeat. */
     static final class Entry {
         private Heartbeat heartbeat;
         private byte[] encoded;
@@ -38,22 +38,22 @@
             return encoded;
         }
 
-        /** Loop time at which it was answered. */
+        /** Loop time in seconds at which it was answered. */
         double answeredAt() {
             return answeredAt;
         }
 
-        /** Whether the report says no more than the last one, which the leader has. */
+        /** Whether the next heartbeat says no more than this one, which the leader has. */
         boolean isRepeatedBy(Heartbeat next) {
             return forwarded && haveSameContent(next, heartbeat);
         }
 
-        private static boolean haveSameContent(Heartbeat next, Heartbeat before) {
-            return next.incarnation() == before.incarnation()
+        private static boolean haveSameContent(Heartbeat next, Heartbeat earlier) {
+            return next.incarnation() == earlier.incarnation()
                     && next.reclaimNoticeS() == null
-                    && before.reclaimNoticeS() == null
-                    && next.address().equals(before.address())
-                    && next.attempts().equals(before.attempts());
+                    && earlier.reclaimNoticeS() == null
+                    && next.address().equals(earlier.address())
+                    && next.attempts().equals(earlier.attempts());
         }
 
         private boolean isOlderThan(Heartbeat next) {
@@ -64,17 +64,17 @@
         }
     }
 
-    HeartbeatCache(double reportS) {
-        this.recentS = RECENT_INTERVALS * reportS;
+    HeartbeatCache(double heartbeatIntervalS) {
+        this.recentS = RECENT_INTERVALS * heartbeatIntervalS;
     }
 
-    /** The machine's last report, or null. */
+    /** The machine's last heartbeat, or null. */
     Entry get(String machine) {
         return entries.get(machine);
     }
 
     /**
-     * A time up to which all cancellations were settled on the machine by a leader's word; see
+     * Loop time up to which all cancellations were settled on the machine by leaders' answers; see
      * {@link HeartbeatForwarder#cancellationWatermark}.
      */
     double cancellationWatermark(String machine) {
@@ -82,24 +82,24 @@
         return last == null ? Double.NEGATIVE_INFINITY : last.cancellationWatermark;
     }
 
-    /** A leader has answered the report, which settles all cancellations up to that time. */
-    void put(Heartbeat report, byte[] raw, double settledUpTo, double now) {
-        Entry last = entries.computeIfAbsent(report.machine(), m -> new Entry());
-        last.cancellationWatermark = Math.max(last.cancellationWatermark, settledUpTo);
-        if (last.isOlderThan(report)) {
-            last.heartbeat = report;
-            last.encoded = raw;
+    /** Keeps a heartbeat whose answer settles all cancellations up to the watermark. */
+    void put(Heartbeat received, byte[] encoded, double watermark, double now) {
+        Entry last = entries.computeIfAbsent(received.machine(), name -> new Entry());
+        last.cancellationWatermark = Math.max(last.cancellationWatermark, watermark);
+        if (last.isOlderThan(received)) {
+            last.heartbeat = received;
+            last.encoded = encoded;
             last.answeredAt = now;
         }
     }
 
-    /** The leader has the report; it counts as passed on unless a newer one came meanwhile. */
-    void markForwarded(Heartbeat report) {
-        Entry last = entries.get(report.machine());
-        last.forwarded = last.heartbeat == report;
+    /** The leader has the heartbeat; it counts as forwarded unless a newer one came meanwhile. */
+    void markForwarded(Heartbeat received) {
+        Entry last = entries.get(received.machine());
+        last.forwarded = last.heartbeat == received;
     }
 
-    /** Whether the leader has anything of the machine nobody knows. */
+    /** It is unknown whether the leader has any heartbeat of the machine. */
     void markNotForwarded(String machine) {
         Entry last = entries.get(machine);
         if (last != null) {
@@ -107,12 +107,12 @@
         }
     }
 
-    /** Another leader has none of these reports yet. */
+    /** Another leader has none of these heartbeats yet. */
     void markAllNotForwarded() {
         entries.values().forEach(last -> last.forwarded = false);
     }
 
-    /** The machines whose next report is still to come. */
+    /** The machines whose next heartbeat is not overdue. */
     List<String> recentMachines(double now) {
         List<String> machines = new ArrayList<>();
         entries.forEach(
@@ -124,7 +124,7 @@
         return machines;
     }
 
-    /** The reports of those machines, as old as they are. */
+    /** The last heartbeats of those machines, with their ages. */
     List<CachedHeartbeat> recentHeartbeats(double now) {
         return recentMachines(now).stream()
                 .map(entries::get)
@@ -132,7 +132,7 @@
                 .toList();
     }
 
-    /** Forgets machines of which nothing has come since then, once there are many. */
+    /** Evicts machines whose last heartbeat was answered before that time, once there are many. */
     void evictOlderThan(double time) {
         if (entries.size() > EVICTION_THRESHOLD) {
             entries.values().removeIf(last -> last.answeredAt < time);
--- a/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
+++ b/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
@@ -19,13 +19,14 @@
 import java.util.function.Consumer;
 
 /**
- * A partition owner's side of its link to the leader. Reports that came together go in one message,
- * and one message is under way; the leader's answer says what each worker is to be told. What a
- * report repeats of the one before is left out.
+ * A partition owner's side of its link to the leader. Heartbeats that came together are forwarded
+ * in one message, and one message is in flight at a time; the leader's reply holds a verdict on
+ * each heartbeat. What a heartbeat repeats of the one before is left out. Confined to the event
+ * loop.
  */
 public final class HeartbeatForwarder {
 
-    /** Workers wait so long for an answer. */
+    /** How long a worker waits for an answer. */
     private static final double WORKER_TIMEOUT_S = 4;
 
     /** A worker's heartbeat that waits for its verdict. */
@@ -35,10 +36,10 @@
         final Consumer<LeaderVerdict> onVerdict;
         boolean sendInFull;
 
-        PendingHeartbeat(Heartbeat report, byte[] raw, Consumer<LeaderVerdict> done) {
-            this.heartbeat = report;
-            this.encoded = raw;
-            this.onVerdict = done;
+        PendingHeartbeat(Heartbeat heartbeat, byte[] encoded, Consumer<LeaderVerdict> onVerdict) {
+            this.heartbeat = heartbeat;
+            this.encoded = encoded;
+            this.onVerdict = onVerdict;
         }
     }
 
@@ -70,8 +71,8 @@
     }
 
     /**
-     * Who leads, as this node knows it; another node than before has none of this part's reports
-     * yet.
+     * Sets who leads, as this controller knows it; empty where nobody does. Another leader than
+     * before has no heartbeats of this partition yet.
      */
     public void leaderChanged(String node) {
         if (leader != null && leader.node().equals(node) || leader == null && node.isEmpty()) {
@@ -79,7 +80,7 @@
         }
         leader =
                 settings.members().stream()
-                        .filter(m -> m.node().equals(node))
+                        .filter(member -> member.node().equals(node))
                         .findFirst()
                         .orElse(null);
         leaderReachable = false;
@@ -91,28 +92,29 @@
         }
     }
 
-    /** Whether the leader has answered this node of late. */
+    /** Whether the leader has answered this controller within a heartbeat interval. */
     public boolean leaderReachable(double now) {
         return leaderReachable && now - leaderAnsweredAt < heartbeatIntervalS;
     }
 
-    /** When the leader last answered, whoever it was. */
+    /** Loop time in seconds at which the last message was sent that a leader has answered. */
     public double leaderAnsweredAt() {
         return leaderAnsweredAt;
     }
 
     /**
-     * Up to when all cancellations are settled on the machine, by what leaders have answered it
-     * through this node.
+     * Loop time up to which all cancellations are settled on the machine, by what leaders have
+     * answered it through this controller.
      */
     public double cancellationWatermark(String machine) {
         return cache.cancellationWatermark(machine);
     }
 
     /**
-     * What a leader's answer to a report settles. One with a stop settles nothing: whether it
-     * arrives nobody knows, and what is to be stopped may not even have begun. One without says
-     * that no attempt of a job cancelled by then may be alive there.
+     * Loop time up to which a leader's answer to a heartbeat settles all cancellations there. One
+     * with a stop settles nothing: whether it arrives nobody knows, and what is to be stopped may
+     * not even have begun. One without says that no attempt of a job cancelled by then may be alive
+     * there.
      *
      * @param knownUpTo up to when that leader knew all cancellations
      */
@@ -120,40 +122,42 @@
         return anyStop ? Double.NEGATIVE_INFINITY : knownUpTo;
     }
 
-    /** The highest token that a leader has shown this node. */
+    /** The highest fencing token that a leader has shown this controller. */
     public FencingToken fencingToken() {
         return fencingToken;
     }
 
-    /** The controllers that take reports, as the leader said last. */
+    /** The controllers that own a partition, as the leader said last. */
     public Set<String> partitionOwners() {
         return partitionOwners;
     }
 
-    /** The last reports of this node's partition, for a leader that begins: as old as they are. */
+    /**
+     * The last heartbeats of this partition with their ages, for a leader that was just elected.
+     */
     public List<CachedHeartbeat> cachedHeartbeats(double now) {
         return cache.recentHeartbeats(now);
     }
 
     /**
-     * A leader has answered a worker's report through this node; remembered so that a new one need
-     * not wait for the next.
+     * Keeps a heartbeat that a leader has answered, so that a new leader need not wait for the
+     * next.
      *
-     * @param settledUpTo up to when that leader's answer settles all cancellations there
+     * @param watermark loop time up to which that answer settles all cancellations there
      */
-    public void cacheHeartbeat(Heartbeat report, byte[] raw, double settledUpTo) {
-        cache.put(report, raw, settledUpTo, loop.now());
+    public void cacheHeartbeat(Heartbeat heartbeat, byte[] encoded, double watermark) {
+        cache.put(heartbeat, encoded, watermark, loop.now());
     }
 
     /**
      * Forwards a worker's heartbeat; called back once, with the leader's verdict or {@link
      * LeaderVerdict#UNREACHABLE}.
      */
-    public void submit(Heartbeat report, byte[] raw, Consumer<LeaderVerdict> done) {
-        pending.add(new PendingHeartbeat(report, raw, done));
+    public void submit(Heartbeat heartbeat, byte[] encoded, Consumer<LeaderVerdict> onVerdict) {
+        pending.add(new PendingHeartbeat(heartbeat, encoded, onVerdict));
     }
 
-    /** A worker's reply to direct orders, for the leader. */
+    /** Forwards a worker's reply to direct orders. */
     public void addDirectOrderReply(byte[] encoded) {
         directOrderReplies.add(encoded);
     }
@@ -166,13 +170,13 @@
             directOrderReplies.clear();
             return;
         }
-        boolean news =
+        boolean anythingToSend =
                 !pending.isEmpty() || !directOrderReplies.isEmpty() || !cachedToSend.isEmpty();
-        // Spaced, so that what comes from many workers costs the leader few messages; a word now
-        // and then shows that
-        // this node is there.
+        // Spaced, so that what comes from many workers costs the leader few messages; an empty
+        // message now and then shows that this controller is live.
         if (!requestInFlight
-                && now - sentAt >= (news ? heartbeatIntervalS / 50 : heartbeatIntervalS / 4)) {
+                && now - sentAt
+                        >= (anythingToSend ? heartbeatIntervalS / 50 : heartbeatIntervalS / 4)) {
             send(now);
         }
     }
@@ -194,8 +198,8 @@
         }
         addCached(message, now);
         Settings.Member to = leader;
-        // Well within a worker's patience, so that it can still be answered without orders, also
-        // one that waits behind these.
+        // Well within a worker's timeout, so that it can still be answered without orders, also one
+        // that waits behind these.
         client.send(
                 to.address().host(),
                 to.address().port(),
@@ -232,7 +236,10 @@
     }
 
     private void replyReceived(
-            Settings.Member from, double sent, List<PendingHeartbeat> batch, HttpOutcome outcome) {
+            Settings.Member from,
+            double requestSentAt,
+            List<PendingHeartbeat> batch,
+            HttpOutcome outcome) {
         requestInFlight = false;
         Optional<HeartbeatBatchReply> parsed = parseReply(outcome, batch.size());
         if (parsed.isEmpty() || from != leader) {
@@ -243,8 +250,8 @@
         fencingToken = FencingToken.newest(fencingToken, reply.fencingToken());
         partitionOwners = reply.partitionOwners();
         leaderReachable = true;
-        leaderAnsweredAt = Math.max(leaderAnsweredAt, sent);
-        double knownUpTo = sent - reply.stateContactAgeS();
+        leaderAnsweredAt = Math.max(leaderAnsweredAt, requestSentAt);
+        double knownUpTo = requestSentAt - reply.stateContactAgeS();
         for (int i = 0; i < batch.size(); i++) {
             applyVerdict(batch.get(i), reply.verdicts().get(i), knownUpTo);
         }
@@ -259,23 +266,23 @@
         return Optional.empty();
     }
 
-    private void fail(PendingHeartbeat report) {
-        cache.markNotForwarded(report.heartbeat.machine());
-        report.onVerdict.accept(LeaderVerdict.UNREACHABLE);
+    private void fail(PendingHeartbeat unanswered) {
+        cache.markNotForwarded(unanswered.heartbeat.machine());
+        unanswered.onVerdict.accept(LeaderVerdict.UNREACHABLE);
     }
 
-    private void applyVerdict(PendingHeartbeat report, LeaderVerdict verdict, double knownUpTo) {
-        if (verdict instanceof LeaderVerdict.FullHeartbeatRequired && !report.sendInFull) {
-            report.sendInFull = true;
-            pending.add(report);
+    private void applyVerdict(PendingHeartbeat answered, LeaderVerdict verdict, double knownUpTo) {
+        if (verdict instanceof LeaderVerdict.FullHeartbeatRequired && !answered.sendInFull) {
+            answered.sendInFull = true;
+            pending.add(answered);
             return;
         }
         if (verdict instanceof LeaderVerdict.Orders orders) {
-            double settledUpTo =
+            double watermark =
                     cancellationWatermark(Order.containsStop(orders.orders()), knownUpTo);
-            cacheHeartbeat(report.heartbeat, report.encoded, settledUpTo);
-            cache.markForwarded(report.heartbeat);
+            cacheHeartbeat(answered.heartbeat, answered.encoded, watermark);
+            cache.markForwarded(answered.heartbeat);
         }
-        report.onVerdict.accept(verdict);
+        answered.onVerdict.accept(verdict);
     }
 }
--- a/src/main/java/io/pepperfield/peer/Membership.java
+++ b/src/main/java/io/pepperfield/peer/Membership.java
@@ -7,12 +7,14 @@
 import java.util.TreeSet;
 
 /**
- * The leader's view of the other controllers: which of them take reports for it, and in which life
- * each of them is.
+ * The leader's view of the other controllers: which of them are live, and which incarnation of
+ * their process it has heard of last. Confined to the event loop.
  */
 public final class Membership {
 
-    /** What is known of one controller: its process, the last message's number and its time. */
+    /**
+     * What is known of one controller: its process, and the number and time of its last message.
+     */
     private static final class Member {
         String incarnation = "";
         long sequence;
@@ -25,7 +27,8 @@
     private final Map<String, Member> members = new HashMap<>();
 
     /**
-     * @param graceS how long after its last message a member still counts as live
+     * @param self the name of this controller, which always counts as live
+     * @param graceS seconds after its last message for which a controller still counts as live
      */
     public Membership(String self, double graceS) {
         this.self = self;
@@ -33,19 +36,19 @@
     }
 
     /**
-     * A message of that member came; false where it must be ignored. A process that is back within
-     * a fraction of a second must not be taken for the one before it, nor may a late message of the
-     * earlier process count for the new one.
+     * Records a message; false where it must be ignored as a copy or as an earlier incarnation's. A
+     * process that is restarted within a fraction of a second must not be taken for the one before
+     * it, nor may a late message of the earlier process count for the new one.
      */
-    public boolean recordMessage(String node, String life, long sequence, double now) {
-        Member member = members.computeIfAbsent(node, n -> new Member());
-        if (member.earlierIncarnations.contains(life)
-                || member.incarnation.equals(life) && sequence <= member.sequence) {
+    public boolean recordMessage(String controller, String incarnation, long sequence, double now) {
+        Member member = members.computeIfAbsent(controller, name -> new Member());
+        if (member.earlierIncarnations.contains(incarnation)
+                || member.incarnation.equals(incarnation) && sequence <= member.sequence) {
             return false;
         }
-        if (!member.incarnation.equals(life)) {
+        if (!member.incarnation.equals(incarnation)) {
             member.earlierIncarnations.add(member.incarnation);
-            member.incarnation = life;
+            member.incarnation = incarnation;
         }
         member.sequence = sequence;
         member.lastHeardAt = now;
@@ -53,18 +56,18 @@
     }
 
     /** Seconds since its last message, infinite where none has come. */
-    public double silentForS(String node, double now) {
-        Member member = members.get(node);
+    public double silentForS(String controller, double now) {
+        Member member = members.get(controller);
         return member == null ? Double.POSITIVE_INFINITY : now - member.lastHeardAt;
     }
 
-    /** This node and those whose messages came of late. */
+    /** This controller and those whose messages came of late. */
     public Set<String> liveMembers(double now) {
         Set<String> live = new TreeSet<>(Set.of(self));
         members.forEach(
-                (node, member) -> {
+                (controller, member) -> {
                     if (now - member.lastHeardAt < graceS) {
-                        live.add(node);
+                        live.add(controller);
                     }
                 });
         return live;
--- a/src/main/java/io/pepperfield/peer/PartitionOrderRouter.java
+++ b/src/main/java/io/pepperfield/peer/PartitionOrderRouter.java
@@ -14,9 +14,9 @@
 import java.util.function.Consumer;
 
 /**
- * The leader's direct way to the workers of all partitions: orders for another node's partition go
- * through that node, in one message for many workers. What their answers show comes back among that
- * node's reports.
+ * The leader's direct way to the workers of all partitions: orders for another controller's
+ * partition go through that controller, in one message for many workers. The workers' replies come
+ * back with the heartbeats that it forwards.
  */
 public final class PartitionOrderRouter implements WorkerClient {
 
@@ -27,9 +27,11 @@
             new LinkedHashMap<>();
     private FencingToken fencingToken = FencingToken.NONE;
 
-    /** Creates the router; {@code own} reaches the workers of this node's partition. */
-    public PartitionOrderRouter(WorkerClient own, Peers peers, Settings settings) {
-        this.localWorkers = own;
+    /**
+     * Creates the router; {@code localWorkers} reaches the workers of this controller's partition.
+     */
+    public PartitionOrderRouter(WorkerClient localWorkers, Peers peers, Settings settings) {
+        this.localWorkers = localWorkers;
         this.peers = peers;
         settings.members().forEach(member -> members.put(member.node(), member));
     }
@@ -43,36 +45,36 @@
     public void forwardOrders(
             String address,
             FencingToken orderToken,
-            long tenure,
+            long incarnation,
             JsonNode orders,
-            Consumer<byte[]> heard) {
-        localWorkers.forwardOrders(address, orderToken, tenure, orders, heard);
+            Consumer<byte[]> onReply) {
+        localWorkers.forwardOrders(address, orderToken, incarnation, orders, onReply);
     }
 
     @Override
     public void sendOrders(
             String address,
             FencingToken orderToken,
-            long tenure,
+            long incarnation,
             List<Order> orders,
             Consumer<Result> done) {
-        localWorkers.sendOrders(address, orderToken, tenure, orders, done);
+        localWorkers.sendOrders(address, orderToken, incarnation, orders, done);
     }
 
     /**
-     * Orders for a worker that reports through that node; through this one where it is no member's
-     * name.
+     * Sends orders to a worker that reports through that controller; directly where it is no
+     * member's name.
      */
     public void sendOrders(
-            String through,
+            String reportingController,
             String address,
             FencingToken orderToken,
-            long tenure,
+            long incarnation,
             List<Order> orders,
             Consumer<Result> done) {
-        Settings.Member owner = members.get(through);
+        Settings.Member owner = members.get(reportingController);
         if (owner == null) {
-            localWorkers.sendOrders(address, orderToken, tenure, orders, done);
+            localWorkers.sendOrders(address, orderToken, incarnation, orders, done);
             return;
         }
         fencingToken = orderToken;
@@ -81,7 +83,7 @@
                 .add(
                         new PeerMessages.DirectOrderMessage(
                                 address,
-                                tenure,
+                                incarnation,
                                 Order.replyBody(orderToken, orders).path("orders")));
     }
 
--- a/src/main/java/io/pepperfield/peer/PeerMessages.java
+++ b/src/main/java/io/pepperfield/peer/PeerMessages.java
@@ -16,16 +16,17 @@
 import java.util.TreeSet;
 
 /**
- * What partition owners and the leader tell each other; the only place that knows its field names.
+ * The messages between partition owners and the leader; the only place that knows their field
+ * names.
  */
 public final class PeerMessages {
 
-    /** One report as a partition owner passes it on. */
+    /** One heartbeat as a partition owner forwards it. */
     public sealed interface ForwardedHeartbeat {
-        /** The name of the machine that reports. */
+        /** The name of the machine that sent it. */
         String machine();
 
-        /** The report in full. */
+        /** The heartbeat in full. */
         record Full(Heartbeat heartbeat) implements ForwardedHeartbeat {
             @Override
             public String machine() {
@@ -33,20 +34,26 @@
             }
         }
 
-        /** Differs from the one of serial {@code base} only in its serial and token. */
+        /** Differs from an earlier one, of {@code baseSequence}, only in its sequence and token. */
         record Repeated(
                 String machine,
                 long incarnation,
-                long baseSerial,
-                long serial,
+                long baseSequence,
+                long sequence,
                 FencingToken fencingToken)
                 implements ForwardedHeartbeat {}
     }
 
-    /** A report that its partition owner remembers from before the leader was elected. */
+    /** A heartbeat that its partition owner answered before the leader was elected. */
     public record CachedHeartbeat(Heartbeat heartbeat, double ageS) {}
 
-    /** One message of a partition owner to the leader; {@code life} names the owner's process. */
+    /**
+     * One message of a partition owner to the leader.
+     *
+     * @param sender the name of the owner
+     * @param incarnation identifies the owner's process
+     * @param sequence numbers the messages of that process
+     */
     public record HeartbeatBatch(
             String sender,
             String incarnation,
@@ -80,7 +87,11 @@
         record Unreachable() implements LeaderVerdict {}
     }
 
-    /** The leader's answer to a batch, with one verdict for each of its reports. */
+    /**
+     * The leader's reply to a batch, with one verdict for each of its heartbeats.
+     *
+     * @param stateContactAgeS seconds since the leader last knew all changes in the store
+     */
     public record HeartbeatBatchReply(
             FencingToken fencingToken,
             double stateContactAgeS,
@@ -90,18 +101,23 @@
     /** Orders that a partition owner is to hand to a worker at once. */
     public record DirectOrderMessage(String address, long incarnation, JsonNode orders) {}
 
+    /** A repeated heartbeat is an array of machine, incarnation, base, sequence and token. */
+    private static final int REPEATED_FIELDS = 5;
+
     private static final String FULL_HEARTBEAT_WORD = "whole";
 
     private PeerMessages() {}
 
     /**
-     * A worker's report as part of a message; one in another encoding than UTF-8 would spoil the
+     * A worker's heartbeat as part of a message; one in another encoding than UTF-8 would spoil the
      * others beside it.
      */
-    static RawValue embedded(byte[] report) {
-        boolean plain = report.length > 1 && report[0] > 0 && report[1] > 0;
+    static RawValue embedded(byte[] heartbeat) {
+        boolean utf8 = heartbeat.length > 1 && heartbeat[0] > 0 && heartbeat[1] > 0;
         return new RawValue(
-                new String(plain ? report : Json.write(Json.read(report)), StandardCharsets.UTF_8));
+                new String(
+                        utf8 ? heartbeat : Json.write(Json.read(heartbeat)),
+                        StandardCharsets.UTF_8));
     }
 
     /** Empty where the message is not one of this version's: it is refused whole. */
@@ -114,21 +130,21 @@
             return Optional.empty();
         }
         List<ForwardedHeartbeat> heartbeats = new ArrayList<>();
-        for (JsonNode beat : message.path("beats")) {
-            if (beat.isArray() && beat.size() == 5) {
+        for (JsonNode item : message.path("beats")) {
+            if (item.isArray() && item.size() == REPEATED_FIELDS) {
                 heartbeats.add(
                         new ForwardedHeartbeat.Repeated(
-                                beat.path(0).asText(),
-                                beat.path(1).asLong(),
-                                beat.path(2).asLong(),
-                                beat.path(3).asLong(),
-                                new FencingToken(beat.path(4).asLong())));
+                                item.path(0).asText(),
+                                item.path(1).asLong(),
+                                item.path(2).asLong(),
+                                item.path(3).asLong(),
+                                new FencingToken(item.path(4).asLong())));
             } else {
-                Heartbeat report = Heartbeat.parse(beat);
-                if (report == null) {
+                Heartbeat heartbeat = Heartbeat.parse(item);
+                if (heartbeat == null) {
                     return Optional.empty();
                 }
-                heartbeats.add(new ForwardedHeartbeat.Full(report));
+                heartbeats.add(new ForwardedHeartbeat.Full(heartbeat));
             }
         }
         return Optional.of(
@@ -165,18 +181,18 @@
         return cached;
     }
 
-    /** Encodes the answer to a batch. */
+    /** Encodes the reply to a batch. */
     public static byte[] writeBatchReply(
             FencingToken token,
-            double contactAgoS,
-            Collection<String> live,
+            double stateContactAgeS,
+            Collection<String> partitionOwners,
             List<LeaderVerdict> verdicts) {
         ObjectNode node =
                 Json.object()
                         .put("epoch", token.value())
-                        .put("contactAgoMs", Math.round(contactAgoS * 1000));
+                        .put("contactAgoMs", Math.round(stateContactAgeS * 1000));
         ArrayNode names = node.putArray("live");
-        live.forEach(names::add);
+        partitionOwners.forEach(names::add);
         ArrayNode answers = node.putArray("answers");
         for (LeaderVerdict verdict : verdicts) {
             if (verdict instanceof LeaderVerdict.Orders orders) {
@@ -238,11 +254,11 @@
         ObjectNode node = Json.object().put("epoch", token.value());
         ArrayNode all = node.putArray("messages");
         messages.forEach(
-                m ->
+                message ->
                         all.addObject()
-                                .put("addr", m.address())
-                                .put("tenure", m.incarnation())
-                                .set("orders", m.orders()));
+                                .put("addr", message.address())
+                                .put("tenure", message.incarnation())
+                                .set("orders", message.orders()));
         return Json.write(node);
     }
 
--- a/src/main/java/io/pepperfield/peer/Peers.java
+++ b/src/main/java/io/pepperfield/peer/Peers.java
@@ -16,31 +16,32 @@
 import java.util.function.Consumer;
 
 /**
- * What controllers tell each other: whether they are in touch with the state service, the reports
- * of their partitions, and orders for them. A node that alone has lost the state service must leave
- * the load balancer and let go of its workers; in an outage that all of them see, it must not.
+ * The exchange between controllers: whether they reach the key-value store, the heartbeats of their
+ * partitions, and orders for them. A controller that alone has lost the store must leave the load
+ * balancer and let go of its workers; in an outage that all of them see, it must not. Confined to
+ * the event loop.
  */
 public final class Peers {
 
-    /** What this node does with the others' messages. */
+    /** Receives the other controllers' messages. */
     public interface Handler {
-        /** A partition owner's reports, for the leader. */
+        /** A partition owner's heartbeats, for the leader; {@code answer} is called once. */
         void heartbeatBatchReceived(PeerMessages.HeartbeatBatch batch, Consumer<HttpReply> answer);
 
-        /** Orders for a worker of this node's partition. */
+        /** Orders for a worker of this controller's partition. */
         void directOrdersReceived(FencingToken token, PeerMessages.DirectOrderMessage message);
 
-        /** Another node has told users that these jobs are cancelled. */
+        /** Another controller has told users that these jobs are cancelled. */
         void jobsCancelled(List<String> ids);
     }
 
     /** Answers what other controllers POST to a path of a feature. */
     public interface Endpoint {
         /** Takes a message; the answer may come later. */
-        void handle(InboundRequest call, Consumer<HttpReply> answer);
+        void handle(InboundRequest request, Consumer<HttpReply> answer);
     }
 
-    /** How this node stands with the state service, compared with the others. */
+    /** Whether this controller reaches the store, compared with the others. */
     public enum StateContact {
         CONNECTED,
         OUTAGE,
@@ -54,6 +55,18 @@
     private static final String ORDERS_PATH = "/peer/orders";
     private static final String CANCELLED_PATH = "/peer/cancelled";
 
+    /**
+     * In heartbeat intervals: how old the last contact with the store may be before the others are
+     * asked. A watch is held for half an interval, and as much again is not the ordinary case.
+     */
+    private static final double DOUBT_INTERVALS = 0.8;
+
+    /** In heartbeat intervals: after so long without contact the store counts as lost. */
+    private static final double LOST_INTERVALS = 1.5;
+
+    /** In heartbeat intervals: after so long without any peer's answer this one is isolated. */
+    private static final double UNREACHED_INTERVALS = 2;
+
     /** Reported where the store has never been reached, so that the number stays exact. */
     private static final double MAX_CONTACT_AGO_S = 1e9;
 
@@ -77,21 +90,21 @@
         this.heartbeatIntervalS = settings.deployment().workerTimings().heartbeatIntervalS();
     }
 
-    /** Sets what receives the other nodes' messages; called once, before the first message. */
+    /** Sets what receives the messages; called once, before the first of them. */
     public void setHandler(Handler receiver) {
         handler = receiver;
     }
 
     /**
-     * To be called often; asks the others only while this node itself seems to have lost the state
-     * service.
+     * To be called often; asks the others only while this controller itself seems to have lost the
+     * store.
+     *
+     * @param ownLastConfirmedAt loop time up to which this controller knows all changes
      */
-    public void tick(double now, double ownContact, FencingToken ownToken) {
-        ownConfirmedAt = ownContact;
+    public void tick(double now, double ownLastConfirmedAt, FencingToken ownToken) {
+        ownConfirmedAt = ownLastConfirmedAt;
         fencingToken = ownToken;
-        // A follow is held for half a period: contact older than that by as much again is not the
-        // ordinary case.
-        if (now - ownContact < 0.8 * heartbeatIntervalS
+        if (now - ownLastConfirmedAt < DOUBT_INTERVALS * heartbeatIntervalS
                 || now - queriedAt < heartbeatIntervalS / 4) {
             return;
         }
@@ -109,32 +122,33 @@
         }
     }
 
-    private void contactReceived(String node, double asked, HttpOutcome outcome) {
+    private void contactReceived(String controller, double sentAt, HttpOutcome outcome) {
         if (outcome instanceof HttpOutcome.Answered answer && answer.status() == 200) {
-            JsonNode ago = answer.json().path("contactAgoMs");
-            if (ago.isNumber()) {
-                peerReachedAt = Math.max(peerReachedAt, asked);
-                peerConfirmedAt.merge(node, asked - ago.doubleValue() / 1000, Math::max);
+            JsonNode contactAgoMs = answer.json().path("contactAgoMs");
+            if (contactAgoMs.isNumber()) {
+                peerReachedAt = Math.max(peerReachedAt, sentAt);
+                peerConfirmedAt.merge(
+                        controller, sentAt - contactAgoMs.doubleValue() / 1000, Math::max);
             }
         }
     }
 
     /**
-     * Whether the state service is lost, and to whom. A node that reaches nobody at all must take
-     * itself for the one that is cut off: the others may be deciding without it.
+     * Whether the store is lost, and to whom. A controller that reaches nobody at all must take
+     * itself for the one that is isolated: the others may be deciding without it.
      */
     public StateContact stateContact(double now) {
-        if (now - ownConfirmedAt < 1.5 * heartbeatIntervalS) {
+        if (now - ownConfirmedAt < LOST_INTERVALS * heartbeatIntervalS) {
             return StateContact.CONNECTED;
         }
         if (settings.members().isEmpty()) {
             return StateContact.OUTAGE;
         }
-        boolean alone =
-                now - peerReachedAt > 2 * heartbeatIntervalS
+        boolean isolated =
+                now - peerReachedAt > UNREACHED_INTERVALS * heartbeatIntervalS
                         || peerConfirmedAt.values().stream()
                                 .anyMatch(at -> at > ownConfirmedAt + heartbeatIntervalS);
-        return alone ? StateContact.ISOLATED : StateContact.OUTAGE;
+        return isolated ? StateContact.ISOLATED : StateContact.OUTAGE;
     }
 
     /** Hands orders for workers to the owner of their partition. */
@@ -154,8 +168,8 @@
     }
 
     /**
-     * Tells all others what users have been told here: one that is refused by the state service
-     * alone can stop those tasks at once, instead of letting their machines go.
+     * Tells all others which jobs users have been told are cancelled: a controller that has lost
+     * the store alone can stop those tasks at once, instead of letting their machines go.
      */
     public void announceCancelled(List<String> ids) {
         byte[] body = PeerMessages.writeCancelledJobs(ids);
@@ -173,8 +187,8 @@
     }
 
     /** Adds a path for a feature's messages; where it is not served, they get 404. */
-    public void addEndpoint(String path, Endpoint service) {
-        endpoints.put(path, service);
+    public void addEndpoint(String path, Endpoint endpoint) {
+        endpoints.put(path, endpoint);
     }
 
     /** Sends a feature's message to another controller; the answer arrives on the event loop. */
@@ -195,20 +209,20 @@
                 outcome -> loop.post(() -> done.accept(outcome)));
     }
 
-    /** Takes another node's message. */
-    public void handle(InboundRequest call, Consumer<HttpReply> answer) {
-        switch (call.method() + " " + call.path()) {
+    /** Takes another controller's message; {@code answer} is called once, perhaps later. */
+    public void handle(InboundRequest request, Consumer<HttpReply> answer) {
+        switch (request.method() + " " + request.path()) {
             case "GET " + CONTACT_PATH -> answer.accept(describeContact());
-            case "POST " + HEARTBEATS_PATH -> handleHeartbeats(call, answer);
+            case "POST " + HEARTBEATS_PATH -> handleHeartbeats(request, answer);
             case "POST " + ORDERS_PATH -> {
-                handleDirectOrders(Json.read(call.body()));
+                handleDirectOrders(Json.read(request.body()));
                 answer.accept(HttpReply.empty(200));
             }
             case "POST " + CANCELLED_PATH -> {
-                handler.jobsCancelled(PeerMessages.readCancelledJobs(Json.read(call.body())));
+                handler.jobsCancelled(PeerMessages.readCancelledJobs(Json.read(request.body())));
                 answer.accept(HttpReply.empty(200));
             }
-            default -> handleAtEndpoint(call, answer);
+            default -> handleAtEndpoint(request, answer);
         }
     }
 
@@ -221,9 +235,9 @@
                         .put("epoch", fencingToken.value()));
     }
 
-    private void handleHeartbeats(InboundRequest call, Consumer<HttpReply> answer) {
+    private void handleHeartbeats(InboundRequest request, Consumer<HttpReply> answer) {
         Optional<PeerMessages.HeartbeatBatch> batch =
-                PeerMessages.readBatch(Json.read(call.body()));
+                PeerMessages.readBatch(Json.read(request.body()));
         if (batch.isEmpty()) {
             answer.accept(HttpReply.error(400, "not a message of this version"));
         } else {
@@ -238,12 +252,12 @@
         }
     }
 
-    private void handleAtEndpoint(InboundRequest call, Consumer<HttpReply> answer) {
-        Endpoint endpoint = call.method().equals("POST") ? endpoints.get(call.path()) : null;
+    private void handleAtEndpoint(InboundRequest request, Consumer<HttpReply> answer) {
+        Endpoint endpoint = request.method().equals("POST") ? endpoints.get(request.path()) : null;
         if (endpoint == null) {
             answer.accept(HttpReply.error(404, "no such path"));
         } else {
-            endpoint.handle(call, answer);
+            endpoint.handle(request, answer);
         }
     }
 }
--- a/src/main/java/io/pepperfield/peer/Reachability.java
+++ b/src/main/java/io/pepperfield/peer/Reachability.java
@@ -8,27 +8,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's view of whether each controller hears the workers of its partition. One that other
- * controllers reach and its workers do not would have them sent home to it again and again, each
- * time with a pause of seconds and no orders.
+ * The leader's view of whether each controller receives the heartbeats of its partition. One that
+ * other controllers reach and its workers do not has a receive failure (a one-way partition): its
+ * workers would be redirected to it again and again, each time with a pause of seconds and no
+ * orders. Confined to the event loop.
  */
 public final class Reachability {
 
     private static final Logger LOG = LoggerFactory.getLogger(Reachability.class);
 
-    /** So many strays of one partition at once are no accident of theirs. */
+    /** So many misrouted machines of one partition at once are no accident of theirs. */
     private static final int MIN_MISROUTED_MACHINES = 2;
 
     /**
-     * Periods until a controller's workers have found it: a period at another one, then home, with
-     * its patience between.
+     * Heartbeat intervals until a controller's workers have found it: one at another controller,
+     * then the redirect, with the worker's timeout between.
      */
     private static final double DISCOVERY_INTERVALS = 3;
 
     /** Each new failure doubles the time without a partition, up to so many leases. */
     private static final int MAX_PENALTY_LEASES = 8;
 
-    /** How well one controller hears the workers of its partition. */
+    /** How well one controller receives the heartbeats of its partition; loop times in seconds. */
     private static final class OwnerState {
         double ownsSince = Double.NaN;
         double heardAt = Double.NEGATIVE_INFINITY;
@@ -37,7 +38,7 @@
         final Map<String, MisroutedMachine> misroutedMachines = new HashMap<>();
     }
 
-    /** A machine that reports elsewhere, since when and until when. */
+    /** A machine whose heartbeats arrive elsewhere, since when and until when. */
     private record MisroutedMachine(double since, double lastSeenAt) {}
 
     private final double heartbeatIntervalS;
@@ -45,25 +46,25 @@
     private final Map<String, OwnerState> owners = new HashMap<>();
 
     /** Creates an empty view; both intervals are in seconds. */
-    public Reachability(double reportS, double leaseS) {
-        this.heartbeatIntervalS = reportS;
+    public Reachability(double heartbeatIntervalS, double leaseS) {
+        this.heartbeatIntervalS = heartbeatIntervalS;
         this.leaseS = leaseS;
     }
 
-    /** A report of a machine in that owner's partition came through a controller. */
-    public void recordHeartbeat(String machine, String owner, String through, double now) {
+    /** A heartbeat of a machine in that owner's partition arrived at a controller. */
+    public void recordHeartbeat(String machine, String owner, String receivedBy, double now) {
         if (owner.isEmpty()) {
             return;
         }
-        OwnerState its = owners.computeIfAbsent(owner, o -> new OwnerState());
-        if (owner.equals(through)) {
-            its.heardAt = now;
-            its.misroutedMachines.remove(machine);
+        OwnerState state = owners.computeIfAbsent(owner, name -> new OwnerState());
+        if (owner.equals(receivedBy)) {
+            state.heardAt = now;
+            state.misroutedMachines.remove(machine);
         } else {
-            its.misroutedMachines.merge(
+            state.misroutedMachines.merge(
                     machine,
                     new MisroutedMachine(now, now),
-                    (known, news) -> new MisroutedMachine(known.since, now));
+                    (known, latest) -> new MisroutedMachine(known.since, now));
         }
     }
 
@@ -72,9 +73,9 @@
      * left.
      */
     public Set<String> owners(Set<String> live, double now) {
-        Set<String> hearing = new TreeSet<>();
-        for (String node : live) {
-            OwnerState owner = owners.computeIfAbsent(node, o -> new OwnerState());
+        Set<String> receiving = new TreeSet<>();
+        for (String controller : live) {
+            OwnerState owner = owners.computeIfAbsent(controller, name -> new OwnerState());
             if (owner.receiveFailureUntil > now) {
                 continue;
             }
@@ -82,37 +83,41 @@
                 owner.ownsSince = now;
             }
             if (detectReceiveFailure(owner, now)) {
-                owner.penaltyLeases =
-                        Math.min(MAX_PENALTY_LEASES, Math.max(1, 2 * owner.penaltyLeases));
-                owner.receiveFailureUntil = now + owner.penaltyLeases * leaseS;
-                owner.ownsSince = Double.NaN;
-                LOG.warn(
-                        "{} hears no worker of its partition while others do: they take it for {} s",
-                        node,
-                        Math.round(owner.penaltyLeases * leaseS));
-                owner.misroutedMachines.clear();
+                withdrawPartition(controller, owner, now);
             } else {
                 if (owner.heardAt > owner.ownsSince
                         && now - owner.ownsSince > MAX_PENALTY_LEASES * leaseS) {
                     owner.penaltyLeases = 0;
                 }
-                hearing.add(node);
+                receiving.add(controller);
             }
         }
         owners.forEach(
-                (node, owner) -> {
-                    if (!live.contains(node)) {
+                (controller, owner) -> {
+                    if (!live.contains(controller)) {
                         // It begins anew when it is back: its workers need their time to find it.
                         owner.ownsSince = Double.NaN;
                         owner.misroutedMachines.clear();
                     }
                 });
-        return hearing.isEmpty() ? live : hearing;
+        return receiving.isEmpty() ? live : receiving;
     }
 
-    /** Whether that controller is without a partition for not hearing its workers. */
-    public boolean hasReceiveFailure(String node, double now) {
-        OwnerState owner = owners.get(node);
+    private void withdrawPartition(String controller, OwnerState owner, double now) {
+        owner.penaltyLeases = Math.min(MAX_PENALTY_LEASES, Math.max(1, 2 * owner.penaltyLeases));
+        owner.receiveFailureUntil = now + owner.penaltyLeases * leaseS;
+        owner.ownsSince = Double.NaN;
+        LOG.warn(
+                "receive failure: controller={} withoutPartitionS={}: others receive the"
+                        + " heartbeats of its partition, it does not",
+                controller,
+                Math.round(owner.penaltyLeases * leaseS));
+        owner.misroutedMachines.clear();
+    }
+
+    /** Whether that controller has lost its partition for not receiving its heartbeats. */
+    public boolean hasReceiveFailure(String controller, double now) {
+        OwnerState owner = owners.get(controller);
         return owner != null && owner.receiveFailureUntil > now;
     }
 
@@ -130,28 +135,25 @@
     }
 
     private boolean detectReceiveFailure(OwnerState owner, double now) {
-        // A stray spends most of its time waiting for an answer at home; it is seen elsewhere once
-        // in a while.
-        owner.misroutedMachines.values().removeIf(stray -> now - stray.lastSeenAt > leaseS);
-        // New machines turn up anywhere and are sent home after a period: until then an owner that
-        // had none before has
-        // heard nobody for long, and is not deaf for it.
-        double firstStray =
+        // A misrouted machine spends most of its time waiting for an answer of its owner; it is
+        // seen elsewhere once in a while.
+        owner.misroutedMachines.values().removeIf(machine -> now - machine.lastSeenAt > leaseS);
+        // New machines turn up anywhere and are redirected after an interval: until then an owner
+        // that had none before has received nothing for long, which is no failure.
+        double firstMisroutedAt =
                 owner.misroutedMachines.values().stream()
                         .mapToDouble(MisroutedMachine::since)
                         .min()
                         .orElse(now);
-        if (now
-                        - Math.max(
-                                Math.max(owner.ownsSince, owner.heardAt),
-                                firstStray - heartbeatIntervalS / 2)
-                <= DISCOVERY_INTERVALS * heartbeatIntervalS) {
+        double receivingUntil = Math.max(owner.ownsSince, owner.heardAt);
+        double silentSince = Math.max(receivingUntil, firstMisroutedAt - heartbeatIntervalS / 2);
+        if (now - silentSince <= DISCOVERY_INTERVALS * heartbeatIntervalS) {
             return false;
         }
-        // On a small site a partition may be a single machine: it tells as much if it has strayed
-        // for a while.
+        // On a small site a partition may be a single machine: it tells as much if it has been
+        // misrouted for a while.
         return owner.misroutedMachines.size() >= MIN_MISROUTED_MACHINES
                 || owner.misroutedMachines.values().stream()
-                        .anyMatch(stray -> stray.lastSeenAt - stray.since > leaseS);
+                        .anyMatch(machine -> machine.lastSeenAt - machine.since > leaseS);
     }
 }
--- a/src/main/java/io/pepperfield/peer/package-info.java
+++ b/src/main/java/io/pepperfield/peer/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Messages between controllers. Each controller takes the reports of a partition of the machines
- * and relays them to the leader, whose orders it hands on; controllers also compare their contact
- * with the state service. Holds the last reports of this node's partition and what is known of the
- * other members. Called by the controller and its leader on the owner thread.
+ * Messages between controllers. Each controller takes the heartbeats of a partition of the machines
+ * and forwards them to the leader, whose orders it hands on; controllers also compare their contact
+ * with the key-value store. Holds the last heartbeats of this controller's partition and what is
+ * known of the other members. Confined to the event loop.
  */
 package io.pepperfield.peer;
--- a/src/test/java/io/pepperfield/peer/PeerForms.java
+++ b/src/test/java/io/pepperfield/peer/PeerForms.java
@@ -127,9 +127,9 @@
                 + " "
                 + same.incarnation()
                 + " repeats "
-                + same.baseSerial()
+                + same.baseSequence()
                 + " as "
-                + same.serial()
+                + same.sequence()
                 + " with "
                 + same.fencingToken();
     }
