--- a/src/main/java/io/pepperfield/health/FailureDetector.java
+++ b/src/main/java/io/pepperfield/health/FailureDetector.java
@@ -13,91 +13,103 @@
 import java.util.List;
 import java.util.Map;
 
-/** Machines that say nothing, do not hear, never came up, are faulty or about to be taken. */
+/**
+ * Finds the machines that are silent, have a receive failure, never came up, are faulty or about to
+ * be reclaimed, and releases them. Lives as long as one leadership; confined to the event loop.
+ */
 public final class FailureDetector {
 
-    /**
-     * Of the time that a cancellation may take; the rest is for the cloud to return the machine.
-     */
+    /** Of the deadline for a cancellation; the rest is for the cloud to end the machine. */
     private static final double OVERDUE_FRACTION = 0.6;
 
-    /** Of a report period: a machine that has been silent for longer is probed. */
+    /** In heartbeat intervals: a machine that has been silent for longer is probed. */
     private static final double PROBE_INTERVALS = 1.5;
 
     private final ClusterState cluster;
     private final Dispatcher dispatcher;
     private final WorkerClient workers;
-    private final Dispatcher.AttemptControl starter;
+    private final Dispatcher.AttemptControl attemptControl;
 
-    /** Until when the silence of a zone's machines is taken for a cut. */
+    /** Loop time until which the silence of a zone's machines is taken for a partition. */
     private final Map<String, Double> partitionedUntil = new HashMap<>();
 
+    /** What one look at all machines has found. */
+    private static final class Census {
+        /** Machines that are ready or must have been. */
+        int machines;
+
+        final Map<String, Integer> machinesPerZone = new HashMap<>();
+        final List<Machine> lost = new ArrayList<>();
+        final List<Machine> neverReady = new ArrayList<>();
+    }
+
     private boolean stopped;
     private double capacityCheckedAt = Double.NEGATIVE_INFINITY;
 
-    /** Creates the failure detector of one term. */
+    /** Creates the failure detector of one leadership. */
     public FailureDetector(
             ClusterState cluster,
             Dispatcher dispatcher,
             WorkerClient workers,
-            Dispatcher.AttemptControl starter) {
+            Dispatcher.AttemptControl attemptControl) {
         this.cluster = cluster;
         this.dispatcher = dispatcher;
         this.workers = workers;
-        this.starter = starter;
+        this.attemptControl = attemptControl;
     }
 
-    /** The term has ended: answers to probes change nothing any more. */
+    /** The leadership has ended: answers to probes change nothing any more. */
     public void stop() {
         stopped = true;
     }
 
     /**
-     * False where none of several machines can be heard: this node is more likely cut off than they
-     * all dead.
+     * Looks at all machines, and releases those that are lost, faulty, reclaimed or never came up.
+     *
+     * @return false where none of several machines can be reached: this controller is more likely
+     *     cut off than they all dead
      */
     public boolean tick(double now) {
-        double silentS = cluster.heartbeatTimeoutS();
-        List<Machine> lost = new ArrayList<>();
-        List<Machine> awaited = new ArrayList<>();
-        int up = 0;
-        Map<String, Integer> perZone = new HashMap<>();
+        Census census = new Census();
         for (Machine machine : cluster.fleet().machines()) {
-            if (machine.releasing()) {
-                continue;
-            }
-            // One that had long booted when this leader began may be out of hearing with the rest
-            // of its zone: silent, and
-            // not a machine that never came up.
-            boolean before =
-                    !machine.ready() && cluster.bootTracker().mustHaveBootedBefore(machine);
-            if (machine.ready() || before) {
-                up++;
-                perZone.merge(machine.zone(), 1, Integer::sum);
-                if (machine.unreachableFor(now) > silentS) {
-                    lost.add(machine);
-                }
-            }
-            if (machine.ready()) {
-                checkMachine(machine, now);
-            } else if (!before
-                    && cluster.bootTracker().isGivenUp(machine, now)
-                    && machine.unreachableFor(now) > silentS) {
-                awaited.add(machine);
+            if (!machine.releasing()) {
+                examine(machine, census, now);
             }
         }
-        // Whoever is cut off, the cloud ends them: before the question whether it is this node.
-        releaseOverdue(lost, now);
-        if (up > 1 && lost.size() == up) {
+        // The cloud ends them whoever is cut off: before the question whether it is this
+        // controller.
+        releaseOverdue(census.lost, now);
+        if (census.machines > 1 && census.lost.size() == census.machines) {
             return false;
         }
-        lost.removeIf(Machine::releasing);
-        releaseLost(lost, up, perZone, now);
-        releaseNeverReady(awaited, now);
+        census.lost.removeIf(Machine::releasing);
+        recordPartitions(census, now);
+        releaseLost(census, now);
+        releaseNeverReady(census.neverReady, now);
         return true;
     }
 
-    /** Probes a machine that is late, and empties and returns one that is faulty or taken. */
+    private void examine(Machine machine, Census census, double now) {
+        boolean unreachable = machine.unreachableFor(now) > cluster.heartbeatTimeoutS();
+        // One that had long booted when this leader began may be unreachable with the rest of its
+        // zone: silent, and not a machine that never came up.
+        boolean bootedBefore =
+                !machine.ready() && cluster.bootTracker().mustHaveBootedBefore(machine);
+        if (machine.ready() || bootedBefore) {
+            census.machines++;
+            census.machinesPerZone.merge(machine.zone(), 1, Integer::sum);
+            if (unreachable) {
+                census.lost.add(machine);
+            }
+        }
+        if (machine.ready()) {
+            checkMachine(machine, now);
+        } else if (!bootedBefore && cluster.bootTracker().isGivenUp(machine, now) && unreachable) {
+            census.neverReady.add(machine);
+        }
+    }
+
+    /** Probes a machine that is late, and drains and releases one that is faulty or reclaimed. */
     private void checkMachine(Machine machine, double now) {
         if (machine.unreachableFor(now) > PROBE_INTERVALS * cluster.heartbeatIntervalS()
                 && machine.claimDueProbe(now, cluster.heartbeatIntervalS() / 2)) {
@@ -117,9 +129,9 @@
         }
     }
 
-    private void probeAnswered(Heartbeat report) {
-        if (!stopped && report != null) {
-            cluster.fleet().handleDirectResponse(report, cluster.loop().now());
+    private void probeAnswered(Heartbeat heartbeat) {
+        if (!stopped && heartbeat != null) {
+            cluster.fleet().handleDirectResponse(heartbeat, cluster.loop().now());
         }
     }
 
@@ -131,10 +143,10 @@
         }
     }
 
-    private void releaseNeverReady(List<Machine> awaited, double now) {
+    private void releaseNeverReady(List<Machine> neverReady, double now) {
         double cancelS = cluster.settings().deployment().workerTimings().cancellationDeadlineS();
-        for (Machine machine : awaited) {
-            // Of a zone that is out of hearing nobody can tell what has come up there since.
+        for (Machine machine : neverReady) {
+            // Of a partitioned zone nobody can tell what has come up there since.
             if (!isPartitioned(machine.zone(), now) || machine.unreachableFor(now) > cancelS) {
                 cluster.instanceLifecycle().release(machine, "never came up");
             }
@@ -145,28 +157,40 @@
         return partitionedUntil.getOrDefault(zone, Double.NEGATIVE_INFINITY) > now;
     }
 
-    private void releaseLost(List<Machine> lost, int up, Map<String, Integer> perZone, double now) {
-        // Many at once are more likely a cut than so many deaths, of a zone or of this node's own
-        // lines.
+    /**
+     * Many machines that are lost at once are more likely partitioned than dead, in one zone or, by
+     * this controller's own links, in all.
+     */
+    private void recordPartitions(Census census, double now) {
         int few = cluster.settings().operators().maxConcurrentSilentReleases();
-        boolean allCut = lost.size() > Math.max(few, up / 3);
+        boolean allPartitioned = census.lost.size() > Math.max(few, census.machines / 3);
         Map<String, Integer> lostPerZone = new HashMap<>();
-        lost.forEach(machine -> lostPerZone.merge(machine.zone(), 1, Integer::sum));
+        census.lost.forEach(machine -> lostPerZone.merge(machine.zone(), 1, Integer::sum));
         lostPerZone.forEach(
-                (zone, count) -> {
-                    if (allCut || count > Math.max(few, perZone.get(zone) / 2)) {
-                        // When a cut ends its machines come back one by one, each after its
-                        // patience with nodes it could not reach:
-                        // those that are still silent then are no dead among the living.
+                (zone, lost) -> {
+                    int halfOfZone = census.machinesPerZone.get(zone) / 2;
+                    if (allPartitioned || lost > Math.max(few, halfOfZone)) {
+                        // When a partition ends its machines come back one by one, each after its
+                        // timeout at controllers that it could not reach: those that are still
+                        // silent then are not dead yet.
                         partitionedUntil.put(zone, now + cluster.leaseS());
                     }
                 });
-        // A tenth of a large fleet may die at once with a rack; three at a time would take it
+    }
+
+    /** Releases lost machines, those first that have been unreachable for longest. */
+    private void releaseLost(Census census, double now) {
+        // A tenth of a large fleet may die at once with a rack; a few at a time would take it
         // minutes to be replaced.
-        int most = Math.max(cluster.settings().operators().maxConcurrentSilentReleases(), up / 10);
-        lost.sort(Comparator.comparingDouble((Machine m) -> m.unreachableFor(now)).reversed());
-        for (Machine machine : lost) {
-            if (cluster.instanceLifecycle().releasing() >= most) {
+        int maxReleasing =
+                Math.max(
+                        cluster.settings().operators().maxConcurrentSilentReleases(),
+                        census.machines / 10);
+        census.lost.sort(
+                Comparator.comparingDouble((Machine machine) -> machine.unreachableFor(now))
+                        .reversed());
+        for (Machine machine : census.lost) {
+            if (cluster.instanceLifecycle().releasing() >= maxReleasing) {
                 break;
             }
             if (isLost(machine, isPartitioned(machine.zone(), now), now)) {
@@ -177,27 +201,28 @@
     }
 
     /**
-     * Whether to give a silent machine up. It may only hang, and its tasks with it until their
-     * lease ends: to return it earlier pays where replicas can go on elsewhere at once, and costs
-     * both work and replicas where they cannot.
+     * Whether to release a silent machine. It may only hang, and its tasks with it until their
+     * lease expires: to release it earlier pays where replicas can go on elsewhere at once, and
+     * costs both work and replicas where they cannot.
      */
-    private boolean isLost(Machine machine, boolean cut, double now) {
+    private boolean isLost(Machine machine, boolean partitioned, double now) {
         double leaseS = cluster.leaseS();
-        double silent = machine.unreachableFor(now);
-        if (cut) {
-            // A controller inside the cut may keep the leases for that long, and its tasks go on;
-            // afterwards all have ended.
-            return silent > cluster.settings().deployment().workerTimings().cancellationDeadlineS();
+        double unreachableS = machine.unreachableFor(now);
+        if (partitioned) {
+            // A controller inside the partition may renew the leases for that long, and the tasks
+            // go on; afterwards all have ended.
+            return unreachableS
+                    > cluster.settings().deployment().workerTimings().cancellationDeadlineS();
         }
-        if (silent > leaseS || machine.idle()) {
+        if (unreachableS > leaseS || machine.idle()) {
             return true;
         }
         if (!machine.holdsReplica()) {
-            return silent > leaseS / 2;
+            return unreachableS > leaseS / 2;
         }
-        // The question costs a look at the whole fleet, so it is put for one machine at a time, a
-        // few times a period; and
-        // what is being returned already must have moved before the room left is known.
+        // The answer costs a look at the whole fleet, so it is asked for one machine at a time, a
+        // few times an interval; and the replicas of what is being released already must have
+        // moved before the free capacity is known.
         if (cluster.instanceLifecycle().releasing() > 0
                 || now - capacityCheckedAt < cluster.heartbeatIntervalS() / 8) {
             return false;
@@ -208,23 +233,24 @@
 
     /**
      * Whether it may still hold a task that was cancelled so long ago that it must be gone before
-     * long: a machine that hangs, unlike one that is cut off, ends nothing by itself, and both look
-     * the same from here, also when it is the whole fleet.
+     * long: a machine that hangs, unlike one that is partitioned, ends nothing by itself, and both
+     * look the same from here, also when it is the whole fleet.
      */
     private boolean holdsOverdueCancellation(Machine machine, double now) {
-        double mostS =
+        double overdueS =
                 OVERDUE_FRACTION
                         * cluster.settings().deployment().workerTimings().cancellationDeadlineS();
         return machine.attempts().stream()
                 .anyMatch(
-                        a ->
-                                a.live()
-                                        && a.job.finalStatus() == Status.CANCELLED
-                                        && now - a.job.lastKnownOpenAt() > mostS);
+                        attempt ->
+                                attempt.live()
+                                        && attempt.job.finalStatus() == Status.CANCELLED
+                                        && now - attempt.job.lastKnownOpenAt() > overdueS);
     }
 
     /**
-     * A machine that will be taken: what can save does so in time; what may still complete goes on.
+     * A machine that the cloud will reclaim: what takes checkpoints saves its progress in time;
+     * what may still complete goes on.
      */
     private void drainReclaimed(Machine machine) {
         for (Attempt attempt : List.copyOf(machine.attempts())) {
@@ -232,7 +258,7 @@
                     && !attempt.stopRequested()
                     && attempt.job.spec.takesCheckpoints()
                     && attempt.running()) {
-                starter.stop(attempt, attempt.job.spec.checkpointDurationS());
+                attemptControl.stop(attempt, attempt.job.spec.checkpointDurationS());
             }
         }
     }
