--- a/src/main/java/io/pepperfield/overview/ControllerOverview.java
+++ b/src/main/java/io/pepperfield/overview/ControllerOverview.java
@@ -5,11 +5,12 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.admission.Admission;
 import io.pepperfield.config.Settings;
-import io.pepperfield.heartbeat.HeartbeatHandler;
+import io.pepperfield.heartbeat.PartitionAssignment;
 import io.pepperfield.http.Json;
 import io.pepperfield.leadership.Leadership;
 import io.pepperfield.peer.Membership;
 import io.pepperfield.store.ReplicaSynchronizer;
+import java.util.Optional;
 
 /** What operators see of one node ({@code GET /api/nodes}). */
 public final class ControllerOverview {
@@ -18,33 +19,33 @@
     private final Leadership leadership;
     private final ReplicaSynchronizer synchronizer;
     private final Membership membership;
-    private final HeartbeatHandler heartbeatHandler;
+    private final PartitionAssignment partitions;
 
-    /** Null where it is switched off. */
-    private final Admission admission;
+    /** Empty where it is switched off. */
+    private final Optional<Admission> admission;
 
     /**
-     * Creates the overview of one controller; {@code admission} is null where it is switched off.
+     * Creates the overview of one controller; {@code admission} is empty where it is switched off.
      */
     public ControllerOverview(
             Settings settings,
             Leadership leadership,
             ReplicaSynchronizer sync,
             Membership members,
-            HeartbeatHandler reports,
-            Admission admission) {
+            PartitionAssignment partitions,
+            Optional<Admission> admission) {
         this.settings = settings;
         this.leadership = leadership;
         this.synchronizer = sync;
         this.membership = members;
-        this.heartbeatHandler = reports;
+        this.partitions = partitions;
         this.admission = admission;
     }
 
     /**
-     * @param leader this node's leadership, or null while another node leads
+     * @param leader what this controller's leader shows; empty while another one leads
      */
-    public JsonNode describe(LeaderOverview leader, double now) {
+    public JsonNode describe(Optional<LeaderOverview> leader, double now) {
         ObjectNode node =
                 Json.object()
                         .put("node", settings.node())
@@ -55,13 +56,11 @@
                         .put(
                                 "stateContactS",
                                 Math.round(100 * (now - synchronizer.lastConfirmedAt())) / 100.0);
-        if (admission != null) {
-            admission.describe(node);
-        }
-        if (leader != null) {
+        admission.ifPresent(present -> present.describe(node));
+        if (leader.isPresent()) {
             ArrayNode controllers = node.putArray("controllers");
             settings.members().forEach(member -> describe(member, controllers.addObject(), now));
-            leader.describe(node);
+            leader.get().describe(node);
         }
         return node;
     }
@@ -80,6 +79,6 @@
         if (!membership.liveMembers(now).contains(node)) {
             return "silent";
         }
-        return heartbeatHandler.hasReceiveFailure(node, now) ? "hears no workers" : "takes part";
+        return partitions.hasReceiveFailure(node, now) ? "hears no workers" : "takes part";
     }
 }
--- a/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
+++ b/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
@@ -13,33 +13,33 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.UUID;
 import java.util.function.Consumer;
 
 /**
- * A partition owner's side of its link to the leader. Reports that came together go in one message,
- * and one message is under way; the leader's answer says what each worker is to be told. What a
- * report repeats of the one before is left out.
+ * A partition owner's side of its link to the leader. Heartbeats that came together are forwarded
+ * in one message, and one message is in flight at a time; the leader's reply holds a verdict on
+ * each heartbeat. What a heartbeat repeats of the one before is left out. Confined to the event
+ * loop.
  */
 public final class HeartbeatForwarder {
 
-    /** Workers wait so long for an answer. */
+    /** How long a worker waits for an answer. */
     private static final double WORKER_TIMEOUT_S = 4;
 
-    /**
-     * A report of a worker that waits for its answer; null verdicts mean that no leader answered.
-     */
+    /** A worker's heartbeat that waits for its verdict. */
     private static final class PendingHeartbeat {
         final Heartbeat heartbeat;
         final byte[] encoded;
         final Consumer<LeaderVerdict> onVerdict;
         boolean sendInFull;
 
-        PendingHeartbeat(Heartbeat report, byte[] raw, Consumer<LeaderVerdict> done) {
-            this.heartbeat = report;
-            this.encoded = raw;
-            this.onVerdict = done;
+        PendingHeartbeat(Heartbeat heartbeat, byte[] encoded, Consumer<LeaderVerdict> onVerdict) {
+            this.heartbeat = heartbeat;
+            this.encoded = encoded;
+            this.onVerdict = onVerdict;
         }
     }
 
@@ -49,7 +49,7 @@
     private final double heartbeatIntervalS;
     private final String incarnation = UUID.randomUUID().toString();
     private final ArrayDeque<PendingHeartbeat> pending = new ArrayDeque<>();
-    private final ArrayDeque<byte[]> heard = new ArrayDeque<>();
+    private final ArrayDeque<byte[]> directOrderReplies = new ArrayDeque<>();
     private final ArrayDeque<String> cachedToSend = new ArrayDeque<>();
     private final HeartbeatCache cache;
     private Settings.Member leader;
@@ -71,16 +71,16 @@
     }
 
     /**
-     * Who leads, as this node knows it; another node than before has none of this part's reports
-     * yet.
+     * Sets who leads, as this controller knows it; empty where nobody does. Another leader than
+     * before has no heartbeats of this partition yet.
      */
-    public void leader(String node) {
+    public void leaderChanged(String node) {
         if (leader != null && leader.node().equals(node) || leader == null && node.isEmpty()) {
             return;
         }
         leader =
                 settings.members().stream()
-                        .filter(m -> m.node().equals(node))
+                        .filter(member -> member.node().equals(node))
                         .findFirst()
                         .orElse(null);
         leaderReachable = false;
@@ -92,28 +92,29 @@
         }
     }
 
-    /** Whether the leader has answered this node of late. */
+    /** Whether the leader has answered this controller within a heartbeat interval. */
     public boolean leaderReachable(double now) {
         return leaderReachable && now - leaderAnsweredAt < heartbeatIntervalS;
     }
 
-    /** When the leader last answered, whoever it was. */
+    /** Loop time in seconds at which the last message was sent that a leader has answered. */
     public double leaderAnsweredAt() {
         return leaderAnsweredAt;
     }
 
     /**
-     * Up to when all cancellations are settled on the machine, by what leaders have answered it
-     * through this node.
+     * Loop time up to which all cancellations are settled on the machine, by what leaders have
+     * answered it through this controller.
      */
     public double cancellationWatermark(String machine) {
         return cache.cancellationWatermark(machine);
     }
 
     /**
-     * What a leader's answer to a report settles. One with a stop settles nothing: whether it
-     * arrives nobody knows, and what is to be stopped may not even have begun. One without says
-     * that no attempt of a job cancelled by then may be alive there.
+     * Loop time up to which a leader's answer to a heartbeat settles all cancellations there. One
+     * with a stop settles nothing: whether it arrives nobody knows, and what is to be stopped may
+     * not even have begun. One without says that no attempt of a job cancelled by then may be alive
+     * there.
      *
      * @param knownUpTo up to when that leader knew all cancellations
      */
@@ -121,42 +122,44 @@
         return anyStop ? Double.NEGATIVE_INFINITY : knownUpTo;
     }
 
-    /** The highest token that a leader has shown this node. */
+    /** The highest fencing token that a leader has shown this controller. */
     public FencingToken fencingToken() {
         return fencingToken;
     }
 
-    /** The controllers that take reports, as the leader said last. */
+    /** The controllers that own a partition, as the leader said last. */
     public Set<String> partitionOwners() {
         return partitionOwners;
     }
 
-    /** The last reports of this node's partition, for a leader that begins: as old as they are. */
+    /**
+     * The last heartbeats of this partition with their ages, for a leader that was just elected.
+     */
     public List<CachedHeartbeat> cachedHeartbeats(double now) {
         return cache.recentHeartbeats(now);
     }
 
     /**
-     * A leader has answered a worker's report through this node; remembered so that a new one need
-     * not wait for the next.
+     * Keeps a heartbeat that a leader has answered, so that a new leader need not wait for the
+     * next.
      *
-     * @param settledUpTo up to when that leader's answer settles all cancellations there
+     * @param watermark loop time up to which that answer settles all cancellations there
      */
-    public void cacheHeartbeat(Heartbeat report, byte[] raw, double settledUpTo) {
-        cache.put(report, raw, settledUpTo, loop.now());
+    public void cacheHeartbeat(Heartbeat heartbeat, byte[] encoded, double watermark) {
+        cache.put(heartbeat, encoded, watermark, loop.now());
     }
 
     /**
-     * Passes a worker's report on; called back with the leader's word, or with null where there is
-     * none.
+     * Forwards a worker's heartbeat; called back once, with the leader's verdict or {@link
+     * LeaderVerdict#UNREACHABLE}.
      */
-    public void submit(Heartbeat report, byte[] raw, Consumer<LeaderVerdict> done) {
-        pending.add(new PendingHeartbeat(report, raw, done));
+    public void submit(Heartbeat heartbeat, byte[] encoded, Consumer<LeaderVerdict> onVerdict) {
+        pending.add(new PendingHeartbeat(heartbeat, encoded, onVerdict));
     }
 
-    /** A worker's answer to direct orders, for the leader. */
-    public void heard(byte[] raw) {
-        heard.add(raw);
+    /** Forwards a worker's reply to direct orders. */
+    public void addDirectOrderReply(byte[] encoded) {
+        directOrderReplies.add(encoded);
     }
 
     /** To be called at the end of each batch of commands, and often otherwise. */
@@ -164,22 +167,23 @@
         double now = loop.now();
         if (leader == null) {
             failPending();
-            heard.clear();
+            directOrderReplies.clear();
             return;
         }
-        boolean news = !pending.isEmpty() || !heard.isEmpty() || !cachedToSend.isEmpty();
-        // Spaced, so that what comes from many workers costs the leader few messages; a word now
-        // and then shows that
-        // this node is there.
+        boolean anythingToSend =
+                !pending.isEmpty() || !directOrderReplies.isEmpty() || !cachedToSend.isEmpty();
+        // Spaced, so that what comes from many workers costs the leader few messages; an empty
+        // message now and then shows that this controller is live.
         if (!requestInFlight
-                && now - sentAt >= (news ? heartbeatIntervalS / 50 : heartbeatIntervalS / 4)) {
+                && now - sentAt
+                        >= (anythingToSend ? heartbeatIntervalS / 50 : heartbeatIntervalS / 4)) {
             send(now);
         }
     }
 
     private void failPending() {
         while (!pending.isEmpty()) {
-            pending.poll().onVerdict.accept(null);
+            pending.poll().onVerdict.accept(LeaderVerdict.UNREACHABLE);
         }
     }
 
@@ -189,19 +193,19 @@
         HeartbeatBatchBuilder message =
                 new HeartbeatBatchBuilder(settings.node(), incarnation, ++sequence, fencingToken);
         List<PendingHeartbeat> batch = addHeartbeats(message);
-        while (!heard.isEmpty() && message.hasRoom()) {
-            message.addDirectOrderReply(heard.poll());
+        while (!directOrderReplies.isEmpty() && message.hasRoom()) {
+            message.addDirectOrderReply(directOrderReplies.poll());
         }
         addCached(message, now);
         Settings.Member to = leader;
-        // Well within a worker's patience, so that it can still be answered without orders, also
-        // one that waits behind these.
+        // Well within a worker's timeout, so that it can still be answered without orders, also one
+        // that waits behind these.
         client.send(
                 to.address().host(),
                 to.address().port(),
                 1,
                 "POST",
-                "/peer/relay",
+                Peers.HEARTBEATS_PATH,
                 message.write(),
                 Math.round(1000 * Math.min(heartbeatIntervalS / 2, WORKER_TIMEOUT_S / 3)),
                 outcome -> loop.post(() -> replyReceived(to, now, batch, outcome)));
@@ -232,49 +236,53 @@
     }
 
     private void replyReceived(
-            Settings.Member from, double sent, List<PendingHeartbeat> batch, HttpOutcome outcome) {
+            Settings.Member from,
+            double requestSentAt,
+            List<PendingHeartbeat> batch,
+            HttpOutcome outcome) {
         requestInFlight = false;
-        HeartbeatBatchReply answer = parseReply(outcome, batch.size());
-        if (answer == null || from != leader) {
+        Optional<HeartbeatBatchReply> parsed = parseReply(outcome, batch.size());
+        if (parsed.isEmpty() || from != leader) {
             batch.forEach(this::fail);
             return;
         }
-        fencingToken = FencingToken.newest(fencingToken, answer.fencingToken());
-        partitionOwners = answer.partitionOwners();
+        HeartbeatBatchReply reply = parsed.get();
+        fencingToken = FencingToken.newest(fencingToken, reply.fencingToken());
+        partitionOwners = reply.partitionOwners();
         leaderReachable = true;
-        leaderAnsweredAt = Math.max(leaderAnsweredAt, sent);
-        double knownUpTo = sent - answer.stateContactAgeS();
+        leaderAnsweredAt = Math.max(leaderAnsweredAt, requestSentAt);
+        double knownUpTo = requestSentAt - reply.stateContactAgeS();
         for (int i = 0; i < batch.size(); i++) {
-            applyVerdict(batch.get(i), answer.verdicts().get(i), knownUpTo);
+            applyVerdict(batch.get(i), reply.verdicts().get(i), knownUpTo);
         }
         cache.evictOlderThan(
                 loop.now() - settings.deployment().workerTimings().cancellationDeadlineS());
     }
 
-    private static HeartbeatBatchReply parseReply(HttpOutcome outcome, int reports) {
+    private static Optional<HeartbeatBatchReply> parseReply(HttpOutcome outcome, int heartbeats) {
         if (outcome instanceof HttpOutcome.Answered answered && answered.status() == 200) {
-            return PeerMessages.readBatchReply(answered.json(), reports);
+            return PeerMessages.readBatchReply(answered.json(), heartbeats);
         }
-        return null;
+        return Optional.empty();
     }
 
-    private void fail(PendingHeartbeat report) {
-        cache.markNotForwarded(report.heartbeat.machine());
-        report.onVerdict.accept(null);
+    private void fail(PendingHeartbeat unanswered) {
+        cache.markNotForwarded(unanswered.heartbeat.machine());
+        unanswered.onVerdict.accept(LeaderVerdict.UNREACHABLE);
     }
 
-    private void applyVerdict(PendingHeartbeat report, LeaderVerdict verdict, double knownUpTo) {
-        if (verdict instanceof LeaderVerdict.FullHeartbeatRequired && !report.sendInFull) {
-            report.sendInFull = true;
-            pending.add(report);
+    private void applyVerdict(PendingHeartbeat answered, LeaderVerdict verdict, double knownUpTo) {
+        if (verdict instanceof LeaderVerdict.FullHeartbeatRequired && !answered.sendInFull) {
+            answered.sendInFull = true;
+            pending.add(answered);
             return;
         }
         if (verdict instanceof LeaderVerdict.Orders orders) {
-            double settledUpTo =
+            double watermark =
                     cancellationWatermark(Order.containsStop(orders.orders()), knownUpTo);
-            cacheHeartbeat(report.heartbeat, report.encoded, settledUpTo);
-            cache.markForwarded(report.heartbeat);
+            cacheHeartbeat(answered.heartbeat, answered.encoded, watermark);
+            cache.markForwarded(answered.heartbeat);
         }
-        report.onVerdict.accept(verdict);
+        answered.onVerdict.accept(verdict);
     }
 }
--- a/src/main/java/io/pepperfield/peer/PeerMessages.java
+++ b/src/main/java/io/pepperfield/peer/PeerMessages.java
@@ -11,20 +11,22 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
 
 /**
- * What partition owners and the leader tell each other; the only place that knows its field names.
+ * The messages between partition owners and the leader; the only place that knows their field
+ * names.
  */
 public final class PeerMessages {
 
-    /** One report as a partition owner passes it on. */
+    /** One heartbeat as a partition owner forwards it. */
     public sealed interface ForwardedHeartbeat {
-        /** The name of the machine that reports. */
+        /** The name of the machine that sent it. */
         String machine();
 
-        /** The report in full. */
+        /** The heartbeat in full. */
         record Full(Heartbeat heartbeat) implements ForwardedHeartbeat {
             @Override
             public String machine() {
@@ -32,20 +34,26 @@
             }
         }
 
-        /** Differs from the one of serial {@code base} only in its serial and token. */
+        /** Differs from an earlier one, of {@code baseSequence}, only in its sequence and token. */
         record Repeated(
                 String machine,
                 long incarnation,
-                long baseSerial,
-                long serial,
+                long baseSequence,
+                long sequence,
                 FencingToken fencingToken)
                 implements ForwardedHeartbeat {}
     }
 
-    /** A report that its partition owner remembers from before the leader was elected. */
+    /** A heartbeat that its partition owner answered before the leader was elected. */
     public record CachedHeartbeat(Heartbeat heartbeat, double ageS) {}
 
-    /** One message of a partition owner to the leader; {@code life} names the owner's process. */
+    /**
+     * One message of a partition owner to the leader.
+     *
+     * @param sender the name of the owner
+     * @param incarnation identifies the owner's process
+     * @param sequence numbers the messages of that process
+     */
     public record HeartbeatBatch(
             String sender,
             String incarnation,
@@ -55,19 +63,35 @@
             List<Heartbeat> directOrderReplies,
             List<CachedHeartbeat> cachedHeartbeats) {}
 
-    /** The leader's answer to one report. */
+    /** The leader's verdict on one heartbeat. */
     public sealed interface LeaderVerdict {
+        /** The verdict on a late copy, or on a machine that was returned. */
+        LeaderVerdict REFUSED = new Refused();
+
+        /** The verdict on a repeated heartbeat of which the leader lacks the earlier one. */
+        LeaderVerdict FULL_HEARTBEAT_REQUIRED = new FullHeartbeatRequired();
+
+        /** The outcome where no leader answered. */
+        LeaderVerdict UNREACHABLE = new Unreachable();
+
         /** To be answered with these orders. */
         record Orders(JsonNode orders) implements LeaderVerdict {}
 
         /** A late copy, or of a machine that was returned. */
         record Refused() implements LeaderVerdict {}
 
-        /** The leader lacks the report that a short one repeats. */
+        /** The leader lacks the heartbeat that a short one repeats. */
         record FullHeartbeatRequired() implements LeaderVerdict {}
+
+        /** No leader answered; known to the sender only and never part of a message. */
+        record Unreachable() implements LeaderVerdict {}
     }
 
-    /** The leader's answer to a batch, with one verdict for each of its reports. */
+    /**
+     * The leader's reply to a batch, with one verdict for each of its heartbeats.
+     *
+     * @param stateContactAgeS seconds since the leader last knew all changes in the store
+     */
     public record HeartbeatBatchReply(
             FencingToken fencingToken,
             double stateContactAgeS,
@@ -77,83 +101,98 @@
     /** Orders that a partition owner is to hand to a worker at once. */
     public record DirectOrderMessage(String address, long incarnation, JsonNode orders) {}
 
+    /** A repeated heartbeat is an array of machine, incarnation, base, sequence and token. */
+    private static final int REPEATED_FIELDS = 5;
+
+    private static final String FULL_HEARTBEAT_WORD = "whole";
+
     private PeerMessages() {}
 
     /**
-     * A worker's report as part of a message; one in another encoding than UTF-8 would spoil the
+     * A worker's heartbeat as part of a message; one in another encoding than UTF-8 would spoil the
      * others beside it.
      */
-    static RawValue embedded(byte[] report) {
-        boolean plain = report.length > 1 && report[0] > 0 && report[1] > 0;
+    static RawValue embedded(byte[] heartbeat) {
+        boolean utf8 = heartbeat.length > 1 && heartbeat[0] > 0 && heartbeat[1] > 0;
         return new RawValue(
-                new String(plain ? report : Json.write(Json.read(report)), StandardCharsets.UTF_8));
+                new String(
+                        utf8 ? heartbeat : Json.write(Json.read(heartbeat)),
+                        StandardCharsets.UTF_8));
     }
 
-    /** Null where the message is not one of this version's: it is refused whole. */
-    public static HeartbeatBatch readBatch(JsonNode message) {
+    /** Empty where the message is not one of this version's: it is refused whole. */
+    public static Optional<HeartbeatBatch> readBatch(JsonNode message) {
         if (!message.path("node").isTextual()
                 || !message.path("life").isTextual()
                 || !message.path("seq").isIntegralNumber()
                 || !message.path("epoch").isIntegralNumber()
                 || !message.path("beats").isArray()) {
-            return null;
+            return Optional.empty();
         }
-        List<ForwardedHeartbeat> beats = new ArrayList<>();
-        for (JsonNode beat : message.path("beats")) {
-            if (beat.isArray() && beat.size() == 5) {
-                beats.add(
+        List<ForwardedHeartbeat> heartbeats = new ArrayList<>();
+        for (JsonNode item : message.path("beats")) {
+            if (item.isArray() && item.size() == REPEATED_FIELDS) {
+                heartbeats.add(
                         new ForwardedHeartbeat.Repeated(
-                                beat.path(0).asText(),
-                                beat.path(1).asLong(),
-                                beat.path(2).asLong(),
-                                beat.path(3).asLong(),
-                                new FencingToken(beat.path(4).asLong())));
+                                item.path(0).asText(),
+                                item.path(1).asLong(),
+                                item.path(2).asLong(),
+                                item.path(3).asLong(),
+                                new FencingToken(item.path(4).asLong())));
             } else {
-                Heartbeat report = Heartbeat.parse(beat);
-                if (report == null) {
-                    return null;
+                Heartbeat heartbeat = Heartbeat.parse(item);
+                if (heartbeat == null) {
+                    return Optional.empty();
                 }
-                beats.add(new ForwardedHeartbeat.Full(report));
+                heartbeats.add(new ForwardedHeartbeat.Full(heartbeat));
             }
         }
-        List<Heartbeat> heard = new ArrayList<>();
-        for (JsonNode report : message.path("heard")) {
-            Heartbeat read = Heartbeat.parse(report);
-            if (read != null) {
-                heard.add(read);
+        return Optional.of(
+                new HeartbeatBatch(
+                        message.path("node").textValue(),
+                        message.path("life").textValue(),
+                        message.path("seq").longValue(),
+                        new FencingToken(message.path("epoch").longValue()),
+                        heartbeats,
+                        readDirectOrderReplies(message),
+                        readCachedHeartbeats(message)));
+    }
+
+    private static List<Heartbeat> readDirectOrderReplies(JsonNode message) {
+        List<Heartbeat> replies = new ArrayList<>();
+        for (JsonNode item : message.path("heard")) {
+            Heartbeat reply = Heartbeat.parse(item);
+            if (reply != null) {
+                replies.add(reply);
             }
         }
-        List<CachedHeartbeat> kept = new ArrayList<>();
+        return replies;
+    }
+
+    private static List<CachedHeartbeat> readCachedHeartbeats(JsonNode message) {
+        List<CachedHeartbeat> cached = new ArrayList<>();
         for (JsonNode item : message.path("kept")) {
-            Heartbeat read = Heartbeat.parse(item.path("report"));
-            if (read != null) {
-                kept.add(
-                        new CachedHeartbeat(
-                                read, Math.max(0, item.path("ageMs").asLong() / 1000.0)));
+            Heartbeat heartbeat = Heartbeat.parse(item.path("report"));
+            if (heartbeat != null) {
+                double ageS = item.path("ageMs").asLong() / 1000.0;
+                cached.add(new CachedHeartbeat(heartbeat, Math.max(0, ageS)));
             }
         }
-        return new HeartbeatBatch(
-                message.path("node").textValue(),
-                message.path("life").textValue(),
-                message.path("seq").longValue(),
-                new FencingToken(message.path("epoch").longValue()),
-                beats,
-                heard,
-                kept);
+        return cached;
     }
 
-    /** Encodes the answer to a batch. */
+    /** Encodes the reply to a batch. */
     public static byte[] writeBatchReply(
             FencingToken token,
-            double contactAgoS,
-            Collection<String> live,
+            double stateContactAgeS,
+            Collection<String> partitionOwners,
             List<LeaderVerdict> verdicts) {
         ObjectNode node =
                 Json.object()
                         .put("epoch", token.value())
-                        .put("contactAgoMs", Math.round(contactAgoS * 1000));
+                        .put("contactAgoMs", Math.round(stateContactAgeS * 1000));
         ArrayNode names = node.putArray("live");
-        live.forEach(names::add);
+        partitionOwners.forEach(names::add);
         ArrayNode answers = node.putArray("answers");
         for (LeaderVerdict verdict : verdicts) {
             if (verdict instanceof LeaderVerdict.Orders orders) {
@@ -161,36 +200,41 @@
             } else {
                 answers.add(
                         verdict instanceof LeaderVerdict.FullHeartbeatRequired
-                                ? "whole"
+                                ? FULL_HEARTBEAT_WORD
                                 : "refused");
             }
         }
         return Json.write(node);
     }
 
-    /** Null where the message is not an answer to that many reports. */
-    static HeartbeatBatchReply readBatchReply(JsonNode message, int beats) {
+    /** Empty where the message is not a reply to that many heartbeats. */
+    static Optional<HeartbeatBatchReply> readBatchReply(JsonNode message, int heartbeats) {
         if (!message.path("epoch").isIntegralNumber()
                 || !message.path("contactAgoMs").isNumber()
-                || message.path("answers").size() != beats) {
-            return null;
+                || message.path("answers").size() != heartbeats) {
+            return Optional.empty();
         }
-        Set<String> live = new TreeSet<>();
-        message.path("live").forEach(name -> live.add(name.asText()));
+        Set<String> partitionOwners = new TreeSet<>();
+        message.path("live").forEach(name -> partitionOwners.add(name.asText()));
         List<LeaderVerdict> verdicts = new ArrayList<>();
         for (JsonNode answer : message.path("answers")) {
-            verdicts.add(
-                    answer.isArray()
-                            ? new LeaderVerdict.Orders(answer)
-                            : answer.asText().equals("whole")
-                                    ? new LeaderVerdict.FullHeartbeatRequired()
-                                    : new LeaderVerdict.Refused());
+            verdicts.add(readVerdict(answer));
+        }
+        return Optional.of(
+                new HeartbeatBatchReply(
+                        new FencingToken(message.path("epoch").longValue()),
+                        message.path("contactAgoMs").doubleValue() / 1000,
+                        partitionOwners,
+                        verdicts));
+    }
+
+    private static LeaderVerdict readVerdict(JsonNode verdict) {
+        if (verdict.isArray()) {
+            return new LeaderVerdict.Orders(verdict);
         }
-        return new HeartbeatBatchReply(
-                new FencingToken(message.path("epoch").longValue()),
-                message.path("contactAgoMs").doubleValue() / 1000,
-                live,
-                verdicts);
+        return verdict.asText().equals(FULL_HEARTBEAT_WORD)
+                ? LeaderVerdict.FULL_HEARTBEAT_REQUIRED
+                : LeaderVerdict.REFUSED;
     }
 
     static byte[] writeCancelledJobs(List<String> ids) {
@@ -210,11 +254,11 @@
         ObjectNode node = Json.object().put("epoch", token.value());
         ArrayNode all = node.putArray("messages");
         messages.forEach(
-                m ->
+                message ->
                         all.addObject()
-                                .put("addr", m.address())
-                                .put("tenure", m.incarnation())
-                                .set("orders", m.orders()));
+                                .put("addr", message.address())
+                                .put("tenure", message.incarnation())
+                                .set("orders", message.orders()));
         return Json.write(node);
     }
 
