--- a/src/main/java/io/pepperfield/controller/ControllerAssembly.java
+++ b/src/main/java/io/pepperfield/controller/ControllerAssembly.java
@@ -13,6 +13,7 @@
 import io.pepperfield.heartbeat.ClusterLinks;
 import io.pepperfield.heartbeat.HeartbeatHandler;
 import io.pepperfield.jobs.JobIndex;
+import io.pepperfield.jobs.JobRecord;
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.jobs.SubmissionPolicy;
 import io.pepperfield.jobs.UserRequests;
@@ -168,13 +169,12 @@
                 external.store(),
                 machineTypes,
                 admission.map(Admission::policy).orElse(SubmissionPolicy.UNLIMITED),
-                // Its preconditions are as many as its mutations, so that one for the version has
-                // room.
-                limits.maxTransactionOps(),
-                limits.maxValueKib(),
-                RoleRateLimits.USER_WRITE_SHARE * limits.writesPerS(),
-                Controller.maxConcurrentQueries(settings) / 2,
-                compatibility::tasksPerRunRecord,
+                new UserRequests.Limits(
+                        limits.maxTransactionOps(),
+                        limits.maxValueKib(),
+                        RoleRateLimits.USER_WRITE_SHARE * limits.writesPerS(),
+                        Controller.maxConcurrentQueries(settings) / 2,
+                        compatibility::tasksPerRunRecord),
                 cancellationAnnouncer::add);
     }
 
@@ -325,7 +325,7 @@
 
     /** The specification of an accepted job, or null. */
     private JobSpec jobSpec(String id) {
-        JobIndex.JobRecord job = jobIndex.get(id);
+        JobRecord job = jobIndex.get(id);
         return job == null ? null : job.spec();
     }
 
--- a/src/main/java/io/pepperfield/controller/Leader.java
+++ b/src/main/java/io/pepperfield/controller/Leader.java
@@ -28,7 +28,6 @@
 import io.pepperfield.peer.PartitionOrderRouter;
 import io.pepperfield.store.FencedWriter;
 import io.pepperfield.store.Keys;
-import io.pepperfield.store.Replica;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/io/pepperfield/controller/ReplicaChangeRouter.java
+++ b/src/main/java/io/pepperfield/controller/ReplicaChangeRouter.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.cloud.MachineTypesRecord;
 import io.pepperfield.cluster.MachineTypes;
+import io.pepperfield.jobs.JobCodec;
 import io.pepperfield.jobs.JobIndex;
-import io.pepperfield.jobs.JobMessages;
 import io.pepperfield.jobs.Status;
 import io.pepperfield.leadership.Leadership;
 import io.pepperfield.peer.HeartbeatForwarder;
@@ -90,7 +90,7 @@
      */
     void cancelledByPeer(String jobId) {
         jobIndex.changed(
-                Keys.FINAL_STATE_PREFIX + jobId, JobMessages.encodeFinalStatus(Status.CANCELLED));
+                Keys.FINAL_STATE_PREFIX + jobId, JobCodec.encodeFinalStatus(Status.CANCELLED));
         notifyLeader(jobId);
     }
 
