--- a/src/main/java/io/pepperfield/controller/Leader.java
+++ b/src/main/java/io/pepperfield/controller/Leader.java
@@ -19,6 +19,7 @@
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.Machine;
 import io.pepperfield.fleet.Order;
+import io.pepperfield.fleet.WorkerProtocol;
 import io.pepperfield.health.FailureDetector;
 import io.pepperfield.health.LeaseRenewal;
 import io.pepperfield.heartbeat.LeaderHeartbeats;
@@ -256,8 +257,7 @@
         if (orders == null) {
             return new PeerMessages.LeaderVerdict.Refused();
         }
-        return new PeerMessages.LeaderVerdict.Orders(
-                Order.replyBody(leadership.fencingToken(), orders).path("orders"));
+        return new PeerMessages.LeaderVerdict.Orders(WorkerProtocol.encodeOrders(orders));
     }
 
     /** The report itself, or null where it only names one before that is not known here. */
--- a/src/main/java/io/pepperfield/fleet/Heartbeat.java
+++ b/src/main/java/io/pepperfield/fleet/Heartbeat.java
@@ -1,11 +1,17 @@
 package io.pepperfield.fleet;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.fencing.FencingToken;
-import java.util.ArrayList;
 import java.util.List;
 
-/** A worker's report; {@code noticeS} is null unless the cloud is about to take the machine. */
+/**
+ * A heartbeat of a worker's agent with the status of all attempts that it holds. Heartbeats of one
+ * machine are ordered by incarnation and, within it, by sequence.
+ *
+ * @param incarnation number of the agent's incarnation, counted up at each restart
+ * @param sequence number of the heartbeat within the incarnation
+ * @param fencingToken the newest token that the agent has seen
+ * @param reclaimNoticeS seconds until the cloud reclaims the machine; null without a notice
+ */
 public record Heartbeat(
         String machine,
         String address,
@@ -38,11 +44,11 @@
         OTHER
     }
 
-    /** What a report says about one attempt. */
+    /** What a heartbeat says about one attempt. */
     public record AttemptStatus(TaskRef taskRef, int attemptNumber, State state, Cause cause) {}
 
-    /** The report that differs from this one only in its serial and token. */
-    Heartbeat withSequenceAndToken(long newSerial, FencingToken newToken) {
+    /** The heartbeat that differs from this one only in its sequence and token. */
+    Heartbeat withSequenceAndToken(long newSequence, FencingToken newToken) {
         return new Heartbeat(
                 machine,
                 address,
@@ -50,76 +56,9 @@
                 zone,
                 spot,
                 incarnation,
-                newSerial,
+                newSequence,
                 newToken,
                 reclaimNoticeS,
                 attempts);
     }
-
-    /** Null where the message is no report: refused whole, since half of one proves nothing. */
-    public static Heartbeat parse(JsonNode message) {
-        if (!message.path("host").isTextual()
-                || !message.path("addr").isTextual()
-                || !message.path("flavour").isTextual()
-                || !message.path("site").isTextual()
-                || !message.path("reclaimable").isBoolean()
-                || !isCount(message.path("tenure"))
-                || !isCount(message.path("serial"))
-                || !isCount(message.path("epoch"))
-                || !message.path("shards").isArray()) {
-            return null;
-        }
-        List<AttemptStatus> lines = new ArrayList<>();
-        for (JsonNode shard : message.path("shards")) {
-            TaskRef ref = TaskRef.parse(shard.path("shard").asText());
-            State state =
-                    switch (shard.path("status").asText()) {
-                        case "pulling" -> State.PULLING;
-                        case "running" -> State.RUNNING;
-                        case "saving" -> State.SAVING;
-                        case "ended" -> State.ENDED;
-                        // A state of a later version, or one such as waiting for mates: alive, and
-                        // not counted as running.
-                        default -> State.PULLING;
-                    };
-            if (ref == null || !shard.path("status").isTextual() || !isCount(shard.path("try"))) {
-                return null;
-            }
-            lines.add(
-                    new AttemptStatus(
-                            ref,
-                            shard.path("try").intValue(),
-                            state,
-                            parseCause(shard.path("cause").asText(""))));
-        }
-        JsonNode notice = message.path("warningS");
-        return new Heartbeat(
-                message.path("host").textValue(),
-                message.path("addr").textValue(),
-                message.path("flavour").textValue(),
-                message.path("site").textValue(),
-                message.path("reclaimable").booleanValue(),
-                message.path("tenure").longValue(),
-                message.path("serial").longValue(),
-                new FencingToken(message.path("epoch").longValue()),
-                notice.isNumber() ? notice.doubleValue() : null,
-                lines);
-    }
-
-    private static boolean isCount(JsonNode value) {
-        return value.isIntegralNumber() && value.canConvertToLong() && value.longValue() >= 0;
-    }
-
-    private static Cause parseCause(String word) {
-        return switch (word) {
-            case "" -> Cause.NONE;
-            case "done" -> Cause.DONE;
-            case "stopped" -> Cause.STOPPED;
-            case "error" -> Cause.ERROR;
-            case "no_room" -> Cause.NO_ROOM;
-            case "busy" -> Cause.BUSY;
-            case "no_such" -> Cause.NO_SUCH;
-            default -> Cause.OTHER;
-        };
-    }
 }
--- a/src/main/java/io/pepperfield/fleet/WorkerClient.java
+++ b/src/main/java/io/pepperfield/fleet/WorkerClient.java
@@ -3,16 +3,18 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.fencing.FencingToken;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 
-/** The direct way to the workers; callbacks run on the event loop. */
+/** Direct messages to the workers' agents; callbacks run on the event loop. */
 public interface WorkerClient {
 
     /** How a direct message to a worker ended. */
     sealed interface Result {
         /**
-         * The worker's report after the orders; {@code executed} false where it refused all of
-         * them.
+         * The agent's status after the orders.
+         *
+         * @param executed false where the agent has refused all of them
          */
         record Responded(boolean executed, Heartbeat heartbeat) implements Result {}
 
@@ -23,22 +25,26 @@
         record NoResponse() implements Result {}
     }
 
-    /** Asks for the worker's report without ordering anything; null where none comes. */
-    void probe(String address, Consumer<Heartbeat> done);
+    /** Asks the agent for its status without ordering anything; empty where no answer comes. */
+    void probe(String address, Consumer<Optional<Heartbeat>> done);
 
-    /** Hands on orders as they are; {@code heard} gets the worker's report, if one comes. */
+    /**
+     * Passes on orders that are encoded already.
+     *
+     * @param response gets the agent's status as received, if it is a valid heartbeat
+     */
     void forwardOrders(
             String address,
             FencingToken token,
-            long tenure,
+            long incarnation,
             JsonNode orders,
-            Consumer<byte[]> heard);
+            Consumer<byte[]> response);
 
-    /** Sends orders to a worker outside its reports; {@code done} is called once. */
+    /** Sends orders outside the replies to heartbeats; {@code done} is called once. */
     void sendOrders(
             String address,
             FencingToken token,
-            long tenure,
+            long incarnation,
             List<Order> orders,
             Consumer<Result> done);
 }
--- a/src/main/java/io/pepperfield/health/FailureDetector.java
+++ b/src/main/java/io/pepperfield/health/FailureDetector.java
@@ -12,6 +12,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /** Machines that say nothing, do not hear, never came up, are faulty or about to be taken. */
 public final class FailureDetector {
@@ -117,9 +118,9 @@
         }
     }
 
-    private void probeAnswered(Heartbeat report) {
-        if (!stopped && report != null) {
-            cluster.fleet().handleDirectResponse(report, cluster.loop().now());
+    private void probeAnswered(Optional<Heartbeat> response) {
+        if (!stopped && response.isPresent()) {
+            cluster.fleet().handleDirectResponse(response.get(), cluster.loop().now());
         }
     }
 
--- a/src/main/java/io/pepperfield/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/io/pepperfield/heartbeat/HeartbeatHandler.java
@@ -1,10 +1,10 @@
 package io.pepperfield.heartbeat;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.config.Settings;
 import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.Order;
+import io.pepperfield.fleet.WorkerProtocol;
 import io.pepperfield.health.LeaseRenewal;
 import io.pepperfield.health.PauseDetector;
 import io.pepperfield.health.ZonePartitionDetector;
@@ -92,7 +92,7 @@
 
     /** A worker reports. */
     public void handle(InboundRequest call, Consumer<HttpReply> answer) {
-        Heartbeat report = Heartbeat.parse(Json.read(call.body()));
+        Heartbeat report = WorkerProtocol.parseHeartbeat(Json.read(call.body())).orElse(null);
         if (report == null) {
             logOnce.warn("a worker", "sends what is no report");
             answer.accept(HttpReply.error(400, "not a report"));
@@ -132,8 +132,7 @@
         if (!isIsolated(now) && leaderMayBeAbsent(now)) {
             renewLeaseWithoutLeader(report, answer);
         } else if (othersReachLeader(now)) {
-            answer.accept(
-                    HttpReply.json(421, Json.object().put("manager", leadership.leaderNode())));
+            answer.accept(HttpReply.json(421, WorkerProtocol.redirect(leadership.leaderNode())));
         } else {
             // Cut off from the leader and the state service: others take the worker within its
             // lease.
@@ -178,7 +177,9 @@
         answer.accept(
                 orders == null
                         ? HttpReply.error(503, "an old report")
-                        : HttpReply.json(200, Order.replyBody(leadership.fencingToken(), orders)));
+                        : HttpReply.json(
+                                200,
+                                WorkerProtocol.heartbeatReply(leadership.fencingToken(), orders)));
     }
 
     /**
@@ -197,7 +198,7 @@
             return false;
         }
         misroutedSince.remove(report.machine());
-        answer.accept(HttpReply.json(421, Json.object().put("manager", owner)));
+        answer.accept(HttpReply.json(421, WorkerProtocol.redirect(owner)));
         return true;
     }
 
@@ -212,9 +213,11 @@
             answer.accept(HttpReply.error(503, "has stood still"));
         } else if (verdict instanceof PeerMessages.LeaderVerdict.Orders orders
                 && forwarder.fencingToken().isAtLeast(report.fencingToken())) {
-            ObjectNode body = Json.object().put("epoch", forwarder.fencingToken().value());
-            body.set("orders", orders.orders());
-            answer.accept(HttpReply.json(200, body));
+            answer.accept(
+                    HttpReply.json(
+                            200,
+                            WorkerProtocol.heartbeatReply(
+                                    forwarder.fencingToken(), orders.orders())));
         } else if (verdict == null) {
             renewLeaseWithoutLeader(report, answer);
         } else {
@@ -243,7 +246,9 @@
         } else {
             answer.accept(
                     HttpReply.json(
-                            200, Order.replyBody(token, leaseRenewal.stopsForCancelled(report))));
+                            200,
+                            WorkerProtocol.heartbeatReply(
+                                    token, leaseRenewal.stopsForCancelled(report))));
         }
     }
 
--- a/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
+++ b/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
@@ -3,7 +3,7 @@
 import io.pepperfield.config.Settings;
 import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Heartbeat;
-import io.pepperfield.fleet.Order;
+import io.pepperfield.fleet.WorkerProtocol;
 import io.pepperfield.http.HttpOutcome;
 import io.pepperfield.http.HttpSender;
 import io.pepperfield.loop.Loop;
@@ -271,7 +271,7 @@
         }
         if (verdict instanceof LeaderVerdict.Orders orders) {
             double settledUpTo =
-                    cancellationWatermark(Order.containsStop(orders.orders()), knownUpTo);
+                    cancellationWatermark(WorkerProtocol.containsStop(orders.orders()), knownUpTo);
             cacheHeartbeat(report.heartbeat, report.encoded, settledUpTo);
             cache.markForwarded(report.heartbeat);
         }
--- a/src/main/java/io/pepperfield/peer/PartitionOrderRouter.java
+++ b/src/main/java/io/pepperfield/peer/PartitionOrderRouter.java
@@ -6,11 +6,13 @@
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.Order;
 import io.pepperfield.fleet.WorkerClient;
+import io.pepperfield.fleet.WorkerProtocol;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 
 /**
@@ -35,7 +37,7 @@
     }
 
     @Override
-    public void probe(String address, Consumer<Heartbeat> done) {
+    public void probe(String address, Consumer<Optional<Heartbeat>> done) {
         localWorkers.probe(address, done);
     }
 
@@ -80,9 +82,7 @@
                 .computeIfAbsent(owner, o -> new ArrayList<>())
                 .add(
                         new PeerMessages.DirectOrderMessage(
-                                address,
-                                tenure,
-                                Order.replyBody(orderToken, orders).path("orders")));
+                                address, tenure, WorkerProtocol.encodeOrders(orders)));
     }
 
     /** At the end of each batch of commands: one message for each partition. */
--- a/src/main/java/io/pepperfield/peer/PeerMessages.java
+++ b/src/main/java/io/pepperfield/peer/PeerMessages.java
@@ -6,6 +6,7 @@
 import com.fasterxml.jackson.databind.util.RawValue;
 import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Heartbeat;
+import io.pepperfield.fleet.WorkerProtocol;
 import io.pepperfield.http.Json;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -109,7 +110,7 @@
                                 beat.path(3).asLong(),
                                 new FencingToken(beat.path(4).asLong())));
             } else {
-                Heartbeat report = Heartbeat.parse(beat);
+                Heartbeat report = WorkerProtocol.parseHeartbeat(beat).orElse(null);
                 if (report == null) {
                     return null;
                 }
@@ -118,14 +119,14 @@
         }
         List<Heartbeat> heard = new ArrayList<>();
         for (JsonNode report : message.path("heard")) {
-            Heartbeat read = Heartbeat.parse(report);
+            Heartbeat read = WorkerProtocol.parseHeartbeat(report).orElse(null);
             if (read != null) {
                 heard.add(read);
             }
         }
         List<CachedHeartbeat> kept = new ArrayList<>();
         for (JsonNode item : message.path("kept")) {
-            Heartbeat read = Heartbeat.parse(item.path("report"));
+            Heartbeat read = WorkerProtocol.parseHeartbeat(item.path("report")).orElse(null);
             if (read != null) {
                 kept.add(
                         new CachedHeartbeat(
--- a/src/test/java/io/pepperfield/forms/WorkerForms.java
+++ b/src/test/java/io/pepperfield/forms/WorkerForms.java
@@ -8,6 +8,7 @@
 import io.pepperfield.fleet.Order;
 import io.pepperfield.fleet.TaskRef;
 import io.pepperfield.fleet.WorkerClient;
+import io.pepperfield.fleet.WorkerProtocol;
 import io.pepperfield.standin.SimulatedLoop;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -31,9 +32,12 @@
                 List.of("done", "stopped", "error", "no_room", "busy", "no_such", "unheard-of")) {
             file.add("cause " + cause, read(withTask(report, "cause", cause)));
         }
-        file.add("answer", Order.replyBody(new FencingToken(TOKEN), orders()));
-        file.add("answer without orders", Order.replyBody(new FencingToken(TOKEN), List.of()));
-        file.add("message", Order.directMessageBody(new FencingToken(TOKEN), TENURE, orders()));
+        file.add("answer", WorkerProtocol.heartbeatReply(new FencingToken(TOKEN), orders()));
+        file.add(
+                "answer without orders",
+                WorkerProtocol.heartbeatReply(new FencingToken(TOKEN), List.of()));
+        file.add(
+                "message", WorkerProtocol.directMessage(new FencingToken(TOKEN), TENURE, orders()));
         writeRequests(file);
     }
 
@@ -73,7 +77,7 @@
     }
 
     private static String read(JsonNode message) {
-        return read(Heartbeat.parse(message));
+        return read(WorkerProtocol.parseHeartbeat(message).orElse(null));
     }
 
     private static JsonNode withTask(JsonNode report, String field, String value) {
@@ -99,9 +103,11 @@
                     ADDRESS,
                     new FencingToken(TOKEN),
                     TENURE,
-                    Order.replyBody(new FencingToken(TOKEN), orders()).path("orders"),
+                    WorkerProtocol.encodeOrders(orders()),
                     heard -> file.add("forwarded orders answered " + status, heard));
-            workers.probe(ADDRESS, answer -> file.add("probe answered " + status, read(answer)));
+            workers.probe(
+                    ADDRESS,
+                    answer -> file.add("probe answered " + status, read(answer.orElse(null))));
             loop.run(loop.now() + 1);
         }
     }
--- a/src/test/java/io/pepperfield/health/LeaseRenewalTest.java
+++ b/src/test/java/io/pepperfield/health/LeaseRenewalTest.java
@@ -9,6 +9,7 @@
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.Order;
 import io.pepperfield.fleet.TaskRef;
+import io.pepperfield.fleet.WorkerProtocol;
 import io.pepperfield.http.Json;
 import io.pepperfield.jobs.JobIndex;
 import io.pepperfield.jobs.JobMessages;
@@ -138,10 +139,10 @@
         assertTrue(HeartbeatForwarder.cancellationWatermark(true, 70) < 0);
         assertEquals(70, HeartbeatForwarder.cancellationWatermark(false, 70));
         assertTrue(
-                Order.containsStop(
+                WorkerProtocol.containsStop(
                         Json.read("[{\"verb\":\"run\"},{\"verb\":\"stop\"}]".getBytes())));
         assertFalse(
-                Order.containsStop(
+                WorkerProtocol.containsStop(
                         Json.read("[{\"verb\":\"run\"},{\"verb\":\"clear\"}]".getBytes())));
     }
 
--- a/src/test/java/io/pepperfield/peer/PeerForms.java
+++ b/src/test/java/io/pepperfield/peer/PeerForms.java
@@ -5,7 +5,7 @@
 import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.HttpWorkerClient;
-import io.pepperfield.fleet.Order;
+import io.pepperfield.fleet.WorkerProtocol;
 import io.pepperfield.forms.FormFile;
 import io.pepperfield.forms.RecordingSender;
 import io.pepperfield.forms.WorkerForms;
@@ -48,8 +48,7 @@
         file.addRead("batch", Json.read(batch), form -> told(PeerMessages.readBatch(form)));
         List<LeaderVerdict> verdicts =
                 List.of(
-                        new LeaderVerdict.Orders(
-                                Order.replyBody(TOKEN, WorkerForms.orders()).path("orders")),
+                        new LeaderVerdict.Orders(WorkerProtocol.encodeOrders(WorkerForms.orders())),
                         new LeaderVerdict.FullHeartbeatRequired(),
                         new LeaderVerdict.Refused());
         file.addRewrittenByField(
@@ -64,8 +63,7 @@
                                 new PeerMessages.DirectOrderMessage(
                                         "10.1.0.14:9000",
                                         3,
-                                        Order.replyBody(TOKEN, WorkerForms.orders())
-                                                .path("orders")))),
+                                        WorkerProtocol.encodeOrders(WorkerForms.orders())))),
                 form ->
                         text(
                                 PeerMessages.writeDirectOrders(
@@ -84,7 +82,8 @@
     }
 
     private static byte[] batch() {
-        Heartbeat report = Heartbeat.parse(Json.read(WorkerForms.report()));
+        Heartbeat report =
+                WorkerProtocol.parseHeartbeat(Json.read(WorkerForms.report())).orElseThrow();
         HeartbeatBatchBuilder batch = new HeartbeatBatchBuilder("node-0", "a-process", 7, TOKEN);
         batch.addFull(WorkerForms.report());
         batch.addRepeated(report, report);
@@ -173,7 +172,10 @@
                         SETTINGS);
         forwarder.leader("node-1");
         byte[] report = WorkerForms.report();
-        forwarder.submit(Heartbeat.parse(Json.read(report)), report, verdict -> {});
+        forwarder.submit(
+                WorkerProtocol.parseHeartbeat(Json.read(report)).orElseThrow(),
+                report,
+                verdict -> {});
         forwarder.flush();
     }
 
