--- a/src/main/java/io/pepperfield/fleet/Fleet.java
+++ b/src/main/java/io/pepperfield/fleet/Fleet.java
@@ -151,7 +151,7 @@
                         now);
         attempt.restored = true;
         machine.attempts.put(attempt.taskRef, attempt);
-        machine.adjustUsage(attempt, 1);
+        machine.usage.add(job.spec);
         return attempt;
     }
 
@@ -165,7 +165,7 @@
                         task,
                         number,
                         machine,
-                        machine.incarnation,
+                        machine.incarnation(),
                         Attempt.Phase.INTENDED,
                         FencingToken.NONE,
                         now);
@@ -176,7 +176,7 @@
             throw new IllegalStateException(
                     attempt.taskRef + " is intended on " + machine.name + ", which still holds it");
         }
-        machine.adjustUsage(attempt, 1);
+        machine.usage.add(job.spec);
         machine.images.remove(job.spec.image());
         machine.images.add(job.spec.image());
         return attempt;
@@ -188,10 +188,10 @@
             return false;
         }
         if (attempt.stopRequested
-                || attempt.machine.incarnation != attempt.incarnation
+                || attempt.machine.incarnation() != attempt.incarnation
                 || attempt.machine.releasing) {
             // Nothing has left for it, so it is certain never to have been alive.
-            terminationEvidence.endAttempt(attempt, Cause.STOPPED);
+            terminationEvidence.withdrawIntent(attempt);
             return false;
         }
         attempt.phase = Attempt.Phase.ORDERED;
@@ -226,19 +226,18 @@
      */
     public List<Order> handleHeartbeat(Heartbeat report, double now) {
         Machine known = machines.get(report.machine());
-        if (known != null && known.isDuplicateHeartbeat(report)) {
+        if (known != null && known.receivedPosition.covers(report)) {
             // A late copy: its sender has given it up, and it says nothing about whether the
             // machine is still there.
             return null;
         }
-        boolean anew = known != null && known.ready() && report.incarnation() > known.incarnation;
+        boolean anew = known != null && known.ready() && report.incarnation() > known.incarnation();
         FencingToken seenBefore = known == null ? FencingToken.NONE : known.highestTokenSeen;
         Machine machine = applyHeartbeat(report, true, now);
         if (machine == null) {
             return null;
         }
-        machine.heartbeatIncarnation = report.incarnation();
-        machine.heartbeatSequence = report.sequence();
+        machine.receivedPosition.advanceTo(report);
         machine.lastHeartbeatAt = now;
         machine.lastHeartbeat = report;
         machine.replyDelivery.heartbeatReceived(report, anew, seenBefore, now);
@@ -305,12 +304,11 @@
         machine.setInstanceClass(report.type(), report.spot());
         machine.zone = report.zone();
         machine.address = report.address();
-        if (machine.alreadyApplied(report)) {
+        if (machine.appliedPosition.covers(report)) {
             return machine;
         }
-        boolean appeared = !machine.ready() || report.incarnation() > machine.incarnation;
-        machine.incarnation = report.incarnation();
-        machine.sequence = report.sequence();
+        boolean appeared = !machine.ready() || report.incarnation() > machine.incarnation();
+        machine.appliedPosition.advanceTo(report);
         // A worker keeps the highest token it has seen. One that has forgotten it is another
         // process on a machine that came
         // back at once: it would carry out old orders, so that nothing missing from its reports is
@@ -340,8 +338,11 @@
         if (machine == null) {
             return;
         }
-        if (machine.liveAttemptCount > 0) {
-            LOG.debug("{} is gone with {} attempts", machine.describe(), machine.liveAttemptCount);
+        if (!machine.idle()) {
+            LOG.debug(
+                    "instance released with live attempts: instance={} attempts={}",
+                    machine.name,
+                    machine.liveAttemptCount());
         }
         terminationEvidence.endAllAttempts(machine);
     }
--- a/src/main/java/io/pepperfield/fleet/Machine.java
+++ b/src/main/java/io/pepperfield/fleet/Machine.java
@@ -2,86 +2,79 @@
 
 import io.pepperfield.capacity.InstancePool;
 import io.pepperfield.fencing.FencingToken;
-import io.pepperfield.jobs.Job;
-import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.placement.Capacity;
 import java.util.Collection;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
 
-/** One rented machine as the leader knows it. */
+/**
+ * One rented machine as the leader knows it: its identity, the attempts on it, and whether tasks
+ * may be placed there. Used on the owner thread only.
+ */
 public final class Machine {
 
-    private static final int MIN_FAILED_JOBS = 2;
-
     public final String name;
     String address = "";
     String zone = "";
     private String reportingController = "";
 
-    /** Has shown the token of this leadership. */
+    /** Whether its agent has shown a token of this leadership. */
     boolean hasSeenLeaderToken;
 
     private InstancePool pool = new InstancePool("", false);
-    long incarnation;
-    long sequence = -1;
-    long heartbeatIncarnation;
-    long heartbeatSequence = -1;
+
+    /** The newest heartbeat whose state is applied, whichever way it came. */
+    final HeartbeatPosition appliedPosition = new HeartbeatPosition();
+
+    /** The newest heartbeat that came as the agent's own message. */
+    final HeartbeatPosition receivedPosition = new HeartbeatPosition();
+
     FencingToken highestTokenSeen = FencingToken.NONE;
 
-    /** Loop time of the last report taken, NaN before the first under this leader. */
+    /** Loop time of the last heartbeat in seconds, NaN before the first under this leader. */
     double lastHeartbeatAt = Double.NaN;
 
-    /** Loop time of its last answer to something sent to it. */
+    /** Loop time of its last answer to a direct message. */
     double lastResponseAt = Double.NEGATIVE_INFINITY;
 
     double lastProbeAt = Double.NEGATIVE_INFINITY;
 
-    /** Loop time since which this leader waits for a report. */
+    /** Loop time since which this leader waits for a heartbeat. */
     double knownSince;
 
     /** Loop time of its rental, as well as it is known. */
     double rentedAt;
 
+    /** Loop time at which the cloud reclaims it, NaN without a notice. */
     double reclaimAt = Double.NaN;
 
     /**
-     * Expected by a rental, the cloud's list or a durable intent: not known from a report alone.
+     * Expected by a rental, the cloud's list or a durable intent: not known from a heartbeat alone.
      */
     boolean expected;
 
-    /** Whether answers to its reports reach it. */
+    /** Whether replies to its heartbeats reach it. */
     final ReplyDeliveryMonitor replyDelivery = new ReplyDeliveryMonitor();
 
-    /** Its worker has forgotten what it had seen: only its return settles what was alive on it. */
+    /**
+     * Its agent has lost the token that it had seen: only the release of the machine proves that
+     * attempts on it have ended.
+     */
     boolean restarted;
 
-    /** The last report taken as a message of its own; what a short one repeats. */
+    /** The last heartbeat that came as the agent's own message; a short one repeats it. */
     Heartbeat lastHeartbeat;
 
     boolean releasing;
     boolean draining;
     double quarantinedUntil;
 
-    /** Jobs of which a task failed here since one of any job was completed. */
-    final Set<Job> failedJobs = new HashSet<>();
-
+    final JobFailures jobFailures = new JobFailures();
+    final MachineUsage usage = new MachineUsage();
     final Map<TaskRef, Attempt> attempts = new LinkedHashMap<>();
     final Set<String> images = new LinkedHashSet<>();
-    int liveAttemptCount;
-    private int replicaCount;
-    private double usedCpus;
-    private double usedGpus;
-    private double usedMemGb;
-
-    /** What replicas take, which end only when their users say so. */
-    private double replicaCpus;
-
-    private double replicaGpus;
-    private double replicaMemGb;
 
     Machine(String name, double now) {
         this.name = name;
@@ -94,17 +87,17 @@
         return pool.type();
     }
 
-    /** The controller that its last report came through; empty where it was this one. */
+    /** The controller that its last heartbeat came through; empty where it was this one. */
     public String reportingController() {
         return reportingController;
     }
 
-    /** Sets the controller that its last report came through; empty for this one. */
-    public void setReportingController(String node) {
-        reportingController = node;
+    /** Sets the controller that its last heartbeat came through; empty for this one. */
+    public void setReportingController(String controller) {
+        reportingController = controller;
     }
 
-    /** Its machine type and kind. */
+    /** Its machine type and instance class. */
     public InstancePool pool() {
         return pool;
     }
@@ -125,12 +118,12 @@
         return pool.spot();
     }
 
-    /** Has reported to this leader, so that its books are known. */
+    /** Whether a heartbeat has come to this leader, so that its attempts are known. */
     public boolean ready() {
         return !Double.isNaN(lastHeartbeatAt);
     }
 
-    /** Since when this leader knows of it. */
+    /** Loop time in seconds since which this leader knows of it. */
     public double knownSince() {
         return knownSince;
     }
@@ -140,39 +133,29 @@
         return rentedAt;
     }
 
-    /** Whether what is known of it is at least as new as the report. */
-    boolean alreadyApplied(Heartbeat report) {
-        return report.incarnation() < incarnation
-                || report.incarnation() == incarnation && report.sequence() <= sequence;
-    }
-
-    /** Whether this report, or a newer one, has come as a message of its own. */
-    boolean isDuplicateHeartbeat(Heartbeat report) {
-        return report.incarnation() < heartbeatIncarnation
-                || report.incarnation() == heartbeatIncarnation
-                        && report.sequence() <= heartbeatSequence;
-    }
-
-    /** Seconds since it last reported or answered, or since it was first awaited. */
+    /** Seconds since its last heartbeat or answer, or since it was first awaited. */
     public double silentFor(double now) {
         return now - Math.max(lastResponseAt, ready() ? lastHeartbeatAt : knownSince);
     }
 
-    /** How long nothing has been heard from it, or nothing has shown that it hears. */
+    /** Seconds since nothing has come from it, or nothing has shown that replies reach it. */
     public double unreachableFor(double now) {
         return hasReceiveFailure()
                 ? Math.max(silentFor(now), replyDelivery.receiveFailureFor(now))
                 : silentFor(now);
     }
 
-    /** Its reports arrive, but what they show says that neither answers nor orders reach it. */
+    /**
+     * Whether the path to it is cut one way: its heartbeats arrive, but they show that neither
+     * replies nor orders reach it.
+     */
     public boolean hasReceiveFailure() {
         return replyDelivery.hasReceiveFailure();
     }
 
     /**
-     * Whether to give it work. A report alone does not tell that a machine is there, since copies
-     * come late: one that nothing else speaks of must first have shown the token of this
+     * Whether tasks may be placed on it. A heartbeat alone does not prove that a machine exists,
+     * since copies come late: one that nothing else speaks of must first have shown a token of this
      * leadership.
      */
     public boolean isSchedulable(double now) {
@@ -208,44 +191,42 @@
         return quarantinedUntil;
     }
 
-    /** True once in each such time: it is to be asked whether it is there. */
-    public boolean claimDueProbe(double now, double everyS) {
-        boolean due = now - lastProbeAt >= everyS && !address.isEmpty();
+    /** Whether a probe is due, at most one in each interval; the caller is to send it. */
+    public boolean claimDueProbe(double now, double intervalS) {
+        boolean due = now - lastProbeAt >= intervalS && !address.isEmpty();
         lastProbeAt = due ? now : lastProbeAt;
         return due;
     }
 
-    /** Takes no tasks until then. */
-    public void quarantine(double until) {
-        quarantinedUntil = Math.max(quarantinedUntil, until);
+    /** Places no tasks on it before that loop time in seconds. */
+    public void quarantine(double untilTime) {
+        quarantinedUntil = Math.max(quarantinedUntil, untilTime);
     }
 
     /**
-     * Tasks of several jobs failed here that succeed elsewhere: what fails everywhere is no fault
-     * of the machine.
+     * Whether tasks of several jobs failed here that succeed elsewhere. What fails everywhere is no
+     * fault of the machine.
      */
     public boolean faulty() {
-        return failedJobs.size() >= MIN_FAILED_JOBS
-                && failedJobs.stream().filter(job -> job.doneTaskCount() > 0).count()
-                        >= MIN_FAILED_JOBS;
+        return jobFailures.indicateFaultyMachine();
     }
 
-    /** Whether its worker restarted without its memory of what it ran. */
+    /** Whether its agent restarted without the token that it had seen. */
     public boolean restarted() {
         return restarted;
     }
 
-    /** The host and port of its worker; empty until known. */
+    /** The host and port of its agent; empty until known. */
     public String address() {
         return address;
     }
 
-    /** The number of its worker's session; a restarted worker has another one. */
+    /** The number of its agent's incarnation, which counts up at each restart. */
     public long incarnation() {
-        return incarnation;
+        return appliedPosition.incarnation();
     }
 
-    /** The images that its worker has in its cache. */
+    /** The images in its agent's cache, the latest used last. */
     public Set<String> images() {
         return images;
     }
@@ -257,68 +238,51 @@
 
     /** Whether no attempt on it may be alive. */
     public boolean idle() {
-        return liveAttemptCount == 0;
+        return usage.attemptCount() == 0;
     }
 
     /** The number of attempts on it that may be alive. */
     public int liveAttemptCount() {
-        return liveAttemptCount;
+        return usage.attemptCount();
     }
 
     /** Whether a service's replica may be alive on it. */
     public boolean holdsReplica() {
-        return replicaCount > 0;
-    }
-
-    /** Counts an attempt that may be alive here, or with -1 one that is not any more. */
-    void adjustUsage(Attempt attempt, int sign) {
-        JobSpec spec = attempt.job.spec;
-        liveAttemptCount += sign;
-        replicaCount += spec.isService() ? sign : 0;
-        // An empty machine starts again from nought, so that rounding never adds up.
-        usedCpus = liveAttemptCount == 0 ? 0 : usedCpus + sign * spec.cpus();
-        usedGpus = liveAttemptCount == 0 ? 0 : usedGpus + sign * spec.gpus();
-        usedMemGb = liveAttemptCount == 0 ? 0 : usedMemGb + sign * spec.memGb();
-        if (spec.isService()) {
-            replicaCpus = replicaCount == 0 ? 0 : replicaCpus + sign * spec.cpus();
-            replicaGpus = replicaCount == 0 ? 0 : replicaGpus + sign * spec.gpus();
-            replicaMemGb = replicaCount == 0 ? 0 : replicaMemGb + sign * spec.memGb();
-        }
+        return usage.replicaCount() > 0;
     }
 
-    /** Whether its worker has the image in its cache. */
+    /** Whether its agent has the image in its cache. */
     public boolean hasImage(String image) {
         return images.contains(image);
     }
 
-    /** No more tasks for it; what is there may end. */
+    /** Places no more tasks on it; what runs there may end. */
     public void drain() {
         draining = true;
     }
 
-    /** Its name, type, kind and zone for log messages. */
+    /** Its name, type, instance class and zone for log messages. */
     public String describe() {
         return name + " (" + type() + (spot() ? ", spot" : "") + ", " + zone + ")";
     }
 
-    /** Room left beside all attempts that may be alive. */
-    public double freeCpus(MachineType of) {
-        return of.cpus() - usedCpus;
+    /** CPUs left beside all attempts that may be alive. */
+    public double freeCpus(MachineType machineType) {
+        return usage.freeCpus(machineType);
     }
 
     /** Accelerators left beside all attempts that may be alive. */
-    public double freeGpus(MachineType of) {
-        return of.gpus() - usedGpus;
+    public double freeGpus(MachineType machineType) {
+        return usage.freeGpus(machineType);
     }
 
     /** Memory in gigabytes left beside all attempts that may be alive. */
-    public double freeMemGb(MachineType of) {
-        return of.memGb() - usedMemGb;
+    public double freeMemGb(MachineType machineType) {
+        return usage.freeMemGb(machineType);
     }
 
-    /** Room that it will have at most, however long one waits: beside its replicas. */
-    public Capacity capacityBesideReplicas(MachineType of) {
-        return new Capacity(
-                of.cpus() - replicaCpus, of.gpus() - replicaGpus, of.memGb() - replicaMemGb);
+    /** The capacity that it will have at most, however long one waits: beside its replicas. */
+    public Capacity capacityBesideReplicas(MachineType machineType) {
+        return usage.capacityBesideReplicas(machineType);
     }
 }
--- a/src/main/java/io/pepperfield/fleet/OrderPlanner.java
+++ b/src/main/java/io/pepperfield/fleet/OrderPlanner.java
@@ -22,13 +22,13 @@
     /** None where the report is of an earlier session. */
     List<Order> plan(Machine machine, Heartbeat report) {
         List<Order> orders = new ArrayList<>();
-        if (report.incarnation() != machine.incarnation) {
+        if (report.incarnation() != machine.incarnation()) {
             return orders;
         }
         Set<TaskRef> known = new HashSet<>();
         for (Attempt attempt : machine.attempts.values()) {
             if (attempt.phase != Attempt.Phase.INTENDED
-                    && attempt.incarnation == machine.incarnation) {
+                    && attempt.incarnation == machine.incarnation()) {
                 known.add(attempt.taskRef);
                 addOrderForKnown(machine, attempt, orders);
             }
--- a/src/main/java/io/pepperfield/fleet/TerminationEvidence.java
+++ b/src/main/java/io/pepperfield/fleet/TerminationEvidence.java
@@ -4,13 +4,17 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 
 /**
- * What reports prove of the attempts on a machine. An attempt is alive until one of the proofs
- * holds that it is gone; they hold for old reports as for new ones.
+ * Reconciles the attempts of a machine with its heartbeats. An attempt counts as alive until a
+ * {@link TerminationProof} holds; the proofs hold for late heartbeats as for new ones.
  */
 final class TerminationEvidence {
 
+    private static final Logger LOG = LoggerFactory.getLogger(TerminationEvidence.class);
+
     private final LeaderFencingTokens tokens;
     private final Fleet.Listener listener;
 
@@ -20,62 +24,61 @@
     }
 
     /**
-     * Takes a report that is news.
+     * Applies a heartbeat that is newer than what is known.
      *
-     * @param own the machine's own message rather than an answer to direct orders, which proves no
-     *     absence: the answer to an earlier report may still be on its way
+     * @param provesAbsence whether it is the agent's own message. An answer to direct orders proves
+     *     no absence: the reply to an earlier heartbeat may still be on its way
      */
-    void reconcile(Machine machine, Heartbeat report, boolean own, double now) {
-        if (!machine.restarted && report.fencingToken().isAtLeast(tokens.electionToken())) {
+    void reconcile(Machine machine, Heartbeat heartbeat, boolean provesAbsence, double now) {
+        if (!machine.restarted && heartbeat.fencingToken().isAtLeast(tokens.electionToken())) {
             endEarlierIncarnations(machine);
         }
-        Set<TaskRef> shown = new HashSet<>();
-        for (Heartbeat.AttemptStatus line : report.attempts()) {
-            Attempt attempt = machine.attempts.get(line.taskRef());
+        Set<TaskRef> reported = new HashSet<>();
+        for (Heartbeat.AttemptStatus status : heartbeat.attempts()) {
+            Attempt attempt = machine.attempts.get(status.taskRef());
             if (attempt != null
-                    && attempt.number == line.attemptNumber()
-                    && attempt.incarnation == machine.incarnation) {
-                shown.add(line.taskRef());
-                reconcileAttempt(attempt, line, now);
+                    && attempt.number == status.attemptNumber()
+                    && attempt.incarnation == machine.incarnation()) {
+                reported.add(status.taskRef());
+                reconcileAttempt(attempt, status, now);
             }
         }
-        if (own && !machine.restarted) {
-            endMissing(machine, shown);
+        if (provesAbsence && !machine.restarted) {
+            endMissing(machine, reported);
         }
     }
 
     /**
-     * Proof 2: a worker that begins a new session has killed and forgotten all of the one before.
-     * Only a report that shows this leader's token tells so: sessions begin at 1 again on a machine
-     * that was back at once, and a late copy from before that names a higher session than the one
-     * in which its tasks run now.
+     * Proof {@link TerminationProof#NEWER_INCARNATION}. Only a heartbeat with this leader's token
+     * gives it: incarnations begin at 1 again on a machine that was back at once, and a late copy
+     * from before that names a higher incarnation than the one in which its tasks run now.
      */
     private void endEarlierIncarnations(Machine machine) {
         for (Attempt attempt : List.copyOf(machine.attempts.values())) {
-            if (attempt.incarnation < machine.incarnation) {
+            if (attempt.incarnation < machine.incarnation()) {
                 machine.attempts.remove(attempt.taskRef, attempt);
                 if (attempt.live()) {
-                    endAttempt(attempt, Cause.OTHER);
+                    endAttempt(attempt, Cause.OTHER, TerminationProof.NEWER_INCARNATION);
                 }
             }
         }
     }
 
-    private void reconcileAttempt(Attempt attempt, Heartbeat.AttemptStatus line, double now) {
+    private void reconcileAttempt(Attempt attempt, Heartbeat.AttemptStatus status, double now) {
         if (!attempt.live() || attempt.phase == Attempt.Phase.INTENDED) {
             return;
         }
-        switch (line.state()) {
+        switch (status.state()) {
             case PULLING -> attempt.phase = Attempt.Phase.PULLING;
             case RUNNING -> observeRunning(attempt, Attempt.Phase.RUNNING, now);
             case SAVING -> observeRunning(attempt, Attempt.Phase.SAVING, now);
-            case ENDED -> observeEnded(attempt, line.cause(), now);
+            case ENDED -> observeEnded(attempt, status.cause(), now);
         }
     }
 
     private void observeRunning(Attempt attempt, Attempt.Phase phase, double now) {
         boolean first = Double.isNaN(attempt.runningSince);
-        // One that an earlier leader has begun may have run for long before it is first seen here.
+        // One that an earlier leader has started may have run for long before it is first seen.
         attempt.startObserved |=
                 first && (!attempt.restored || attempt.phase == Attempt.Phase.PULLING);
         attempt.phase = phase;
@@ -88,26 +91,23 @@
     private void observeEnded(Attempt attempt, Cause cause, double now) {
         if (cause == Cause.DONE) {
             attempt.phase = Attempt.Phase.ENDED;
-            attempt.machine.adjustUsage(attempt, -1);
-            attempt.machine.failedJobs.clear();
+            attempt.machine.usage.remove(attempt.job.spec);
+            attempt.machine.jobFailures.clear();
             listener.attemptCompleted(
                     attempt, attempt.startObserved ? now - attempt.runningSince : 0);
         } else {
-            // Proof 1. The machine goes on holding the attempt until cleared, so no late order
-            // starts it again.
             attempt.acknowledged = true;
-            endAttempt(attempt, cause);
+            endAttempt(attempt, cause, TerminationProof.REPORTED_ENDED);
         }
     }
 
     /**
-     * Proof 4, for attempts that the machine's own report does not hold: it has seen a newer token
-     * than any direct order for them carried, and what answers to its earlier reports offered is
-     * over, since a report answers one at a time.
+     * Proof {@link TerminationProof#ABSENT_FROM_HEARTBEAT}. Orders in replies to earlier heartbeats
+     * are over, since an agent has one heartbeat under way at a time.
      */
-    private void endMissing(Machine machine, Set<TaskRef> shown) {
+    private void endMissing(Machine machine, Set<TaskRef> reported) {
         for (Attempt attempt : List.copyOf(machine.attempts.values())) {
-            if (shown.contains(attempt.taskRef)
+            if (reported.contains(attempt.taskRef)
                     || attempt.phase == Attempt.Phase.INTENDED
                     || !machine.highestTokenSeen.isNewerThan(attempt.directOrderToken)) {
                 continue;
@@ -116,36 +116,49 @@
                 machine.attempts.remove(attempt.taskRef, attempt);
             } else if (cannotStartAgain(attempt)) {
                 machine.attempts.remove(attempt.taskRef, attempt);
-                endAttempt(attempt, Cause.OTHER);
+                endAttempt(attempt, Cause.OTHER, TerminationProof.ABSENT_FROM_HEARTBEAT);
             }
         }
     }
 
-    /** Whether no answer to a report offers this attempt any more. */
+    /** Whether no reply to a heartbeat orders this attempt to run any more. */
     private static boolean cannotStartAgain(Attempt attempt) {
         return attempt.phase != Attempt.Phase.ORDERED || attempt.stopRequested || attempt.restored;
     }
 
-    /** The attempt is proven gone without being completed. */
-    void endAttempt(Attempt attempt, Cause cause) {
-        Machine machine = attempt.machine;
-        attempt.phase = Attempt.Phase.ENDED;
-        machine.adjustUsage(attempt, -1);
-        if (cause == Cause.ERROR) {
-            machine.failedJobs.add(attempt.job);
-        }
-        if (machine.incarnation != attempt.incarnation) {
-            machine.attempts.remove(attempt.taskRef, attempt);
-        }
-        listener.attemptGone(attempt, cause);
+    /** The intent of an attempt is given up before an order has left. */
+    void withdrawIntent(Attempt attempt) {
+        endAttempt(attempt, Cause.STOPPED, TerminationProof.NEVER_ORDERED);
     }
 
-    /** Proof 3: the cloud has answered that the machine is gone with everything on it. */
+    /** The cloud has confirmed that the machine is released. */
     void endAllAttempts(Machine machine) {
         for (Attempt attempt : List.copyOf(machine.attempts.values())) {
             if (attempt.live()) {
-                endAttempt(attempt, Cause.OTHER);
+                endAttempt(attempt, Cause.OTHER, TerminationProof.INSTANCE_RELEASED);
             }
         }
     }
+
+    /** The attempt is proven to have ended without being completed. */
+    private void endAttempt(Attempt attempt, Cause cause, TerminationProof proof) {
+        Machine machine = attempt.machine;
+        attempt.phase = Attempt.Phase.ENDED;
+        machine.usage.remove(attempt.job.spec);
+        if (cause == Cause.ERROR) {
+            machine.jobFailures.add(attempt.job);
+        }
+        if (machine.incarnation() != attempt.incarnation) {
+            machine.attempts.remove(attempt.taskRef, attempt);
+        }
+        LOG.debug(
+                "attempt ended: task={} attempt={} instance={} incarnation={} cause={} proof={}",
+                attempt.taskRef,
+                attempt.number,
+                machine.name,
+                attempt.incarnation,
+                cause,
+                proof);
+        listener.attemptGone(attempt, cause);
+    }
 }
