--- a/src/main/java/io/pepperfield/controller/Leader.java
+++ b/src/main/java/io/pepperfield/controller/Leader.java
@@ -213,7 +213,7 @@
     public List<Order> acceptHeartbeat(Heartbeat report, String through) {
         double now = loop.now();
         fleet.suspendStarts(!isStateFresh(now));
-        List<Order> orders = fleet.handleHeartbeat(report, now);
+        List<Order> orders = fleet.handleHeartbeat(report, now).orElse(null);
         if (orders == null) {
             return null;
         }
@@ -264,11 +264,12 @@
     private Heartbeat fullHeartbeat(PeerMessages.ForwardedHeartbeat beat) {
         if (beat instanceof PeerMessages.ForwardedHeartbeat.Repeated same) {
             return fleet.expandRepeatedHeartbeat(
-                    same.machine(),
-                    same.incarnation(),
-                    same.baseSerial(),
-                    same.serial(),
-                    same.fencingToken());
+                            same.machine(),
+                            same.incarnation(),
+                            same.baseSerial(),
+                            same.serial(),
+                            same.fencingToken())
+                    .orElse(null);
         }
         return ((PeerMessages.ForwardedHeartbeat.Full) beat).heartbeat();
     }
--- a/src/main/java/io/pepperfield/fleet/Fleet.java
+++ b/src/main/java/io/pepperfield/fleet/Fleet.java
@@ -5,19 +5,17 @@
 import io.pepperfield.jobs.Job;
 import io.pepperfield.jobs.Status;
 import java.util.Collection;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
+import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's machines and the attempts on them. Pure state: reports and times go in, orders and
- * events come out. {@link TerminationEvidence} decides which attempts are gone, {@link
- * OrderPlanner} what a report is answered with.
+ * The leader's machines and the attempts on them. Pure state: heartbeats and times go in, orders
+ * and events come out. {@link HeartbeatReconciler} applies heartbeats, {@link TerminationEvidence}
+ * decides which attempts have ended, {@link OrderPlanner} what a heartbeat is answered with. Used
+ * on the owner thread only; times are loop times in seconds.
  */
 public final class Fleet {
 
@@ -29,61 +27,68 @@
         void attemptStarted(Attempt attempt);
 
         /**
-         * Completed; the attempt stays in the machine's reports until it is settled and cleared.
-         * The time that it ran is 0 where its start was not seen: a part of it would make every
-         * later prediction too short.
+         * The attempt is completed; it stays in the machine's heartbeats until it is acknowledged
+         * and cleared.
+         *
+         * @param ranS seconds that it ran; 0 where its start was not observed, since a part of the
+         *     time would make every later prediction too short
          */
         void attemptCompleted(Attempt attempt, double ranS);
 
-        /** Proven gone without being completed; its task may be started again. */
+        /** The attempt is proven to have ended without completing; its task may start again. */
         void attemptGone(Attempt attempt, Cause cause);
 
         /**
-         * Nothing has been known of this machine, or it was up before and its worker has begun a
-         * new session.
+         * The machine sends its first heartbeat to this leader, or its agent has begun a new
+         * incarnation.
          */
         void machineAppeared(Machine machine);
     }
 
-    private final Listener listener;
-    private final double directResponseValidityS;
+    private final MachineRegistry registry = new MachineRegistry();
     private final LeaderFencingTokens tokens;
     private final TerminationEvidence terminationEvidence;
     private final OrderPlanner orderPlanner;
-    private final Map<String, Machine> machines = new LinkedHashMap<>();
-
-    /** Released with the cloud's word: a late report of one must not bring it back. */
-    private final Set<String> releasedMachines = new HashSet<>();
+    private final HeartbeatReconciler heartbeatReconciler;
 
     /**
-     * @param standInS for how long after a machine's last report its answers to direct messages
-     *     show that it can be counted on
+     * Creates the empty state of one term.
+     *
+     * @param electionToken the fencing token of the election
+     * @param directResponseValidityS seconds after a machine's last heartbeat during which its
+     *     answers to direct messages show that it is reachable
      */
-    public Fleet(Listener listener, FencingToken electedToken, double standInS) {
-        this.listener = listener;
-        this.directResponseValidityS = standInS;
-        this.tokens = new LeaderFencingTokens(electedToken);
+    public Fleet(Listener listener, FencingToken electionToken, double directResponseValidityS) {
+        this.tokens = new LeaderFencingTokens(electionToken);
         this.terminationEvidence = new TerminationEvidence(tokens, listener);
         this.orderPlanner = new OrderPlanner(tokens);
+        this.heartbeatReconciler =
+                new HeartbeatReconciler(
+                        registry,
+                        tokens,
+                        terminationEvidence,
+                        orderPlanner,
+                        listener,
+                        directResponseValidityS);
     }
 
-    /** The leadership's token was minted anew. */
+    /** The leader has a newer fencing token. */
     public void renewFencingToken(FencingToken renewed) {
         tokens.renew(renewed);
     }
 
     /**
-     * While true no answer to a report offers a start: the leader has not heard from the state
-     * service for so long that others may have cancelled the job meanwhile.
+     * While true no reply to a heartbeat orders a start: the key-value store has not answered this
+     * leader for so long that others may have cancelled the job meanwhile.
      */
-    public void suspendStarts(boolean hold) {
-        orderPlanner.suspendStarts(hold);
+    public void suspendStarts(boolean suspended) {
+        orderPlanner.suspendStarts(suspended);
     }
 
     /**
-     * Attempts of cancelled jobs that the machine may still begin after the answer to its last
-     * report: a run order that left directly under the token of today may be on its way, and only a
-     * newer token settles it.
+     * Attempts of cancelled jobs that the machine may still start after the reply to its last
+     * heartbeat: a direct run order with the current token may be on its way, and is only refused
+     * once the machine has seen a newer one.
      */
     public List<Attempt> cancelledAttemptsThatMayStart(Machine machine) {
         return machine.attempts.values().stream()
@@ -97,8 +102,8 @@
     }
 
     /**
-     * Something waits for the machines to see a newer token, after which no order under the old one
-     * is carried out.
+     * Whether something waits for the machines to see a newer token, after which they refuse orders
+     * with the old one.
      */
     public boolean needsNewerFencingToken() {
         return tokens.newerRequested();
@@ -106,23 +111,23 @@
 
     /** All that may exist, in the order in which they became known. */
     public Collection<Machine> machines() {
-        return machines.values();
+        return registry.all();
     }
 
     /** The machine of that name, or null. */
     public Machine get(String name) {
-        return machines.get(name);
+        return registry.get(name);
     }
 
     /** Whether the cloud has confirmed that the machine is gone. */
     public boolean wasReleased(String name) {
-        return releasedMachines.contains(name);
+        return registry.wasReleased(name);
     }
 
-    /** A machine that should exist, by a rental, the cloud's list or a durable record. */
+    /** Adds a machine that should exist, by a rental, the cloud's list or a durable record. */
     public Machine expectMachine(
             String name, String type, String zone, boolean spot, double rentedAt, double now) {
-        Machine machine = machines.computeIfAbsent(name, n -> new Machine(n, now));
+        Machine machine = registry.getOrAdd(name, now);
         machine.expected = true;
         if (!type.isEmpty() && machine.type().isEmpty()) {
             machine.setInstanceClass(type, spot);
@@ -133,11 +138,11 @@
     }
 
     /**
-     * Takes an attempt from a durable record of an earlier leader: possibly alive, its orders
+     * Restores an attempt from a durable record of an earlier leader: possibly alive, its orders
      * possibly under way.
      */
     public Attempt restoreAttempt(
-            Job job, int task, int number, String machineName, long tenure, double now) {
+            Job job, int task, int number, String machineName, long incarnation, double now) {
         Machine machine = expectMachine(machineName, "", "", false, now, now);
         Attempt attempt =
                 new Attempt(
@@ -145,7 +150,7 @@
                         task,
                         number,
                         machine,
-                        tenure,
+                        incarnation,
                         Attempt.Phase.ORDERED,
                         tokens.electionToken().predecessor(),
                         now);
@@ -156,7 +161,10 @@
     }
 
     /**
-     * An attempt whose intent is about to be written; nothing may be ordered before it is durable.
+     * Adds an attempt whose intent is about to be written; nothing may be ordered before it is
+     * durable.
+     *
+     * @throws IllegalStateException where the machine still holds another attempt at the task
      */
     public Attempt intendAttempt(Job job, int task, int number, Machine machine, double now) {
         Attempt attempt =
@@ -169,12 +177,19 @@
                         Attempt.Phase.INTENDED,
                         FencingToken.NONE,
                         now);
-        Attempt old = machine.attempts.put(attempt.taskRef, attempt);
-        if (old != null) {
-            // A worker refuses a task that it still holds, and to forget the old attempt would lose
-            // its late orders.
+        Attempt previous = machine.attempts.put(attempt.taskRef, attempt);
+        if (previous != null) {
+            // An agent refuses a task that it still holds, and to forget the earlier attempt would
+            // lose track of its late orders.
             throw new IllegalStateException(
-                    attempt.taskRef + " is intended on " + machine.name + ", which still holds it");
+                    "task intended on a machine that still holds it: task="
+                            + attempt.taskRef
+                            + " attempt="
+                            + number
+                            + " held="
+                            + previous.number
+                            + " instance="
+                            + machine.name);
         }
         machine.usage.add(job.spec);
         machine.images.remove(job.spec.image());
@@ -182,7 +197,11 @@
         return attempt;
     }
 
-    /** The intent is durable. True if the run order may leave now. */
+    /**
+     * The intent is durable.
+     *
+     * @return whether the run order may be sent now
+     */
     public boolean intentIsDurable(Attempt attempt) {
         if (attempt.phase != Attempt.Phase.INTENDED) {
             return false;
@@ -199,21 +218,26 @@
     }
 
     /**
-     * To be called before run orders leave by the direct way: from here on they may be carried out
-     * late.
+     * To be called before run orders are sent directly: from here on they may be carried out late.
      */
     public void directOrdersLeaving(List<Attempt> attempts) {
         attempts.forEach(
-                a ->
-                        a.directOrderToken =
-                                FencingToken.newest(a.directOrderToken, tokens.currentToken()));
+                attempt ->
+                        attempt.directOrderToken =
+                                FencingToken.newest(
+                                        attempt.directOrderToken, tokens.currentToken()));
     }
 
-    /** Wants the attempt stopped; an intent that has not left yet ends once its write does. */
-    public void requestStop(Attempt attempt, double drainS) {
-        if (attempt.live() && (!attempt.stopRequested || drainS < attempt.gracePeriodS)) {
+    /**
+     * Requests that the attempt be stopped; the order is repeated until it is proven to have ended.
+     * An intent for which no order has left is withdrawn once it is durable.
+     *
+     * @param gracePeriodS seconds that its process is given to end by itself
+     */
+    public void requestStop(Attempt attempt, double gracePeriodS) {
+        if (attempt.live() && (!attempt.stopRequested || gracePeriodS < attempt.gracePeriodS)) {
             attempt.stopRequested = true;
-            attempt.gracePeriodS = drainS;
+            attempt.gracePeriodS = gracePeriodS;
             if (attempt.phase == Attempt.Phase.ORDERED) {
                 tokens.requestNewer();
             }
@@ -221,120 +245,53 @@
     }
 
     /**
-     * A worker's report by its own message: state is taken if it is news; its answer are the
-     * orders, or null for none.
+     * Takes an agent's own heartbeat.
+     *
+     * @return the orders to reply with; empty where it is not to be answered: a late copy, or of a
+     *     released machine
      */
-    public List<Order> handleHeartbeat(Heartbeat report, double now) {
-        Machine known = machines.get(report.machine());
-        if (known != null && known.receivedPosition.covers(report)) {
-            // A late copy: its sender has given it up, and it says nothing about whether the
-            // machine is still there.
-            return null;
-        }
-        boolean anew = known != null && known.ready() && report.incarnation() > known.incarnation();
-        FencingToken seenBefore = known == null ? FencingToken.NONE : known.highestTokenSeen;
-        Machine machine = applyHeartbeat(report, true, now);
-        if (machine == null) {
-            return null;
-        }
-        machine.receivedPosition.advanceTo(report);
-        machine.lastHeartbeatAt = now;
-        machine.lastHeartbeat = report;
-        machine.replyDelivery.heartbeatReceived(report, anew, seenBefore, now);
-        List<Order> orders = orderPlanner.plan(machine, report);
-        machine.replyDelivery.replySent(tokens.currentToken());
-        return orders;
+    public Optional<List<Order>> handleHeartbeat(Heartbeat heartbeat, double now) {
+        return heartbeatReconciler.receive(heartbeat, now);
     }
 
     /**
-     * What a partition owner remembers of a machine whose next report is still to come. It is as
-     * old as it is: it proves no absence, and nothing is answered to it.
+     * Takes a heartbeat from a partition owner's cache, for a machine whose next one is still to
+     * come.
+     *
+     * @param receivedAt loop time in seconds at which the owner received it
      */
-    public void handleCachedHeartbeat(Heartbeat report, double at) {
-        Machine known = machines.get(report.machine());
-        if (known != null && known.ready()) {
-            return;
-        }
-        Machine machine = applyHeartbeat(report, false, at);
-        if (machine != null && !machine.ready()) {
-            machine.lastHeartbeatAt = at;
-            listener.machineAppeared(machine);
-        }
+    public void handleCachedHeartbeat(Heartbeat heartbeat, double receivedAt) {
+        heartbeatReconciler.receiveCached(heartbeat, receivedAt);
     }
 
     /**
-     * A report that differs from the one named only in its serial and token, or null where that is
-     * not the last one here.
+     * Restores a heartbeat that differs from the one named only in its sequence and token.
+     *
+     * @return empty where that is not the last one here
      */
-    public Heartbeat expandRepeatedHeartbeat(
-            String name, long tenure, long base, long serial, FencingToken token) {
-        Machine machine = machines.get(name);
-        Heartbeat last = machine == null ? null : machine.lastHeartbeat;
-        if (last == null || last.incarnation() != tenure || last.sequence() != base) {
-            return null;
-        }
-        return last.withSequenceAndToken(serial, token);
+    public Optional<Heartbeat> expandRepeatedHeartbeat(
+            String name,
+            long incarnation,
+            long baseSequence,
+            long sequence,
+            FencingToken fencingToken) {
+        return heartbeatReconciler.expandRepeated(
+                name, incarnation, baseSequence, sequence, fencingToken);
     }
 
-    /**
-     * A report that came as the answer to direct orders; it renews nothing and proves no absence.
-     */
-    public void handleDirectResponse(Heartbeat report, double now) {
-        if (machines.containsKey(report.machine())) {
-            Machine machine = applyHeartbeat(report, false, now);
-            if (machine != null) {
-                // A worker whose reports reach nobody loses its tasks with its lease, however well
-                // it answers: with nothing but
-                // direct answers from it for long it would be given work again and again, each time
-                // in vain.
-                machine.lastResponseAt =
-                        machine.ready()
-                                ? Math.min(now, machine.lastHeartbeatAt + directResponseValidityS)
-                                : now;
-                machine.replyDelivery.directMessageAnswered();
-            }
-        }
-    }
-
-    private Machine applyHeartbeat(Heartbeat report, boolean beat, double now) {
-        if (releasedMachines.contains(report.machine())) {
-            return null;
-        }
-        Machine machine = machines.computeIfAbsent(report.machine(), n -> new Machine(n, now));
-        machine.setInstanceClass(report.type(), report.spot());
-        machine.zone = report.zone();
-        machine.address = report.address();
-        if (machine.appliedPosition.covers(report)) {
-            return machine;
-        }
-        boolean appeared = !machine.ready() || report.incarnation() > machine.incarnation();
-        machine.appliedPosition.advanceTo(report);
-        // A worker keeps the highest token it has seen. One that has forgotten it is another
-        // process on a machine that came
-        // back at once: it would carry out old orders, so that nothing missing from its reports is
-        // proven gone for good.
-        machine.restarted |= report.fencingToken().isOlderThan(machine.highestTokenSeen);
-        machine.highestTokenSeen =
-                FencingToken.newest(machine.highestTokenSeen, report.fencingToken());
-        machine.hasSeenLeaderToken |= report.fencingToken().isAtLeast(tokens.electionToken());
-        machine.reclaimAt =
-                report.reclaimNoticeS() == null ? Double.NaN : now + report.reclaimNoticeS();
-        terminationEvidence.reconcile(machine, report, beat, now);
-        if (appeared && beat) {
-            listener.machineAppeared(machine);
-        }
-        return machine;
+    /** Takes the status with which an agent has answered a direct message. */
+    public void handleDirectResponse(Heartbeat heartbeat, double now) {
+        heartbeatReconciler.receiveDirectResponse(heartbeat, now);
     }
 
-    /** The cloud is asked to take the machine back: it gets no more work. */
+    /** The cloud is asked to release the machine: it gets no more work. */
     public void markReleasing(Machine machine) {
         machine.releasing = true;
     }
 
-    /** Proof 3: the cloud has answered that the machine is gone with everything on it. */
+    /** The cloud has confirmed that the machine is released, with everything on it. */
     public void confirmReleased(String name) {
-        releasedMachines.add(name);
-        Machine machine = machines.remove(name);
+        Machine machine = registry.release(name);
         if (machine == null) {
             return;
         }
@@ -347,23 +304,12 @@
         terminationEvidence.endAllAttempts(machine);
     }
 
-    /** How many machines have this many seconds of silence or more, among those that were up. */
-    public Map<String, Integer> countByState(double now, double silentS) {
-        Map<String, Integer> census = new HashMap<>();
-        for (Machine machine : machines.values()) {
-            String state = stateName(machine, now, silentS);
-            census.merge(state, 1, Integer::sum);
-        }
-        return census;
-    }
-
-    private static String stateName(Machine machine, double now, double silentS) {
-        if (machine.releasing) {
-            return "releasing";
-        }
-        if (!machine.ready()) {
-            return "awaited";
-        }
-        return machine.silentFor(now) > silentS ? "silent" : "up";
+    /**
+     * The number of machines in each state, by the names that operators see.
+     *
+     * @param silentAfterS seconds without a heartbeat or answer after which a machine is silent
+     */
+    public Map<String, Integer> countByState(double now, double silentAfterS) {
+        return registry.countByState(now, silentAfterS);
     }
 }
--- a/src/test/java/io/pepperfield/fleet/AttemptTraceTest.java
+++ b/src/test/java/io/pepperfield/fleet/AttemptTraceTest.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -90,21 +91,22 @@
                                     now));
             case "released" -> fleet.confirmReleased(words[1]);
             case "beat" -> {
-                List<Order> orders = fleet.handleHeartbeat(heartbeat(words), now);
-                if (orders == null) {
+                Optional<List<Order>> orders = fleet.handleHeartbeat(heartbeat(words), now);
+                if (orders.isEmpty()) {
                     events.add("not answered");
                 } else {
-                    orders.forEach(
-                            o ->
-                                    events.add(
-                                            "order "
-                                                    + o.getClass()
-                                                            .getSimpleName()
-                                                            .toLowerCase(Locale.ROOT)
-                                                    + " "
-                                                    + o.taskRef()
-                                                    + " try "
-                                                    + o.attemptNumber()));
+                    orders.get()
+                            .forEach(
+                                    order ->
+                                            events.add(
+                                                    "order "
+                                                            + order.getClass()
+                                                                    .getSimpleName()
+                                                                    .toLowerCase(Locale.ROOT)
+                                                            + " "
+                                                            + order.taskRef()
+                                                            + " try "
+                                                            + order.attemptNumber()));
                 }
             }
             case "heard" -> fleet.handleDirectResponse(heartbeat(words), now);
