--- /dev/null
+++ b/src/main/java/io/pepperfield/cloud/InstanceRentals.java
@@ -0,0 +1,200 @@
+package io.pepperfield.cloud;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import io.pepperfield.capacity.InstancePool;
+import io.pepperfield.fencing.FencingToken;
+import io.pepperfield.fleet.Fleet;
+import io.pepperfield.loop.Loop;
+import io.pepperfield.store.FencedWriter;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.function.BooleanSupplier;
+import java.util.function.Predicate;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The leader's rental requests. A request's idempotency key is durable before the request is sent
+ * and contains the leader's fencing token, so that no two requests ever share one. A request
+ * without an answer is repeated with the same key, by a later leader too. Used on the owner thread
+ * only.
+ */
+final class InstanceRentals {
+
+    private static final Logger LOG = LoggerFactory.getLogger(InstanceRentals.class);
+    private static final int MAX_INSTANCES_PER_REQUEST = 50;
+
+    /** Where instances are rented: a pool in one zone. */
+    private record ZonePool(InstancePool pool, String zone) {}
+
+    private final Loop loop;
+    private final CloudProvider cloud;
+    private final FencedWriter writer;
+    private final Fleet fleet;
+    private final FencingToken fencingToken;
+    private final double retryS;
+    private final double noCapacityValidityS;
+    private final BooleanSupplier leadershipConfirmed;
+    private final Map<String, RentalRequest> requests = new LinkedHashMap<>();
+    private final Map<ZonePool, Double> noCapacityUntil = new HashMap<>();
+
+    private int lastRequestNumber;
+    private boolean stopped;
+
+    InstanceRentals(
+            Loop loop,
+            CloudProvider cloud,
+            FencedWriter writer,
+            Fleet fleet,
+            FencingToken fencingToken,
+            double retryS,
+            double noCapacityValidityS,
+            BooleanSupplier leadershipConfirmed) {
+        this.loop = loop;
+        this.cloud = cloud;
+        this.writer = writer;
+        this.fleet = fleet;
+        this.fencingToken = fencingToken;
+        this.retryS = retryS;
+        this.noCapacityValidityS = noCapacityValidityS;
+        this.leadershipConfirmed = leadershipConfirmed;
+    }
+
+    void stop() {
+        stopped = true;
+    }
+
+    void restore(String requestId, JsonNode data) {
+        RentalRequest request = RentalRequest.decode(requestId, data);
+        if (request.isFinished()) {
+            return;
+        }
+        requests.put(requestId, request);
+        if (!request.answered) {
+            send(request);
+            return;
+        }
+        double now = loop.now();
+        double ageS = Math.max(0, (loop.wallMs() - request.requestedAtMs) / 1000.0);
+        request.instanceNames.forEach(name -> expectMachine(request, name, now - ageS));
+    }
+
+    private void expectMachine(RentalRequest request, String name, double rentedAt) {
+        fleet.expectMachine(
+                name, request.pool.type(), request.zone, request.pool.spot(), rentedAt, loop.now());
+    }
+
+    boolean mayHaveCapacity(InstancePool pool, String zone) {
+        return noCapacityUntil.getOrDefault(new ZonePool(pool, zone), Double.NEGATIVE_INFINITY)
+                <= loop.now();
+    }
+
+    int requestedCount(InstancePool pool) {
+        return countUnanswered(request -> request.pool.equals(pool));
+    }
+
+    int requestedCount(InstancePool pool, String zone) {
+        return countUnanswered(request -> request.pool.equals(pool) && request.zone.equals(zone));
+    }
+
+    private int countUnanswered(Predicate<RentalRequest> counted) {
+        return requests.values().stream()
+                .filter(request -> !request.answered && counted.test(request))
+                .mapToInt(request -> request.count)
+                .sum();
+    }
+
+    void rent(InstancePool pool, String zone, int count) {
+        for (int left = count; left > 0; left -= MAX_INSTANCES_PER_REQUEST) {
+            lastRequestNumber++;
+            RentalRequest request =
+                    new RentalRequest(
+                            "p" + fencingToken.value() + "-" + lastRequestNumber,
+                            pool,
+                            zone,
+                            Math.min(left, MAX_INSTANCES_PER_REQUEST),
+                            loop.wallMs());
+            requests.put(request.requestId, request);
+            writer.enqueue(
+                    request.key(),
+                    FencedWriter.Priority.INTENT,
+                    request::encode,
+                    () -> send(request),
+                    null);
+        }
+    }
+
+    private void send(RentalRequest request) {
+        if (stopped) {
+            return;
+        }
+        if (!leadershipConfirmed.getAsBoolean()) {
+            loop.after(retryS, () -> send(request));
+            return;
+        }
+        cloud.rentInstances(
+                request.requestId,
+                request.pool.type(),
+                request.zone,
+                request.pool.spot(),
+                request.count,
+                outcome -> answered(request, outcome));
+    }
+
+    private void answered(RentalRequest request, CloudProvider.RentalOutcome outcome) {
+        if (stopped) {
+            return;
+        }
+        if (outcome instanceof CloudProvider.RentalOutcome.Failed failed) {
+            LOG.debug(
+                    "rental request repeated: rental={} reason={}",
+                    request.requestId,
+                    failed.reason());
+            loop.after(retryS, () -> send(request));
+            return;
+        }
+        request.answered = true;
+        int granted = 0;
+        if (outcome instanceof CloudProvider.RentalOutcome.Granted instances) {
+            granted = instances.instanceNames().size();
+            request.instanceNames.addAll(instances.instanceNames());
+            // Rented from now on: the request may have waited for its turn at the cloud, and the
+            // instances have not booted for longer.
+            instances.instanceNames().forEach(name -> expectMachine(request, name, loop.now()));
+        }
+        if (granted < request.count) {
+            noCapacityUntil.put(
+                    new ZonePool(request.pool, request.zone), loop.now() + noCapacityValidityS);
+        }
+        LOG.info(
+                "instances rented: rental={} granted={} requested={} pool={} zone={}",
+                request.requestId,
+                granted,
+                request.count,
+                request.pool,
+                request.zone);
+        writeInBackground(request);
+        if (request.instanceNames.isEmpty()) {
+            requests.remove(request.requestId);
+        }
+    }
+
+    private void writeInBackground(RentalRequest request) {
+        writer.enqueue(
+                request.key(), FencedWriter.Priority.BACKGROUND, request::encode, null, null);
+    }
+
+    /** The cloud has confirmed the release of an instance. */
+    void released(String instanceName) {
+        for (RentalRequest request : new ArrayList<>(requests.values())) {
+            if (request.instanceNames.remove(instanceName)) {
+                writeInBackground(request);
+                if (request.isFinished()) {
+                    requests.remove(request.requestId);
+                }
+            }
+        }
+    }
+}
