--- a/src/main/java/io/pepperfield/cloud/CloudProvider.java
+++ b/src/main/java/io/pepperfield/cloud/CloudProvider.java
@@ -2,14 +2,16 @@
 
 import io.pepperfield.fleet.MachineType;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 
-/** The cloud as the slices see it; every callback runs on the event loop. */
+/** The cloud provider's interface; called on the event loop, on which every callback runs too. */
 public interface CloudProvider {
 
     /**
-     * One entry of the cloud's list of machines; {@code ageS} is the time since its rental in
-     * seconds.
+     * One entry of the cloud's list of instances.
+     *
+     * @param ageS seconds since its rental
      */
     record ListedInstance(
             String name,
@@ -20,36 +22,38 @@
             String status,
             double ageS) {}
 
-    /** How a request to rent machines ended. */
+    /** How a request to rent instances ended. */
     sealed interface RentalOutcome {
-        /** The request was carried out; the names of the machines it brought. */
+        /** The request was carried out and has brought these instances. */
         record Granted(List<String> instanceNames) implements RentalOutcome {}
 
-        /** The cloud has no machines of that type and kind in that zone at present. */
+        /** The cloud has no instances of that type and class in that zone at present. */
         record NoCapacity() implements RentalOutcome {}
 
-        /** Not carried out, or nobody knows: the same request may be sent again. */
+        /** Not carried out, or not known: the same request may be sent again. */
         record Failed(String reason) implements RentalOutcome {}
     }
 
-    /** Null where there was no proper answer. */
-    void listMachineTypes(Consumer<List<MachineType>> done);
+    /** Lists the machine types on offer; empty where there was no valid answer. */
+    void listMachineTypes(Consumer<Optional<List<MachineType>>> done);
 
     /**
-     * Asks for {@code count} machines; {@code request} is the idempotency key, so that a repeated
-     * request rents nothing twice.
+     * Rents instances.
+     *
+     * @param requestId the idempotency key: a repeated request rents nothing twice
+     * @param count how many are asked for; fewer may be granted
      */
     void rentInstances(
-            String request,
-            String type,
+            String requestId,
+            String machineType,
             String zone,
             boolean spot,
             int count,
             Consumer<RentalOutcome> done);
 
-    /** True only when the cloud has answered that they are gone. */
+    /** Releases instances; true only where the cloud has confirmed that all are gone. */
     void releaseInstances(List<String> names, Consumer<Boolean> done);
 
-    /** All machines listed, or null. */
-    void listInstances(Consumer<List<ListedInstance>> done);
+    /** Lists all rented instances; empty where there was no valid answer. */
+    void listInstances(Consumer<Optional<List<ListedInstance>>> done);
 }
--- a/src/main/java/io/pepperfield/cloud/HttpCloudProvider.java
+++ b/src/main/java/io/pepperfield/cloud/HttpCloudProvider.java
@@ -9,78 +9,95 @@
 import io.pepperfield.http.HttpSender;
 import io.pepperfield.http.Json;
 import io.pepperfield.loop.Loop;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 
-/** The cloud over its published protocol; the only place that knows its field names. */
+/**
+ * The cloud over its published HTTP protocol; the only class that knows the protocol's field names.
+ * Used on the event loop thread, on which the callbacks run too.
+ */
 public final class HttpCloudProvider implements CloudProvider {
 
     private static final double TIMEOUT_S = 5;
     private static final int PAGE_SIZE = 500;
+    private static final int MAX_CONNECTIONS = 2;
+    private static final int STATUS_OK = 200;
+    private static final int STATUS_UNAVAILABLE = 503;
+    private static final String NO_CAPACITY = "no capacity";
+
+    private static final String MACHINE_TYPE = "flavour";
+    private static final String ZONE = "site";
+    private static final String SPOT = "reclaimable";
+    private static final String INSTANCES = "hosts";
 
     private final Loop loop;
     private final HttpSender client;
     private final Settings.Address address;
-    private final double requestSpacingS;
-    private final ArrayDeque<Runnable> urgentRequests = new ArrayDeque<>();
-    private final ArrayDeque<Runnable> backgroundRequests = new ArrayDeque<>();
-    private double nextRequestAt;
-    private boolean sendScheduled;
-
-    /** Creates a client that keeps below {@code rps} requests per second. */
-    public HttpCloudProvider(Loop loop, HttpSender client, Settings.Address address, double rps) {
+    private final PacedRequestQueue queue;
+
+    /** Creates a client that keeps below {@code requestsPerSecond}. */
+    public HttpCloudProvider(
+            Loop loop, HttpSender client, Settings.Address address, double requestsPerSecond) {
         this.loop = loop;
         this.client = client;
         this.address = address;
-        // A fifth below the rate: the clocks drift, and other nodes ask for the types now and then.
-        this.requestSpacingS = 1.25 / rps;
+        this.queue = new PacedRequestQueue(loop, requestsPerSecond);
     }
 
     @Override
-    public void listMachineTypes(Consumer<List<MachineType>> done) {
-        enqueue(
-                backgroundRequests,
-                "GET",
-                "/machine_types",
-                null,
-                outcome ->
-                        done.accept(
-                                outcome instanceof HttpOutcome.Answered answer
-                                                && answer.status() == 200
-                                        ? parseMachineTypes(answer.json())
-                                        : null));
+    public void listMachineTypes(Consumer<Optional<List<MachineType>>> done) {
+        queue.addBackground(
+                () ->
+                        send(
+                                "GET",
+                                "/machine_types",
+                                null,
+                                outcome ->
+                                        done.accept(
+                                                okBody(outcome)
+                                                        .flatMap(
+                                                                HttpCloudProvider
+                                                                        ::parseMachineTypes))));
     }
 
-    private static List<MachineType> parseMachineTypes(JsonNode body) {
+    /** The body of an answer with status 200. */
+    private static Optional<JsonNode> okBody(HttpOutcome outcome) {
+        return outcome instanceof HttpOutcome.Answered answer && answer.status() == STATUS_OK
+                ? Optional.of(answer.json())
+                : Optional.empty();
+    }
+
+    private static Optional<List<MachineType>> parseMachineTypes(JsonNode body) {
         if (!body.path("flavours").isArray()) {
-            return null;
+            return Optional.empty();
         }
         List<MachineType> types = new ArrayList<>();
-        for (JsonNode n : body.path("flavours")) {
-            List<String> zones = new ArrayList<>();
-            n.path("sites").forEach(zone -> zones.add(zone.asText()));
-            types.add(
-                    new MachineType(
-                            n.path("label").asText(),
-                            n.path("vcpus").asDouble(),
-                            n.path("accelerators").asDouble(),
-                            n.path("memGb").asDouble(),
-                            n.path("localGb").asDouble(),
-                            n.path("fetchGbPerS").asDouble(),
-                            n.path("hourly").asDouble(),
-                            n.path("spotPrice").asDouble(),
-                            n.path("readyS").asDouble(),
-                            zones));
-        }
-        return types;
+        body.path("flavours").forEach(item -> types.add(parseMachineType(item)));
+        return Optional.of(types);
+    }
+
+    private static MachineType parseMachineType(JsonNode item) {
+        List<String> zones = new ArrayList<>();
+        item.path("sites").forEach(zone -> zones.add(zone.asText()));
+        return new MachineType(
+                item.path("label").asText(),
+                item.path("vcpus").asDouble(),
+                item.path("accelerators").asDouble(),
+                item.path("memGb").asDouble(),
+                item.path("localGb").asDouble(),
+                item.path("fetchGbPerS").asDouble(),
+                item.path("hourly").asDouble(),
+                item.path("spotPrice").asDouble(),
+                item.path("readyS").asDouble(),
+                zones);
     }
 
     @Override
     public void rentInstances(
-            String request,
-            String type,
+            String requestId,
+            String machineType,
             String zone,
             boolean spot,
             int count,
@@ -88,126 +105,107 @@
         byte[] body =
                 Json.write(
                         Json.object()
-                                .put("hire", request)
-                                .put("flavour", type)
-                                .put("site", zone)
-                                .put("reclaimable", spot)
+                                .put("hire", requestId)
+                                .put(MACHINE_TYPE, machineType)
+                                .put(ZONE, zone)
+                                .put(SPOT, spot)
                                 .put("howMany", count));
-        enqueue(
-                urgentRequests,
-                "POST",
-                "/rentals",
-                body,
-                outcome -> {
-                    if (!(outcome instanceof HttpOutcome.Answered answer)) {
-                        done.accept(new RentalOutcome.Failed("no answer"));
-                        return;
-                    }
-                    JsonNode json = answer.json();
-                    if (answer.status() == 200 && json.path("hosts").isArray()) {
-                        List<String> names = new ArrayList<>();
-                        json.path("hosts").forEach(n -> names.add(n.asText()));
-                        done.accept(new RentalOutcome.Granted(names));
-                    } else if (answer.status() == 503
-                            && json.path("error").asText().equals("no capacity")) {
-                        done.accept(new RentalOutcome.NoCapacity());
-                    } else {
-                        done.accept(new RentalOutcome.Failed("status " + answer.status()));
-                    }
-                });
+        queue.addUrgent(
+                () ->
+                        send(
+                                "POST",
+                                "/rentals",
+                                body,
+                                outcome -> done.accept(rentalOutcome(outcome))));
+    }
+
+    private static RentalOutcome rentalOutcome(HttpOutcome outcome) {
+        if (!(outcome instanceof HttpOutcome.Answered answer)) {
+            return new RentalOutcome.Failed("no answer");
+        }
+        JsonNode body = answer.json();
+        if (answer.status() == STATUS_OK && body.path(INSTANCES).isArray()) {
+            List<String> names = new ArrayList<>();
+            body.path(INSTANCES).forEach(name -> names.add(name.asText()));
+            return new RentalOutcome.Granted(names);
+        }
+        if (answer.status() == STATUS_UNAVAILABLE
+                && body.path("error").asText().equals(NO_CAPACITY)) {
+            return new RentalOutcome.NoCapacity();
+        }
+        return new RentalOutcome.Failed("status " + answer.status());
     }
 
     @Override
     public void releaseInstances(List<String> names, Consumer<Boolean> done) {
         ObjectNode body = Json.object();
-        ArrayNode hosts = body.putArray("hosts");
-        names.forEach(hosts::add);
-        enqueue(
-                urgentRequests,
-                "POST",
-                "/rentals/release",
-                Json.write(body),
-                outcome ->
-                        done.accept(
-                                outcome instanceof HttpOutcome.Answered answer
-                                        && answer.status() == 200));
+        ArrayNode instances = body.putArray(INSTANCES);
+        names.forEach(instances::add);
+        byte[] encoded = Json.write(body);
+        queue.addUrgent(
+                () ->
+                        send(
+                                "POST",
+                                "/rentals/release",
+                                encoded,
+                                outcome ->
+                                        done.accept(
+                                                outcome instanceof HttpOutcome.Answered answer
+                                                        && answer.status() == STATUS_OK)));
     }
 
     @Override
-    public void listInstances(Consumer<List<ListedInstance>> done) {
+    public void listInstances(Consumer<Optional<List<ListedInstance>>> done) {
         listPage("", new ArrayList<>(), done);
     }
 
     private void listPage(
-            String after, List<ListedInstance> all, Consumer<List<ListedInstance>> done) {
+            String after,
+            List<ListedInstance> listed,
+            Consumer<Optional<List<ListedInstance>>> done) {
         String path = "/rentals?limit=" + PAGE_SIZE + (after.isEmpty() ? "" : "&since=" + after);
-        enqueue(
-                backgroundRequests,
-                "GET",
-                path,
-                null,
-                outcome -> {
-                    if (!(outcome instanceof HttpOutcome.Answered answer)
-                            || answer.status() != 200
-                            || !answer.json().path("hosts").isArray()) {
-                        done.accept(null);
-                        return;
-                    }
-                    JsonNode body = answer.json();
-                    for (JsonNode n : body.path("hosts")) {
-                        all.add(
-                                new ListedInstance(
-                                        n.path("nameId").asText(),
-                                        n.path("addr").asText(),
-                                        n.path("flavour").asText(),
-                                        n.path("site").asText(),
-                                        n.path("reclaimable").asBoolean(),
-                                        n.path("status").asText(),
-                                        n.path("ageS").asDouble()));
-                    }
-                    if (body.path("truncated").asBoolean() && body.path("hosts").size() > 0) {
-                        listPage(all.get(all.size() - 1).name(), all, done);
-                    } else {
-                        done.accept(all);
-                    }
-                });
+        queue.addBackground(
+                () -> send("GET", path, null, outcome -> takePage(outcome, listed, done)));
     }
 
-    private void enqueue(
-            ArrayDeque<Runnable> queue,
-            String method,
-            String path,
-            byte[] body,
-            Consumer<HttpOutcome> done) {
-        queue.add(
-                () ->
-                        client.send(
-                                address.host(),
-                                address.port(),
-                                2,
-                                method,
-                                path,
-                                body,
-                                Math.round(TIMEOUT_S * 1000),
-                                outcome -> loop.post(() -> done.accept(outcome))));
-        if (!sendScheduled) {
-            sendQueued();
+    private void takePage(
+            HttpOutcome outcome,
+            List<ListedInstance> listed,
+            Consumer<Optional<List<ListedInstance>>> done) {
+        Optional<JsonNode> page = okBody(outcome).filter(body -> body.path(INSTANCES).isArray());
+        if (page.isEmpty()) {
+            done.accept(Optional.empty());
+            return;
+        }
+        JsonNode instances = page.get().path(INSTANCES);
+        instances.forEach(item -> listed.add(parseInstance(item)));
+        if (page.get().path("truncated").asBoolean() && instances.size() > 0) {
+            listPage(listed.get(listed.size() - 1).name(), listed, done);
+        } else {
+            done.accept(Optional.of(listed));
         }
     }
 
-    private void sendQueued() {
-        sendScheduled = false;
-        while (!urgentRequests.isEmpty() || !backgroundRequests.isEmpty()) {
-            double now = loop.now();
-            // A burst of one second's worth is saved up at most; the service allows two.
-            nextRequestAt = Math.max(nextRequestAt, now - 1);
-            if (nextRequestAt > now) {
-                sendScheduled = true;
-                loop.after(nextRequestAt - now, this::sendQueued);
-                return;
-            }
-            nextRequestAt += requestSpacingS;
-            (urgentRequests.isEmpty() ? backgroundRequests : urgentRequests).poll().run();
-        }
+    private static ListedInstance parseInstance(JsonNode item) {
+        return new ListedInstance(
+                item.path("nameId").asText(),
+                item.path("addr").asText(),
+                item.path(MACHINE_TYPE).asText(),
+                item.path(ZONE).asText(),
+                item.path(SPOT).asBoolean(),
+                item.path("status").asText(),
+                item.path("ageS").asDouble());
+    }
+
+    private void send(String method, String path, byte[] body, Consumer<HttpOutcome> done) {
+        client.send(
+                address.host(),
+                address.port(),
+                MAX_CONNECTIONS,
+                method,
+                path,
+                body,
+                Math.round(TIMEOUT_S * 1000),
+                outcome -> loop.post(() -> done.accept(outcome)));
     }
 }
--- a/src/main/java/io/pepperfield/cloud/InventoryReconciler.java
+++ b/src/main/java/io/pepperfield/cloud/InventoryReconciler.java
@@ -5,6 +5,7 @@
 import io.pepperfield.fleet.Machine;
 import io.pepperfield.loop.Loop;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * Compares the cloud's list of machines with the fleet from time to time: a machine that nobody
@@ -17,7 +18,7 @@
     private final Loop loop;
     private final CloudProvider cloud;
     private final Fleet fleet;
-    private final InstanceLifecycle renting;
+    private final InstanceLifecycle instanceLifecycle;
     private final double intervalS;
 
     private double requestedAt = Double.NEGATIVE_INFINITY;
@@ -30,11 +31,11 @@
             CloudProvider cloud,
             Settings.CloudLimits limits,
             Fleet fleet,
-            InstanceLifecycle renting) {
+            InstanceLifecycle instanceLifecycle) {
         this.loop = loop;
         this.cloud = cloud;
         this.fleet = fleet;
-        this.renting = renting;
+        this.instanceLifecycle = instanceLifecycle;
         this.intervalS = Math.max(limits.listDelayS() / 2, 4 / limits.requestsPerS());
     }
 
@@ -53,23 +54,28 @@
         cloud.listInstances(this::handleInventory);
     }
 
-    private void handleInventory(List<CloudProvider.ListedInstance> listed) {
+    private void handleInventory(Optional<List<CloudProvider.ListedInstance>> listed) {
         requestInFlight = false;
-        if (!stopped && listed != null) {
-            listed.forEach(this::reconcileInstance);
+        if (!stopped) {
+            listed.ifPresent(instances -> instances.forEach(this::reconcileInstance));
         }
     }
 
-    private void reconcileInstance(CloudProvider.ListedInstance item) {
-        if (fleet.wasReleased(item.name())) {
+    private void reconcileInstance(CloudProvider.ListedInstance instance) {
+        if (fleet.wasReleased(instance.name())) {
             return;
         }
         double now = loop.now();
         Machine machine =
                 fleet.expectMachine(
-                        item.name(), item.type(), item.zone(), item.spot(), now - item.ageS(), now);
-        if (item.status().equals(STATUS_FAILED)) {
-            renting.release(machine, "listed as failed");
+                        instance.name(),
+                        instance.type(),
+                        instance.zone(),
+                        instance.spot(),
+                        now - instance.ageS(),
+                        now);
+        if (instance.status().equals(STATUS_FAILED)) {
+            instanceLifecycle.release(machine, "listed as failed");
         }
     }
 }
--- a/src/main/java/io/pepperfield/cloud/MachineTypesRecord.java
+++ b/src/main/java/io/pepperfield/cloud/MachineTypesRecord.java
@@ -10,51 +10,51 @@
 
 /**
  * The durable list of machine types, with the prices as they were: a controller that is started
- * while the cloud's interface is down can still tell what can never run, and need not turn every
- * submission away.
+ * while the cloud's interface is down can still tell which jobs can never run, and need not refuse
+ * every submission.
  */
 public final class MachineTypesRecord {
 
     private MachineTypesRecord() {}
 
-    /** Encodes the types in the form kept in the state service. */
+    /** Encodes the types in the form kept in the key-value store. */
     public static JsonNode encode(Iterable<MachineType> types) {
-        ArrayNode all = Json.array();
-        for (MachineType t : types) {
+        ArrayNode encoded = Json.array();
+        for (MachineType type : types) {
             ObjectNode node =
-                    all.addObject()
-                            .put("n", t.name())
-                            .put("c", t.cpus())
-                            .put("g", t.gpus())
-                            .put("m", t.memGb())
-                            .put("d", t.cacheGb())
-                            .put("f", t.fetchGbPerS())
-                            .put("p", t.price())
-                            .put("s", t.spotPrice())
-                            .put("b", t.bootS());
+                    encoded.addObject()
+                            .put("n", type.name())
+                            .put("c", type.cpus())
+                            .put("g", type.gpus())
+                            .put("m", type.memGb())
+                            .put("d", type.cacheGb())
+                            .put("f", type.fetchGbPerS())
+                            .put("p", type.price())
+                            .put("s", type.spotPrice())
+                            .put("b", type.bootS());
             ArrayNode zones = node.putArray("z");
-            t.zones().forEach(zones::add);
+            type.zones().forEach(zones::add);
         }
-        return all;
+        return encoded;
     }
 
     /** Decodes what {@link #encode} has encoded. */
     public static List<MachineType> decode(JsonNode data) {
         List<MachineType> types = new ArrayList<>();
-        for (JsonNode n : data) {
+        for (JsonNode item : data) {
             List<String> zones = new ArrayList<>();
-            n.path("z").forEach(zone -> zones.add(zone.asText()));
+            item.path("z").forEach(zone -> zones.add(zone.asText()));
             types.add(
                     new MachineType(
-                            n.path("n").asText(),
-                            n.path("c").asDouble(),
-                            n.path("g").asDouble(),
-                            n.path("m").asDouble(),
-                            n.path("d").asDouble(),
-                            n.path("f").asDouble(),
-                            n.path("p").asDouble(),
-                            n.path("s").asDouble(),
-                            n.path("b").asDouble(),
+                            item.path("n").asText(),
+                            item.path("c").asDouble(),
+                            item.path("g").asDouble(),
+                            item.path("m").asDouble(),
+                            item.path("d").asDouble(),
+                            item.path("f").asDouble(),
+                            item.path("p").asDouble(),
+                            item.path("s").asDouble(),
+                            item.path("b").asDouble(),
                             zones));
         }
         return types;
--- a/src/main/java/io/pepperfield/cluster/MachineTypesPoller.java
+++ b/src/main/java/io/pepperfield/cluster/MachineTypesPoller.java
@@ -3,6 +3,7 @@
 import io.pepperfield.cloud.CloudProvider;
 import io.pepperfield.fleet.MachineType;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * Asks the cloud for the machine types. Prices move: the leader asks now and then; the others need
@@ -10,7 +11,7 @@
  */
 public final class MachineTypesPoller {
 
-    /** Between attempts until the cloud has answered for the first time. */
+    /** Seconds between attempts until the cloud has answered for the first time. */
     private static final double RETRY_S = 2;
 
     private final CloudProvider cloud;
@@ -23,15 +24,15 @@
     private boolean everAnswered;
 
     /**
-     * @param refreshS between two questions of a leader
-     * @param received to be run after each answer
+     * @param refreshS seconds between two requests of a leader
+     * @param onUpdate run after each valid answer
      */
     public MachineTypesPoller(
-            CloudProvider cloud, MachineTypes types, double refreshS, Runnable received) {
+            CloudProvider cloud, MachineTypes types, double refreshS, Runnable onUpdate) {
         this.cloud = cloud;
         this.types = types;
         this.refreshS = refreshS;
-        this.onUpdate = received;
+        this.onUpdate = onUpdate;
     }
 
     /** To be called often; asks the cloud when the types are due. */
@@ -46,10 +47,10 @@
         }
     }
 
-    private void handleResponse(List<MachineType> heard) {
+    private void handleResponse(Optional<List<MachineType>> listed) {
         requestInFlight = false;
-        if (heard != null) {
-            types.update(heard);
+        if (listed.isPresent()) {
+            types.update(listed.get());
             everAnswered = true;
             onUpdate.run();
         }
--- a/src/test/java/io/pepperfield/forms/CloudForms.java
+++ b/src/test/java/io/pepperfield/forms/CloudForms.java
@@ -37,7 +37,11 @@
         sender.answer(200, Json.write(answer));
         StringBuilder read = new StringBuilder();
         cloud.listMachineTypes(
-                types -> read.append(types == null ? "refused" : MachineTypesRecord.encode(types)));
+                types ->
+                        read.append(
+                                types.isPresent()
+                                        ? MachineTypesRecord.encode(types.get())
+                                        : "refused"));
         loop.run(loop.now() + 10);
         return read.toString();
     }
@@ -46,7 +50,8 @@
     private String list(JsonNode answer) {
         sender.answer(200, Json.write(answer));
         StringBuilder read = new StringBuilder();
-        cloud.listInstances(machines -> read.append(machines == null ? "refused" : told(machines)));
+        cloud.listInstances(
+                machines -> read.append(machines.map(CloudForms::told).orElse("refused")));
         loop.run(loop.now() + 0.1);
         sender.answer(200, "{\"hosts\":[],\"truncated\":false}");
         loop.run(loop.now() + 10);
--- a/src/test/java/io/pepperfield/peer/VersionsTest.java
+++ b/src/test/java/io/pepperfield/peer/VersionsTest.java
@@ -22,6 +22,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
@@ -178,7 +179,7 @@
     /** Notes which rentals it is asked for, and answers nothing. */
     private record AskedCloud(List<String> asked) implements CloudProvider {
         @Override
-        public void listMachineTypes(Consumer<List<MachineType>> done) {}
+        public void listMachineTypes(Consumer<Optional<List<MachineType>>> done) {}
 
         @Override
         public void rentInstances(
@@ -205,7 +206,7 @@
         public void releaseInstances(List<String> names, Consumer<Boolean> done) {}
 
         @Override
-        public void listInstances(Consumer<List<ListedInstance>> done) {}
+        public void listInstances(Consumer<Optional<List<ListedInstance>>> done) {}
     }
 
     /** Leads under the key that it wrote itself, and follows under another's. */
