--- a/src/main/java/io/pepperfield/autoscaling/CapacitySupply.java
+++ b/src/main/java/io/pepperfield/autoscaling/CapacitySupply.java
@@ -3,6 +3,7 @@
 import io.pepperfield.capacity.CapacityPlanner;
 import io.pepperfield.capacity.InstancePool;
 import io.pepperfield.capacity.ZoneShortage;
+import io.pepperfield.cloud.InstanceLifecycle;
 import io.pepperfield.cluster.ClusterState;
 import io.pepperfield.fleet.Attempt;
 import io.pepperfield.fleet.Machine;
@@ -11,66 +12,67 @@
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.predict.RunTimePredictor;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** What machines stand, are coming or can be rented, as steering counts them. */
+/** The machines that are ready, booting or on offer, as the capacity planner counts them. */
 final class CapacitySupply {
 
+    /** On-demand and spot, in the order in which pools are offered. */
+    private static final boolean[] INSTANCE_CLASSES = {false, true};
+
     private final ClusterState cluster;
 
     CapacitySupply(ClusterState cluster) {
         this.cluster = cluster;
     }
 
-    /** What can be rented of each pool, and what stands or is coming of it. */
+    /** What can be rented of each pool, and how many machines it has or is getting. */
     List<CapacityPlanner.PoolOffer> offers(double now) {
-        Map<InstancePool, Integer> present = new HashMap<>();
+        Map<InstancePool, Integer> machineCounts = new HashMap<>();
         for (Machine machine : cluster.fleet().machines()) {
             if (isCountedOn(machine, now)) {
-                present.merge(machine.pool(), 1, Integer::sum);
+                machineCounts.merge(machine.pool(), 1, Integer::sum);
             }
         }
         List<CapacityPlanner.PoolOffer> offers = new ArrayList<>();
         for (MachineType type : cluster.machineTypes().all()) {
-            for (boolean spot : new boolean[] {false, true}) {
+            for (boolean spot : INSTANCE_CLASSES) {
                 InstancePool pool = new InstancePool(type.name(), spot);
-                boolean open =
-                        type.zones().stream()
-                                .anyMatch(
-                                        zone ->
-                                                cluster.instanceLifecycle()
-                                                        .mayHaveCapacity(pool, zone));
-                offers.add(
-                        new CapacityPlanner.PoolOffer(
-                                pool,
-                                type.cpus(),
-                                type.gpus(),
-                                type.memGb(),
-                                type.price(spot),
-                                type.zones().stream()
-                                        .mapToDouble(
-                                                zone ->
-                                                        cluster.bootTracker()
-                                                                .expectedBootTime(type, zone))
-                                        .min()
-                                        .orElse(type.bootS()),
-                                present.getOrDefault(pool, 0)
-                                        + cluster.instanceLifecycle().requestedCount(pool),
-                                open));
+                offers.add(offer(type, pool, machineCounts.getOrDefault(pool, 0)));
             }
         }
         return offers;
     }
 
-    /** What of a job's waiting tasks only one zone will do for, or null. */
-    ZoneShortage.ZoneBoundWork zoneBoundWork(Job job, double runTime, int waiting) {
+    private CapacityPlanner.PoolOffer offer(MachineType type, InstancePool pool, int machineCount) {
+        InstanceLifecycle instances = cluster.instanceLifecycle();
+        double bootS =
+                type.zones().stream()
+                        .mapToDouble(zone -> cluster.bootTracker().expectedBootTime(type, zone))
+                        .min()
+                        .orElse(type.bootS());
+        return new CapacityPlanner.PoolOffer(
+                pool,
+                type.cpus(),
+                type.gpus(),
+                type.memGb(),
+                type.price(pool.spot()),
+                bootS,
+                machineCount + instances.requestedCount(pool),
+                type.zones().stream().anyMatch(zone -> instances.mayHaveCapacity(pool, zone)));
+    }
+
+    /** The part of a job's waiting tasks that may go to one zone only. */
+    Optional<ZoneShortage.ZoneBoundWork> zoneBoundWork(Job job, double runTime, int waiting) {
         JobSpec spec = job.spec;
         if (spec.zone() == null && !spec.sameZone() && !spec.spreadOverZones()) {
-            return null;
+            return Optional.empty();
         }
         Set<String> zones =
                 cluster.machineTypes().all().stream()
@@ -85,58 +87,63 @@
     }
 
     /**
-     * What stands or is coming, less what is alive there and neither being stopped nor expected to
-     * end within the interval.
+     * The machines that are ready or booting, with what will be free there: what live attempts take
+     * counts unless they are being stopped or are predicted to end within the interval.
      */
     List<ZoneShortage.AvailableMachine> availableMachines(
             Map<Job, Double> runTimes, double intervalS, double now) {
-        List<ZoneShortage.AvailableMachine> standing = new ArrayList<>();
+        List<ZoneShortage.AvailableMachine> available = new ArrayList<>();
         for (Machine machine : cluster.fleet().machines()) {
             MachineType type = cluster.machineTypes().get(machine.type());
-            if (type == null || !isCountedOn(machine, now)) {
-                continue;
+            if (type != null && isCountedOn(machine, now)) {
+                available.add(availableMachine(machine, type, runTimes, intervalS, now));
             }
-            double cpus = machine.freeCpus(type);
-            double gpus = machine.freeGpus(type);
-            double memGb = machine.freeMemGb(type);
-            for (Attempt attempt : machine.attempts()) {
+        }
+        addRequestedMachines(available);
+        return available;
+    }
+
+    private static ZoneShortage.AvailableMachine availableMachine(
+            Machine machine,
+            MachineType type,
+            Map<Job, Double> runTimes,
+            double intervalS,
+            double now) {
+        double cpus = machine.freeCpus(type);
+        double gpus = machine.freeGpus(type);
+        double memGb = machine.freeMemGb(type);
+        for (Attempt attempt : machine.attempts()) {
+            double runTime = runTimes.getOrDefault(attempt.job, 0.0);
+            if (attempt.live()
+                    && (attempt.stopRequested() || endsSoon(attempt, runTime, intervalS, now))) {
                 JobSpec spec = attempt.job.spec;
-                if (attempt.live()
-                        && (attempt.stopRequested()
-                                || endsSoon(
-                                        attempt,
-                                        runTimes.getOrDefault(attempt.job, 0.0),
-                                        intervalS,
-                                        now))) {
-                    cpus += spec.cpus();
-                    gpus += spec.gpus();
-                    memGb += spec.memGb();
-                }
+                cpus += spec.cpus();
+                gpus += spec.gpus();
+                memGb += spec.memGb();
             }
-            standing.add(
-                    new ZoneShortage.AvailableMachine(
-                            machine.pool(), machine.zone(), cpus, gpus, memGb));
         }
+        return new ZoneShortage.AvailableMachine(machine.pool(), machine.zone(), cpus, gpus, memGb);
+    }
+
+    private void addRequestedMachines(List<ZoneShortage.AvailableMachine> available) {
         for (MachineType type : cluster.machineTypes().all()) {
-            for (boolean spot : new boolean[] {false, true}) {
+            for (boolean spot : INSTANCE_CLASSES) {
                 InstancePool pool = new InstancePool(type.name(), spot);
                 for (String zone : type.zones()) {
-                    for (int i = cluster.instanceLifecycle().requestedCount(pool, zone);
-                            i > 0;
-                            i--) {
-                        standing.add(
-                                new ZoneShortage.AvailableMachine(
-                                        pool, zone, type.cpus(), type.gpus(), type.memGb()));
-                    }
+                    int requested = cluster.instanceLifecycle().requestedCount(pool, zone);
+                    available.addAll(
+                            Collections.nCopies(
+                                    requested,
+                                    new ZoneShortage.AvailableMachine(
+                                            pool, zone, type.cpus(), type.gpus(), type.memGb())));
                 }
             }
         }
-        return standing;
     }
 
     /**
-     * By its prediction; one that has run for longer than predicted may go on for ever, and keeps
-     * its place.
+     * Whether the attempt is predicted to end within the interval. One that has run for longer than
+     * predicted may go on for ever, and keeps its place.
      */
     private static boolean endsSoon(Attempt attempt, double runTime, double intervalS, double now) {
         double remaining =
@@ -145,28 +152,28 @@
         return remaining > 0 && remaining <= intervalS;
     }
 
-    /** Where more can be rented. */
+    /** The offers in each zone that may have capacity. */
     List<ZoneShortage.ZoneOffer> zoneOffers(List<CapacityPlanner.PoolOffer> offers) {
-        List<ZoneShortage.ZoneOffer> sources = new ArrayList<>();
+        List<ZoneShortage.ZoneOffer> zoneOffers = new ArrayList<>();
         for (CapacityPlanner.PoolOffer offer : offers) {
             for (String zone : cluster.machineTypes().get(offer.pool().type()).zones()) {
                 if (cluster.instanceLifecycle().mayHaveCapacity(offer.pool(), zone)) {
-                    sources.add(new ZoneShortage.ZoneOffer(offer, zone));
+                    zoneOffers.add(new ZoneShortage.ZoneOffer(offer, zone));
                 }
             }
         }
-        return sources;
+        return zoneOffers;
     }
 
     /**
-     * Whether it stands or is on its way; a silent machine is not counted on: what takes its place
-     * boots meanwhile.
+     * Whether the machine is reachable or expected to boot in time. A silent one is not counted on,
+     * so that its replacement boots meanwhile.
      */
     private boolean isCountedOn(Machine machine, double now) {
-        boolean coming =
+        boolean present =
                 machine.ready()
                         ? machine.unreachableFor(now) <= cluster.heartbeatTimeoutS()
                         : cluster.bootTracker().isStillExpected(machine, now);
-        return !machine.releasing() && !machine.draining() && coming;
+        return !machine.releasing() && !machine.draining() && present;
     }
 }
--- a/src/main/java/io/pepperfield/autoscaling/PoolScaler.java
+++ b/src/main/java/io/pepperfield/autoscaling/PoolScaler.java
@@ -4,6 +4,7 @@
 import io.pepperfield.cluster.ClusterState;
 import io.pepperfield.fleet.Attempt;
 import io.pepperfield.fleet.Machine;
+import io.pepperfield.fleet.MachineType;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -11,7 +12,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Rents the machines that a pool lacks, and returns those that it has too many. */
+/** Rents the machines that a pool lacks, and releases those that it has too many. */
 final class PoolScaler {
 
     private final ClusterState cluster;
@@ -23,89 +24,102 @@
     }
 
     /**
-     * Batched calls for each zone, so that the zones that still give machines come to about the
+     * Rents machines with one call for each zone, so that the zones with capacity come to about the
      * same number.
      *
-     * @param first what is short in single zones, which is part of the count
+     * @param count machines to rent in all
+     * @param shortages how many of them single zones lack
      */
-    void scaleOut(InstancePool pool, int count, Map<String, Integer> first) {
-        Map<String, Integer> perZone = new HashMap<>();
+    void scaleOut(InstancePool pool, int count, Map<String, Integer> shortages) {
+        List<String> zones = preferredZones(pool);
+        if (zones.isEmpty()) {
+            return;
+        }
+        Map<String, Integer> machinesPerZone = machinesPerZone(pool);
+        Map<String, Integer> rentals = new LinkedHashMap<>(shortages);
+        shortages.forEach((zone, missing) -> machinesPerZone.merge(zone, missing, Integer::sum));
+        int rented = shortages.values().stream().mapToInt(Integer::intValue).sum();
+        for (; rented < count; rented++) {
+            String zone =
+                    zones.stream()
+                            .min(
+                                    Comparator.comparingInt(
+                                            name -> machinesPerZone.getOrDefault(name, 0)))
+                            .orElseThrow();
+            machinesPerZone.merge(zone, 1, Integer::sum);
+            rentals.merge(zone, 1, Integer::sum);
+        }
+        rentals.forEach((zone, machines) -> cluster.instanceLifecycle().rent(pool, zone, machines));
+    }
+
+    private Map<String, Integer> machinesPerZone(InstancePool pool) {
+        Map<String, Integer> machinesPerZone = new HashMap<>();
         for (Machine machine : cluster.fleet().machines()) {
             if (machine.pool().equals(pool)) {
-                perZone.merge(machine.zone(), 1, Integer::sum);
+                machinesPerZone.merge(machine.zone(), 1, Integer::sum);
             }
         }
+        return machinesPerZone;
+    }
+
+    /**
+     * The zones that may have capacity, by name. Zones where machines boot late or not at all are
+     * left out as long as there are others, or what waits would have nowhere to go.
+     */
+    private List<String> preferredZones(InstancePool pool) {
+        MachineType type = cluster.machineTypes().get(pool.type());
         List<String> open =
-                cluster.machineTypes().get(pool.type()).zones().stream()
-                        .filter(z -> cluster.instanceLifecycle().mayHaveCapacity(pool, z))
+                type.zones().stream()
+                        .filter(zone -> cluster.instanceLifecycle().mayHaveCapacity(pool, zone))
                         .sorted()
                         .toList();
-        if (open.isEmpty()) {
-            return;
-        }
-        // Where machines come late or not at all, what waits has nowhere to go: such zones only if
-        // there is no other.
         List<String> prompt =
-                open.stream()
-                        .filter(
-                                z ->
-                                        !cluster.bootTracker()
-                                                .late(cluster.machineTypes().get(pool.type()), z))
-                        .toList();
-        List<String> zones = prompt.isEmpty() ? open : prompt;
-        Map<String, Integer> shares = new LinkedHashMap<>(first);
-        first.forEach((zone, n) -> perZone.merge(zone, n, Integer::sum));
-        for (int i = first.values().stream().mapToInt(Integer::intValue).sum(); i < count; i++) {
-            String zone =
-                    zones.stream()
-                            .min(Comparator.comparingInt(z -> perZone.getOrDefault(z, 0)))
-                            .orElseThrow();
-            perZone.merge(zone, 1, Integer::sum);
-            shares.merge(zone, 1, Integer::sum);
-        }
-        shares.forEach((zone, n) -> cluster.instanceLifecycle().rent(pool, zone, n));
+                open.stream().filter(zone -> !cluster.bootTracker().late(type, zone)).toList();
+        return prompt.isEmpty() ? open : prompt;
     }
 
+    /** A machine that could be released, and the seconds of work that its release would lose. */
+    private record Candidate(Machine machine, double restartCostS) {}
+
     /**
-     * WIRE's algorithm 2: of a surplus those go whose charge ends within the interval and that are
-     * cheap to restart. Not from zones that are short at the same time: what is rented there would
-     * be returned and rented for ever.
+     * WIRE's algorithm 2: of a surplus those machines go whose billing unit ends within the
+     * interval and whose tasks are cheap to restart. Zones that are short at the same time are left
+     * out: what is rented there would be released and rented for ever.
      */
     void scaleIn(
             InstancePool pool, int surplus, Set<String> shortZones, double intervalS, double now) {
-        /** A machine that could be returned, and what work its return would cost. */
-        record Candidate(Machine machine, double cost) {}
-        double most = cluster.settings().operators().restartCostShare() * billingUnitS;
+        double maxRestartCostS = cluster.settings().operators().restartCostShare() * billingUnitS;
+        double horizonS = Math.min(intervalS, cluster.heartbeatIntervalS());
         cluster.fleet().machines().stream()
-                .filter(
-                        m ->
-                                m.ready()
-                                        && !m.releasing()
-                                        && !m.draining()
-                                        && m.pool().equals(pool)
-                                        && !m.holdsReplica()
-                                        && !shortZones.contains(m.zone()))
-                .filter(
-                        m ->
-                                billingUnitS - (now - m.rentedAt())
-                                        <= Math.min(intervalS, cluster.heartbeatIntervalS()))
-                .map(m -> new Candidate(m, restartCost(m, now)))
-                .filter(c -> c.cost <= most)
+                .filter(machine -> machine.pool().equals(pool) && isReleasable(machine))
+                .filter(machine -> !shortZones.contains(machine.zone()))
+                .filter(machine -> billingUnitS - (now - machine.rentedAt()) <= horizonS)
+                .map(machine -> new Candidate(machine, restartCostS(machine, now)))
+                .filter(candidate -> candidate.restartCostS <= maxRestartCostS)
                 .sorted(
-                        Comparator.comparingDouble(Candidate::cost)
-                                .thenComparing(c -> c.machine.name))
+                        Comparator.comparingDouble(Candidate::restartCostS)
+                                .thenComparing(candidate -> candidate.machine.name))
                 .limit(surplus)
                 .toList()
-                .forEach(c -> cluster.instanceLifecycle().release(c.machine, "surplus"));
+                .forEach(
+                        candidate ->
+                                cluster.instanceLifecycle().release(candidate.machine, "surplus"));
+    }
+
+    private static boolean isReleasable(Machine machine) {
+        return machine.ready()
+                && !machine.releasing()
+                && !machine.draining()
+                && !machine.holdsReplica();
     }
 
-    private static double restartCost(Machine machine, double now) {
-        double cost = 0;
+    private static double restartCostS(Machine machine, double now) {
+        double costS = 0;
         for (Attempt attempt : machine.attempts()) {
             if (attempt.live()) {
-                cost = Math.max(cost, ClusterState.lostWorkS(attempt, now));
+                costS = Math.max(costS, ClusterState.lostWorkS(attempt, now));
             }
         }
-        return cost;
+        return costS;
     }
 }
--- a/src/main/java/io/pepperfield/capacity/ZoneShortage.java
+++ b/src/main/java/io/pepperfield/capacity/ZoneShortage.java
@@ -6,18 +6,19 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 
 /**
- * Machines that are short in one zone. The count for each pool does not see it: idle machines of
- * another zone satisfy it while work that may not go there waits for ever.
+ * Machines that are short in one zone. WIRE's count for each pool does not see it: idle machines of
+ * another zone satisfy it, while work that may not go there waits for ever. Stateless.
  */
 public final class ZoneShortage {
 
     /**
-     * A machine that stands or is coming, with the room that nothing alive is expected to hold when
-     * the next interval begins.
+     * A machine that is ready or booting, with what nothing alive is expected to hold when the next
+     * interval begins.
      */
     public record AvailableMachine(
             InstancePool pool, String zone, double cpus, double gpus, double memGb) {}
@@ -29,60 +30,74 @@
     public record ZoneBoundWork(JobSpec job, String zone, double remainingS, int taskCount) {
 
         /**
-         * Of tasks that are shorter than the unit several follow each other; a gang's stand side by
-         * side.
+         * How many tasks follow each other in a slot within a billing unit; those of a gang run
+         * side by side.
          */
-        private int tasksPerSlot(double unitS) {
-            return job.isGang() || remainingS >= unitS
-                    ? 1
-                    : remainingS > 0 ? (int) (unitS / remainingS) : taskCount;
+        private int tasksPerSlot(double billingUnitS) {
+            if (job.isGang() || remainingS >= billingUnitS) {
+                return 1;
+            }
+            return remainingS > 0 ? (int) (billingUnitS / remainingS) : taskCount;
         }
 
-        private UpcomingTasks toUpcomingTasks(double share, int left, double unitS) {
+        private UpcomingTasks toUpcomingTasks(
+                double machineShare, int unplaced, double billingUnitS) {
             return new UpcomingTasks(
-                    job.isGang() ? Math.max(remainingS, unitS) : remainingS,
-                    Math.min(1, share),
-                    left);
+                    job.isGang() ? Math.max(remainingS, billingUnitS) : remainingS,
+                    Math.min(1, machineShare),
+                    unplaced);
         }
     }
 
-    /** A pool that gives machines in that zone. */
-    public record ZoneOffer(CapacityPlanner.PoolOffer offer, String zone) {}
+    /** What can be rented of a pool in one zone. */
+    public record ZoneOffer(CapacityPlanner.PoolOffer offer, String zone) {
+
+        private boolean allows(JobSpec job) {
+            InstancePool pool = offer.pool();
+            return job.allowsMachine(pool.type(), zone, pool.spot())
+                    && offer.machineShare(job) <= 1;
+        }
 
-    /** Room that is used up as bound work is put on it. */
+        private boolean isCheaperThan(ZoneOffer other, JobSpec job) {
+            return CapacityPlanner.isCheaper(
+                    offer, other.offer, offer.machineShare(job), other.offer.machineShare(job));
+        }
+    }
+
+    /** What is left of a machine as bound work is put on it. */
     private static final class RemainingCapacity {
         final AvailableMachine machine;
         double cpus;
         double gpus;
         double memGb;
 
-        RemainingCapacity(AvailableMachine at) {
-            this.machine = at;
-            this.cpus = at.cpus();
-            this.gpus = at.gpus();
-            this.memGb = at.memGb();
+        RemainingCapacity(AvailableMachine machine) {
+            this.machine = machine;
+            this.cpus = machine.cpus();
+            this.gpus = machine.gpus();
+            this.memGb = machine.memGb();
         }
 
-        /** How many tasks of the job would find room side by side, up to that many. */
-        int fittingTasks(JobSpec job, String zone, int most) {
+        /** How many tasks of the job fit side by side, up to {@code maxTasks}. */
+        int fittingTasks(JobSpec job, String zone, int maxTasks) {
             if (!machine.zone().equals(zone)
                     || !job.allowsMachine(machine.pool().type(), zone, machine.pool().spot())) {
                 return 0;
             }
             return Math.min(
-                    Math.min(most, fittingCount(cpus, job.cpus())),
+                    Math.min(maxTasks, fittingCount(cpus, job.cpus())),
                     Math.min(fittingCount(gpus, job.gpus()), fittingCount(memGb, job.memGb())));
         }
 
-        void allocate(JobSpec job, int some) {
-            cpus -= some * job.cpus();
-            gpus -= some * job.gpus();
-            memGb -= some * job.memGb();
+        void allocate(JobSpec job, int taskCount) {
+            cpus -= taskCount * job.cpus();
+            gpus -= taskCount * job.gpus();
+            memGb -= taskCount * job.memGb();
         }
 
-        private static int fittingCount(double free, double each) {
-            return each > 0
-                    ? (int) Math.max(0, Math.floor(free / each + ROUNDING_TOLERANCE))
+        private static int fittingCount(double free, double perTask) {
+            return perTask > 0
+                    ? (int) Math.max(0, Math.floor(free / perTask + ROUNDING_TOLERANCE))
                     : Integer.MAX_VALUE;
         }
     }
@@ -92,138 +107,167 @@
     private ZoneShortage() {}
 
     /**
-     * The zone to which some of a job's waiting tasks are bound, by what it asks for or by where
-     * its other tasks may be alive, with how many they are. Null while more than one zone will do,
-     * as for replicas whose first half has no place yet.
+     * The part of a job's waiting tasks that may go to one zone only, by what the job asks for or
+     * by where its other tasks may be alive. Empty while more than one zone will do, as for
+     * replicas whose first half is not placed yet.
      *
-     * @param live its tasks that may be alive, by zone
-     * @param zones where machines that it allows are on offer
+     * @param remainingS seconds that each task is predicted to run
+     * @param liveByZone the job's tasks that may be alive, by zone
+     * @param zones where machines that the job allows are on offer
      */
-    public static ZoneBoundWork zoneBoundWork(
+    public static Optional<ZoneBoundWork> zoneBoundWork(
             JobSpec job,
             double remainingS,
             int waiting,
-            Map<String, Integer> live,
+            Map<String, Integer> liveByZone,
             Set<String> zones) {
         if (job.zone() != null) {
-            return new ZoneBoundWork(job, job.zone(), remainingS, waiting);
-        }
-        if (job.sameZone() && job.isGang() && live.isEmpty()) {
-            return new ZoneBoundWork(job, null, remainingS, waiting);
+            return Optional.of(new ZoneBoundWork(job, job.zone(), remainingS, waiting));
         }
         if (job.sameZone()) {
-            return live.entrySet().stream()
-                    .filter(zone -> zone.getValue() > 0)
-                    .findFirst()
-                    .map(zone -> new ZoneBoundWork(job, zone.getKey(), remainingS, waiting))
-                    .orElse(null);
+            return sameZoneWork(job, remainingS, waiting, liveByZone);
         }
-        if (!job.spreadOverZones()) {
-            return null;
+        return job.spreadOverZones()
+                ? spreadWork(job, remainingS, waiting, liveByZone, zones)
+                : Optional.empty();
+    }
+
+    private static Optional<ZoneBoundWork> sameZoneWork(
+            JobSpec job, double remainingS, int waiting, Map<String, Integer> liveByZone) {
+        if (job.isGang() && liveByZone.isEmpty()) {
+            return Optional.of(new ZoneBoundWork(job, null, remainingS, waiting));
         }
-        List<String> left =
+        return liveByZone.entrySet().stream()
+                .filter(zone -> zone.getValue() > 0)
+                .findFirst()
+                .map(zone -> new ZoneBoundWork(job, zone.getKey(), remainingS, waiting));
+    }
+
+    /** Replicas are bound once only one zone may take more of them. */
+    private static Optional<ZoneBoundWork> spreadWork(
+            JobSpec job,
+            double remainingS,
+            int waiting,
+            Map<String, Integer> liveByZone,
+            Set<String> zones) {
+        List<String> openZones =
                 zones.stream()
-                        .filter(zone -> live.getOrDefault(zone, 0) < job.maxTasksPerZone())
+                        .filter(zone -> liveByZone.getOrDefault(zone, 0) < job.maxTasksPerZone())
                         .toList();
-        return left.size() != 1 || zones.size() == 1
-                ? null
-                : new ZoneBoundWork(
-                        job,
-                        left.get(0),
-                        remainingS,
-                        Math.min(
-                                waiting,
-                                job.maxTasksPerZone() - live.getOrDefault(left.get(0), 0)));
+        if (openZones.size() != 1 || zones.size() == 1) {
+            return Optional.empty();
+        }
+        String zone = openZones.get(0);
+        int allowed = job.maxTasksPerZone() - liveByZone.getOrDefault(zone, 0);
+        return Optional.of(new ZoneBoundWork(job, zone, remainingS, Math.min(waiting, allowed)));
     }
 
     /**
-     * How many machines of which pool are short in which zone: by WIRE's count of what finds no
-     * room on what stands or comes there.
+     * The machines that each zone lacks, by pool and zone: WIRE's count for the work that does not
+     * fit on the machines that are ready or booting there.
      *
-     * @param sources what can be had; a zone of a pool that has refused is none
+     * @param zoneOffers what can be rented; a pool's zone that has refused is not among them
+     * @param billingUnitS the billing unit in seconds
+     * @param partialMachineShare see {@link MachineCountEstimator#requiredMachines}
      */
     public static Map<InstancePool, Map<String, Integer>> missingMachines(
             List<ZoneBoundWork> work,
-            List<AvailableMachine> standing,
-            List<ZoneOffer> sources,
-            double unitS,
-            double partlyShare) {
-        List<RemainingCapacity> spares = standing.stream().map(RemainingCapacity::new).toList();
+            List<AvailableMachine> available,
+            List<ZoneOffer> zoneOffers,
+            double billingUnitS,
+            double partialMachineShare) {
+        List<RemainingCapacity> capacities =
+                available.stream().map(RemainingCapacity::new).toList();
         Map<ZoneOffer, List<UpcomingTasks>> loads = new LinkedHashMap<>();
         for (ZoneBoundWork bound : work) {
             String zone =
-                    bound.zone() != null ? bound.zone() : zoneLackingLeast(bound, spares, sources);
-            int each = bound.tasksPerSlot(unitS);
-            int left = bound.taskCount();
-            for (RemainingCapacity spare : spares) {
-                int slots = spare.fittingTasks(bound.job(), zone, (left + each - 1) / each);
-                spare.allocate(bound.job(), slots);
-                left -= (int) Math.min(left, (long) each * slots);
-            }
-            ZoneOffer source = left > 0 ? chooseOffer(sources, bound.job(), zone) : null;
-            if (source != null) {
-                loads.computeIfAbsent(source, s -> new ArrayList<>())
-                        .add(
-                                bound.toUpcomingTasks(
-                                        source.offer().machineShare(bound.job()), left, unitS));
+                    bound.zone() != null
+                            ? bound.zone()
+                            : zoneLackingLeast(bound, capacities, zoneOffers);
+            int unplaced = allocate(bound, zone, capacities, billingUnitS);
+            ZoneOffer offer = unplaced > 0 ? chooseOffer(zoneOffers, bound.job(), zone) : null;
+            if (offer != null) {
+                double machineShare = offer.offer().machineShare(bound.job());
+                loads.computeIfAbsent(offer, added -> new ArrayList<>())
+                        .add(bound.toUpcomingTasks(machineShare, unplaced, billingUnitS));
             }
         }
+        return machinesForLoads(loads, billingUnitS, partialMachineShare);
+    }
+
+    /** Puts work on the machines of a zone; gives back how many tasks find no place there. */
+    private static int allocate(
+            ZoneBoundWork bound,
+            String zone,
+            List<RemainingCapacity> capacities,
+            double billingUnitS) {
+        int tasksPerSlot = bound.tasksPerSlot(billingUnitS);
+        int unplaced = bound.taskCount();
+        for (RemainingCapacity capacity : capacities) {
+            int neededSlots = (unplaced + tasksPerSlot - 1) / tasksPerSlot;
+            int slots = capacity.fittingTasks(bound.job(), zone, neededSlots);
+            capacity.allocate(bound.job(), slots);
+            unplaced -= (int) Math.min(unplaced, (long) tasksPerSlot * slots);
+        }
+        return unplaced;
+    }
+
+    private static Map<InstancePool, Map<String, Integer>> machinesForLoads(
+            Map<ZoneOffer, List<UpcomingTasks>> loads,
+            double billingUnitS,
+            double partialMachineShare) {
         Map<InstancePool, Map<String, Integer>> shortages = new TreeMap<>();
         loads.forEach(
-                (source, load) ->
+                (offer, load) ->
                         shortages
-                                .computeIfAbsent(source.offer().pool(), p -> new TreeMap<>())
+                                .computeIfAbsent(offer.offer().pool(), pool -> new TreeMap<>())
                                 .put(
-                                        source.zone(),
+                                        offer.zone(),
                                         MachineCountEstimator.requiredMachines(
-                                                load, unitS, partlyShare)));
+                                                load, billingUnitS, partialMachineShare)));
         return shortages;
     }
 
-    /** The zone that lacks least for a gang, among those where it has room or room can be had. */
+    /**
+     * The zone that lacks least for a gang, among those that have capacity or may get it; null
+     * where there is none.
+     */
     private static String zoneLackingLeast(
-            ZoneBoundWork gang, List<RemainingCapacity> spares, List<ZoneOffer> sources) {
-        Map<String, Integer> rooms = new TreeMap<>();
-        for (ZoneOffer source : sources) {
-            if (chooseOffer(sources, gang.job(), source.zone()) != null) {
-                rooms.put(source.zone(), 0);
+            ZoneBoundWork gang, List<RemainingCapacity> capacities, List<ZoneOffer> zoneOffers) {
+        Map<String, Integer> fittingTasks = new TreeMap<>();
+        for (ZoneOffer offer : zoneOffers) {
+            if (chooseOffer(zoneOffers, gang.job(), offer.zone()) != null) {
+                fittingTasks.put(offer.zone(), 0);
             }
         }
-        Map<String, Integer> standing = new TreeMap<>();
-        spares.forEach(
-                spare ->
-                        standing.merge(
-                                spare.machine.zone(),
-                                spare.fittingTasks(
-                                        gang.job(), spare.machine.zone(), gang.taskCount()),
-                                Integer::sum));
-        standing.forEach(
-                (zone, room) -> {
-                    if (room >= gang.taskCount() || rooms.containsKey(zone)) {
-                        rooms.put(zone, room);
+        Map<String, Integer> fittingNow = new TreeMap<>();
+        for (RemainingCapacity capacity : capacities) {
+            String zone = capacity.machine.zone();
+            int tasks = capacity.fittingTasks(gang.job(), zone, gang.taskCount());
+            fittingNow.merge(zone, tasks, Integer::sum);
+        }
+        fittingNow.forEach(
+                (zone, tasks) -> {
+                    if (tasks >= gang.taskCount() || fittingTasks.containsKey(zone)) {
+                        fittingTasks.put(zone, tasks);
                     }
                 });
-        return rooms.entrySet().stream()
+        return fittingTasks.entrySet().stream()
                 .max(Map.Entry.comparingByValue())
                 .map(Map.Entry::getKey)
                 .orElse(null);
     }
 
-    private static ZoneOffer chooseOffer(List<ZoneOffer> sources, JobSpec job, String zone) {
+    /**
+     * The cheapest offer of that zone on which a task of the job fits; null where there is none.
+     */
+    private static ZoneOffer chooseOffer(List<ZoneOffer> zoneOffers, JobSpec job, String zone) {
         ZoneOffer best = null;
-        for (ZoneOffer source : sources) {
-            InstancePool pool = source.offer().pool();
-            double share = source.offer().machineShare(job);
-            if (source.zone().equals(zone)
-                    && job.allowsMachine(pool.type(), zone, pool.spot())
-                    && share <= 1
-                    && (best == null
-                            || CapacityPlanner.isCheaper(
-                                    source.offer(),
-                                    best.offer(),
-                                    share,
-                                    best.offer().machineShare(job)))) {
-                best = source;
+        for (ZoneOffer candidate : zoneOffers) {
+            if (candidate.zone().equals(zone)
+                    && candidate.allows(job)
+                    && (best == null || candidate.isCheaperThan(best, job))) {
+                best = candidate;
             }
         }
         return best;
--- a/src/test/java/io/pepperfield/capacity/ZoneShortageTest.java
+++ b/src/test/java/io/pepperfield/capacity/ZoneShortageTest.java
@@ -1,7 +1,6 @@
 package io.pepperfield.capacity;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 
 import io.pepperfield.capacity.ZoneShortage.AvailableMachine;
 import io.pepperfield.capacity.ZoneShortage.ZoneBoundWork;
@@ -11,6 +10,7 @@
 import io.pepperfield.standin.JobSpecBuilder;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
@@ -97,11 +97,15 @@
     void replicasAreBoundOnlyOnceTheOtherZoneMayTakeNoMore() {
         Set<String> zones = Set.of("east", "west");
         JobSpec service = job(Shape.SERVICE, 5, 2, null, true);
-        assertNull(ZoneShortage.zoneBoundWork(service, 90, 5, Map.of(), zones));
-        assertNull(ZoneShortage.zoneBoundWork(service, 90, 3, Map.of("east", 2), zones));
-        ZoneBoundWork rest = ZoneShortage.zoneBoundWork(service, 90, 2, Map.of("east", 3), zones);
-        assertEquals(new ZoneBoundWork(service, "west", 90, 2), rest);
-        assertNull(
+        assertEquals(Optional.empty(), ZoneShortage.zoneBoundWork(service, 90, 5, Map.of(), zones));
+        assertEquals(
+                Optional.empty(),
+                ZoneShortage.zoneBoundWork(service, 90, 3, Map.of("east", 2), zones));
+        Optional<ZoneBoundWork> rest =
+                ZoneShortage.zoneBoundWork(service, 90, 2, Map.of("east", 3), zones);
+        assertEquals(Optional.of(new ZoneBoundWork(service, "west", 90, 2)), rest);
+        assertEquals(
+                Optional.empty(),
                 ZoneShortage.zoneBoundWork(
                         job(Shape.ARRAY, 5, 2, null, false), 90, 5, Map.of("east", 3), zones));
     }
