--- a/src/main/java/io/pepperfield/capacity/CapacityPlanner.java
+++ b/src/main/java/io/pepperfield/capacity/CapacityPlanner.java
@@ -10,13 +10,13 @@
 import java.util.TreeMap;
 
 /**
- * How many machines of each type and kind there should be: WIRE's count, and beside it the work
- * expected unseen.
+ * How many machines of each type and instance class there should be: WIRE's count for the projected
+ * work, and machines for the demand that recent samples let expect. Stateless.
  */
 public final class CapacityPlanner {
 
     /**
-     * What can be rented of a pool.
+     * What can be rented of a pool; prices are per hour.
      *
      * @param machineCount machines there are, booting ones included
      * @param mayHaveCapacity whether a request for more is worth making, as far as refusals have
@@ -32,160 +32,259 @@
             int machineCount,
             boolean mayHaveCapacity) {
 
-        /** The part of one such machine that a task takes. */
+        /** The part of one such machine that a task takes; more than 1 where it does not fit. */
         double machineShare(JobSpec job) {
             double share = job.cpus() / cpus;
-            share = Math.max(share, memGb > 0 ? job.memGb() / memGb : job.memGb() > 0 ? 2 : 0);
-            return Math.max(share, gpus > 0 ? job.gpus() / gpus : job.gpus() > 0 ? 2 : 0);
+            share = Math.max(share, resourceShare(job.memGb(), memGb));
+            return Math.max(share, resourceShare(job.gpus(), gpus));
+        }
+
+        private static double resourceShare(double needed, double offered) {
+            if (offered > 0) {
+                return needed / offered;
+            }
+            return needed > 0 ? NEVER_FITS : 0;
+        }
+
+        /** Whether a task of the job may run on such a machine and fits. */
+        private boolean allows(JobSpec job) {
+            return (job.spotAllowed() || !pool.spot())
+                    && (job.machineTypes() == null || job.machineTypes().contains(pool.type()))
+                    && machineShare(job) <= 1;
         }
     }
 
     /**
-     * Tasks, so many alike, expected to be active at the next interval; {@code on} null while they
-     * wait.
+     * Tasks, so many alike, that are expected to be active at the next interval.
+     *
+     * @param remainingS seconds that each is predicted to run from then on
+     * @param runningOn the pool that they run on, or null while they wait
      */
     public record ProjectedWork(
-            JobSpec job, double remainingS, InstancePool runningOn, int taskCount) {}
+            JobSpec job, double remainingS, InstancePool runningOn, int taskCount) {
+
+        private boolean isRunning() {
+            return runningOn != null;
+        }
+    }
 
     /**
-     * CPUs that are expected to be asked for: by work that needs ordinary machines, and by work
-     * that does not.
+     * CPUs that are expected to be asked for: by work that needs on-demand machines, and by work
+     * that may run on spot machines too.
      */
     public record ExpectedDemand(double onDemandCpus, double anyCpus) {}
 
     private static final double PRICE_TOLERANCE = 1.1;
 
+    /** Part of a machine for which none more is rented. */
+    private static final double NEGLIGIBLE_MACHINE_SHARE = 0.05;
+
+    /** Stands for a task that cannot fit. */
+    private static final double NEVER_FITS = 2;
+
     private CapacityPlanner() {}
 
-    /** The number of machines to have in each pool for the work and the expected demand. */
+    /**
+     * The number of machines to have in each pool for the projected work and the expected demand,
+     * whichever is more.
+     *
+     * @param billingUnitS the billing unit in seconds
+     * @param partialMachineShare see {@link MachineCountEstimator#requiredMachines}
+     */
     public static Map<InstancePool, Integer> targetMachineCounts(
             List<PoolOffer> offers,
             List<ProjectedWork> work,
             ExpectedDemand expected,
-            double unitS,
-            double partlyShare) {
-        Map<InstancePool, List<UpcomingTasks>> loads = new TreeMap<>();
-        Map<InstancePool, Double> shares = new HashMap<>();
-        for (PoolOffer offer : offers) {
-            loads.put(offer.pool(), new ArrayList<>());
+            double billingUnitS,
+            double partialMachineShare) {
+        PoolLoads loads = new PoolLoads(offers);
+        work.stream().filter(ProjectedWork::isRunning).forEach(loads::addRunning);
+        work.stream().filter(task -> !task.isRunning()).forEach(loads::addWaiting);
+        Map<InstancePool, Integer> targets = new TreeMap<>();
+        loads.tasks.forEach(
+                (pool, tasks) ->
+                        targets.put(
+                                pool,
+                                MachineCountEstimator.requiredMachines(
+                                        tasks, billingUnitS, partialMachineShare)));
+        machinesForDemand(offers, expected)
+                .forEach((pool, machines) -> targets.merge(pool, machines, Math::max));
+        return targets;
+    }
+
+    /** The projected tasks of each pool, with the machines that they fill. */
+    private static final class PoolLoads {
+        final Map<InstancePool, List<UpcomingTasks>> tasks = new TreeMap<>();
+        private final Map<InstancePool, Double> filledMachines = new HashMap<>();
+        private final List<PoolOffer> offers;
+
+        PoolLoads(List<PoolOffer> offers) {
+            this.offers = offers;
+            offers.forEach(offer -> tasks.put(offer.pool(), new ArrayList<>()));
         }
-        for (ProjectedWork task : work) {
-            PoolOffer offer = task.runningOn() == null ? null : findOffer(offers, task.runningOn());
-            if (offer != null) {
-                addLoad(offer, task, loads, shares);
-            }
+
+        /** Adds work to the pool that it runs on, if that is still on offer. */
+        void addRunning(ProjectedWork work) {
+            offers.stream()
+                    .filter(offer -> offer.pool().equals(work.runningOn()))
+                    .findFirst()
+                    .ifPresent(offer -> add(offer, work, work.taskCount()));
         }
-        for (ProjectedWork task : work) {
-            int left = task.runningOn() == null ? task.taskCount() : 0;
+
+        /** Divides waiting work among the pools on which its tasks are expected to start. */
+        void addWaiting(ProjectedWork work) {
+            int left = work.taskCount();
             while (left > 0) {
-                PoolOffer offer = chooseOffer(offers, task.job(), shares);
+                PoolOffer offer = chooseOffer(work.job());
                 if (offer == null) {
-                    break;
+                    return;
                 }
-                // As many as the room that stands takes; what is beyond that goes where the rest of
-                // it goes as well.
-                double share = Math.min(1, offer.machineShare(task.job()));
-                double room = offer.machineCount() - shares.getOrDefault(offer.pool(), 0.0);
-                int some =
-                        share > 0 && room >= share
-                                ? (int) Math.max(1, Math.min(left, room / share))
-                                : left;
-                addLoad(
-                        offer,
-                        new ProjectedWork(task.job(), task.remainingS(), null, some),
-                        loads,
-                        shares);
-                left -= some;
+                int taskCount = tasksForExistingMachines(offer, work.job(), left);
+                add(offer, work, taskCount);
+                left -= taskCount;
             }
         }
-        Map<InstancePool, Integer> targets = new TreeMap<>();
-        loads.forEach(
-                (pool, load) ->
-                        targets.put(
-                                pool,
-                                MachineCountEstimator.requiredMachines(load, unitS, partlyShare)));
-        machinesForDemand(offers, expected)
-                .forEach((pool, machines) -> targets.merge(pool, machines, Math::max));
-        return targets;
+
+        /**
+         * As many tasks as the existing machines still hold; all of them where these are full,
+         * since what is beyond their capacity goes to one pool.
+         */
+        private int tasksForExistingMachines(PoolOffer offer, JobSpec job, int taskCount) {
+            double share = Math.min(1, offer.machineShare(job));
+            double free = offer.machineCount() - filled(offer);
+            return share > 0 && free >= share
+                    ? (int) Math.max(1, Math.min(taskCount, free / share))
+                    : taskCount;
+        }
+
+        private double filled(PoolOffer offer) {
+            return filledMachines.getOrDefault(offer.pool(), 0.0);
+        }
+
+        private void add(PoolOffer offer, ProjectedWork work, int taskCount) {
+            double share = Math.min(1, offer.machineShare(work.job()));
+            tasks.get(offer.pool()).add(new UpcomingTasks(work.remainingS(), share, taskCount));
+            filledMachines.merge(offer.pool(), taskCount * share, Double::sum);
+        }
+
+        /**
+         * Where a waiting task is expected to go: to existing machines, else to a pool that may
+         * have capacity, else to any; the cheapest of these. Null where no machine fits.
+         */
+        private PoolOffer chooseOffer(JobSpec job) {
+            PoolOffer best = null;
+            int bestPreference = Integer.MAX_VALUE;
+            for (PoolOffer offer : offers) {
+                if (!offer.allows(job)) {
+                    continue;
+                }
+                int preference = preference(offer, job);
+                if (preference < bestPreference
+                        || preference == bestPreference && isCheaper(offer, best, job)) {
+                    best = offer;
+                    bestPreference = preference;
+                }
+            }
+            return best;
+        }
+
+        /** Less is better. */
+        private int preference(PoolOffer offer, JobSpec job) {
+            if (filled(offer) + offer.machineShare(job) <= offer.machineCount()) {
+                return 0;
+            }
+            return offer.mayHaveCapacity() ? 1 : 2;
+        }
     }
 
     /**
-     * The part of a machine's time that work counts for: what it fills of the time left for it.
-     * Where no time is left it counts whole, also when nothing seems left to do: nought by nought
-     * is no number, and would spoil every sum it is in.
+     * The part of a machine's time that work counts for: what it fills of the time available for
+     * it. Where no time is available it counts whole, also when nothing seems left to do: zero
+     * divided by zero is not a number, and would spoil every sum that it is part of.
+     *
+     * @param remainingS seconds that the work is predicted to run
+     * @param availableS seconds until it should be complete
      */
-    public static double demandWeight(double leftS, double timeS) {
-        return leftS >= timeS ? 1 : Math.max(0, leftS) / timeS;
-    }
-
-    private static void addLoad(
-            PoolOffer offer,
-            ProjectedWork task,
-            Map<InstancePool, List<UpcomingTasks>> loads,
-            Map<InstancePool, Double> shares) {
-        double share = Math.min(1, offer.machineShare(task.job()));
-        loads.get(offer.pool()).add(new UpcomingTasks(task.remainingS(), share, task.taskCount()));
-        shares.merge(offer.pool(), task.taskCount() * share, Double::sum);
+    public static double demandWeight(double remainingS, double availableS) {
+        return remainingS >= availableS ? 1 : Math.max(0, remainingS) / availableS;
     }
 
     /**
-     * Machines for the expected CPUs. What there is comes first, spot before ordinary: a pool that
-     * may have machines again after a refusal must not draw the demand away from machines that
-     * stand, or all of those would be returned at once.
+     * The number of machines in each pool for the expected CPUs. Existing machines come first, spot
+     * before on-demand: a pool that may have capacity again after a refusal must not draw the
+     * demand away from machines that exist, or all of those would be released at once.
      */
     public static Map<InstancePool, Integer> machinesForDemand(
             List<PoolOffer> offers, ExpectedDemand expected) {
-        Map<InstancePool, Double> cpus = new HashMap<>();
-        double any = assignDemand(offers, true, false, expected.anyCpus(), cpus);
-        double ordinary = assignDemand(offers, false, false, expected.onDemandCpus(), cpus);
-        any = assignDemand(offers, false, false, any, cpus);
-        any = assignDemand(offers, true, true, any, cpus);
-        assignDemand(offers, false, true, ordinary + any, cpus);
+        DemandAssignment assignment = new DemandAssignment(offers);
+        double anyLeft = assignment.useExisting(true, expected.anyCpus());
+        double onDemandLeft = assignment.useExisting(false, expected.onDemandCpus());
+        anyLeft = assignment.useExisting(false, anyLeft);
+        anyLeft = assignment.extend(true, anyLeft);
+        assignment.extend(false, onDemandLeft + anyLeft);
         Map<InstancePool, Integer> machines = new HashMap<>();
         for (PoolOffer offer : offers) {
+            double cpus = assignment.assignedCpus.getOrDefault(offer.pool(), 0.0);
             machines.put(
-                    offer.pool(),
-                    (int) Math.ceil(cpus.getOrDefault(offer.pool(), 0.0) / offer.cpus() - 0.05));
+                    offer.pool(), (int) Math.ceil(cpus / offer.cpus() - NEGLIGIBLE_MACHINE_SHARE));
         }
         return machines;
     }
 
-    private static PoolOffer findOffer(List<PoolOffer> offers, InstancePool pool) {
-        return offers.stream().filter(o -> o.pool().equals(pool)).findFirst().orElse(null);
-    }
+    /** Puts expected CPUs on the pools of one instance class after the other, cheapest first. */
+    private static final class DemandAssignment {
 
-    /**
-     * Where a waiting task is expected to go: room that stands, else a pool that gives machines,
-     * else any; the cheapest.
-     */
-    private static PoolOffer chooseOffer(
-            List<PoolOffer> offers, JobSpec job, Map<InstancePool, Double> shares) {
-        PoolOffer best = null;
-        int bestClass = 3;
-        for (PoolOffer offer : offers) {
-            boolean allowed =
-                    (job.spotAllowed() || !offer.pool().spot())
-                            && (job.machineTypes() == null
-                                    || job.machineTypes().contains(offer.pool().type()));
-            double share = offer.machineShare(job);
-            if (!allowed || share > 1) {
-                continue;
+        /** By the logarithm of the price for a CPU in tenths, since prices within one are alike. */
+        private static final Comparator<PoolOffer> CHEAPEST_FIRST =
+                Comparator.comparingDouble(
+                                (PoolOffer offer) ->
+                                        Math.rint(10 * Math.log(offer.price() / offer.cpus())))
+                        .thenComparingDouble(PoolOffer::bootS)
+                        .thenComparing(PoolOffer::pool);
+
+        final Map<InstancePool, Double> assignedCpus = new HashMap<>();
+        private final List<PoolOffer> offers;
+
+        DemandAssignment(List<PoolOffer> offers) {
+            this.offers = offers.stream().sorted(CHEAPEST_FIRST).toList();
+        }
+
+        /** Uses what is free on existing machines; gives back the CPUs that find no place. */
+        double useExisting(boolean spot, double cpus) {
+            double left = cpus;
+            for (PoolOffer offer : offers) {
+                if (offer.pool().spot() == spot) {
+                    double free =
+                            offer.machineCount() * offer.cpus()
+                                    - assignedCpus.getOrDefault(offer.pool(), 0.0);
+                    left -= assign(offer, Math.max(0, Math.min(left, free)));
+                }
             }
-            int itsClass =
-                    shares.getOrDefault(offer.pool(), 0.0) + share <= offer.machineCount()
-                            ? 0
-                            : offer.mayHaveCapacity() ? 1 : 2;
-            if (itsClass < bestClass
-                    || itsClass == bestClass
-                            && isCheaper(offer, best, share, best.machineShare(job))) {
-                best = offer;
-                bestClass = itsClass;
+            return left;
+        }
+
+        /** Uses new machines of the cheapest pool with capacity; gives back the CPUs left. */
+        double extend(boolean spot, double cpus) {
+            double left = cpus;
+            for (PoolOffer offer : offers) {
+                if (offer.pool().spot() == spot && offer.mayHaveCapacity()) {
+                    left -= assign(offer, left);
+                }
             }
+            return left;
+        }
+
+        private double assign(PoolOffer offer, double cpus) {
+            assignedCpus.merge(offer.pool(), cpus, Double::sum);
+            return cpus;
         }
-        return best;
     }
 
-    /** Prices within a tenth are alike, since they move; then the sooner one is the better. */
+    private static boolean isCheaper(PoolOffer first, PoolOffer second, JobSpec job) {
+        return isCheaper(first, second, first.machineShare(job), second.machineShare(job));
+    }
+
+    /** Prices within a tenth are alike, since they move; of these the faster to boot is better. */
     static boolean isCheaper(
             PoolOffer first, PoolOffer second, double firstShare, double secondShare) {
         double firstCost = first.price() * firstShare;
@@ -193,40 +292,4 @@
         return firstCost * PRICE_TOLERANCE < secondCost
                 || firstCost < secondCost * PRICE_TOLERANCE && first.bootS() < second.bootS();
     }
-
-    /**
-     * Puts expected CPUs on the pools of one kind, the cheapest first: on what stands, or on what
-     * can be had; gives back the rest.
-     */
-    private static double assignDemand(
-            List<PoolOffer> offers,
-            boolean spot,
-            boolean more,
-            double cpus,
-            Map<InstancePool, Double> taken) {
-        List<PoolOffer> kind =
-                offers.stream()
-                        .filter(o -> o.pool().spot() == spot && (!more || o.mayHaveCapacity()))
-                        .sorted(
-                                Comparator.comparingDouble(
-                                                (PoolOffer o) ->
-                                                        Math.rint(
-                                                                10
-                                                                        * Math.log(
-                                                                                o.price()
-                                                                                        / o
-                                                                                                .cpus())))
-                                        .thenComparingDouble(PoolOffer::bootS)
-                                        .thenComparing(PoolOffer::pool))
-                        .toList();
-        double left = cpus;
-        for (PoolOffer offer : kind) {
-            double free =
-                    offer.machineCount() * offer.cpus() - taken.getOrDefault(offer.pool(), 0.0);
-            double takes = more ? left : Math.max(0, Math.min(left, free));
-            taken.merge(offer.pool(), takes, Double::sum);
-            left -= takes;
-        }
-        return left;
-    }
 }
--- a/src/main/java/io/pepperfield/capacity/MachineCountEstimator.java
+++ b/src/main/java/io/pepperfield/capacity/MachineCountEstimator.java
@@ -4,15 +4,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** WIRE's algorithm 3: how many machines the upcoming tasks keep busy for a charging unit. */
+/**
+ * WIRE's algorithm 3 (Xie et al., "WIRE: Resource-efficient Scaling with Online Prediction for
+ * DAG-based Workflows"): how many machines the upcoming tasks keep busy for a billing unit.
+ * Stateless.
+ */
 public final class MachineCountEstimator {
 
     /**
-     * A task expected to be active when the next interval begins.
+     * Tasks, so many alike, expected to be active when the next interval begins.
      *
-     * @param remainingS its predicted least remaining time; infinite for a replica
+     * @param remainingS the predicted least remaining time in seconds; infinite for a replica
      * @param machineShare the part of a machine it takes, where the paper has one of l equal slots
-     * @param taskCount so many alike: an array of 100,000 tasks is one entry
+     * @param taskCount how many: an array of 100,000 tasks is one entry
      */
     public record UpcomingTasks(double remainingS, double machineShare, int taskCount) {
 
@@ -27,59 +31,95 @@
     private MachineCountEstimator() {}
 
     /**
-     * @param unitS the charging unit u
-     * @param partlyShare the part of u that a task must have left for a partly filled last machine
-     *     to count
+     * The number of machines that the tasks keep busy for a billing unit each.
+     *
+     * @param billingUnitS the billing unit u in seconds
+     * @param partialMachineShare the part of u that a task must have left for a partly filled last
+     *     machine to count
      */
     public static int requiredMachines(
-            List<UpcomingTasks> tasks, double unitS, double partlyShare) {
-        // What has nothing left, as far as is known, fills no slot for any time.
-        ArrayDeque<UpcomingTasks> queue =
-                new ArrayDeque<>(tasks.stream().filter(task -> task.remainingS > 0).toList());
-        List<UpcomingTasks> slots = new ArrayList<>();
-        int machines = 0;
-        double usedS = 0;
-        double taken = 0;
-        while (true) {
-            if (slots.isEmpty() && usedS == 0 && !queue.isEmpty()) {
-                machines += takeWholeMachines(queue, unitS);
+            List<UpcomingTasks> tasks, double billingUnitS, double partialMachineShare) {
+        Simulation simulation = new Simulation(tasks, billingUnitS);
+        simulation.run();
+        double minRemainingS = partialMachineShare * billingUnitS;
+        boolean partlyFilled =
+                simulation.slots.stream().anyMatch(slot -> slot.remainingS() > minRemainingS);
+        // At least one stays while tasks wait, also when nothing is known of their length yet.
+        boolean oneMore = partlyFilled || simulation.machines == 0 && !tasks.isEmpty();
+        return oneMore ? simulation.machines + 1 : simulation.machines;
+    }
+
+    /** Fills one machine after the other with tasks, each for a billing unit. */
+    private static final class Simulation {
+        private final double billingUnitS;
+        private final ArrayDeque<UpcomingTasks> queue;
+
+        /** The tasks on the machine that is being filled. */
+        private List<UpcomingTasks> slots = new ArrayList<>();
+
+        private int machines;
+
+        /** The time for which the machine that is being filled has been full. */
+        private double busyS;
+
+        private double takenShare;
+
+        Simulation(List<UpcomingTasks> tasks, double billingUnitS) {
+            this.billingUnitS = billingUnitS;
+            // What has nothing left, as far as is known, fills no slot for any time.
+            this.queue =
+                    new ArrayDeque<>(tasks.stream().filter(task -> task.remainingS > 0).toList());
+        }
+
+        void run() {
+            do {
+                fillMachine();
+                if (queue.isEmpty() && takenShare < 1 - ROUNDING_TOLERANCE) {
+                    return;
+                }
+                advanceToNextEnd();
+                takenShare = slots.stream().mapToDouble(UpcomingTasks::machineShare).sum();
+            } while (!slots.isEmpty() || !queue.isEmpty());
+        }
+
+        private void fillMachine() {
+            if (slots.isEmpty() && busyS == 0 && !queue.isEmpty()) {
+                machines += takeWholeMachines(queue, billingUnitS);
             }
-            while (!queue.isEmpty()
-                    && (slots.isEmpty()
-                            || taken + queue.peek().machineShare() <= 1 + ROUNDING_TOLERANCE)) {
+            while (!queue.isEmpty() && (slots.isEmpty() || nextFits())) {
                 UpcomingTasks task = takeNextTask(queue);
                 slots.add(task);
-                taken += task.machineShare();
+                takenShare += task.machineShare();
             }
-            if (queue.isEmpty() && taken < 1 - ROUNDING_TOLERANCE) {
-                break;
-            }
-            double least = slots.stream().mapToDouble(UpcomingTasks::remainingS).min().orElse(0);
-            usedS += least;
-            if (usedS >= unitS) {
+        }
+
+        private boolean nextFits() {
+            return takenShare + queue.peek().machineShare() <= 1 + ROUNDING_TOLERANCE;
+        }
+
+        /** The shortest task ends; the machine counts once it was full for a billing unit. */
+        private void advanceToNextEnd() {
+            double shortestS =
+                    slots.stream().mapToDouble(UpcomingTasks::remainingS).min().orElse(0);
+            busyS += shortestS;
+            if (busyS >= billingUnitS) {
                 machines++;
-                usedS = 0;
+                busyS = 0;
                 slots.clear();
-            } else {
-                List<UpcomingTasks> left = new ArrayList<>();
-                for (UpcomingTasks slot : slots) {
-                    if (slot.remainingS() > least) {
-                        left.add(new UpcomingTasks(slot.remainingS() - least, slot.machineShare()));
-                    }
-                }
-                slots = left;
+                return;
             }
-            taken = slots.stream().mapToDouble(UpcomingTasks::machineShare).sum();
-            if (slots.isEmpty() && queue.isEmpty()) {
-                break;
+            List<UpcomingTasks> remaining = new ArrayList<>();
+            for (UpcomingTasks slot : slots) {
+                if (slot.remainingS() > shortestS) {
+                    remaining.add(
+                            new UpcomingTasks(slot.remainingS() - shortestS, slot.machineShare()));
+                }
             }
+            slots = remaining;
         }
-        boolean partly = slots.stream().anyMatch(slot -> slot.remainingS() > partlyShare * unitS);
-        // At least one stays while tasks wait, also when nothing is known of their length yet.
-        return partly || machines == 0 && !tasks.isEmpty() ? machines + 1 : machines;
     }
 
-    /** The first of the waiting tasks, one of several alike. */
+    /** Takes one task of the first group. */
     private static UpcomingTasks takeNextTask(ArrayDeque<UpcomingTasks> queue) {
         UpcomingTasks group = queue.poll();
         if (group.taskCount > 1) {
@@ -90,24 +130,20 @@
     }
 
     /**
-     * The machines that the first group fills by itself, in one reckoning: the same that task after
+     * The machines that the first group fills by itself, computed at once: the same that task after
      * task would come to.
      */
-    private static int takeWholeMachines(ArrayDeque<UpcomingTasks> queue, double unitS) {
+    private static int takeWholeMachines(ArrayDeque<UpcomingTasks> queue, double billingUnitS) {
         UpcomingTasks group = queue.peek();
-        int slots =
-                Math.max(
-                        1,
-                        (int)
-                                Math.floor(
-                                        (1 + ROUNDING_TOLERANCE)
-                                                / Math.max(
-                                                        ROUNDING_TOLERANCE, group.machineShare)));
+        double share = Math.max(ROUNDING_TOLERANCE, group.machineShare);
+        int slotsPerMachine = Math.max(1, (int) Math.floor((1 + ROUNDING_TOLERANCE) / share));
         // A task that is longer than the unit fills its slot alone; of shorter ones several follow
         // each other.
-        double each = slots * Math.max(1, Math.ceil(unitS / group.remainingS - ROUNDING_TOLERANCE));
-        int machines = (int) (group.taskCount / each);
-        int left = group.taskCount - (int) (machines * each);
+        double tasksPerSlot =
+                Math.max(1, Math.ceil(billingUnitS / group.remainingS - ROUNDING_TOLERANCE));
+        double tasksPerMachine = slotsPerMachine * tasksPerSlot;
+        int machines = (int) (group.taskCount / tasksPerMachine);
+        int left = group.taskCount - (int) (machines * tasksPerMachine);
         if (machines > 0) {
             queue.poll();
             if (left > 0) {
