--- a/src/main/java/io/pepperfield/fleet/Attempt.java
+++ b/src/main/java/io/pepperfield/fleet/Attempt.java
@@ -4,11 +4,12 @@
 import io.pepperfield.jobs.Job;
 
 /**
- * One start of one task on one machine; possibly alive from its durable intent until proven gone.
+ * One start of one task on one machine; possibly alive from its durable intent until a {@link
+ * TerminationProof} holds. Used on the owner thread only; times are loop times in seconds.
  */
 public final class Attempt {
 
-    /** How far an attempt has come, as its machine's reports show it. */
+    /** How far an attempt has come, as its machine's heartbeats show it. */
     public enum Phase {
         /** The intent is being made durable; no order has left. */
         INTENDED,
@@ -17,7 +18,7 @@
         PULLING,
         RUNNING,
         SAVING,
-        /** Ended on its machine, which keeps it in its reports until cleared. */
+        /** Ended on its machine, whose heartbeats show it until it is cleared. */
         ENDED
     }
 
@@ -32,26 +33,26 @@
     Phase phase;
 
     /**
-     * The highest token under which a run order may have left by the direct way, where it may be
-     * carried out late.
+     * The newest token with which a run order may have been sent directly, and so may be carried
+     * out late.
      */
     FencingToken directOrderToken;
 
     /**
-     * From a durable record of an earlier leader, which may have cleared it: it is not ordered
-     * again, only seen or gone.
+     * Restored from a durable record of an earlier leader, which may have cleared it: no run order
+     * is sent for it again.
      */
     boolean restored;
 
     double runningSince = Double.NaN;
 
-    /** This leader has seen it begin, so that the time it runs is known. */
+    /** Whether this leader has seen it start, so that the time that it runs is known. */
     boolean startObserved;
 
     boolean stopRequested;
     double gracePeriodS;
 
-    /** What ended it is durable or of no consequence: nothing is lost by clearing it. */
+    /** Whether its end is durable or of no consequence, so that nothing is lost by clearing it. */
     boolean acknowledged;
 
     Attempt(
@@ -59,17 +60,17 @@
             int task,
             int number,
             Machine machine,
-            long tenure,
+            long incarnation,
             Phase phase,
-            FencingToken directToken,
+            FencingToken directOrderToken,
             double intendedAt) {
         this.job = job;
         this.task = task;
         this.number = number;
         this.machine = machine;
-        this.incarnation = tenure;
+        this.incarnation = incarnation;
         this.phase = phase;
-        this.directOrderToken = directToken;
+        this.directOrderToken = directOrderToken;
         this.intendedAt = intendedAt;
         this.taskRef = new TaskRef(job.spec.id(), task);
     }
--- a/src/main/java/io/pepperfield/fleet/LeaderFencingTokens.java
+++ b/src/main/java/io/pepperfield/fleet/LeaderFencingTokens.java
@@ -3,8 +3,8 @@
 import io.pepperfield.fencing.FencingToken;
 
 /**
- * The fencing tokens of one leadership: the one it was elected with, the newest one it has minted,
- * and whether something waits for a newer one still.
+ * The fencing tokens of one term: that of the election, the newest one since, and whether something
+ * waits for a newer one still.
  */
 final class LeaderFencingTokens {
 
@@ -12,9 +12,9 @@
     private FencingToken currentToken;
     private boolean newerRequested;
 
-    LeaderFencingTokens(FencingToken elected) {
-        this.electionToken = elected;
-        this.currentToken = elected;
+    LeaderFencingTokens(FencingToken electionToken) {
+        this.electionToken = electionToken;
+        this.currentToken = electionToken;
     }
 
     FencingToken electionToken() {
@@ -31,8 +31,8 @@
     }
 
     /**
-     * Something waits for the machines to see a newer token, after which no order under the old one
-     * is carried out.
+     * Something waits for the machines to see a newer token, after which they refuse orders with
+     * the old one.
      */
     void requestNewer() {
         newerRequested = true;
--- a/src/main/java/io/pepperfield/fleet/LiveAttempts.java
+++ b/src/main/java/io/pepperfield/fleet/LiveAttempts.java
@@ -11,40 +11,46 @@
 import java.util.Map;
 
 /**
- * All attempts that may be alive, by job, with what each team's take of its limit. Kept as attempts
- * come and go, so that a step of the leader costs what it changes and not what there is.
+ * All attempts that may be alive, by job, with what those of each team use of its limit. Updated as
+ * attempts come and go, so that a pass of the leader costs what changes and not what exists. Used
+ * on the owner thread only.
  */
 public final class LiveAttempts {
 
-    /** What the live attempts of one team take in all, and its replicas among them. */
-    private static final class TeamUsage {
-        int attempts;
-        double cpus;
-        double gpus;
-        int replicas;
-        double replicaCpus;
-        double replicaGpus;
-    }
+    private static final ResourceUsage NO_USAGE = new ResourceUsage();
 
     private final Map<Job, Int2ObjectMap<Attempt>> byJob = new LinkedHashMap<>();
-    private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
+    private final Map<String, ResourceUsage> usageByTeam = new HashMap<>();
     private int size;
 
-    /** Adds an attempt that may be alive; throws where another one of the same task is recorded. */
+    /**
+     * Adds an attempt that may be alive.
+     *
+     * @throws IllegalStateException where another attempt at the same task may be alive
+     */
     public void add(Attempt attempt) {
-        Attempt old =
-                byJob.computeIfAbsent(attempt.job, j -> new Int2ObjectOpenHashMap<>())
+        Attempt previous =
+                byJob.computeIfAbsent(attempt.job, job -> new Int2ObjectOpenHashMap<>())
                         .put(attempt.task, attempt);
-        if (old != null) {
-            // One task alive twice is what must never be; the books are not to be trusted any
-            // further.
-            throw new IllegalStateException(attempt.taskRef + " is already in the books");
+        if (previous != null) {
+            // A task must never be alive twice: this state is not to be trusted any further.
+            throw new IllegalStateException(
+                    "task already has a live attempt: task="
+                            + attempt.taskRef
+                            + " attempt="
+                            + attempt.number
+                            + " live="
+                            + previous.number
+                            + " instance="
+                            + previous.machine.name);
         }
         size++;
-        adjustUsage(attempt, 1);
+        usageByTeam
+                .computeIfAbsent(attempt.job.spec.team(), team -> new ResourceUsage())
+                .add(attempt.job.spec);
     }
 
-    /** Proven gone or completed; an attempt that is not in the books changes nothing. */
+    /** Removes an attempt that has ended; one that is not recorded changes nothing. */
     public void remove(Attempt attempt) {
         Int2ObjectMap<Attempt> tasks = byJob.get(attempt.job);
         if (tasks == null || tasks.get(attempt.task) != attempt) {
@@ -55,22 +61,7 @@
             byJob.remove(attempt.job);
         }
         size--;
-        adjustUsage(attempt, -1);
-    }
-
-    private void adjustUsage(Attempt attempt, int sign) {
-        TeamUsage use = usageByTeam.computeIfAbsent(attempt.job.spec.team(), t -> new TeamUsage());
-        use.attempts += sign;
-        // An empty team starts again from nought, so that rounding never adds up.
-        use.cpus = use.attempts == 0 ? 0 : use.cpus + sign * attempt.job.spec.cpus();
-        use.gpus = use.attempts == 0 ? 0 : use.gpus + sign * attempt.job.spec.gpus();
-        if (attempt.job.spec.isService()) {
-            use.replicas += sign;
-            use.replicaCpus =
-                    use.replicas == 0 ? 0 : use.replicaCpus + sign * attempt.job.spec.cpus();
-            use.replicaGpus =
-                    use.replicas == 0 ? 0 : use.replicaGpus + sign * attempt.job.spec.gpus();
-        }
+        usageByTeam.get(attempt.job.spec.team()).remove(attempt.job.spec);
     }
 
     /** The number of attempts that may be alive. */
@@ -78,12 +69,12 @@
         return size;
     }
 
-    /** The live attempt of a task, or null. */
+    /** The live attempt at a task, or null where there is none. */
     public Attempt get(Job job, int task) {
         return byJob.getOrDefault(job, Int2ObjectMaps.emptyMap()).get(task);
     }
 
-    /** The job's attempts, as a copy: ending one changes the books. */
+    /** The job's live attempts as a copy, for loops that end some of them. */
     public List<Attempt> snapshot(Job job) {
         Int2ObjectMap<Attempt> tasks = byJob.get(job);
         return tasks == null ? List.of() : List.copyOf(tasks.values());
@@ -114,25 +105,25 @@
 
     /** CPUs that a team's live attempts take. */
     public double usedCpus(String team) {
-        TeamUsage use = usageByTeam.get(team);
-        return use == null ? 0 : use.cpus;
+        return usageOf(team).cpus();
     }
 
     /** Accelerators that a team's live attempts take. */
     public double usedGpus(String team) {
-        TeamUsage use = usageByTeam.get(team);
-        return use == null ? 0 : use.gpus;
+        return usageOf(team).gpus();
     }
 
-    /** What the team's replicas take: they end only when their users say so. */
+    /** CPUs that a team's service replicas take, which end only when their users say so. */
     public double replicaCpus(String team) {
-        TeamUsage use = usageByTeam.get(team);
-        return use == null ? 0 : use.replicaCpus;
+        return usageOf(team).replicaCpus();
     }
 
-    /** Accelerators that a team's replicas take, which do not end by themselves. */
+    /** Accelerators that a team's service replicas take. */
     public double replicaGpus(String team) {
-        TeamUsage use = usageByTeam.get(team);
-        return use == null ? 0 : use.replicaGpus;
+        return usageOf(team).replicaGpus();
+    }
+
+    private ResourceUsage usageOf(String team) {
+        return usageByTeam.getOrDefault(team, NO_USAGE);
     }
 }
--- a/src/main/java/io/pepperfield/fleet/Machine.java
+++ b/src/main/java/io/pepperfield/fleet/Machine.java
@@ -72,7 +72,7 @@
     double quarantinedUntil;
 
     final JobFailures jobFailures = new JobFailures();
-    final MachineUsage usage = new MachineUsage();
+    final ResourceUsage usage = new ResourceUsage();
     final Map<TaskRef, Attempt> attempts = new LinkedHashMap<>();
     final Set<String> images = new LinkedHashSet<>();
 
@@ -268,21 +268,24 @@
 
     /** CPUs left beside all attempts that may be alive. */
     public double freeCpus(MachineType machineType) {
-        return usage.freeCpus(machineType);
+        return machineType.cpus() - usage.cpus();
     }
 
     /** Accelerators left beside all attempts that may be alive. */
     public double freeGpus(MachineType machineType) {
-        return usage.freeGpus(machineType);
+        return machineType.gpus() - usage.gpus();
     }
 
     /** Memory in gigabytes left beside all attempts that may be alive. */
     public double freeMemGb(MachineType machineType) {
-        return usage.freeMemGb(machineType);
+        return machineType.memGb() - usage.memGb();
     }
 
     /** The capacity that it will have at most, however long one waits: beside its replicas. */
     public Capacity capacityBesideReplicas(MachineType machineType) {
-        return usage.capacityBesideReplicas(machineType);
+        return new Capacity(
+                machineType.cpus() - usage.replicaCpus(),
+                machineType.gpus() - usage.replicaGpus(),
+                machineType.memGb() - usage.replicaMemGb());
     }
 }
--- a/src/main/java/io/pepperfield/fleet/MachineType.java
+++ b/src/main/java/io/pepperfield/fleet/MachineType.java
@@ -2,7 +2,14 @@
 
 import java.util.List;
 
-/** A type of machine on offer; {@code gpus} are accelerators, prices are per hour. */
+/**
+ * A type of machine on offer; prices are per hour.
+ *
+ * @param gpus accelerators
+ * @param cacheGb size of the image cache in gigabytes
+ * @param fetchGbPerS rate at which images are pulled, in gigabytes per second
+ * @param bootS nominal seconds from the rental to the first heartbeat
+ */
 public record MachineType(
         String name,
         double cpus,
@@ -15,7 +22,7 @@
         double bootS,
         List<String> zones) {
 
-    /** The price per hour of a spot or an ordinary machine. */
+    /** The price per hour of a spot or an on-demand machine. */
     public double price(boolean spot) {
         return spot ? spotPrice : price;
     }
--- a/src/main/java/io/pepperfield/fleet/OrderPlanner.java
+++ b/src/main/java/io/pepperfield/fleet/OrderPlanner.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** The orders that answer a machine's report: what is to run, to stop and to be forgotten there. */
+/** The orders in reply to a heartbeat: what is to run, to stop and to be cleared on the machine. */
 final class OrderPlanner {
 
     private final LeaderFencingTokens tokens;
@@ -15,14 +15,14 @@
         this.tokens = tokens;
     }
 
-    void suspendStarts(boolean hold) {
-        startsSuspended = hold;
+    void suspendStarts(boolean suspended) {
+        startsSuspended = suspended;
     }
 
-    /** None where the report is of an earlier session. */
-    List<Order> plan(Machine machine, Heartbeat report) {
+    /** No orders where the heartbeat is of an earlier incarnation. */
+    List<Order> plan(Machine machine, Heartbeat heartbeat) {
         List<Order> orders = new ArrayList<>();
-        if (report.incarnation() != machine.incarnation()) {
+        if (heartbeat.incarnation() != machine.incarnation()) {
             return orders;
         }
         Set<TaskRef> known = new HashSet<>();
@@ -33,9 +33,9 @@
                 addOrderForKnown(machine, attempt, orders);
             }
         }
-        for (Heartbeat.AttemptStatus line : report.attempts()) {
-            if (!isExpected(machine, line, known)) {
-                addOrderForUnknown(machine, line, orders);
+        for (Heartbeat.AttemptStatus status : heartbeat.attempts()) {
+            if (!isExpected(machine, status, known)) {
+                addOrderForUnknown(machine, status, orders);
             }
         }
         return orders;
@@ -44,8 +44,8 @@
     private void addOrderForKnown(Machine machine, Attempt attempt, List<Order> orders) {
         boolean lateOrderPossible = !machine.highestTokenSeen.isNewerThan(attempt.directOrderToken);
         if (!attempt.live()) {
-            // A clear makes the worker forget; a direct run under a token it still accepts would
-            // start it once more.
+            // A clear makes the agent forget the attempt; a late direct order with a token that it
+            // still accepts would then start the attempt once more.
             if (attempt.acknowledged && !lateOrderPossible) {
                 orders.add(new Order.Clear(attempt.taskRef, attempt.number));
             } else if (attempt.acknowledged) {
@@ -58,7 +58,7 @@
             }
         } else if (mayStart(machine, attempt)) {
             orders.add(new Order.Run(attempt.taskRef, attempt.number));
-            machine.replyDelivery.offered(attempt);
+            machine.replyDelivery.runOrdered(attempt);
         }
     }
 
@@ -70,21 +70,21 @@
     }
 
     private static boolean isExpected(
-            Machine machine, Heartbeat.AttemptStatus line, Set<TaskRef> known) {
-        Attempt attempt = machine.attempts.get(line.taskRef());
-        if (attempt == null || attempt.number != line.attemptNumber()) {
+            Machine machine, Heartbeat.AttemptStatus status, Set<TaskRef> known) {
+        Attempt attempt = machine.attempts.get(status.taskRef());
+        if (attempt == null || attempt.number != status.attemptNumber()) {
             return false;
         }
-        return known.contains(line.taskRef()) || attempt.phase == Attempt.Phase.INTENDED;
+        return known.contains(status.taskRef()) || attempt.phase == Attempt.Phase.INTENDED;
     }
 
-    /** An attempt that no durable record knows any more, by a leader before this one. */
+    /** For an attempt by an earlier leader that no durable record names any more. */
     private void addOrderForUnknown(
-            Machine machine, Heartbeat.AttemptStatus line, List<Order> orders) {
-        if (line.state() != Heartbeat.State.ENDED) {
-            orders.add(new Order.Stop(line.taskRef(), line.attemptNumber(), 0));
+            Machine machine, Heartbeat.AttemptStatus status, List<Order> orders) {
+        if (status.state() != Heartbeat.State.ENDED) {
+            orders.add(new Order.Stop(status.taskRef(), status.attemptNumber(), 0));
         } else if (machine.highestTokenSeen.isAtLeast(tokens.electionToken())) {
-            orders.add(new Order.Clear(line.taskRef(), line.attemptNumber()));
+            orders.add(new Order.Clear(status.taskRef(), status.attemptNumber()));
         }
     }
 }
--- a/src/main/java/io/pepperfield/fleet/ReplyDeliveryMonitor.java
+++ b/src/main/java/io/pepperfield/fleet/ReplyDeliveryMonitor.java
@@ -5,15 +5,16 @@
 import java.util.List;
 
 /**
- * Whether answers to its reports reach one machine. That reports arrive says nothing of it: the
- * next one should show the token of the answer and the run orders in it.
+ * Detects that replies to heartbeats do not reach one machine (a one-way partition). That
+ * heartbeats arrive does not prove it: the next one should show the token of the reply and its run
+ * orders.
  */
 final class ReplyDeliveryMonitor {
 
-    private final List<Attempt> offered = new ArrayList<>();
+    private final List<Attempt> orderedToRun = new ArrayList<>();
     private FencingToken lastRepliedToken = FencingToken.NONE;
 
-    /** Loop time since which nothing shows that answers and orders arrive, NaN while they do. */
+    /** Loop time since which nothing shows that replies and orders arrive, NaN while they do. */
     private double receiveFailureSince = Double.NaN;
 
     boolean hasReceiveFailure() {
@@ -24,40 +25,40 @@
         return now - receiveFailureSince;
     }
 
-    /** The machine has answered something that was sent to it. */
+    /** The machine has answered a direct message. */
     void directMessageAnswered() {
         receiveFailureSince = Double.NaN;
     }
 
-    /** The answer to its last report carries this run order. */
-    void offered(Attempt attempt) {
-        offered.add(attempt);
+    /** The reply to its last heartbeat carries a run order for this attempt. */
+    void runOrdered(Attempt attempt) {
+        orderedToRun.add(attempt);
     }
 
-    /** Its last report has been answered with this token. */
+    /** Its last heartbeat has been replied to with this token. */
     void replySent(FencingToken token) {
         lastRepliedToken = token;
     }
 
     /**
-     * A report came after the last answer. A session that ended although its reports were answered
-     * says that they do not arrive.
+     * A heartbeat came after the last reply. An incarnation that ended although its heartbeats were
+     * replied to shows that the replies do not arrive.
      *
-     * @param newSession the report begins a new session of a machine that was up
-     * @param tokenBefore the highest token it had shown before
+     * @param restarted whether it is the first of a new incarnation on a machine that was ready
+     * @param tokenBefore the newest token that the machine had shown before
      */
     void heartbeatReceived(
-            Heartbeat report, boolean newSession, FencingToken tokenBefore, double now) {
-        boolean heeded = report.fencingToken().isNewerThan(tokenBefore);
-        boolean missed = newSession || report.fencingToken().isOlderThan(lastRepliedToken);
-        for (Attempt attempt : offered) {
-            heeded |= attempt.phase != Attempt.Phase.ORDERED;
-            missed |= attempt.phase == Attempt.Phase.ORDERED && !attempt.stopRequested;
+            Heartbeat heartbeat, boolean restarted, FencingToken tokenBefore, double now) {
+        boolean replyReceived = heartbeat.fencingToken().isNewerThan(tokenBefore);
+        boolean replyMissed = restarted || heartbeat.fencingToken().isOlderThan(lastRepliedToken);
+        for (Attempt attempt : orderedToRun) {
+            replyReceived |= attempt.phase != Attempt.Phase.ORDERED;
+            replyMissed |= attempt.phase == Attempt.Phase.ORDERED && !attempt.stopRequested;
         }
-        offered.clear();
-        if (heeded && !newSession) {
+        orderedToRun.clear();
+        if (replyReceived && !restarted) {
             receiveFailureSince = Double.NaN;
-        } else if (missed && !hasReceiveFailure()) {
+        } else if (replyMissed && !hasReceiveFailure()) {
             receiveFailureSince = now;
         }
     }
--- a/src/main/java/io/pepperfield/fleet/MachineUsage.java
+++ b/src/main/java/io/pepperfield/fleet/ResourceUsage.java
@@ -1,13 +1,13 @@
 package io.pepperfield.fleet;
 
 import io.pepperfield.jobs.JobSpec;
-import io.pepperfield.placement.Capacity;
 
 /**
- * The resources that the attempts of one machine take as long as they may be alive, with the part
- * of service replicas, which do not end by themselves. Used on the owner thread only.
+ * The resources that a set of attempts takes as long as they may be alive, such as those of one
+ * machine or one team, with the part of service replicas, which do not end by themselves. Used on
+ * the owner thread only.
  */
-final class MachineUsage {
+final class ResourceUsage {
 
     private int attemptCount;
     private int replicaCount;
@@ -30,12 +30,12 @@
 
     private void adjust(JobSpec spec, int sign) {
         attemptCount += sign;
-        replicaCount += spec.isService() ? sign : 0;
-        // An empty machine starts again from zero, so that rounding errors never add up.
+        // An empty set starts again from zero, so that rounding errors never add up.
         cpus = attemptCount == 0 ? 0 : cpus + sign * spec.cpus();
         gpus = attemptCount == 0 ? 0 : gpus + sign * spec.gpus();
         memGb = attemptCount == 0 ? 0 : memGb + sign * spec.memGb();
         if (spec.isService()) {
+            replicaCount += sign;
             replicaCpus = replicaCount == 0 ? 0 : replicaCpus + sign * spec.cpus();
             replicaGpus = replicaCount == 0 ? 0 : replicaGpus + sign * spec.gpus();
             replicaMemGb = replicaCount == 0 ? 0 : replicaMemGb + sign * spec.memGb();
@@ -52,21 +52,27 @@
         return replicaCount;
     }
 
-    double freeCpus(MachineType type) {
-        return type.cpus() - cpus;
+    double cpus() {
+        return cpus;
     }
 
-    double freeGpus(MachineType type) {
-        return type.gpus() - gpus;
+    double gpus() {
+        return gpus;
     }
 
-    double freeMemGb(MachineType type) {
-        return type.memGb() - memGb;
+    double memGb() {
+        return memGb;
     }
 
-    /** What is left beside the replicas, once all else has ended. */
-    Capacity capacityBesideReplicas(MachineType type) {
-        return new Capacity(
-                type.cpus() - replicaCpus, type.gpus() - replicaGpus, type.memGb() - replicaMemGb);
+    double replicaCpus() {
+        return replicaCpus;
+    }
+
+    double replicaGpus() {
+        return replicaGpus;
+    }
+
+    double replicaMemGb() {
+        return replicaMemGb;
     }
 }
--- a/src/main/java/io/pepperfield/fleet/TaskRef.java
+++ b/src/main/java/io/pepperfield/fleet/TaskRef.java
@@ -1,20 +1,32 @@
 package io.pepperfield.fleet;
 
-/** A task's name on the wire: its job and its number. */
+import java.util.Optional;
+
+/**
+ * Names a task by its job and its index.
+ *
+ * @param job the job's id
+ * @param task the task's index in the job, from 0
+ */
 public record TaskRef(String job, int task) {
 
-    /** Null where the text is no task's name. */
-    public static TaskRef parse(String text) {
+    private static final int MAX_INDEX_DIGITS = 7;
+
+    /** Parses the form that {@link #toString} gives; empty where the text is no task's name. */
+    public static Optional<TaskRef> parse(String text) {
         int slash = text.lastIndexOf('/');
-        if (slash < 1 || slash == text.length() - 1 || text.length() - slash > 8) {
-            return null;
+        if (slash < 1
+                || slash == text.length() - 1
+                || text.length() - slash - 1 > MAX_INDEX_DIGITS) {
+            return Optional.empty();
         }
         for (int i = slash + 1; i < text.length(); i++) {
             if (text.charAt(i) < '0' || text.charAt(i) > '9') {
-                return null;
+                return Optional.empty();
             }
         }
-        return new TaskRef(text.substring(0, slash), Integer.parseInt(text.substring(slash + 1)));
+        int task = Integer.parseInt(text.substring(slash + 1));
+        return Optional.of(new TaskRef(text.substring(0, slash), task));
     }
 
     @Override
--- a/src/main/java/io/pepperfield/fleet/WorkerProtocol.java
+++ b/src/main/java/io/pepperfield/fleet/WorkerProtocol.java
@@ -53,13 +53,13 @@
         }
         List<Heartbeat.AttemptStatus> attempts = new ArrayList<>();
         for (JsonNode entry : message.path(ATTEMPTS)) {
-            TaskRef taskRef = TaskRef.parse(entry.path(TASK).asText());
-            if (taskRef == null
+            Optional<TaskRef> taskRef = TaskRef.parse(entry.path(TASK).asText());
+            if (taskRef.isEmpty()
                     || !entry.path(STATE).isTextual()
                     || !isCount(entry.path(ATTEMPT_NUMBER))) {
                 return Optional.empty();
             }
-            attempts.add(parseAttempt(taskRef, entry));
+            attempts.add(parseAttempt(taskRef.get(), entry));
         }
         JsonNode notice = message.path(RECLAIM_NOTICE_S);
         return Optional.of(
--- a/src/test/java/io/pepperfield/fleet/AttemptTraceTest.java
+++ b/src/test/java/io/pepperfield/fleet/AttemptTraceTest.java
@@ -130,7 +130,7 @@
     }
 
     private static int task(String ref) {
-        return TaskRef.parse(ref).task();
+        return TaskRef.parse(ref).orElseThrow().task();
     }
 
     /** MACHINE TENURE SERIAL TOKEN [TASK:TRY:STATE[:CAUSE]]... */
@@ -140,7 +140,7 @@
             String[] part = words[i].split(":");
             lines.add(
                     new Heartbeat.AttemptStatus(
-                            TaskRef.parse(part[0]),
+                            TaskRef.parse(part[0]).orElseThrow(),
                             Integer.parseInt(part[1]),
                             Heartbeat.State.valueOf(part[2].toUpperCase(Locale.ROOT)),
                             part.length > 3
