--- a/src/main/java/io/pepperfield/health/FailureDetector.java
+++ b/src/main/java/io/pepperfield/health/FailureDetector.java
@@ -12,6 +12,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /**
  * Finds the machines that are silent, have a receive failure, never came up, are faulty or about to
--- a/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
+++ b/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
@@ -3,7 +3,7 @@
 import io.pepperfield.config.Settings;
 import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Heartbeat;
-import io.pepperfield.fleet.Order;
+import io.pepperfield.fleet.WorkerProtocol;
 import io.pepperfield.http.HttpOutcome;
 import io.pepperfield.http.HttpSender;
 import io.pepperfield.loop.Loop;
--- a/src/main/java/io/pepperfield/peer/PartitionOrderRouter.java
+++ b/src/main/java/io/pepperfield/peer/PartitionOrderRouter.java
@@ -6,11 +6,13 @@
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.Order;
 import io.pepperfield.fleet.WorkerClient;
+import io.pepperfield.fleet.WorkerProtocol;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 
 /**
@@ -37,7 +39,7 @@
     }
 
     @Override
-    public void probe(String address, Consumer<Heartbeat> done) {
+    public void probe(String address, Consumer<Optional<Heartbeat>> done) {
         localWorkers.probe(address, done);
     }
 
--- a/src/main/java/io/pepperfield/peer/PeerMessages.java
+++ b/src/main/java/io/pepperfield/peer/PeerMessages.java
@@ -6,6 +6,7 @@
 import com.fasterxml.jackson.databind.util.RawValue;
 import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Heartbeat;
+import io.pepperfield.fleet.WorkerProtocol;
 import io.pepperfield.http.Json;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/src/test/java/io/pepperfield/fleet/AttemptTraceTest.java
+++ b/src/test/java/io/pepperfield/fleet/AttemptTraceTest.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -90,21 +91,22 @@
                                     now));
             case "released" -> fleet.confirmReleased(words[1]);
             case "beat" -> {
-                List<Order> orders = fleet.handleHeartbeat(heartbeat(words), now);
-                if (orders == null) {
+                Optional<List<Order>> orders = fleet.handleHeartbeat(heartbeat(words), now);
+                if (orders.isEmpty()) {
                     events.add("not answered");
                 } else {
-                    orders.forEach(
-                            o ->
-                                    events.add(
-                                            "order "
-                                                    + o.getClass()
-                                                            .getSimpleName()
-                                                            .toLowerCase(Locale.ROOT)
-                                                    + " "
-                                                    + o.taskRef()
-                                                    + " try "
-                                                    + o.attemptNumber()));
+                    orders.get()
+                            .forEach(
+                                    order ->
+                                            events.add(
+                                                    "order "
+                                                            + order.getClass()
+                                                                    .getSimpleName()
+                                                                    .toLowerCase(Locale.ROOT)
+                                                            + " "
+                                                            + order.taskRef()
+                                                            + " try "
+                                                            + order.attemptNumber()));
                 }
             }
             case "heard" -> fleet.handleDirectResponse(heartbeat(words), now);
@@ -128,7 +130,7 @@
     }
 
     private static int task(String ref) {
-        return TaskRef.parse(ref).task();
+        return TaskRef.parse(ref).orElseThrow().task();
     }
 
     /** MACHINE TENURE SERIAL TOKEN [TASK:TRY:STATE[:CAUSE]]... */
@@ -138,7 +140,7 @@
             String[] part = words[i].split(":");
             lines.add(
                     new Heartbeat.AttemptStatus(
-                            TaskRef.parse(part[0]),
+                            TaskRef.parse(part[0]).orElseThrow(),
                             Integer.parseInt(part[1]),
                             Heartbeat.State.valueOf(part[2].toUpperCase(Locale.ROOT)),
                             part.length > 3
--- a/src/test/java/io/pepperfield/forms/WorkerForms.java
+++ b/src/test/java/io/pepperfield/forms/WorkerForms.java
@@ -8,6 +8,7 @@
 import io.pepperfield.fleet.Order;
 import io.pepperfield.fleet.TaskRef;
 import io.pepperfield.fleet.WorkerClient;
+import io.pepperfield.fleet.WorkerProtocol;
 import io.pepperfield.standin.SimulatedLoop;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -77,7 +78,7 @@
     }
 
     private static String read(JsonNode message) {
-        return read(Heartbeat.parse(message));
+        return read(WorkerProtocol.parseHeartbeat(message).orElse(null));
     }
 
     private static JsonNode withTask(JsonNode report, String field, String value) {
@@ -105,7 +106,9 @@
                     TENURE,
                     Order.replyBody(TOKEN, orders()).path("orders"),
                     heard -> file.add("forwarded orders answered " + status, heard));
-            workers.probe(ADDRESS, answer -> file.add("probe answered " + status, read(answer)));
+            workers.probe(
+                    ADDRESS,
+                    answer -> file.add("probe answered " + status, read(answer.orElse(null))));
             loop.run(loop.now() + 1);
         }
     }
--- a/src/test/java/io/pepperfield/peer/PeerForms.java
+++ b/src/test/java/io/pepperfield/peer/PeerForms.java
@@ -5,7 +5,7 @@
 import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.HttpWorkerClient;
-import io.pepperfield.fleet.Order;
+import io.pepperfield.fleet.WorkerProtocol;
 import io.pepperfield.forms.FormFile;
 import io.pepperfield.forms.RecordingSender;
 import io.pepperfield.forms.WorkerForms;
@@ -51,8 +51,7 @@
                 form -> PeerMessages.readBatch(form).map(PeerForms::told).orElse("refused"));
         List<LeaderVerdict> verdicts =
                 List.of(
-                        new LeaderVerdict.Orders(
-                                Order.replyBody(TOKEN, WorkerForms.orders()).path("orders")),
+                        new LeaderVerdict.Orders(WorkerProtocol.encodeOrders(WorkerForms.orders())),
                         new LeaderVerdict.FullHeartbeatRequired(),
                         new LeaderVerdict.Refused());
         file.addRewrittenByField(
@@ -67,8 +66,7 @@
                                 new PeerMessages.DirectOrderMessage(
                                         "10.1.0.14:9000",
                                         3,
-                                        Order.replyBody(TOKEN, WorkerForms.orders())
-                                                .path("orders")))),
+                                        WorkerProtocol.encodeOrders(WorkerForms.orders())))),
                 form ->
                         text(
                                 PeerMessages.writeDirectOrders(
@@ -87,7 +85,8 @@
     }
 
     private static byte[] batch() {
-        Heartbeat report = Heartbeat.parse(Json.read(WorkerForms.report()));
+        Heartbeat report =
+                WorkerProtocol.parseHeartbeat(Json.read(WorkerForms.report())).orElseThrow();
         HeartbeatBatchBuilder batch = new HeartbeatBatchBuilder("node-0", "a-process", 7, TOKEN);
         batch.addFull(WorkerForms.report());
         batch.addRepeated(report, report);
@@ -178,7 +177,10 @@
                         SETTINGS);
         forwarder.leaderChanged("node-1");
         byte[] report = WorkerForms.report();
-        forwarder.submit(Heartbeat.parse(Json.read(report)), report, verdict -> {});
+        forwarder.submit(
+                WorkerProtocol.parseHeartbeat(Json.read(report)).orElseThrow(),
+                report,
+                verdict -> {});
         forwarder.flush();
     }
 
