--- a/src/main/java/io/pepperfield/cloud/InstanceLifecycle.java
+++ b/src/main/java/io/pepperfield/cloud/InstanceLifecycle.java
@@ -86,21 +86,7 @@
 
     /** Rents that many instances; each request becomes durable before it is sent. */
     public void rent(InstancePool pool, String zone, int count) {
-        for (int left = count; left > 0; left -= MAX_INSTANCES_PER_RENTAL) {
-            RentalRequest hire =
-                    new RentalRequest(
-                            "p" + fencingToken.value() + "-" + ++sequence,
-                            pool,
-                            zone,
-                            Math.min(left, MAX_INSTANCES_PER_RENTAL),
-                            loop.wallMs());
-            rentalRequests.put(hire.requestId, hire);
-            writer.enqueue(
-                    Keys.RENTAL_PREFIX + hire.requestId,
-                    FencedWriter.Priority.INTENT,
-                    hire::encode,
-                    () -> sendRentalRequest(hire));
-        }
+        rentals.rent(pool, zone, count);
     }
 
     /** Releases an instance; the request is repeated until the cloud confirms it. */
@@ -108,56 +94,9 @@
         if (machine.releasing()) {
             return;
         }
-        if (!leadershipConfirmed.getAsBoolean()) {
-            loop.after(retryS, () -> sendRentalRequest(hire));
-            return;
-        }
-        cloud.rentInstances(
-                hire.requestId,
-                hire.pool.type(),
-                hire.zone,
-                hire.pool.spot(),
-                hire.count,
-                result -> {
-                    if (stopped) {
-                        return;
-                    }
-                    if (result instanceof CloudProvider.RentalOutcome.Failed failed) {
-                        LOG.debug("{} is asked for again: {}", hire.requestId, failed.reason());
-                        loop.after(retryS, () -> sendRentalRequest(hire));
-                        return;
-                    }
-                    hire.answered = true;
-                    int got = 0;
-                    if (result instanceof CloudProvider.RentalOutcome.Granted machines) {
-                        got = machines.instanceNames().size();
-                        hire.instanceNames.addAll(machines.instanceNames());
-                        // From now on, as it may have waited for its turn at the cloud: it has not
-                        // booted for longer.
-                        machines.instanceNames()
-                                .forEach(
-                                        host ->
-                                                fleet.expectMachine(
-                                                        host,
-                                                        hire.pool.type(),
-                                                        hire.zone,
-                                                        hire.pool.spot(),
-                                                        loop.now(),
-                                                        loop.now()));
-                    }
-                    if (got < hire.count) {
-                        noCapacityUntil.put(
-                                hire.pool + "@" + hire.zone, loop.now() + noCapacityValidityS);
-                    }
-                    LOG.info("rented {} of {} {} in {}", got, hire.count, hire.pool, hire.zone);
-                    writer.enqueue(
-                            Keys.RENTAL_PREFIX + hire.requestId,
-                            FencedWriter.Priority.BACKGROUND,
-                            hire::encode);
-                    if (hire.instanceNames.isEmpty()) {
-                        rentalRequests.remove(hire.requestId);
-                    }
-                });
+        LOG.debug("instance to be released: instance={} reason={}", machine.describe(), reason);
+        fleet.markReleasing(machine);
+        releases.add(machine.name, reason);
     }
 
     /** The number of instances whose release the cloud has not confirmed. */
@@ -165,62 +104,8 @@
         return releases.pendingCount();
     }
 
-    private void sendReleases() {
-        if (releasing || stopped || pendingReleases.isEmpty()) {
-            return;
-        }
-        releasing = true;
-        // Those that are asked for in the same batch of commands go in one request.
-        loop.post(
-                () -> {
-                    if (!leadershipConfirmed.getAsBoolean()) {
-                        releasing = false;
-                        loop.after(retryS, this::sendReleases);
-                        return;
-                    }
-                    List<String> names =
-                            pendingReleases.keySet().stream()
-                                    .limit(MAX_INSTANCES_PER_RELEASE)
-                                    .toList();
-                    // One line for a batch: machines are lost and returned by the hundred.
-                    Map<String, Integer> reasons = new TreeMap<>();
-                    names.forEach(
-                            name -> reasons.merge(pendingReleases.get(name), 1, Integer::sum));
-                    LOG.info(
-                            "returning {} machines {}{}",
-                            names.size(),
-                            reasons,
-                            names.size() <= MAX_NAMES_LOGGED ? " " + names : "");
-                    cloud.releaseInstances(
-                            names,
-                            done -> {
-                                releasing = false;
-                                if (stopped) {
-                                    return;
-                                }
-                                if (!done) {
-                                    loop.after(retryS, this::sendReleases);
-                                    return;
-                                }
-                                names.forEach(pendingReleases::remove);
-                                names.forEach(this::releaseConfirmed);
-                                sendReleases();
-                            });
-                });
-    }
-
-    private void releaseConfirmed(String name) {
-        fleet.confirmReleased(name);
-        for (RentalRequest hire : new ArrayList<>(rentalRequests.values())) {
-            if (hire.instanceNames.remove(name)) {
-                writer.enqueue(
-                        Keys.RENTAL_PREFIX + hire.requestId,
-                        FencedWriter.Priority.BACKGROUND,
-                        hire::encode);
-                if (hire.instanceNames.isEmpty() && hire.answered) {
-                    rentalRequests.remove(hire.requestId);
-                }
-            }
-        }
+    private void releaseConfirmed(String instanceName) {
+        fleet.confirmReleased(instanceName);
+        rentals.released(instanceName);
     }
 }
--- a/src/main/java/io/pepperfield/cloud/InstanceRentals.java
+++ b/src/main/java/io/pepperfield/cloud/InstanceRentals.java
@@ -121,8 +121,7 @@
                     request.key(),
                     FencedWriter.Priority.INTENT,
                     request::encode,
-                    () -> send(request),
-                    null);
+                    () -> send(request));
         }
     }
 
@@ -182,8 +181,7 @@
     }
 
     private void writeInBackground(RentalRequest request) {
-        writer.enqueue(
-                request.key(), FencedWriter.Priority.BACKGROUND, request::encode, null, null);
+        writer.enqueue(request.key(), FencedWriter.Priority.BACKGROUND, request::encode);
     }
 
     /** The cloud has confirmed the release of an instance. */
--- a/src/main/java/io/pepperfield/controller/LeaderHeartbeatProcessor.java
+++ b/src/main/java/io/pepperfield/controller/LeaderHeartbeatProcessor.java
@@ -4,6 +4,7 @@
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.Machine;
 import io.pepperfield.fleet.Order;
+import io.pepperfield.fleet.WorkerProtocol;
 import io.pepperfield.health.LeaseRenewal;
 import io.pepperfield.heartbeat.LeaderHeartbeats;
 import io.pepperfield.leadership.Leadership;
@@ -40,14 +41,14 @@
     public Optional<List<Order>> acceptHeartbeat(Heartbeat heartbeat, String reportingController) {
         double now = loop.now();
         fleet.suspendStarts(!storeFreshness.isFresh());
-        List<Order> orders = fleet.handleHeartbeat(heartbeat, now);
-        if (orders == null) {
-            return Optional.empty();
+        Optional<List<Order>> orders = fleet.handleHeartbeat(heartbeat, now);
+        if (orders.isEmpty()) {
+            return orders;
         }
         Machine machine = fleet.get(heartbeat.machine());
         machine.setReportingController(reportingController);
         return leaseRenewal.mayRenew(cancellationWatermark(machine), now)
-                ? Optional.of(orders)
+                ? orders
                 : Optional.empty();
     }
 
@@ -78,20 +79,18 @@
         if (orders.isEmpty()) {
             return LeaderVerdict.REFUSED;
         }
-        return new LeaderVerdict.Orders(
-                Order.replyBody(leadership.fencingToken(), orders.get()).path("orders"));
+        return new LeaderVerdict.Orders(WorkerProtocol.encodeOrders(orders.get()));
     }
 
     /** Empty where it only refers to an earlier heartbeat that is not known here. */
     private Optional<Heartbeat> fullHeartbeat(ForwardedHeartbeat forwarded) {
         if (forwarded instanceof ForwardedHeartbeat.Repeated repeated) {
-            return Optional.ofNullable(
-                    fleet.expandRepeatedHeartbeat(
-                            repeated.machine(),
-                            repeated.incarnation(),
-                            repeated.baseSequence(),
-                            repeated.sequence(),
-                            repeated.fencingToken()));
+            return fleet.expandRepeatedHeartbeat(
+                    repeated.machine(),
+                    repeated.incarnation(),
+                    repeated.baseSequence(),
+                    repeated.sequence(),
+                    repeated.fencingToken());
         }
         return Optional.of(((ForwardedHeartbeat.Full) forwarded).heartbeat());
     }
--- a/src/main/java/io/pepperfield/health/FailureDetector.java
+++ b/src/main/java/io/pepperfield/health/FailureDetector.java
@@ -130,9 +130,9 @@
         }
     }
 
-    private void probeAnswered(Heartbeat heartbeat) {
-        if (!stopped && heartbeat != null) {
-            cluster.fleet().handleDirectResponse(heartbeat, cluster.loop().now());
+    private void probeAnswered(Optional<Heartbeat> heartbeat) {
+        if (!stopped && heartbeat.isPresent()) {
+            cluster.fleet().handleDirectResponse(heartbeat.get(), cluster.loop().now());
         }
     }
 
--- a/src/main/java/io/pepperfield/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/io/pepperfield/heartbeat/HeartbeatHandler.java
@@ -2,6 +2,7 @@
 
 import io.pepperfield.config.Settings;
 import io.pepperfield.fleet.Heartbeat;
+import io.pepperfield.fleet.WorkerProtocol;
 import io.pepperfield.health.LeaseRenewal;
 import io.pepperfield.health.PauseDetector;
 import io.pepperfield.http.HttpReply;
@@ -11,6 +12,7 @@
 import io.pepperfield.loop.Loop;
 import io.pepperfield.peer.Membership;
 import io.pepperfield.peer.PeerMessages;
+import java.util.Optional;
 import java.util.function.Consumer;
 
 /**
@@ -79,12 +81,13 @@
 
     /** Takes a worker's heartbeat; {@code answer} is called once, perhaps later. */
     public void handle(InboundRequest request, Consumer<HttpReply> answer) {
-        Heartbeat heartbeat = Heartbeat.parse(Json.read(request.body()));
-        if (heartbeat == null) {
+        Optional<Heartbeat> parsed = WorkerProtocol.parseHeartbeat(Json.read(request.body()));
+        if (parsed.isEmpty()) {
             logOnce.warn("a worker", "sends what is no heartbeat");
             answer.accept(HeartbeatVerdict.Refused.MALFORMED.toReply());
             return;
         }
+        Heartbeat heartbeat = parsed.get();
         double now = loop.now();
         isolation.recordHeartbeat(heartbeat.zone());
         if (pauseDetector.checkStale()) {
--- a/src/main/java/io/pepperfield/heartbeat/HeartbeatVerdict.java
+++ b/src/main/java/io/pepperfield/heartbeat/HeartbeatVerdict.java
@@ -1,8 +1,8 @@
 package io.pepperfield.heartbeat;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.pepperfield.fleet.WorkerProtocol;
 import io.pepperfield.http.HttpReply;
-import io.pepperfield.http.Json;
 
 /** How a worker's heartbeat is to be answered. */
 sealed interface HeartbeatVerdict {
@@ -22,7 +22,7 @@
     record Redirected(String controller) implements HeartbeatVerdict {
         @Override
         public HttpReply toReply() {
-            return HttpReply.json(421, Json.object().put("manager", controller));
+            return HttpReply.json(421, WorkerProtocol.redirect(controller));
         }
     }
 
--- a/src/main/java/io/pepperfield/heartbeat/LeaderRole.java
+++ b/src/main/java/io/pepperfield/heartbeat/LeaderRole.java
@@ -2,6 +2,7 @@
 
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.Order;
+import io.pepperfield.fleet.WorkerProtocol;
 import io.pepperfield.health.LeaseRenewal;
 import io.pepperfield.leadership.Leadership;
 import io.pepperfield.peer.HeartbeatForwarder;
@@ -97,7 +98,7 @@
         }
         cache(heartbeat, encoded, orders.get());
         return new HeartbeatVerdict.Accepted(
-                Order.replyBody(leadership.fencingToken(), orders.get()));
+                WorkerProtocol.heartbeatReply(leadership.fencingToken(), orders.get()));
     }
 
     private void cache(Heartbeat heartbeat, byte[] encoded, List<Order> orders) {
--- a/src/main/java/io/pepperfield/heartbeat/LeaderlessRole.java
+++ b/src/main/java/io/pepperfield/heartbeat/LeaderlessRole.java
@@ -2,7 +2,7 @@
 
 import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Heartbeat;
-import io.pepperfield.fleet.Order;
+import io.pepperfield.fleet.WorkerProtocol;
 import io.pepperfield.health.LeaseRenewal;
 import io.pepperfield.leadership.Leadership;
 import io.pepperfield.loop.Loop;
@@ -60,6 +60,6 @@
             return HeartbeatVerdict.Refused.LEASE_EXHAUSTED;
         }
         return new HeartbeatVerdict.Accepted(
-                Order.replyBody(token, leaseRenewal.stopsForCancelled(heartbeat)));
+                WorkerProtocol.heartbeatReply(token, leaseRenewal.stopsForCancelled(heartbeat)));
     }
 }
--- a/src/main/java/io/pepperfield/heartbeat/PartitionOwnerRole.java
+++ b/src/main/java/io/pepperfield/heartbeat/PartitionOwnerRole.java
@@ -1,9 +1,8 @@
 package io.pepperfield.heartbeat;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.fleet.Heartbeat;
+import io.pepperfield.fleet.WorkerProtocol;
 import io.pepperfield.health.PauseDetector;
-import io.pepperfield.http.Json;
 import io.pepperfield.peer.HeartbeatForwarder;
 import io.pepperfield.peer.PeerMessages.LeaderVerdict;
 import java.util.Optional;
@@ -54,9 +53,8 @@
         }
         if (verdict instanceof LeaderVerdict.Orders orders
                 && forwarder.fencingToken().isAtLeast(heartbeat.fencingToken())) {
-            ObjectNode body = Json.object().put("epoch", forwarder.fencingToken().value());
-            body.set("orders", orders.orders());
-            return new HeartbeatVerdict.Accepted(body);
+            return new HeartbeatVerdict.Accepted(
+                    WorkerProtocol.heartbeatReply(forwarder.fencingToken(), orders.orders()));
         }
         if (verdict instanceof LeaderVerdict.Unreachable) {
             return leaderlessRole.renewLease(heartbeat);
--- a/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
+++ b/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
@@ -279,7 +279,7 @@
         }
         if (verdict instanceof LeaderVerdict.Orders orders) {
             double watermark =
-                    cancellationWatermark(Order.containsStop(orders.orders()), knownUpTo);
+                    cancellationWatermark(WorkerProtocol.containsStop(orders.orders()), knownUpTo);
             cacheHeartbeat(answered.heartbeat, answered.encoded, watermark);
             cache.markForwarded(answered.heartbeat);
         }
--- a/src/main/java/io/pepperfield/peer/PartitionOrderRouter.java
+++ b/src/main/java/io/pepperfield/peer/PartitionOrderRouter.java
@@ -84,9 +84,7 @@
                 .computeIfAbsent(owner, o -> new ArrayList<>())
                 .add(
                         new PeerMessages.DirectOrderMessage(
-                                address,
-                                incarnation,
-                                Order.replyBody(orderToken, orders).path("orders")));
+                                address, incarnation, WorkerProtocol.encodeOrders(orders)));
     }
 
     /** At the end of each batch of commands: one message for each partition. */
--- a/src/main/java/io/pepperfield/peer/PeerMessages.java
+++ b/src/main/java/io/pepperfield/peer/PeerMessages.java
@@ -141,11 +141,11 @@
                                 item.path(3).asLong(),
                                 new FencingToken(item.path(4).asLong())));
             } else {
-                Heartbeat heartbeat = Heartbeat.parse(item);
-                if (heartbeat == null) {
+                Optional<Heartbeat> heartbeat = WorkerProtocol.parseHeartbeat(item);
+                if (heartbeat.isEmpty()) {
                     return Optional.empty();
                 }
-                heartbeats.add(new ForwardedHeartbeat.Full(heartbeat));
+                heartbeats.add(new ForwardedHeartbeat.Full(heartbeat.get()));
             }
         }
         return Optional.of(
@@ -162,10 +162,7 @@
     private static List<Heartbeat> readDirectOrderReplies(JsonNode message) {
         List<Heartbeat> replies = new ArrayList<>();
         for (JsonNode item : message.path("heard")) {
-            Heartbeat reply = Heartbeat.parse(item);
-            if (reply != null) {
-                replies.add(reply);
-            }
+            WorkerProtocol.parseHeartbeat(item).ifPresent(replies::add);
         }
         return replies;
     }
@@ -173,11 +170,9 @@
     private static List<CachedHeartbeat> readCachedHeartbeats(JsonNode message) {
         List<CachedHeartbeat> cached = new ArrayList<>();
         for (JsonNode item : message.path("kept")) {
-            Heartbeat heartbeat = Heartbeat.parse(item.path("report"));
-            if (heartbeat != null) {
-                double ageS = item.path("ageMs").asLong() / 1000.0;
-                cached.add(new CachedHeartbeat(heartbeat, Math.max(0, ageS)));
-            }
+            double ageS = Math.max(0, item.path("ageMs").asLong() / 1000.0);
+            WorkerProtocol.parseHeartbeat(item.path("report"))
+                    .ifPresent(heartbeat -> cached.add(new CachedHeartbeat(heartbeat, ageS)));
         }
         return cached;
     }
--- a/src/test/java/io/pepperfield/forms/WorkerForms.java
+++ b/src/test/java/io/pepperfield/forms/WorkerForms.java
@@ -32,13 +32,13 @@
                 List.of("done", "stopped", "error", "no_room", "busy", "no_such", "unheard-of")) {
             file.add("cause " + cause, read(withTask(report, "cause", cause)));
         }
-        file.add("answer", Order.replyBody(TOKEN, orders()));
-        file.add("answer without orders", Order.replyBody(TOKEN, List.of()));
+        file.add("answer", WorkerProtocol.heartbeatReply(TOKEN, orders()));
+        file.add("answer without orders", WorkerProtocol.heartbeatReply(TOKEN, List.of()));
         for (Order order : orders()) {
-            JsonNode alone = Order.replyBody(TOKEN, List.of(order)).path("orders");
-            file.add("a stop among " + alone, String.valueOf(Order.containsStop(alone)));
+            JsonNode alone = WorkerProtocol.encodeOrders(List.of(order));
+            file.add("a stop among " + alone, String.valueOf(WorkerProtocol.containsStop(alone)));
         }
-        file.add("message", Order.directMessageBody(TOKEN, TENURE, orders()));
+        file.add("message", WorkerProtocol.directMessage(TOKEN, TENURE, orders()));
         writeRequests(file);
     }
 
@@ -104,7 +104,7 @@
                     ADDRESS,
                     TOKEN,
                     TENURE,
-                    Order.replyBody(TOKEN, orders()).path("orders"),
+                    WorkerProtocol.encodeOrders(orders()),
                     heard -> file.add("forwarded orders answered " + status, heard));
             workers.probe(
                     ADDRESS,
