--- a/src/main/java/io/pepperfield/http/HttpReply.java
+++ b/src/main/java/io/pepperfield/http/HttpReply.java
@@ -3,11 +3,13 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * One answer; {@code retryAfterS} above 0 tells the client when to come back, {@code close} ends
- * the connection with it.
+ * One answer; {@code retryAfterS} above 0 tells the client when to come back, {@code
+ * closeConnection} ends the connection with it.
  */
 public record HttpReply(int status, byte[] body, int retryAfterS, boolean closeConnection) {
 
+    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final int DEFAULT_RETRY_AFTER_S = 1;
     private static final byte[] EMPTY_BODY = new byte[0];
 
     /** Creates an answer that leaves the connection open. */
@@ -31,17 +33,20 @@
     }
 
     /** An answer whose JSON body holds an error message. */
-    public static HttpReply error(int status, String why) {
-        return json(status, Json.object().put("error", why));
+    public static HttpReply error(int status, String reason) {
+        return json(status, Json.object().put("error", reason));
     }
 
     /** The service cannot take this now: said at once, with the time to come back. */
-    public static HttpReply unavailable(String why) {
-        return unavailable(why, 1);
+    public static HttpReply unavailable(String reason) {
+        return unavailable(reason, DEFAULT_RETRY_AFTER_S);
     }
 
-    /** An answer with status 503 that asks the client to retry after {@code afterS} seconds. */
-    public static HttpReply unavailable(String why, int afterS) {
-        return new HttpReply(503, Json.write(Json.object().put("error", why)), afterS);
+    /**
+     * An answer with status 503 that asks the client to retry after {@code retryAfterS} seconds.
+     */
+    public static HttpReply unavailable(String reason, int retryAfterS) {
+        return new HttpReply(
+                SERVICE_UNAVAILABLE, Json.write(Json.object().put("error", reason)), retryAfterS);
     }
 }
--- a/src/main/java/io/pepperfield/http/PendingQueryLimit.java
+++ b/src/main/java/io/pepperfield/http/PendingQueryLimit.java
@@ -16,24 +16,27 @@
     private final AtomicInteger pending = new AtomicInteger();
 
     /**
-     * @param prefix the paths whose GETs are counted
+     * Creates a limit before the handler {@code next}; may be called on any thread.
+     *
+     * @param pathPrefix of the paths whose GETs are counted
+     * @param maxPending of them at once
      */
-    public PendingQueryLimit(String prefix, int most, HttpServer.Handler next) {
-        this.pathPrefix = prefix;
-        this.maxPending = most;
+    public PendingQueryLimit(String pathPrefix, int maxPending, HttpServer.Handler next) {
+        this.pathPrefix = pathPrefix;
+        this.maxPending = maxPending;
         this.next = next;
     }
 
     @Override
-    public void handle(InboundRequest call, Consumer<HttpReply> answer) {
-        if (!call.method().equals("GET") || !call.path().startsWith(pathPrefix)) {
-            next.handle(call, answer);
+    public void handle(InboundRequest request, Consumer<HttpReply> answer) {
+        if (!request.method().equals("GET") || !request.path().startsWith(pathPrefix)) {
+            next.handle(request, answer);
         } else if (pending.incrementAndGet() > maxPending) {
             pending.decrementAndGet();
             answer.accept(HttpReply.unavailable("too many questions at once"));
         } else {
             next.handle(
-                    call,
+                    request,
                     reply -> {
                         pending.decrementAndGet();
                         answer.accept(reply);
--- /dev/null
+++ b/src/main/java/io/pepperfield/http/ServerRequestHandler.java
@@ -0,0 +1,70 @@
+package io.pepperfield.http;
+
+import io.netty.buffer.ByteBufUtil;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpUtil;
+import java.util.Optional;
+import java.util.function.Consumer;
+
+/** Passes the requests of one connection on and sends the replies. */
+final class ServerRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+
+    private final ServerConnection connection;
+    private final HttpServer.Handler handler;
+
+    ServerRequestHandler(ServerConnection connection, HttpServer.Handler handler) {
+        this.connection = connection;
+        this.handler = handler;
+    }
+
+    @Override
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+        if (!connection.beginRequest()) {
+            // A second request before the first reply is pipelining, which the protocol rules out.
+            ctx.close();
+            return;
+        }
+        if (request.decoderResult().isFailure()) {
+            ReplyWriter.write(ctx, HttpReply.error(400, "malformed request"), false);
+            return;
+        }
+        Consumer<HttpReply> answer = answerOnEventLoop(ctx, HttpUtil.isKeepAlive(request));
+        Optional<InboundRequest> inbound = parse(request);
+        if (inbound.isEmpty()) {
+            answer.accept(HttpReply.error(400, "malformed address"));
+        } else if (!connection.admits(inbound.get().path())) {
+            // When one node alone has all workers, its users must still find a connection.
+            answer.accept(HttpReply.unavailable("too many connections").closingConnection());
+        } else {
+            handler.handle(inbound.get(), answer);
+        }
+    }
+
+    private static Optional<InboundRequest> parse(FullHttpRequest request) {
+        byte[] body = ByteBufUtil.getBytes(request.content());
+        try {
+            return Optional.of(InboundRequest.of(request.method().name(), request.uri(), body));
+        } catch (IllegalArgumentException e) {
+            return Optional.empty();
+        }
+    }
+
+    /** Takes the reply on any thread and writes it on the connection's. */
+    private Consumer<HttpReply> answerOnEventLoop(ChannelHandlerContext ctx, boolean keepAlive) {
+        return reply -> ctx.channel().eventLoop().execute(() -> finish(ctx, reply, keepAlive));
+    }
+
+    private void finish(ChannelHandlerContext ctx, HttpReply reply, boolean keepAlive) {
+        connection.endRequest();
+        boolean keepOpen = keepAlive && !reply.closeConnection() && !connection.mustMakeRoom();
+        ReplyWriter.write(ctx, reply, keepOpen);
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        // A reset or broken connection concerns nobody else.
+        ctx.close();
+    }
+}
