--- a/src/main/java/io/pepperfield/cli/ClassDataTraining.java
+++ b/src/main/java/io/pepperfield/cli/ClassDataTraining.java
@@ -9,6 +9,7 @@
 import io.pepperfield.controller.ControllerServer;
 import io.pepperfield.http.HttpClient;
 import io.pepperfield.http.HttpOutcome;
+import io.pepperfield.http.OutboundRequest;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
@@ -70,13 +71,8 @@
                                     .getBytes(StandardCharsets.UTF_8)
                             : null;
             client.send(
-                    "127.0.0.1",
-                    port,
-                    1,
-                    body == null ? "GET" : "POST",
-                    path,
-                    body,
-                    2000,
+                    new OutboundRequest(
+                            "127.0.0.1", port, 1, body == null ? "GET" : "POST", path, body, 2000),
                     done::complete);
             done.join();
         }
--- a/src/main/java/io/pepperfield/cli/ControllerClient.java
+++ b/src/main/java/io/pepperfield/cli/ControllerClient.java
@@ -8,6 +8,7 @@
 import io.netty.channel.nio.NioIoHandler;
 import io.pepperfield.http.HttpClient;
 import io.pepperfield.http.HttpOutcome;
+import io.pepperfield.http.OutboundRequest;
 import io.pepperfield.jobs.JobMessages;
 import java.io.IOException;
 import java.util.List;
@@ -69,13 +70,14 @@
             for (String server : servers) {
                 CompletableFuture<HttpOutcome> outcome = new CompletableFuture<>();
                 client.send(
-                        server.substring(0, server.lastIndexOf(':')),
-                        parsePort(server),
-                        1,
-                        method,
-                        path,
-                        body,
-                        DEADLINE_MS,
+                        new OutboundRequest(
+                                server.substring(0, server.lastIndexOf(':')),
+                                parsePort(server),
+                                1,
+                                method,
+                                path,
+                                body,
+                                DEADLINE_MS),
                         outcome::complete);
                 if (outcome.join() instanceof HttpOutcome.Answered answer) {
                     if (decides.test(answer)) {
--- a/src/main/java/io/pepperfield/cloud/HttpCloudProvider.java
+++ b/src/main/java/io/pepperfield/cloud/HttpCloudProvider.java
@@ -8,6 +8,7 @@
 import io.pepperfield.http.HttpOutcome;
 import io.pepperfield.http.HttpSender;
 import io.pepperfield.http.Json;
+import io.pepperfield.http.OutboundRequest;
 import io.pepperfield.loop.Loop;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -182,13 +183,14 @@
         queue.add(
                 () ->
                         client.send(
-                                address.host(),
-                                address.port(),
-                                2,
-                                method,
-                                path,
-                                body,
-                                Math.round(TIMEOUT_S * 1000),
+                                new OutboundRequest(
+                                        address.host(),
+                                        address.port(),
+                                        2,
+                                        method,
+                                        path,
+                                        body,
+                                        Math.round(TIMEOUT_S * 1000)),
                                 outcome -> loop.post(() -> done.accept(outcome))));
         if (!sendScheduled) {
             sendQueued();
--- a/src/main/java/io/pepperfield/fleet/HttpWorkerClient.java
+++ b/src/main/java/io/pepperfield/fleet/HttpWorkerClient.java
@@ -6,6 +6,7 @@
 import io.pepperfield.http.HttpOutcome;
 import io.pepperfield.http.HttpSender;
 import io.pepperfield.http.Json;
+import io.pepperfield.http.OutboundRequest;
 import io.pepperfield.loop.Loop;
 import java.util.List;
 import java.util.function.Consumer;
@@ -106,13 +107,14 @@
             return;
         }
         client.send(
-                address.substring(0, Math.max(colon, 0)),
-                port,
-                connections,
-                method,
-                path,
-                body,
-                withinMs,
+                new OutboundRequest(
+                        address.substring(0, Math.max(colon, 0)),
+                        port,
+                        connections,
+                        method,
+                        path,
+                        body,
+                        withinMs),
                 outcome -> loop.post(() -> done.accept(outcome)));
     }
 
--- a/src/main/java/io/pepperfield/http/ClientConnection.java
+++ b/src/main/java/io/pepperfield/http/ClientConnection.java
@@ -15,7 +15,7 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 
-/** One connection of a pool and the exchange it carries. */
+/** One connection of a pool and the exchange it carries. Confined to the client's event loop. */
 final class ClientConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
     private final ConnectionPool pool;
@@ -35,21 +35,24 @@
     void send(Exchange next) {
         exchange = next;
         next.assignConnection(this);
-        channel.writeAndFlush(toHttpRequest(next));
+        channel.writeAndFlush(toHttpRequest(next.request()));
     }
 
-    private FullHttpRequest toHttpRequest(Exchange of) {
-        byte[] body = of.body();
+    private FullHttpRequest toHttpRequest(OutboundRequest request) {
+        byte[] body = request.body();
         ByteBuf content = body == null ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(body);
-        FullHttpRequest request =
+        FullHttpRequest message =
                 new DefaultFullHttpRequest(
-                        HttpVersion.HTTP_1_1, HttpMethod.valueOf(of.method()), of.path(), content);
-        request.headers().set(HttpHeaderNames.HOST, pool.address());
+                        HttpVersion.HTTP_1_1,
+                        HttpMethod.valueOf(request.method()),
+                        request.path(),
+                        content);
+        message.headers().set(HttpHeaderNames.HOST, pool.address());
         if (body != null) {
-            request.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
-            request.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
+            message.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
+            message.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         }
-        return request;
+        return message;
     }
 
     void close() {
--- a/src/main/java/io/pepperfield/http/ConnectionLimit.java
+++ b/src/main/java/io/pepperfield/http/ConnectionLimit.java
@@ -5,26 +5,30 @@
 
 /**
  * Bounds the connections to all addresses together; beyond the bound the longest idle one gives
- * way.
+ * way. Confined to the client's event loop.
  */
 final class ConnectionLimit {
 
     private final int maxConnections;
 
     /** All connections that carry nothing at the moment, the longest idle first. */
-    private final Set<ClientConnection> markIdle = new LinkedHashSet<>();
+    private final Set<ClientConnection> idleConnections = new LinkedHashSet<>();
 
     private int openConnections;
 
-    ConnectionLimit(int most) {
-        this.maxConnections = most;
+    ConnectionLimit(int maxConnections) {
+        this.maxConnections = maxConnections;
     }
 
-    /** Makes sure that one more connection stays within the limit, if that can be. */
+    /**
+     * Evicts the longest idle connection where the limit is reached.
+     *
+     * @return whether one more connection stays within the limit
+     */
     boolean tryMakeRoom() {
-        if (openConnections >= maxConnections && !markIdle.isEmpty()) {
-            ClientConnection eldest = markIdle.iterator().next();
-            eldest.pool().retire(eldest);
+        if (openConnections >= maxConnections && !idleConnections.isEmpty()) {
+            ClientConnection longestIdle = idleConnections.iterator().next();
+            longestIdle.pool().retire(longestIdle);
         }
         return openConnections < maxConnections;
     }
@@ -38,11 +42,11 @@
     }
 
     void markIdle(ClientConnection connection) {
-        markIdle.add(connection);
+        idleConnections.add(connection);
     }
 
     /** The connection carries something again, or is closed. */
     void markBusy(ClientConnection connection) {
-        markIdle.remove(connection);
+        idleConnections.remove(connection);
     }
 }
--- a/src/main/java/io/pepperfield/http/ConnectionPool.java
+++ b/src/main/java/io/pepperfield/http/ConnectionPool.java
@@ -12,13 +12,16 @@
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
 
-/** The connections to one address, and the exchanges that wait for one. */
+/**
+ * The connections to one address, and the exchanges that wait for one. Confined to the client's
+ * event loop.
+ */
 final class ConnectionPool {
 
     private static final int CONNECT_TIMEOUT_MS = 2000;
 
-    private final EventLoop loop;
-    private final ConnectionLimit limit;
+    private final EventLoop eventLoop;
+    private final ConnectionLimit connectionLimit;
     private final int maxResponseBytes;
     private final String host;
     private final int port;
@@ -29,40 +32,41 @@
     private int pendingConnects;
 
     /**
-     * @param unused told of this pool when neither connections nor exchanges are left
+     * @param onUnused told of this pool when neither connections nor exchanges are left
      */
     ConnectionPool(
-            EventLoop loop,
-            ConnectionLimit limit,
-            int mostAnswerBytes,
+            EventLoop eventLoop,
+            ConnectionLimit connectionLimit,
+            int maxResponseBytes,
             String host,
             int port,
-            Consumer<ConnectionPool> unused) {
-        this.loop = loop;
-        this.limit = limit;
-        this.maxResponseBytes = mostAnswerBytes;
+            Consumer<ConnectionPool> onUnused) {
+        this.eventLoop = eventLoop;
+        this.connectionLimit = connectionLimit;
+        this.maxResponseBytes = maxResponseBytes;
         this.host = host;
         this.port = port;
-        this.onUnused = unused;
+        this.onUnused = onUnused;
     }
 
     String address() {
         return host + ":" + port;
     }
 
-    /** Sends the exchange over an idle connection, or once one of at most so many is free. */
-    void submit(Exchange exchange, int most) {
+    /** Sends the exchange over an idle connection, or once one is free. */
+    void submit(Exchange exchange) {
         ClientConnection connection = idleConnections.pollLast();
         if (connection != null) {
-            limit.markBusy(connection);
+            connectionLimit.markBusy(connection);
             connection.send(exchange);
             return;
         }
         waitingExchanges.add(exchange);
-        if (openConnections >= most || pendingConnects >= waitingExchanges.size()) {
+        if (openConnections >= exchange.request().maxConnections()
+                || pendingConnects >= waitingExchanges.size()) {
             return;
         }
-        if (limit.tryMakeRoom()) {
+        if (connectionLimit.tryMakeRoom()) {
             connect();
         } else if (openConnections == 0) {
             // The sockets that are left belong to users, peers, cloud and state service.
@@ -75,9 +79,9 @@
     private void connect() {
         connectionOpened();
         pendingConnects++;
-        Initializer initializer = new Initializer();
+        ConnectionInitializer initializer = new ConnectionInitializer();
         new Bootstrap()
-                .group(loop)
+                .group(eventLoop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
@@ -87,7 +91,7 @@
     }
 
     /** Sets up a new channel, whose connection it then holds. */
-    private final class Initializer extends ChannelInitializer<SocketChannel> {
+    private final class ConnectionInitializer extends ChannelInitializer<SocketChannel> {
 
         private ClientConnection connection;
 
@@ -102,7 +106,7 @@
         }
     }
 
-    private void connected(ChannelFuture future, Initializer initializer) {
+    private void connected(ChannelFuture future, ConnectionInitializer initializer) {
         pendingConnects--;
         if (future.isSuccess()) {
             release(initializer.connection);
@@ -113,8 +117,8 @@
         // deadline each.
         ArrayDeque<Exchange> failed = new ArrayDeque<>(waitingExchanges);
         waitingExchanges.clear();
-        String why = "connect: " + future.cause().getClass().getSimpleName();
-        failed.forEach(exchange -> exchange.fail(why));
+        String reason = "connect: " + future.cause().getClass().getSimpleName();
+        failed.forEach(exchange -> exchange.fail(reason));
         discardIfUnused();
     }
 
@@ -123,10 +127,10 @@
         Exchange next;
         do {
             next = waitingExchanges.poll();
-        } while (next != null && next.completed());
+        } while (next != null && next.isCompleted());
         if (next == null) {
             idleConnections.add(connection);
-            limit.markIdle(connection);
+            connectionLimit.markIdle(connection);
         } else {
             connection.send(next);
         }
@@ -149,7 +153,7 @@
         if (unanswered != null) {
             unanswered.fail("connection lost");
         }
-        waitingExchanges.removeIf(Exchange::completed);
+        waitingExchanges.removeIf(Exchange::isCompleted);
         if (!waitingExchanges.isEmpty() && pendingConnects == 0) {
             connect();
         }
@@ -158,18 +162,18 @@
 
     private void remove(ClientConnection connection) {
         idleConnections.remove(connection);
-        limit.markBusy(connection);
+        connectionLimit.markBusy(connection);
         connectionClosed();
     }
 
     private void connectionOpened() {
         openConnections++;
-        limit.connectionOpened();
+        connectionLimit.connectionOpened();
     }
 
     private void connectionClosed() {
         openConnections--;
-        limit.connectionClosed();
+        connectionLimit.connectionClosed();
     }
 
     /** Machines come and go by the hundred; their pools must not stay behind. */
--- a/src/main/java/io/pepperfield/http/Exchange.java
+++ b/src/main/java/io/pepperfield/http/Exchange.java
@@ -3,43 +3,33 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.function.Consumer;
 
-/** One request of the client until its outcome is known; finished exactly once. */
+/**
+ * One request of the client until its outcome is known; completed exactly once. Confined to the
+ * client's event loop.
+ */
 final class Exchange {
 
-    private final String method;
-    private final String path;
-    private final byte[] body;
+    private final OutboundRequest request;
     private final Consumer<HttpOutcome> onOutcome;
     private ScheduledFuture<?> deadlineTimer;
     private ClientConnection connection;
     private boolean completed;
 
-    Exchange(String method, String path, byte[] body, Consumer<HttpOutcome> done) {
-        this.method = method;
-        this.path = path;
-        this.body = body;
-        this.onOutcome = done;
+    Exchange(OutboundRequest request, Consumer<HttpOutcome> onOutcome) {
+        this.request = request;
+        this.onOutcome = onOutcome;
     }
 
-    String method() {
-        return method;
+    OutboundRequest request() {
+        return request;
     }
 
-    String path() {
-        return path;
-    }
-
-    /** Null for a request without a body. */
-    byte[] body() {
-        return body;
-    }
-
-    boolean completed() {
+    boolean isCompleted() {
         return completed;
     }
 
     /** The timer of its deadline, which covers waiting for a connection. */
-    void deadlineTimer(ScheduledFuture<?> scheduled) {
+    void setDeadlineTimer(ScheduledFuture<?> scheduled) {
         deadlineTimer = scheduled;
     }
 
@@ -56,9 +46,9 @@
         }
     }
 
-    void fail(String why) {
+    void fail(String reason) {
         boolean sent = connection != null;
-        complete(sent ? new HttpOutcome.NoAnswer(why) : new HttpOutcome.NotSent(why));
+        complete(sent ? new HttpOutcome.NoAnswer(reason) : new HttpOutcome.NotSent(reason));
     }
 
     /** The deadline has passed: a late answer must not be taken for the next one's. */
--- a/src/main/java/io/pepperfield/http/HttpClient.java
+++ b/src/main/java/io/pepperfield/http/HttpClient.java
@@ -14,49 +14,49 @@
  */
 public final class HttpClient implements HttpSender {
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final int maxResponseBytes;
-    private final ConnectionLimit limit;
+    private final ConnectionLimit connectionLimit;
     private final Map<String, ConnectionPool> pools = new HashMap<>();
 
     /** A client whose connections nothing but their number for each address bounds. */
-    public HttpClient(EventLoopGroup loops, int mostAnswerBytes) {
-        this(loops, mostAnswerBytes, Integer.MAX_VALUE);
+    public HttpClient(EventLoopGroup eventLoops, int maxResponseBytes) {
+        this(eventLoops, maxResponseBytes, Integer.MAX_VALUE);
     }
 
     /**
-     * @param mostConnections to all addresses together; beyond them the longest idle one gives way,
+     * Creates a client that runs on one event loop of a group.
+     *
+     * @param maxConnections to all addresses together; beyond them the longest idle one gives way,
      *     or the request
      */
-    public HttpClient(EventLoopGroup loops, int mostAnswerBytes, int mostConnections) {
-        this.loop = loops.next();
-        this.maxResponseBytes = mostAnswerBytes;
-        this.limit = new ConnectionLimit(mostConnections);
+    public HttpClient(EventLoopGroup eventLoops, int maxResponseBytes, int maxConnections) {
+        this.eventLoop = eventLoops.next();
+        this.maxResponseBytes = maxResponseBytes;
+        this.connectionLimit = new ConnectionLimit(maxConnections);
     }
 
+    /** May be called on any thread; the outcome arrives on the event loop. */
     @Override
-    public void send(
-            String host,
-            int port,
-            int connections,
-            String method,
-            String path,
-            byte[] body,
-            long deadlineMs,
-            Consumer<HttpOutcome> done) {
-        Exchange exchange = new Exchange(method, path, body, done);
-        loop.execute(() -> submit(exchange, host, port, connections, deadlineMs));
+    public void send(OutboundRequest request, Consumer<HttpOutcome> onOutcome) {
+        Exchange exchange = new Exchange(request, onOutcome);
+        eventLoop.execute(() -> submit(exchange));
     }
 
-    private void submit(
-            Exchange exchange, String host, int port, int connections, long deadlineMs) {
-        exchange.deadlineTimer(loop.schedule(exchange::expire, deadlineMs, TimeUnit.MILLISECONDS));
-        pools.computeIfAbsent(host + ":" + port, address -> pool(address, host, port))
-                .submit(exchange, connections);
+    private void submit(Exchange exchange) {
+        OutboundRequest request = exchange.request();
+        exchange.setDeadlineTimer(
+                eventLoop.schedule(exchange::expire, request.deadlineMs(), TimeUnit.MILLISECONDS));
+        pools.computeIfAbsent(request.address(), address -> createPool(request)).submit(exchange);
     }
 
-    private ConnectionPool pool(String address, String host, int port) {
+    private ConnectionPool createPool(OutboundRequest request) {
         return new ConnectionPool(
-                loop, limit, maxResponseBytes, host, port, unused -> pools.remove(address, unused));
+                eventLoop,
+                connectionLimit,
+                maxResponseBytes,
+                request.host(),
+                request.port(),
+                unused -> pools.remove(unused.address(), unused));
     }
 }
--- a/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
+++ b/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
@@ -6,6 +6,7 @@
 import io.pepperfield.fleet.Order;
 import io.pepperfield.http.HttpOutcome;
 import io.pepperfield.http.HttpSender;
+import io.pepperfield.http.OutboundRequest;
 import io.pepperfield.loop.Loop;
 import io.pepperfield.peer.PeerMessages.CachedHeartbeat;
 import io.pepperfield.peer.PeerMessages.HeartbeatBatchReply;
@@ -197,13 +198,14 @@
         // Well within a worker's patience, so that it can still be answered without orders, also
         // one that waits behind these.
         client.send(
-                to.address().host(),
-                to.address().port(),
-                1,
-                "POST",
-                "/peer/relay",
-                message.write(),
-                Math.round(1000 * Math.min(heartbeatIntervalS / 2, WORKER_TIMEOUT_S / 3)),
+                new OutboundRequest(
+                        to.address().host(),
+                        to.address().port(),
+                        1,
+                        "POST",
+                        "/peer/relay",
+                        message.write(),
+                        Math.round(1000 * Math.min(heartbeatIntervalS / 2, WORKER_TIMEOUT_S / 3))),
                 outcome -> loop.post(() -> replyReceived(to, now, batch, outcome)));
     }
 
--- a/src/main/java/io/pepperfield/peer/Peers.java
+++ b/src/main/java/io/pepperfield/peer/Peers.java
@@ -8,6 +8,7 @@
 import io.pepperfield.http.HttpSender;
 import io.pepperfield.http.InboundRequest;
 import io.pepperfield.http.Json;
+import io.pepperfield.http.OutboundRequest;
 import io.pepperfield.loop.Loop;
 import java.util.HashMap;
 import java.util.List;
@@ -87,13 +88,14 @@
         queriedAt = now;
         for (Settings.Member member : settings.members()) {
             client.send(
-                    member.address().host(),
-                    member.address().port(),
-                    2,
-                    "GET",
-                    "/peer/contact",
-                    null,
-                    Math.round(heartbeatIntervalS * 500),
+                    new OutboundRequest(
+                            member.address().host(),
+                            member.address().port(),
+                            2,
+                            "GET",
+                            "/peer/contact",
+                            null,
+                            Math.round(heartbeatIntervalS * 500)),
                     outcome -> loop.post(() -> contactReceived(member.node(), now, outcome)));
         }
     }
@@ -132,13 +134,14 @@
             FencingToken orderToken,
             List<PeerMessages.DirectOrderMessage> messages) {
         client.send(
-                owner.address().host(),
-                owner.address().port(),
-                2,
-                "POST",
-                "/peer/orders",
-                PeerMessages.writeDirectOrders(orderToken, messages),
-                Math.round(heartbeatIntervalS * 500),
+                new OutboundRequest(
+                        owner.address().host(),
+                        owner.address().port(),
+                        2,
+                        "POST",
+                        "/peer/orders",
+                        PeerMessages.writeDirectOrders(orderToken, messages),
+                        Math.round(heartbeatIntervalS * 500)),
                 outcome -> {});
     }
 
@@ -150,13 +153,14 @@
         byte[] body = PeerMessages.writeCancelledJobs(ids);
         for (Settings.Member member : settings.members()) {
             client.send(
-                    member.address().host(),
-                    member.address().port(),
-                    2,
-                    "POST",
-                    "/peer/cancelled",
-                    body,
-                    Math.round(heartbeatIntervalS * 500),
+                    new OutboundRequest(
+                            member.address().host(),
+                            member.address().port(),
+                            2,
+                            "POST",
+                            "/peer/cancelled",
+                            body,
+                            Math.round(heartbeatIntervalS * 500)),
                     outcome -> {});
         }
     }
@@ -174,13 +178,14 @@
             double deadlineS,
             Consumer<HttpOutcome> done) {
         client.send(
-                member.address().host(),
-                member.address().port(),
-                2,
-                "POST",
-                path,
-                body,
-                Math.round(deadlineS * 1000),
+                new OutboundRequest(
+                        member.address().host(),
+                        member.address().port(),
+                        2,
+                        "POST",
+                        path,
+                        body,
+                        Math.round(deadlineS * 1000)),
                 outcome -> loop.post(() -> done.accept(outcome)));
     }
 
--- a/src/main/java/io/pepperfield/recovery/HttpSnapshotSource.java
+++ b/src/main/java/io/pepperfield/recovery/HttpSnapshotSource.java
@@ -4,6 +4,7 @@
 import io.pepperfield.config.Settings;
 import io.pepperfield.http.HttpClient;
 import io.pepperfield.http.HttpOutcome;
+import io.pepperfield.http.OutboundRequest;
 import io.pepperfield.store.KeyValueResponses;
 import io.pepperfield.store.Keys;
 import java.io.IOException;
@@ -67,13 +68,8 @@
             LockSupport.parkNanos(spacingNanos);
             CompletableFuture<HttpOutcome> outcome = new CompletableFuture<>();
             client.send(
-                    address.host(),
-                    address.port(),
-                    1,
-                    "GET",
-                    path,
-                    null,
-                    DEADLINE_MS,
+                    new OutboundRequest(
+                            address.host(), address.port(), 1, "GET", path, null, DEADLINE_MS),
                     outcome::complete);
             if (outcome.join() instanceof HttpOutcome.Answered answer) {
                 if (answer.status() == 200 || answer.status() == GONE) {
--- a/src/main/java/io/pepperfield/store/HttpKeyValueStore.java
+++ b/src/main/java/io/pepperfield/store/HttpKeyValueStore.java
@@ -7,6 +7,7 @@
 import io.pepperfield.http.HttpOutcome;
 import io.pepperfield.http.HttpSender;
 import io.pepperfield.http.Json;
+import io.pepperfield.http.OutboundRequest;
 import io.pepperfield.loop.Loop;
 import java.util.ArrayList;
 import java.util.List;
@@ -254,13 +255,14 @@
     private void send(
             String method, String path, byte[] body, double deadlineS, Consumer<HttpOutcome> done) {
         client.send(
-                address.host(),
-                address.port(),
-                MAX_CONNECTIONS,
-                method,
-                path,
-                body,
-                Math.round(deadlineS * 1000),
+                new OutboundRequest(
+                        address.host(),
+                        address.port(),
+                        MAX_CONNECTIONS,
+                        method,
+                        path,
+                        body,
+                        Math.round(deadlineS * 1000)),
                 outcome -> loop.post(() -> done.accept(outcome)));
     }
 }
--- a/src/test/java/io/pepperfield/forms/HttpForms.java
+++ b/src/test/java/io/pepperfield/forms/HttpForms.java
@@ -8,6 +8,7 @@
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.HttpServer;
 import io.pepperfield.http.Json;
+import io.pepperfield.http.OutboundRequest;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -101,13 +102,14 @@
                 byte[] body = method.equals("POST") ? BODY : null;
                 new HttpClient(network, 1 << 16)
                         .send(
-                                HOST,
-                                server.getLocalPort(),
-                                1,
-                                method,
-                                "/a?b=c",
-                                body,
-                                5000,
+                                new OutboundRequest(
+                                        HOST,
+                                        server.getLocalPort(),
+                                        1,
+                                        method,
+                                        "/a?b=c",
+                                        body,
+                                        5000),
                                 outcome -> {});
                 try (Socket socket = server.accept()) {
                     file.add("request", read(socket, body == null ? "\r\n\r\n" : "}"));
--- a/src/test/java/io/pepperfield/forms/RecordingSender.java
+++ b/src/test/java/io/pepperfield/forms/RecordingSender.java
@@ -2,6 +2,7 @@
 
 import io.pepperfield.http.HttpOutcome;
 import io.pepperfield.http.HttpSender;
+import io.pepperfield.http.OutboundRequest;
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 
@@ -28,30 +29,23 @@
     }
 
     @Override
-    public void send(
-            String host,
-            int port,
-            int connections,
-            String method,
-            String path,
-            byte[] body,
-            long deadlineMs,
-            Consumer<HttpOutcome> done) {
+    public void send(OutboundRequest request, Consumer<HttpOutcome> onOutcome) {
+        byte[] body = request.body();
         String content = body == null ? "no body" : new String(body, StandardCharsets.UTF_8);
         file.add(
                 "request",
-                method
+                request.method()
                         + " "
-                        + host
+                        + request.host()
                         + ":"
-                        + port
-                        + path
+                        + request.port()
+                        + request.path()
                         + " "
                         + content
                         + ", "
-                        + deadlineMs
+                        + request.deadlineMs()
                         + " ms, connections "
-                        + connections);
-        done.accept(answer);
+                        + request.maxConnections());
+        onOutcome.accept(answer);
     }
 }
--- a/src/test/java/io/pepperfield/health/FailureDetectorTest.java
+++ b/src/test/java/io/pepperfield/health/FailureDetectorTest.java
@@ -79,17 +79,7 @@
                 new FailureDetector(
                         cluster,
                         null,
-                        new HttpWorkerClient(
-                                this,
-                                (host,
-                                        port,
-                                        connections,
-                                        method,
-                                        path,
-                                        body,
-                                        deadlineMs,
-                                        done) -> {},
-                                1),
+                        new HttpWorkerClient(this, (request, onOutcome) -> {}, 1),
                         null);
     }
 
--- a/src/test/java/io/pepperfield/http/SocketsTest.java
+++ b/src/test/java/io/pepperfield/http/SocketsTest.java
@@ -23,7 +23,9 @@
 
     private HttpOutcome ask(HttpClient client, int port, String path) {
         CompletableFuture<HttpOutcome> answer = new CompletableFuture<>();
-        client.send("127.0.0.1", port, 1, "GET", path, null, 5000, answer::complete);
+        client.send(
+                new OutboundRequest("127.0.0.1", port, 1, "GET", path, null, 5000),
+                answer::complete);
         return answer.join();
     }
 
@@ -53,7 +55,9 @@
         HttpClient user = new HttpClient(network, 1 << 16);
         for (int i = 0; i < 2; i++) {
             new HttpClient(network, 1 << 16)
-                    .send("127.0.0.1", port, 1, "GET", "/beat", null, 60_000, outcome -> {});
+                    .send(
+                            new OutboundRequest("127.0.0.1", port, 1, "GET", "/beat", null, 60_000),
+                            outcome -> {});
             assertEquals(200, status(user, port, "/up"));
         }
         assertEquals(503, status(new HttpClient(network, 1 << 16), port, "/beat"));
@@ -86,7 +90,9 @@
         HttpClient client = new HttpClient(network, 1 << 16, 1);
         int silent = new HttpServer(network, 4, (call, answer) -> {}).start("127.0.0.1", 0);
         int port = server();
-        client.send("127.0.0.1", silent, 1, "GET", "/a", null, 60_000, outcome -> {});
+        client.send(
+                new OutboundRequest("127.0.0.1", silent, 1, "GET", "/a", null, 60_000),
+                outcome -> {});
         assertInstanceOf(HttpOutcome.NotSent.class, ask(client, port, "/a"));
     }
 }
--- a/src/test/java/io/pepperfield/peer/PeerForms.java
+++ b/src/test/java/io/pepperfield/peer/PeerForms.java
@@ -166,10 +166,14 @@
         HeartbeatForwarder forwarder =
                 new HeartbeatForwarder(
                         loop,
-                        (host, port, connections, method, path, body, deadlineMs, done) ->
+                        (request, onOutcome) ->
                                 file.add(
                                         "batch to the leader",
-                                        method + " " + path + " " + withoutProcess(body)),
+                                        request.method()
+                                                + " "
+                                                + request.path()
+                                                + " "
+                                                + withoutProcess(request.body())),
                         SETTINGS);
         forwarder.leader("node-1");
         byte[] report = WorkerForms.report();
--- a/src/test/java/io/pepperfield/standin/LoopbackRegion.java
+++ b/src/test/java/io/pepperfield/standin/LoopbackRegion.java
@@ -12,6 +12,7 @@
 import io.pepperfield.http.HttpServer;
 import io.pepperfield.http.InboundRequest;
 import io.pepperfield.http.Json;
+import io.pepperfield.http.OutboundRequest;
 import java.io.IOException;
 import java.net.ServerSocket;
 import java.util.ArrayList;
@@ -210,16 +211,10 @@
                 IntStream.range(0, ports.size()).mapToObj(node -> "node-" + node).toList();
         List<String> addresses = ports.stream().map(p -> "127.0.0.1:" + p).toList();
         HttpSender sender =
-                (host, to, connections, method, path, body, deadlineMs, finish) ->
+                (request, onOutcome) ->
                         client.send(
-                                host,
-                                to,
-                                connections,
-                                method,
-                                path,
-                                body,
-                                deadlineMs,
-                                outcome -> scheduler.execute(() -> finish.accept(outcome)));
+                                request,
+                                outcome -> scheduler.execute(() -> onOutcome.accept(outcome)));
         return new WorkerStandIn(
                 name,
                 type,
@@ -297,14 +292,18 @@
 
     public HttpOutcome.Answered ask(int node, String method, String path, byte[] body) {
         CompletableFuture<HttpOutcome> future = new CompletableFuture<>();
-        client.send("127.0.0.1", ports.get(node), 4, method, path, body, 5000, future::complete);
+        client.send(
+                new OutboundRequest("127.0.0.1", ports.get(node), 4, method, path, body, 5000),
+                future::complete);
         return (HttpOutcome.Answered) future.join();
     }
 
     /** The status of a controller's answer, or 0 where none comes. */
     public int status(int node, String method, String path, byte[] body) {
         CompletableFuture<HttpOutcome> future = new CompletableFuture<>();
-        client.send("127.0.0.1", ports.get(node), 4, method, path, body, 2000, future::complete);
+        client.send(
+                new OutboundRequest("127.0.0.1", ports.get(node), 4, method, path, body, 2000),
+                future::complete);
         return future.join() instanceof HttpOutcome.Answered answer ? answer.status() : 0;
     }
 
@@ -340,13 +339,14 @@
             Predicate<HttpOutcome.Answered> wanted,
             CompletableFuture<JsonNode> found) {
         client.send(
-                "127.0.0.1",
-                ports.get(nodes.get(turn % nodes.size())),
-                4,
-                method,
-                path,
-                body,
-                5000,
+                new OutboundRequest(
+                        "127.0.0.1",
+                        ports.get(nodes.get(turn % nodes.size())),
+                        4,
+                        method,
+                        path,
+                        body,
+                        5000),
                 outcome -> {
                     if (outcome instanceof HttpOutcome.Answered answer && wanted.test(answer)) {
                         found.complete(answer.json());
--- a/src/test/java/io/pepperfield/standin/RecordedVersion.java
+++ b/src/test/java/io/pepperfield/standin/RecordedVersion.java
@@ -36,19 +36,13 @@
 
     /** The way to the state service as that version uses and understands it. */
     static HttpSender around(HttpSender sender) {
-        return (host, port, connections, method, path, body, deadlineMs, done) ->
+        return (request, onOutcome) ->
                 sender.send(
-                        host,
-                        port,
-                        connections,
-                        method,
-                        path,
-                        body,
-                        deadlineMs,
+                        request,
                         outcome ->
-                                done.accept(
+                                onOutcome.accept(
                                         outcome instanceof HttpOutcome.Answered answer
-                                                ? understood(path, answer)
+                                                ? understood(request.path(), answer)
                                                 : outcome));
     }
 
--- a/src/test/java/io/pepperfield/standin/SimMachines.java
+++ b/src/test/java/io/pepperfield/standin/SimMachines.java
@@ -172,16 +172,16 @@
     /** A worker's way to the controllers. */
     private HttpSender heartbeatSender(String name) {
         HttpSender out = world.from(name);
-        return (host, at, connections, method, path, body, deadlineMs, done) -> {
+        return (request, onOutcome) -> {
             if (world.now() < sendFailureUntil.getOrDefault(name, 0.0)) {
                 // No connection comes about, and one that was given up never does later.
                 world.after(
-                        deadlineMs / 1000.0,
-                        () -> done.accept(new HttpOutcome.NotSent("no connection")));
+                        request.deadlineMs() / 1000.0,
+                        () -> onOutcome.accept(new HttpOutcome.NotSent("no connection")));
                 return;
             }
-            onHeartbeatSent.accept(body);
-            out.send(host, at, connections, method, path, body, deadlineMs, done);
+            onHeartbeatSent.accept(request.body());
+            out.send(request, onOutcome);
         };
     }
 
--- a/src/test/java/io/pepperfield/standin/SimNode.java
+++ b/src/test/java/io/pepperfield/standin/SimNode.java
@@ -92,28 +92,23 @@
         Settings settings = settingsOf.apply(version);
         HttpSender out = world.from("node-" + index);
         HttpSender sender =
-                (host, port, connections, method, path, body, deadlineMs, done) -> {
-                    if (method.equals("POST")
+                (request, onOutcome) -> {
+                    String path = request.path();
+                    if (request.method().equals("POST")
                             && (path.endsWith("/orders") || path.startsWith("/rentals"))) {
                         mustBeAwake("sends " + path);
                     }
                     mustHaveFeature(settings, path);
                     double sent = world.now();
                     out.send(
-                            host,
-                            port,
-                            connections,
-                            method,
-                            path,
-                            body,
-                            deadlineMs,
+                            request,
                             outcome -> {
                                 if (outcome instanceof HttpOutcome.Answered answer
                                         && answer.status() == 200
-                                        && (port == 2379 || port == 8081)) {
+                                        && isAuthoritative(request.port())) {
                                     heardOf = Math.max(heardOf, sent);
                                 }
-                                done.accept(outcome);
+                                onOutcome.accept(outcome);
                             });
                 };
         HttpSender toState = version == Version.RECORDED ? RecordedVersion.around(sender) : sender;
@@ -137,6 +132,11 @@
         controller.start();
     }
 
+    /** The state service and other controllers; their answers confirm what this one knows. */
+    private static boolean isAuthoritative(int port) {
+        return port == 2379 || port == 8081;
+    }
+
     /** Ends the process, unless it has ended already, and starts it again after that time. */
     void crash(double forS) {
         if (alive) {
--- a/src/test/java/io/pepperfield/standin/SimUsers.java
+++ b/src/test/java/io/pepperfield/standin/SimUsers.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.http.HttpOutcome;
 import io.pepperfield.http.Json;
+import io.pepperfield.http.OutboundRequest;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.LinkedHashMap;
@@ -271,13 +272,8 @@
             Consumer<HttpOutcome.Answered> done) {
         world.from("users")
                 .send(
-                        "10.0.0." + (1 + node),
-                        8080,
-                        1,
-                        method,
-                        path,
-                        body,
-                        deadlineMs,
+                        new OutboundRequest(
+                                "10.0.0." + (1 + node), 8080, 1, method, path, body, deadlineMs),
                         outcome ->
                                 done.accept(
                                         outcome instanceof HttpOutcome.Answered answer
--- a/src/test/java/io/pepperfield/standin/SimWorld.java
+++ b/src/test/java/io/pepperfield/standin/SimWorld.java
@@ -4,6 +4,7 @@
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.HttpSender;
 import io.pepperfield.http.InboundRequest;
+import io.pepperfield.http.OutboundRequest;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -143,66 +144,65 @@
 
     /** The way out of one host. */
     public HttpSender from(String name) {
-        return (host, port, connections, method, path, body, deadlineMs, done) -> {
-            String to = host + ":" + port;
-            boolean[] over = new boolean[1];
-            Consumer<HttpOutcome> finish =
-                    outcome -> {
-                        if (!over[0]) {
-                            over[0] = true;
-                            done.accept(outcome);
-                        }
-                    };
-            double held = heldUntil(name, to);
-            Host target = hosts.get(to);
-            if (held <= now && (target == null || !target.alive())
-                    || last(refusedUntil, name, to) > now) {
-                after(delay(), () -> finish.accept(new HttpOutcome.NotSent("refused")));
-                return;
-            }
-            boolean[] sent = new boolean[1];
-            after(deadlineMs / 1000.0, () -> finish.accept(new HttpOutcome.NoAnswer("deadline")));
-            double wait =
-                    random.nextDouble() < lateDeliveryShare
-                            ? 5 + random.nextDouble() * 60
-                            : delay();
-            if (duplicateDeliveryShare > 0
-                    && path.equals("/agent/beat")
-                    && random.nextDouble() < duplicateDeliveryShare) {
-                after(
-                        2 + random.nextDouble() * 58,
-                        () -> {
-                            Host there = hosts.get(to);
-                            if (there != null && there.alive()) {
-                                there.request(name, method, path, body, reply -> {});
-                            }
-                        });
+        return (request, onOutcome) -> send(name, request, new OnceOnly(onOutcome));
+    }
+
+    /** Passes the first outcome on; what comes after it is too late. */
+    private static final class OnceOnly implements Consumer<HttpOutcome> {
+        private final Consumer<HttpOutcome> next;
+        private boolean completed;
+
+        OnceOnly(Consumer<HttpOutcome> next) {
+            this.next = next;
+        }
+
+        @Override
+        public void accept(HttpOutcome outcome) {
+            if (!completed) {
+                completed = true;
+                next.accept(outcome);
             }
-            at(
-                    Math.max(held, now) + wait,
-                    () -> {
-                        sent[0] = true;
-                        Host there = hosts.get(to);
-                        if (there == null || !there.alive()) {
-                            return;
-                        }
-                        there.request(
-                                name,
-                                method,
-                                path,
-                                body,
-                                reply -> {
-                                    if (random.nextDouble() >= messageLossShare) {
-                                        at(
-                                                Math.max(heldUntil(name, to), now) + delay(),
-                                                () ->
-                                                        finish.accept(
-                                                                new HttpOutcome.Answered(
-                                                                        reply.status(),
-                                                                        reply.body())));
-                                    }
-                                });
-                    });
-        };
+        }
+    }
+
+    private void send(String from, OutboundRequest request, OnceOnly onOutcome) {
+        String to = request.host() + ":" + request.port();
+        double held = heldUntil(from, to);
+        Host target = hosts.get(to);
+        if (held <= now && (target == null || !target.alive())
+                || last(refusedUntil, from, to) > now) {
+            after(delay(), () -> onOutcome.accept(new HttpOutcome.NotSent("refused")));
+            return;
+        }
+        after(
+                request.deadlineMs() / 1000.0,
+                () -> onOutcome.accept(new HttpOutcome.NoAnswer("deadline")));
+        double wait =
+                random.nextDouble() < lateDeliveryShare ? 5 + random.nextDouble() * 60 : delay();
+        if (duplicateDeliveryShare > 0
+                && request.path().equals("/agent/beat")
+                && random.nextDouble() < duplicateDeliveryShare) {
+            after(2 + random.nextDouble() * 58, () -> deliver(from, to, request, reply -> {}));
+        }
+        at(
+                Math.max(held, now) + wait,
+                () -> deliver(from, to, request, reply -> sendReply(from, to, reply, onOutcome)));
+    }
+
+    /** Hands a request to its host, where there is one at that time. */
+    private void deliver(
+            String from, String to, OutboundRequest request, Consumer<HttpReply> onReply) {
+        Host target = hosts.get(to);
+        if (target != null && target.alive()) {
+            target.request(from, request.method(), request.path(), request.body(), onReply);
+        }
+    }
+
+    /** The way back, on which replies may be lost. */
+    private void sendReply(String from, String to, HttpReply reply, OnceOnly onOutcome) {
+        if (random.nextDouble() >= messageLossShare) {
+            HttpOutcome answered = new HttpOutcome.Answered(reply.status(), reply.body());
+            at(Math.max(heldUntil(from, to), now) + delay(), () -> onOutcome.accept(answered));
+        }
     }
 }
--- a/src/test/java/io/pepperfield/standin/WorkerStandIn.java
+++ b/src/test/java/io/pepperfield/standin/WorkerStandIn.java
@@ -7,6 +7,7 @@
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.HttpSender;
 import io.pepperfield.http.Json;
+import io.pepperfield.http.OutboundRequest;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -210,13 +211,14 @@
         long sentTenure = incarnation;
         String[] address = controllers.get(nextController).split(":");
         sender.send(
-                address[0],
-                Integer.parseInt(address[1]),
-                1,
-                "POST",
-                "/agent/beat",
-                Json.write(heartbeatBody()),
-                4000,
+                new OutboundRequest(
+                        address[0],
+                        Integer.parseInt(address[1]),
+                        1,
+                        "POST",
+                        "/agent/beat",
+                        Json.write(heartbeatBody()),
+                        4000),
                 outcome -> {
                     heartbeatInFlight = false;
                     double later = clock.getAsDouble();
--- a/src/test/java/io/pepperfield/store/HttpKeyValueStoreTest.java
+++ b/src/test/java/io/pepperfield/store/HttpKeyValueStoreTest.java
@@ -23,9 +23,9 @@
     private final List<String> underWay = new ArrayList<>();
     private int connections;
     private final HttpSender sender =
-            (host, port, most, method, path, body, deadlineMs, done) -> {
-                underWay.add(path);
-                connections = most;
+            (request, onOutcome) -> {
+                underWay.add(request.path());
+                connections = request.maxConnections();
             };
     private final HttpKeyValueStore state =
             new HttpKeyValueStore(loop, sender, new Address("10.2.0.1", 2379));
