--- a/src/main/java/io/pepperfield/config/OperatorSettingsReader.java
+++ b/src/main/java/io/pepperfield/config/OperatorSettingsReader.java
@@ -52,7 +52,9 @@
         }
     }
 
+    private static final String ROOT = "pepperfield";
     private static final String TEAM_WEIGHT = "team-weight";
+    private static final String TEAM_ATTRIBUTE = "team";
     private static final double MIN_WEIGHT = 0.001;
     private static final double MAX_WEIGHT = 1_000_000;
     private static final String ON = "on";
@@ -65,34 +67,41 @@
         try {
             return parse(file.toString(), Files.readAllBytes(file));
         } catch (IOException e) {
-            throw new SettingsException(
-                    file.toString(),
-                    List.of("cannot be read (" + e.getClass().getSimpleName() + ")"));
+            throw new SettingsException(file.toString(), List.of(SettingsFault.unreadable(e)));
         }
     }
 
     /** Reads and checks the contents of a file; {@code name} only appears in the messages. */
     public static OperatorSettings parse(String name, byte[] xml) throws SettingsException {
         Element root = parseDocument(name, xml);
-        List<String> faults = new ArrayList<>();
+        List<SettingsFault> faults = new ArrayList<>();
         Map<Field, Double> values = new HashMap<>();
         Map<Feature, Boolean> features = new EnumMap<>(Feature.class);
         Map<String, Double> weights = new TreeMap<>();
-        if (!root.getTagName().equals("pepperfield")) {
-            faults.add("root element <" + root.getTagName() + ">: want <pepperfield>");
+        if (!root.getTagName().equals(ROOT)) {
+            faults.add(
+                    new SettingsFault.InvalidElement(
+                            "root element <" + root.getTagName() + ">", "<" + ROOT + ">"));
         }
         for (Node child = root.getFirstChild(); child != null; child = child.getNextSibling()) {
             if (child instanceof Element element) {
                 if (element.getTagName().equals(TEAM_WEIGHT)) {
                     readTeamWeight(element, weights, faults);
                 } else if (!readFeature(element, features, faults)) {
-                    readField(element, values, faults);
+                    readNumber(element, values, faults);
                 }
             }
         }
         if (!faults.isEmpty()) {
             throw new SettingsException(name, faults);
         }
+        return operatorSettings(values, features, weights);
+    }
+
+    private static OperatorSettings operatorSettings(
+            Map<Field, Double> values,
+            Map<Feature, Boolean> features,
+            Map<String, Double> weights) {
         OperatorSettings defaults = OperatorSettings.DEFAULTS;
         return new OperatorSettings(
                 values.getOrDefault(Field.CHARGE_S, defaults.billingUnitS()),
@@ -107,10 +116,10 @@
                 features.keySet().stream()
                         .filter(features::get)
                         .collect(Collectors.toUnmodifiableSet()),
-                admission(values, weights));
+                admissionSettings(values, weights));
     }
 
-    private static AdmissionSettings admission(
+    private static AdmissionSettings admissionSettings(
             Map<Field, Double> values, Map<String, Double> weights) {
         AdmissionSettings defaults = AdmissionSettings.DEFAULTS;
         return new AdmissionSettings(
@@ -123,11 +132,13 @@
 
     /** Takes the weight of a team; whether there is such a team the platform's file says. */
     private static void readTeamWeight(
-            Element element, Map<String, Double> weights, List<String> faults) {
-        String team = element.getAttribute("team");
-        double weight = number(element.getTextContent().strip());
+            Element element, Map<String, Double> weights, List<SettingsFault> faults) {
+        String team = element.getAttribute(TEAM_ATTRIBUTE);
+        double weight = parseNumber(element.getTextContent().strip());
         if (team.isEmpty()) {
-            faults.add("<" + TEAM_WEIGHT + ">: want the attribute team");
+            faults.add(
+                    new SettingsFault.InvalidElement(
+                            "<" + TEAM_WEIGHT + ">", "the attribute " + TEAM_ATTRIBUTE));
         } else if (!(weight >= MIN_WEIGHT && weight <= MAX_WEIGHT)) {
             faults.add(
                     outOfRange(
@@ -136,11 +147,11 @@
                             MIN_WEIGHT,
                             MAX_WEIGHT));
         } else if (weights.put(team, weight) != null) {
-            faults.add("<" + TEAM_WEIGHT + " team=\"" + team + "\"> is there twice");
+            faults.add(SettingsFault.duplicate("<" + TEAM_WEIGHT + " team=\"" + team + "\">"));
         }
     }
 
-    private static double number(String text) {
+    private static double parseNumber(String text) {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
@@ -148,13 +159,17 @@
         }
     }
 
-    private static String outOfRange(String tag, String text, double least, double most) {
-        return "<" + tag + "> = \"" + text + "\": want a number from " + least + " to " + most;
+    private static SettingsFault outOfRange(String tag, String text, double min, double max) {
+        return invalidValue(tag, text, "a number from " + min + " to " + max);
+    }
+
+    private static SettingsFault invalidValue(String tag, String text, String expected) {
+        return new SettingsFault.InvalidValue("<" + tag + ">", "\"" + text + "\"", expected);
     }
 
     /** Takes a feature's switch; false where the element is none. */
     private static boolean readFeature(
-            Element element, Map<Feature, Boolean> features, List<String> faults) {
+            Element element, Map<Feature, Boolean> features, List<SettingsFault> faults) {
         String tag = element.getTagName();
         String text = element.getTextContent().strip();
         for (Feature feature : Feature.values()) {
@@ -162,31 +177,32 @@
                 continue;
             }
             if (!text.equals(ON) && !text.equals(OFF)) {
-                faults.add("<" + tag + "> = \"" + text + "\": want " + ON + " or " + OFF);
+                faults.add(invalidValue(tag, text, ON + " or " + OFF));
             } else if (features.put(feature, text.equals(ON)) != null) {
-                faults.add("<" + tag + "> is there twice");
+                faults.add(SettingsFault.duplicate("<" + tag + ">"));
             }
             return true;
         }
         return false;
     }
 
-    private static void readField(Element element, Map<Field, Double> values, List<String> faults) {
+    private static void readNumber(
+            Element element, Map<Field, Double> values, List<SettingsFault> faults) {
         String tag = element.getTagName();
         String text = element.getTextContent().strip();
         for (Field field : Field.values()) {
             if (!field.element.equals(tag)) {
                 continue;
             }
-            double value = number(text);
+            double value = parseNumber(text);
             if (!(value >= field.min && value <= field.max)) {
                 faults.add(outOfRange(tag, text, field.min, field.max));
             } else if (values.put(field, value) != null) {
-                faults.add("<" + tag + "> is there twice");
+                faults.add(SettingsFault.duplicate("<" + tag + ">"));
             }
             return;
         }
-        faults.add("<" + tag + "> is not a setting");
+        faults.add(new SettingsFault.Rejected("<" + tag + ">", "is not a setting"));
     }
 
     private static Element parseDocument(String name, byte[] xml) throws SettingsException {
@@ -201,9 +217,15 @@
         } catch (SAXParseException e) {
             throw new SettingsException(
                     name,
-                    List.of("is not XML in line " + e.getLineNumber() + ": " + e.getMessage()));
+                    List.of(
+                            new SettingsFault.Unreadable(
+                                    "is not XML in line "
+                                            + e.getLineNumber()
+                                            + ": "
+                                            + e.getMessage())));
         } catch (SAXException | IOException | ParserConfigurationException e) {
-            throw new SettingsException(name, List.of("is not XML: " + e.getMessage()));
+            throw new SettingsException(
+                    name, List.of(new SettingsFault.Unreadable("is not XML: " + e.getMessage())));
         }
     }
 
--- a/src/main/java/io/pepperfield/config/SettingsReader.java
+++ b/src/main/java/io/pepperfield/config/SettingsReader.java
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.MissingNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import io.pepperfield.config.Settings.Address;
 import io.pepperfield.config.Settings.Member;
@@ -15,7 +14,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Function;
 
 /**
  * Reads the platform's TOML, checks it whole and reports every fault at once. Unknown fields are
@@ -23,9 +21,19 @@
  */
 public final class SettingsReader {
 
-    private final List<String> faults = new ArrayList<>();
+    /** Bound of figures that no installation comes near. */
+    private static final double MAX_FIGURE = 1e9;
 
-    private SettingsReader() {}
+    private static final double MAX_INTERVAL_S = 36_000;
+    private static final double MAX_HEARTBEAT_INTERVAL_S = 3600;
+    private static final int MAX_CONTROLLERS = 1000;
+
+    private final OperatorSettings operators;
+    private final List<SettingsFault> faults = new ArrayList<>();
+
+    private SettingsReader(OperatorSettings operators) {
+        this.operators = operators;
+    }
 
     /** Reads and checks a file; the exception names all its faults. */
     public static Settings read(Path file, OperatorSettings operators) throws SettingsException {
@@ -33,9 +41,7 @@
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new SettingsException(
-                    file.toString(),
-                    List.of("cannot be read (" + e.getClass().getSimpleName() + ")"));
+            throw new SettingsException(file.toString(), List.of(SettingsFault.unreadable(e)));
         }
         return parse(file.toString(), text, operators);
     }
@@ -47,263 +53,182 @@
         try {
             root = new TomlMapper().readTree(text);
         } catch (JsonProcessingException e) {
-            String where = e.getLocation() == null ? "" : " in line " + e.getLocation().getLineNr();
-            throw new SettingsException(
-                    name,
-                    List.of(
-                            "is not TOML"
-                                    + where
-                                    + ": "
-                                    + e.getOriginalMessage().lines().findFirst().orElse("")));
+            throw new SettingsException(name, List.of(notToml(e)));
         }
-        SettingsReader reader = new SettingsReader();
-        Settings settings = reader.settings(root, operators);
+        SettingsReader reader = new SettingsReader(operators);
+        Settings settings = reader.readSettings(TomlTable.root(root, reader.faults));
         if (!reader.faults.isEmpty()) {
             throw new SettingsException(name, reader.faults);
         }
         return settings;
     }
 
-    private Settings settings(JsonNode root, OperatorSettings operators) {
-        String node = text(root, "", "node");
-        String zone = text(root, "", "zone");
-        Address bind = address(root, "", "bind");
-        Address peer = address(root, "", "peer_listen");
-        List<Member> members =
-                tables(
-                        root,
-                        "",
-                        "members",
-                        m ->
-                                new Member(
-                                        text(m, "members.", "node"),
-                                        text(m, "members.", "zone"),
-                                        address(m, "members.", "addr")));
-        for (Member member : members) {
-            if (member.node().equals(node)) {
-                faults.add("members.node = \"" + node + "\" is this node itself");
-            }
-        }
-        JsonNode endpoints = table(root, "", "endpoints");
-        Address cloud = address(endpoints, "endpoints.", "cloud");
-        Address state = address(endpoints, "endpoints.", "state");
-        JsonNode d = table(root, "", "deployment");
-        List<String> zones = new ArrayList<>();
-        for (JsonNode z : d.path("zones")) {
-            if (z.isTextual()) {
-                zones.add(z.textValue());
-            } else {
-                faults.add("deployment.zones = " + z + ": want names");
-            }
-        }
-        Map<String, Team> teams = teams(d);
-        checkWeights(operators, teams);
-        List<Objective> objectives =
-                tables(
-                        d,
-                        "deployment.",
-                        "objectives",
-                        o ->
-                                new Objective(
-                                        text(o, "deployment.objectives.", "kind"),
-                                        o.path("class").asText(""),
-                                        optional(o, "deployment.objectives.", "within_s", 0, 1e9),
-                                        optional(o, "deployment.objectives.", "share", 0, 1),
-                                        optional(o, "deployment.objectives.", "times", 0, 1e9)));
-        JsonNode w = table(d, "deployment.", "workers");
-        Settings.WorkerTimings workers =
-                new Settings.WorkerTimings(
-                        number(w, "deployment.workers.", "report_s", 0.05, 3600),
-                        number(w, "deployment.workers.", "lease_s", 0.2, 36000),
-                        number(w, "deployment.workers.", "cancel_s", 0.2, 36000));
-        if (workers.leaseS() < workers.heartbeatIntervalS()) {
-            faults.add(
-                    "deployment.workers.lease_s = "
-                            + workers.leaseS()
-                            + ": want at least report_s");
-        }
-        JsonNode s = table(d, "deployment.", "state");
-        // Limits that will hold from some moment on, without notice: what is written from now on
-        // has to keep them already.
-        JsonNode next =
-                s.path("next").isMissingNode()
-                        ? MissingNode.getInstance()
-                        : table(s, "deployment.state.", "next");
-        Settings.StoreLimits limits =
-                new Settings.StoreLimits(
-                        lowerLimit(s, next, "rps", 1, 1e9),
-                        lowerLimit(s, next, "write_rps", 1, 1e9),
-                        lowerLimit(s, next, "value_kb", 1, 1e6),
-                        (int) lowerLimit(s, next, "txn_ops", 2, 1e6));
-        JsonNode c = table(d, "deployment.", "cloud");
-        Settings.CloudLimits rents =
-                new Settings.CloudLimits(
-                        number(c, "deployment.cloud.", "rps", 0.01, 1e9),
-                        number(c, "deployment.cloud.", "list_lag_s", 0, 36000));
-        JsonNode q = table(d, "deployment.", "quota");
-        Settings.ProcessQuota quota =
-                new Settings.ProcessQuota(
-                        number(q, "deployment.quota.", "core_share", 0.001, 1e6),
-                        number(q, "deployment.quota.", "mem_mb", 16, 1e9),
-                        (int) number(q, "deployment.quota.", "sockets", 16, 1e9));
-        double clock = optional(d, "deployment.", "clock_error_ms", 0, 1e9);
-        int size = (int) number(d, "deployment.", "size", 1, 1000);
+    private static SettingsFault notToml(JsonProcessingException cause) {
+        String where =
+                cause.getLocation() == null ? "" : " in line " + cause.getLocation().getLineNr();
+        String reason = cause.getOriginalMessage().lines().findFirst().orElse("");
+        return new SettingsFault.Unreadable("is not TOML" + where + ": " + reason);
+    }
+
+    private Settings readSettings(TomlTable root) {
+        String node = root.text("node");
+        String zone = root.text("zone");
+        Address bindAddress = root.address("bind");
+        Address peerAddress = root.address("peer_listen");
+        List<Member> members = readMembers(root, node);
+        TomlTable endpoints = root.table("endpoints");
+        Address cloudAddress = endpoints.address("cloud");
+        Address storeAddress = endpoints.address("state");
         return new Settings(
                 node,
                 zone,
-                bind,
-                peer,
+                bindAddress,
+                peerAddress,
                 members,
-                cloud,
-                state,
-                new Settings.Deployment(
-                        size, zones, clock, teams, objectives, workers, limits, rents, quota),
+                cloudAddress,
+                storeAddress,
+                readDeployment(root.table("deployment")),
                 operators);
     }
 
-    private Map<String, Team> teams(JsonNode deployment) {
-        Map<String, Team> teams = new LinkedHashMap<>();
-        for (Team team :
-                tables(
-                        deployment,
-                        "deployment.",
-                        "teams",
-                        t ->
-                                new Team(
-                                        text(t, "deployment.teams.", "name"),
-                                        number(t, "deployment.teams.", "cpus", 0, 1e9),
-                                        limit(t, "cpus_max"),
-                                        optional(t, "deployment.teams.", "gpus", 0, 1e9),
-                                        limit(t, "gpus_max")))) {
-            if (teams.put(team.name(), team) != null) {
-                faults.add("deployment.teams.name = \"" + team.name() + "\" is there twice");
+    private List<Member> readMembers(TomlTable root, String node) {
+        List<Member> members = new ArrayList<>();
+        for (TomlTable table : root.tables("members")) {
+            members.add(new Member(table.text("node"), table.text("zone"), table.address("addr")));
+        }
+        for (Member member : members) {
+            if (member.node().equals(node)) {
+                faults.add(
+                        new SettingsFault.Rejected(
+                                "members.node = \"" + node + "\"", "is this node itself"));
             }
         }
-        return teams;
+        return members;
     }
 
-    /** A weight for a team that does not exist can only be a slip. */
-    private void checkWeights(OperatorSettings operators, Map<String, Team> teams) {
-        for (String weighted : operators.admission().weights().keySet()) {
-            if (!teams.containsKey(weighted)) {
+    private Settings.Deployment readDeployment(TomlTable deployment) {
+        List<String> zones = deployment.names("zones");
+        Map<String, Team> teams = readTeams(deployment);
+        checkWeights(teams);
+        List<Objective> objectives =
+                deployment.tables("objectives").stream()
+                        .map(SettingsReader::readObjective)
+                        .toList();
+        Settings.WorkerTimings workerTimings = readWorkerTimings(deployment.table("workers"));
+        Settings.StoreLimits storeLimits = readStoreLimits(deployment.table("state"));
+        Settings.CloudLimits cloudLimits = readCloudLimits(deployment.table("cloud"));
+        Settings.ProcessQuota processQuota = readProcessQuota(deployment.table("quota"));
+        double clockErrorMs = deployment.optionalNumber("clock_error_ms", 0, MAX_FIGURE);
+        int controllerCount = (int) deployment.number("size", 1, MAX_CONTROLLERS);
+        return new Settings.Deployment(
+                controllerCount,
+                zones,
+                clockErrorMs,
+                teams,
+                objectives,
+                workerTimings,
+                storeLimits,
+                cloudLimits,
+                processQuota);
+    }
+
+    private Map<String, Team> readTeams(TomlTable deployment) {
+        Map<String, Team> teams = new LinkedHashMap<>();
+        List<Team> listed =
+                deployment.tables("teams").stream().map(SettingsReader::readTeam).toList();
+        for (Team team : listed) {
+            if (teams.put(team.name(), team) != null) {
                 faults.add(
-                        "<team-weight team=\""
-                                + weighted
-                                + "\"> in the operators' file: want a team of deployment.teams, one of "
-                                + teams.keySet());
+                        SettingsFault.duplicate("deployment.teams.name = \"" + team.name() + "\""));
             }
         }
+        return teams;
     }
 
-    private JsonNode table(JsonNode in, String prefix, String field) {
-        JsonNode value = in.path(field);
-        if (!value.isObject()) {
-            faults.add(
-                    prefix
-                            + field
-                            + (value.isMissingNode()
-                                    ? " is missing"
-                                    : " = " + value + ": want a table"));
-            return MissingNode.getInstance();
-        }
-        return value;
+    private static Team readTeam(TomlTable table) {
+        return new Team(
+                table.text("name"),
+                table.number("cpus", 0, MAX_FIGURE),
+                readTeamLimit(table, "cpus_max"),
+                table.optionalNumber("gpus", 0, MAX_FIGURE),
+                readTeamLimit(table, "gpus_max"));
     }
 
-    private <T> List<T> tables(
-            JsonNode in, String prefix, String field, Function<JsonNode, T> read) {
-        List<T> all = new ArrayList<>();
-        JsonNode value = in.path(field);
-        if (!value.isMissingNode() && !value.isArray()) {
-            faults.add(prefix + field + " = " + value + ": want an array of tables");
-            return all;
-        }
-        for (JsonNode item : value) {
-            all.add(read.apply(item));
-        }
-        return all;
+    /**
+     * A team's limit; 0 or none is no limit, as for guests, of whom every job would be refused by a
+     * limit of nothing.
+     */
+    private static double readTeamLimit(TomlTable team, String field) {
+        double limit = team.optionalNumber(field, 0, MAX_FIGURE);
+        return limit == 0 ? Double.POSITIVE_INFINITY : limit;
     }
 
-    private String text(JsonNode in, String prefix, String field) {
-        JsonNode value = in.path(field);
-        if (!value.isTextual() || value.textValue().isBlank()) {
-            // A table that is missing altogether was reported once; its fields need no line each.
-            if (!in.isMissingNode()) {
+    /** A weight for a team that does not exist can only be a slip. */
+    private void checkWeights(Map<String, Team> teams) {
+        for (String weighted : operators.admission().weights().keySet()) {
+            if (!teams.containsKey(weighted)) {
                 faults.add(
-                        prefix
-                                + field
-                                + (value.isMissingNode()
-                                        ? " is missing"
-                                        : " = " + value + ": want a name"));
+                        new SettingsFault.InvalidElement(
+                                "<team-weight team=\"" + weighted + "\"> in the operators' file",
+                                "a team of deployment.teams, one of " + teams.keySet()));
             }
-            return "";
         }
-        return value.textValue();
     }
 
-    private Address address(JsonNode in, String prefix, String field) {
-        String value = text(in, prefix, field);
-        if (value.isEmpty()) {
-            return new Address("", 0);
-        }
-        int colon = value.lastIndexOf(':');
-        int port = -1;
-        try {
-            port = Integer.parseInt(value.substring(colon + 1));
-        } catch (NumberFormatException e) {
-            port = -1;
-        }
-        if (colon < 1 || port < 0 || port > 65535) {
-            faults.add(prefix + field + " = \"" + value + "\": want HOST:PORT");
-            return new Address("", 0);
-        }
-        return new Address(value.substring(0, colon), port);
+    private static Objective readObjective(TomlTable table) {
+        return new Objective(
+                table.text("kind"),
+                table.optionalText("class"),
+                table.optionalNumber("within_s", 0, MAX_FIGURE),
+                table.optionalNumber("share", 0, 1),
+                table.optionalNumber("times", 0, MAX_FIGURE));
     }
 
-    private double optional(JsonNode in, String prefix, String field, double least, double most) {
-        return in.path(field).isMissingNode() ? 0 : number(in, prefix, field, least, most);
+    private Settings.WorkerTimings readWorkerTimings(TomlTable table) {
+        Settings.WorkerTimings timings =
+                new Settings.WorkerTimings(
+                        table.number("report_s", 0.05, MAX_HEARTBEAT_INTERVAL_S),
+                        table.number("lease_s", 0.2, MAX_INTERVAL_S),
+                        table.number("cancel_s", 0.2, MAX_INTERVAL_S));
+        if (timings.leaseS() < timings.heartbeatIntervalS()) {
+            faults.add(
+                    new SettingsFault.InvalidValue(
+                            table.pathOf("lease_s"),
+                            String.valueOf(timings.leaseS()),
+                            "at least report_s"));
+        }
+        return timings;
     }
 
     /**
-     * A team's limit; 0 or none is no limit, as for guests, of whom every job would be refused by a
-     * limit of nothing.
+     * The limits of now and those of {@code next}, which will hold from some moment on without
+     * notice: what is written from now on has to keep both.
      */
-    private double limit(JsonNode team, String field) {
-        double limit = optional(team, "deployment.teams.", field, 0, 1e9);
-        return limit == 0 ? Double.POSITIVE_INFINITY : limit;
+    private static Settings.StoreLimits readStoreLimits(TomlTable now) {
+        TomlTable next = now.optionalTable("next");
+        return new Settings.StoreLimits(
+                readLowerLimit(now, next, "rps", 1, 1e9),
+                readLowerLimit(now, next, "write_rps", 1, 1e9),
+                readLowerLimit(now, next, "value_kb", 1, 1e6),
+                (int) readLowerLimit(now, next, "txn_ops", 2, 1e6));
     }
 
-    /** The lower of what the state service allows now and what it will allow. */
-    private double lowerLimit(
-            JsonNode state, JsonNode next, String field, double least, double most) {
-        double now = number(state, "deployment.state.", field, least, most);
-        return next.path(field).isMissingNode()
-                ? now
-                : Math.min(now, number(next, "deployment.state.next.", field, least, most));
+    private static double readLowerLimit(
+            TomlTable now, TomlTable next, String field, double min, double max) {
+        double limit = now.number(field, min, max);
+        return next.has(field) ? Math.min(limit, next.number(field, min, max)) : limit;
     }
 
-    private double number(JsonNode in, String prefix, String field, double least, double most) {
-        JsonNode value = in.path(field);
-        double number = value.asDouble(Double.NaN);
-        if (!value.isNumber() || !(number >= least && number <= most)) {
-            if (!in.isMissingNode()) {
-                faults.add(
-                        prefix
-                                + field
-                                + (value.isMissingNode()
-                                        ? " is missing"
-                                        : " = "
-                                                + value
-                                                + ": want a number from "
-                                                + formatNumber(least)
-                                                + " to "
-                                                + formatNumber(most)));
-            }
-            return least;
-        }
-        return number;
+    private static Settings.CloudLimits readCloudLimits(TomlTable table) {
+        return new Settings.CloudLimits(
+                table.number("rps", 0.01, MAX_FIGURE),
+                table.number("list_lag_s", 0, MAX_INTERVAL_S));
     }
 
-    private static String formatNumber(double number) {
-        return number == Math.rint(number) ? String.valueOf((long) number) : String.valueOf(number);
+    private static Settings.ProcessQuota readProcessQuota(TomlTable table) {
+        return new Settings.ProcessQuota(
+                table.number("core_share", 0.001, 1e6),
+                table.number("mem_mb", 16, MAX_FIGURE),
+                (int) table.number("sockets", 16, MAX_FIGURE));
     }
 }
