--- a/src/main/java/io/pepperfield/rollout/ClusterVersion.java
+++ b/src/main/java/io/pepperfield/rollout/ClusterVersion.java
@@ -5,6 +5,7 @@
 import io.pepperfield.http.Json;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * The cluster's stored-state version: the one durable record that all writes are guarded by.
@@ -36,7 +37,7 @@
             new ClusterVersion(
                     StoredVersions.FIRST, StoredVersions.FIRST, StoredVersions.FIRST, List.of());
 
-    /** Keeps the names of its own. */
+    /** Copies the names. */
     public ClusterVersion {
         removedControllers = List.copyOf(removedControllers);
     }
@@ -80,16 +81,16 @@
         return data;
     }
 
-    /** The record, or null where it is none that this release understands. */
-    static ClusterVersion read(JsonNode data) {
+    /** The record, or empty where it is none that this release understands. */
+    static Optional<ClusterVersion> read(JsonNode data) {
         int writes = data.path("writes").asInt(0);
         int highest = data.path("highest").asInt(0);
         int finalized = data.path("finalized").asInt(0);
         if (finalized < StoredVersions.FIRST || writes < finalized || highest < writes) {
-            return null;
+            return Optional.empty();
         }
         List<String> removed = new ArrayList<>();
         data.path("removed").forEach(node -> removed.add(node.asText()));
-        return new ClusterVersion(writes, highest, finalized, removed);
+        return Optional.of(new ClusterVersion(writes, highest, finalized, removed));
     }
 }
--- a/src/main/java/io/pepperfield/rollout/CompactRunRecords.java
+++ b/src/main/java/io/pepperfield/rollout/CompactRunRecords.java
@@ -13,20 +13,20 @@
 import java.util.Map;
 
 /**
- * The compact form of a job's run record. Lines are grouped by state, live ones by machine and its
- * session, and neighbouring tasks of the same attempt are one run of three numbers: first task,
- * count, attempt. A machine's name stands once, however many tasks it has.
+ * The compact form of a job's run record. Tasks are grouped by phase, live ones by machine and the
+ * incarnation of its agent, and neighbouring tasks of the same attempt are one run of three
+ * numbers: first task, count, attempt. A machine's name stands once, however many tasks it has.
  */
 final class CompactRunRecords {
 
-    /** So many times as many lines are kept in a record as in the first form. */
+    /** So many times as many tasks are kept in a record as in the first form. */
     static final int TASKS_PER_RECORD_FACTOR = 2;
 
     private static final String VERSION = "v";
     private static final String LIVE = "live";
     private static final int RUN_FIELDS = 3;
 
-    /** In a group of live tasks: machine and session stand before the runs. */
+    /** In a group of live tasks: machine and incarnation stand before the runs. */
     private static final int LIVE_GROUP_HEADER_FIELDS = 2;
 
     /** More tasks than any job has: a damaged count must not fill the heap. */
@@ -36,32 +36,33 @@
     static final class UnreadableRecord extends Exception {
         private static final long serialVersionUID = 1;
 
-        UnreadableRecord(String why) {
-            super(why);
+        UnreadableRecord(String reason) {
+            super(reason);
         }
     }
 
-    /** A live task's machine and session. */
+    /** A live task's machine, and the incarnation of its agent. */
     private record AgentIncarnation(String machine, long incarnation) {}
 
     private CompactRunRecords() {}
 
-    /** Encodes the lines of a record of the first form. */
+    /** Encodes a record of the first form. */
     static JsonNode encode(JsonNode first) {
-        List<TaskState> lines = new ArrayList<>(TaskState.decode(first));
-        lines.sort(Comparator.comparingInt(TaskState::task));
+        List<TaskState> taskStates = new ArrayList<>(TaskState.decode(first));
+        taskStates.sort(Comparator.comparingInt(TaskState::task));
         Map<AgentIncarnation, ArrayNode> live = new LinkedHashMap<>();
         ObjectNode record = Json.object().put(VERSION, StoredVersions.COMPACT_RUN_RECORDS);
-        for (TaskState line : lines) {
-            if (line.phase() == Phase.LIVE) {
-                AgentIncarnation session = new AgentIncarnation(line.machine(), line.incarnation());
+        for (TaskState taskState : taskStates) {
+            if (taskState.phase() == Phase.LIVE) {
+                AgentIncarnation agent =
+                        new AgentIncarnation(taskState.machine(), taskState.incarnation());
                 appendTask(
                         live.computeIfAbsent(
-                                session, s -> Json.array().add(s.machine).add(s.incarnation)),
-                        line,
+                                agent, s -> Json.array().add(s.machine).add(s.incarnation)),
+                        taskState,
                         LIVE_GROUP_HEADER_FIELDS);
             } else {
-                appendTask(record.withArray(groupName(line.phase())), line, 0);
+                appendTask(record.withArray(groupName(taskState.phase())), taskState, 0);
             }
         }
         if (!live.isEmpty()) {
@@ -70,8 +71,8 @@
         return record;
     }
 
-    private static String groupName(Phase state) {
-        return switch (state) {
+    private static String groupName(Phase phase) {
+        return switch (phase) {
             case GONE -> "gone";
             case LIVE -> LIVE;
             case DONE -> "done";
@@ -79,62 +80,66 @@
         };
     }
 
-    /** Lengthens the last run by the line's task, or begins another. */
-    private static void appendTask(ArrayNode group, TaskState line, int before) {
+    /** Lengthens the last run by the task, or begins another. */
+    private static void appendTask(ArrayNode group, TaskState taskState, int headerFields) {
         int last = group.size() - RUN_FIELDS;
-        if (last >= before
-                && group.get(last).asInt() + group.get(last + 1).asInt() == line.task()
-                && group.get(last + 2).asInt() == line.attempt()) {
+        if (last >= headerFields
+                && group.get(last).asInt() + group.get(last + 1).asInt() == taskState.task()
+                && group.get(last + 2).asInt() == taskState.attempt()) {
             group.set(last + 1, group.get(last + 1).asInt() + 1);
         } else {
-            group.add(line.task()).add(1).add(line.attempt());
+            group.add(taskState.task()).add(1).add(taskState.attempt());
         }
     }
 
-    /** Decodes to the first form, with the lines in the order of their tasks. */
+    /** Decodes to the first form, with the tasks in their order. */
     static JsonNode decode(JsonNode record) throws UnreadableRecord {
         if (record.path(VERSION).asInt(0) != StoredVersions.COMPACT_RUN_RECORDS) {
             throw new UnreadableRecord("version " + record.path(VERSION));
         }
-        List<TaskState> lines = new ArrayList<>();
-        for (Phase state : Phase.values()) {
-            JsonNode groups = record.path(groupName(state));
+        List<TaskState> taskStates = new ArrayList<>();
+        for (Phase phase : Phase.values()) {
+            JsonNode groups = record.path(groupName(phase));
             if (groups.isMissingNode()) {
                 continue;
             }
-            if (state != Phase.LIVE) {
-                decodeRuns(groups, 0, state, new AgentIncarnation("", 0), lines);
+            if (phase != Phase.LIVE) {
+                decodeRuns(groups, 0, phase, new AgentIncarnation("", 0), taskStates);
                 continue;
             }
             for (JsonNode group : groups) {
                 if (!group.path(0).isTextual() || !group.path(1).isIntegralNumber()) {
                     throw new UnreadableRecord("a live group without machine and session");
                 }
-                AgentIncarnation session =
+                AgentIncarnation agent =
                         new AgentIncarnation(group.get(0).asText(), group.get(1).longValue());
-                decodeRuns(group, LIVE_GROUP_HEADER_FIELDS, state, session, lines);
+                decodeRuns(group, LIVE_GROUP_HEADER_FIELDS, phase, agent, taskStates);
             }
         }
-        lines.sort(Comparator.comparingInt(TaskState::task));
-        return TaskState.encode(lines);
+        taskStates.sort(Comparator.comparingInt(TaskState::task));
+        return TaskState.encode(taskStates);
     }
 
     private static void decodeRuns(
-            JsonNode group, int from, Phase state, AgentIncarnation session, List<TaskState> lines)
+            JsonNode group,
+            int headerFields,
+            Phase phase,
+            AgentIncarnation agent,
+            List<TaskState> taskStates)
             throws UnreadableRecord {
-        if (!group.isArray() || (group.size() - from) % RUN_FIELDS != 0) {
+        if (!group.isArray() || (group.size() - headerFields) % RUN_FIELDS != 0) {
             throw new UnreadableRecord("a run that is cut off");
         }
-        for (int i = from; i < group.size(); i += RUN_FIELDS) {
+        for (int i = headerFields; i < group.size(); i += RUN_FIELDS) {
             int first = readCount(group.get(i));
             int count = readCount(group.get(i + 1));
             int attempt = readCount(group.get(i + 2));
-            if (lines.size() + count > MAX_TASKS) {
+            if (taskStates.size() + count > MAX_TASKS) {
                 throw new UnreadableRecord("a run of " + count + " tasks");
             }
             for (int task = first; task < first + count; task++) {
-                lines.add(
-                        new TaskState(task, attempt, state, session.machine, session.incarnation));
+                taskStates.add(
+                        new TaskState(task, attempt, phase, agent.machine, agent.incarnation));
             }
         }
     }
--- a/src/main/java/io/pepperfield/rollout/MemberDeclaration.java
+++ b/src/main/java/io/pepperfield/rollout/MemberDeclaration.java
@@ -32,17 +32,17 @@
     private boolean requestInFlight;
     private double nextRenewalAt;
 
-    MemberDeclaration(Loop loop, KeyValueStore raw, String node, Release release, double ttlS) {
+    MemberDeclaration(Loop loop, KeyValueStore store, String node, Release release, double ttlS) {
         this.loop = loop;
-        this.store = raw;
+        this.store = store;
         this.ttlS = ttlS;
         this.key = Keys.ROLLOUT_MEMBER_PREFIX + node;
         this.ownRelease = new MemberRelease(release, UUID.randomUUID().toString(), 0);
     }
 
     /** News of this node's key: perhaps of an earlier process, whose write came late. */
-    void changed(JsonNode data, long newStamp) {
-        modRevision = data == null ? 0 : newStamp;
+    void changed(JsonNode data, long newModRevision) {
+        modRevision = data == null ? 0 : newModRevision;
         declared =
                 data != null && data.path("incarnation").asText().equals(ownRelease.incarnation());
     }
--- a/src/main/java/io/pepperfield/rollout/MemberRegistry.java
+++ b/src/main/java/io/pepperfield/rollout/MemberRegistry.java
@@ -8,27 +8,32 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 
 /** The releases that the configured controllers have declared, as the replica shows them. */
 final class MemberRegistry {
 
-    /** All configured controllers; a null value stands for one that has declared nothing. */
-    private final Map<String, MemberRelease> members = new TreeMap<>();
+    /** All configured controllers; empty is one that has declared nothing. */
+    private final Map<String, Optional<MemberRelease>> members = new TreeMap<>();
 
     MemberRegistry(Settings settings) {
-        members.put(settings.node(), null);
-        settings.members().forEach(member -> members.put(member.node(), null));
+        members.put(settings.node(), Optional.empty());
+        settings.members().forEach(member -> members.put(member.node(), Optional.empty()));
     }
 
     /** News of a controller's key. */
-    void changed(String node, JsonNode data, long stamp) {
+    void changed(String node, JsonNode data, long modRevision) {
         if (members.containsKey(node)) {
-            members.put(node, data == null ? null : MemberRelease.read(data, stamp));
+            Optional<MemberRelease> declared =
+                    Optional.ofNullable(data)
+                            .flatMap(value -> MemberRelease.read(value, modRevision));
+            members.put(node, declared);
         }
     }
 
-    Map<String, MemberRelease> members() {
+    /** By name, in its order. */
+    Map<String, Optional<MemberRelease>> members() {
         return members;
     }
 
@@ -38,37 +43,47 @@
 
     /** Why the version cannot be activated yet, a line for each controller that holds it up. */
     List<String> activationBlockers(int target, Collection<String> without) {
-        List<String> lines = new ArrayList<>();
+        List<String> blockers = new ArrayList<>();
         members.forEach(
                 (node, member) -> {
-                    if (without.contains(node)) {
-                        return;
-                    }
-                    if (member == null) {
-                        lines.add(node + " has declared no release");
-                    } else if (!member.supports(target)) {
-                        lines.add(
-                                node
-                                        + " runs "
-                                        + member.release().name()
-                                        + ", which writes "
-                                        + member.release().newestWritten());
+                    if (!without.contains(node) && !supports(member, target)) {
+                        blockers.add(node + whyNotReady(member));
                     }
                 });
-        return lines;
+        return blockers;
+    }
+
+    private static boolean supports(Optional<MemberRelease> member, int target) {
+        return member.isPresent() && member.get().supports(target);
+    }
+
+    private static String whyNotReady(Optional<MemberRelease> member) {
+        return member.map(MemberRelease::release)
+                .map(
+                        release ->
+                                " runs "
+                                        + release.name()
+                                        + ", which writes "
+                                        + release.newestWritten())
+                .orElse(" has declared no release");
     }
 
-    /** The conditions that these declarations still stand, each by the same process. */
+    /**
+     * The preconditions that these declarations still stand, each by the same process.
+     *
+     * @throws java.util.NoSuchElementException if one of them has declared nothing
+     */
     List<Precondition> preconditions(Collection<String> without) {
-        List<Precondition> guards = new ArrayList<>();
+        List<Precondition> preconditions = new ArrayList<>();
         members.forEach(
                 (node, member) -> {
                     if (!without.contains(node)) {
-                        guards.add(
+                        preconditions.add(
                                 new Precondition(
-                                        Keys.ROLLOUT_MEMBER_PREFIX + node, member.modRevision()));
+                                        Keys.ROLLOUT_MEMBER_PREFIX + node,
+                                        member.orElseThrow().modRevision()));
                     }
                 });
-        return guards;
+        return preconditions;
     }
 }
--- a/src/main/java/io/pepperfield/rollout/MemberRelease.java
+++ b/src/main/java/io/pepperfield/rollout/MemberRelease.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.http.Json;
+import java.util.Optional;
 
 /**
  * What a controller's process has declared about its release.
@@ -20,20 +21,20 @@
                 .put("incarnation", incarnation);
     }
 
-    /** The declaration, or null where it is none. */
-    static MemberRelease read(JsonNode data, long stamp) {
+    /** The declaration, or empty where it is none. */
+    static Optional<MemberRelease> read(JsonNode data, long modRevision) {
         try {
-            return new MemberRelease(
+            Release release =
                     new Release(
                             data.path("release").asText(),
                             data.path("oldestRead").asInt(),
                             data.path("newestRead").asInt(),
-                            data.path("writes").asInt()),
-                    data.path("incarnation").asText(),
-                    stamp);
+                            data.path("writes").asInt());
+            String incarnation = data.path("incarnation").asText();
+            return Optional.of(new MemberRelease(release, incarnation, modRevision));
         } catch (IllegalArgumentException e) {
             // An empty range confirms nothing.
-            return null;
+            return Optional.empty();
         }
     }
 
--- a/src/main/java/io/pepperfield/rollout/RollbackRewriter.java
+++ b/src/main/java/io/pepperfield/rollout/RollbackRewriter.java
@@ -15,6 +15,7 @@
 import io.pepperfield.store.Keys;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -22,8 +23,8 @@
 /**
  * Rewrites compact records in the first form during a rollback, a few in each transaction and at a
  * bounded rate. What is left is found from the keys, so that any leader can go on where another
- * ended. Each rewriting is guarded by the compact record's stamp: a write of the leader in between
- * makes it fail, and the record is read again.
+ * ended. Each rewriting is guarded by the compact record's modification revision: a write of the
+ * leader in between makes it fail, and the record is read again.
  */
 final class RollbackRewriter {
 
@@ -57,7 +58,7 @@
     private final KeyValueStore store;
     private final VersionGate gate;
     private final VersionTransitions versionTransitions;
-    private final Function<String, JobSpec> jobSpecs;
+    private final Function<String, Optional<JobSpec>> jobSpecs;
     private final int maxRecordsPerTransaction;
     private final double secondsPerMutation;
 
@@ -74,22 +75,24 @@
     private Batching batching = Batching.BATCH;
 
     /**
-     * @param jobs gives the description of an accepted job, or null
+     * Creates a rewriter that has not read anything yet.
+     *
+     * @param jobSpecs gives the description of an accepted job
      */
     RollbackRewriter(
             Loop loop,
-            KeyValueStore raw,
+            KeyValueStore store,
             VersionGate gate,
-            VersionTransitions versions,
-            Function<String, JobSpec> jobs,
-            int mostChanges,
+            VersionTransitions versionTransitions,
+            Function<String, Optional<JobSpec>> jobSpecs,
+            int maxMutations,
             double writesPerS) {
         this.loop = loop;
-        this.store = raw;
+        this.store = store;
         this.gate = gate;
-        this.versionTransitions = versions;
-        this.jobSpecs = jobs;
-        this.maxRecordsPerTransaction = Math.max(1, mostChanges / MUTATIONS_PER_RECORD);
+        this.versionTransitions = versionTransitions;
+        this.jobSpecs = jobSpecs;
+        this.maxRecordsPerTransaction = Math.max(1, maxMutations / MUTATIONS_PER_RECORD);
         this.secondsPerMutation = 1 / (RATE_SHARE * writesPerS);
     }
 
@@ -108,9 +111,9 @@
         store.readPage(scanPosition, result -> onPageRead(result, readUnder));
     }
 
-    private void finishStep(int changes) {
+    private void finishStep(int mutations) {
         stepInFlight = false;
-        nextStepAt = loop.now() + Math.max(1, changes) * secondsPerMutation;
+        nextStepAt = loop.now() + Math.max(1, mutations) * secondsPerMutation;
     }
 
     private void restartScan() {
@@ -162,44 +165,48 @@
     }
 
     private void rewrite(List<KeyValue> records) {
-        List<Precondition> guards = versionTransitions.leaderPreconditions();
-        List<Mutation> changes = new ArrayList<>();
+        List<Precondition> preconditions = versionTransitions.leaderPreconditions();
+        List<Mutation> mutations = new ArrayList<>();
         for (KeyValue record : records) {
             try {
-                addRewrite(record, guards, changes);
+                addRewrite(record, preconditions, mutations);
             } catch (UnreadableRecord e) {
                 // Neither guessed nor lost.
-                LOG.warn("{} cannot be rewritten: {}", record.key(), e.getMessage());
+                LOG.warn(
+                        "run record not rewritten: key={} reason=\"{}\"",
+                        record.key(),
+                        e.getMessage());
                 recordSkipped = true;
             }
         }
         String last = records.get(records.size() - 1).key();
-        if (changes.isEmpty()) {
+        if (mutations.isEmpty()) {
             skipRecord(last);
             finishStep(1);
             return;
         }
         store.compareAndSwap(
                 RequestPriority.LEADER_WRITE,
-                guards,
-                changes,
+                preconditions,
+                mutations,
                 result -> {
                     onWritten(result, records.size(), last);
-                    finishStep(changes.size());
+                    finishStep(mutations.size());
                 });
     }
 
-    private void addRewrite(KeyValue record, List<Precondition> guards, List<Mutation> changes)
+    private void addRewrite(
+            KeyValue record, List<Precondition> preconditions, List<Mutation> mutations)
             throws UnreadableRecord {
         String key = VersionedKeyValueStore.firstFormKey(record.key());
-        JsonNode lines = CompactRunRecords.decode(record.value());
+        JsonNode taskStates = CompactRunRecords.decode(record.value());
         if (batching == Batching.SPLIT_RECORD) {
-            addSplitRecords(key, lines, guards, changes);
+            addSplitRecords(key, taskStates, preconditions, mutations);
         } else {
-            changes.add(Mutation.set(key, lines));
+            mutations.add(Mutation.set(key, taskStates));
         }
-        changes.add(Mutation.delete(record.key()));
-        guards.add(new Precondition(record.key(), record.modRevision()));
+        mutations.add(Mutation.delete(record.key()));
+        preconditions.add(new Precondition(record.key(), record.modRevision()));
     }
 
     /**
@@ -207,25 +214,29 @@
      * more: all are written together, and none may be there yet.
      */
     private void addSplitRecords(
-            String key, JsonNode lines, List<Precondition> guards, List<Mutation> changes)
+            String key, JsonNode record, List<Precondition> preconditions, List<Mutation> mutations)
             throws UnreadableRecord {
         int slash = key.lastIndexOf('/');
-        JobSpec spec = jobSpecs.apply(key.substring(Keys.RUN_RECORD_PREFIX.length(), slash));
-        int chunk = Integer.parseInt(key.substring(slash + 1));
-        if (spec == null || chunk >= spec.runRecordCount()) {
-            throw new UnreadableRecord("too large for the first form, and not to be divided");
-        }
+        String jobId = key.substring(Keys.RUN_RECORD_PREFIX.length(), slash);
+        int recordIndex = Integer.parseInt(key.substring(slash + 1));
+        JobSpec spec =
+                jobSpecs.apply(jobId)
+                        .filter(known -> recordIndex < known.runRecordCount())
+                        .orElseThrow(
+                                () ->
+                                        new UnreadableRecord(
+                                                "too large for the first form, and not to be divided"));
         int part = 0;
-        for (List<TaskState> some :
+        for (List<TaskState> taskStates :
                 TaskState.split(
-                        TaskState.decode(lines),
-                        chunk * spec.tasksPerRunRecord(),
+                        TaskState.decode(record),
+                        recordIndex * spec.tasksPerRunRecord(),
                         spec.tasksPerRunRecord())) {
-            String partKey = spec.splitRecordKey(chunk, part++);
-            changes.add(Mutation.set(partKey, TaskState.encode(some)));
-            guards.add(new Precondition(partKey, 0));
+            String partKey = spec.splitRecordKey(recordIndex, part++);
+            mutations.add(Mutation.set(partKey, TaskState.encode(taskStates)));
+            preconditions.add(new Precondition(partKey, 0));
             if (part > 1) {
-                guards.add(new Precondition(VersionedKeyValueStore.compactKey(partKey), 0));
+                preconditions.add(new Precondition(VersionedKeyValueStore.compactKey(partKey), 0));
             }
         }
     }
@@ -245,7 +256,9 @@
         } else if (batching != Batching.SPLIT_RECORD) {
             batching = Batching.SPLIT_RECORD;
         } else {
-            LOG.warn("{} is too large for the first form under today's limits", last);
+            LOG.warn(
+                    "run record not rewritten: key={} reason=\"too large for the first form\"",
+                    last);
             skipRecord(last);
         }
     }
--- a/src/main/java/io/pepperfield/rollout/Rollout.java
+++ b/src/main/java/io/pepperfield/rollout/Rollout.java
@@ -11,6 +11,7 @@
 import io.pepperfield.store.KeyValueStore;
 import io.pepperfield.store.Keys;
 import io.pepperfield.store.TransactionLimits;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Function;
 
@@ -35,20 +36,22 @@
     private RollbackRewriter rollbackRewriter;
 
     /**
-     * @param raw the state service itself
+     * Creates the rollout of one controller.
+     *
+     * @param store the state service itself
      * @param release what this program reads and writes
      */
-    public Rollout(Loop loop, Settings settings, KeyValueStore raw, Release release) {
+    public Rollout(Loop loop, Settings settings, KeyValueStore store, Release release) {
         this.loop = loop;
         this.settings = settings;
-        this.store = raw;
+        this.store = store;
         this.gate = new VersionGate(release);
-        this.versionedStore = new VersionedKeyValueStore(raw, gate);
+        this.versionedStore = new VersionedKeyValueStore(store, gate);
         this.memberRegistry = new MemberRegistry(settings);
         this.memberDeclaration =
                 new MemberDeclaration(
                         loop,
-                        raw,
+                        store,
                         settings.node(),
                         release,
                         settings.deployment().workerTimings().leaseS());
@@ -57,15 +60,16 @@
     /**
      * Completes it.
      *
-     * @param lead of this node, which alone changes the version
-     * @param jobs gives the description of an accepted job, or null
+     * @param leaderClaim of this node, which alone changes the version
+     * @param jobSpecs gives the description of an accepted job, or null
      */
-    public void attach(LeaderClaim lead, Function<String, JobSpec> jobs) {
-        leaderClaim = lead;
+    public void attach(LeaderClaim leaderClaim, Function<String, JobSpec> jobSpecs) {
+        this.leaderClaim = leaderClaim;
         VersionTransitions versions =
-                new VersionTransitions(store, gate, versionedStore, memberRegistry, lead);
+                new VersionTransitions(store, gate, versionedStore, memberRegistry, leaderClaim);
         requestHandler =
-                new RolloutRequestHandler(gate, versionedStore, memberRegistry, versions, lead);
+                new RolloutRequestHandler(
+                        gate, versionedStore, memberRegistry, versions, leaderClaim);
         Settings.StoreLimits limits = settings.deployment().storeLimits();
         rollbackRewriter =
                 new RollbackRewriter(
@@ -73,7 +77,7 @@
                         store,
                         gate,
                         versions,
-                        jobs,
+                        jobId -> Optional.ofNullable(jobSpecs.apply(jobId)),
                         limits.maxTransactionOps(),
                         limits.writesPerS());
     }
@@ -102,14 +106,14 @@
     }
 
     /** The replica's news of a key below {@link Keys#ROLLOUT_PREFIX}. */
-    public void changed(String key, JsonNode data, long stamp) {
+    public void changed(String key, JsonNode data, long modRevision) {
         if (key.equals(Keys.ROLLOUT_VERSION)) {
-            gate.changed(data, stamp);
+            gate.changed(data, modRevision);
         } else if (key.startsWith(Keys.ROLLOUT_MEMBER_PREFIX)) {
             String node = key.substring(Keys.ROLLOUT_MEMBER_PREFIX.length());
-            memberRegistry.changed(node, data, stamp);
+            memberRegistry.changed(node, data, modRevision);
             if (node.equals(settings.node())) {
-                memberDeclaration.changed(data, stamp);
+                memberDeclaration.changed(data, modRevision);
             }
         }
     }
@@ -126,7 +130,7 @@
     }
 
     /** An operator's request below {@code /api/rollout}. */
-    public void handle(InboundRequest call, Consumer<HttpReply> answer) {
-        requestHandler.handle(call, answer);
+    public void handle(InboundRequest request, Consumer<HttpReply> answer) {
+        requestHandler.handle(request, answer);
     }
 }
--- a/src/main/java/io/pepperfield/rollout/RolloutRequestHandler.java
+++ b/src/main/java/io/pepperfield/rollout/RolloutRequestHandler.java
@@ -9,6 +9,7 @@
 import io.pepperfield.leadership.LeaderClaim;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 
 /**
@@ -16,6 +17,11 @@
  */
 final class RolloutRequestHandler {
 
+    private static final int OK = 200;
+    private static final int BAD_REQUEST = 400;
+    private static final int NOT_FOUND = 404;
+    private static final int METHOD_NOT_ALLOWED = 405;
+
     private final VersionGate gate;
     private final VersionedKeyValueStore versionedStore;
     private final MemberRegistry registry;
@@ -25,49 +31,49 @@
 
     RolloutRequestHandler(
             VersionGate gate,
-            VersionedKeyValueStore forms,
+            VersionedKeyValueStore versionedStore,
             MemberRegistry registry,
-            VersionTransitions versions,
-            LeaderClaim claim) {
+            VersionTransitions versionTransitions,
+            LeaderClaim leaderClaim) {
         this.gate = gate;
-        this.versionedStore = forms;
+        this.versionedStore = versionedStore;
         this.registry = registry;
-        this.versionTransitions = versions;
-        this.leaderClaim = claim;
+        this.versionTransitions = versionTransitions;
+        this.leaderClaim = leaderClaim;
     }
 
-    void handle(InboundRequest call, Consumer<HttpReply> answer) {
-        if (call.path().equals(Rollout.PATH)) {
+    void handle(InboundRequest request, Consumer<HttpReply> answer) {
+        if (request.path().equals(Rollout.PATH)) {
             answer.accept(
-                    call.method().equals("GET")
-                            ? HttpReply.json(200, status())
-                            : HttpReply.error(405, "want GET"));
-        } else if (!call.method().equals("POST")) {
-            answer.accept(HttpReply.error(405, "want POST"));
+                    request.method().equals("GET")
+                            ? HttpReply.json(OK, status())
+                            : HttpReply.error(METHOD_NOT_ALLOWED, "want GET"));
+        } else if (!request.method().equals("POST")) {
+            answer.accept(HttpReply.error(METHOD_NOT_ALLOWED, "want POST"));
         } else if (!gate.mayWrite() || !leaderClaim.holdsValidLease()) {
             answer.accept(notLeaderReply());
         } else if (changeInFlight) {
             answer.accept(new RolloutResult.RetryLater("another change is under way").toReply());
         } else {
-            handleChange(call, answer);
+            handleChange(request, answer);
         }
     }
 
     /** The console asks the next controller. */
     private HttpReply notLeaderReply() {
-        String why =
+        String reason =
                 gate.mayServe()
                         ? "not the leader, which is " + leaderClaim.leaderNode()
                         : "serving nobody: " + gate.refusalReason();
-        return new RolloutResult.RetryLater(why).toReply();
+        return new RolloutResult.RetryLater(reason).toReply();
     }
 
-    private void handleChange(InboundRequest call, Consumer<HttpReply> answer) {
-        switch (call.path().substring(Rollout.PATH.length())) {
-            case "/activate" -> activate(call.body(), answer);
+    private void handleChange(InboundRequest request, Consumer<HttpReply> answer) {
+        switch (request.path().substring(Rollout.PATH.length())) {
+            case "/activate" -> activate(request.body(), answer);
             case "/finalize" -> versionTransitions.finalizeActive(beginChange(answer));
             case "/rollback" -> versionTransitions.rollback(beginChange(answer));
-            default -> answer.accept(HttpReply.error(404, "no such path"));
+            default -> answer.accept(HttpReply.error(NOT_FOUND, "no such path"));
         }
     }
 
@@ -80,12 +86,12 @@
         };
     }
 
-    private void activate(byte[] raw, Consumer<HttpReply> answer) {
-        JsonNode body = Json.read(raw);
+    private void activate(byte[] requestBody, Consumer<HttpReply> answer) {
+        JsonNode body = Json.read(requestBody);
         boolean readable = body != null && body.isObject();
         JsonNode target = readable ? body.path("to") : null;
         if (target == null || !target.isMissingNode() && !target.isInt()) {
-            answer.accept(HttpReply.error(400, "to: want the number of a version"));
+            answer.accept(HttpReply.error(BAD_REQUEST, "to: want the number of a version"));
             return;
         }
         List<String> without = new ArrayList<>();
@@ -121,12 +127,12 @@
         return status;
     }
 
-    private static ObjectNode describe(String node, MemberRelease member) {
-        ObjectNode line = Json.object().put("node", node);
-        if (member == null) {
-            return line.put("release", "not declared");
+    private static ObjectNode describe(String node, Optional<MemberRelease> member) {
+        ObjectNode described = Json.object().put("node", node);
+        if (member.isEmpty()) {
+            return described.put("release", "not declared");
         }
-        line.set("release", member.write());
-        return line;
+        described.set("release", member.get().write());
+        return described;
     }
 }
--- a/src/main/java/io/pepperfield/rollout/VersionGate.java
+++ b/src/main/java/io/pepperfield/rollout/VersionGate.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.store.KeyValueStore.Precondition;
 import io.pepperfield.store.Keys;
+import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -36,22 +37,25 @@
     }
 
     /** The replica's news of the version record. */
-    void changed(JsonNode data, long newStamp) {
-        ClusterVersion now = data == null ? null : ClusterVersion.read(data);
-        if (now == null) {
+    void changed(JsonNode data, long newModRevision) {
+        Optional<ClusterVersion> known = Optional.ofNullable(data).flatMap(ClusterVersion::read);
+        if (known.isEmpty()) {
             // Never deleted by anybody: without it records of a newer form could be taken for none.
             refuseService("the stored-state version record is gone or cannot be read");
             return;
         }
-        version = now;
-        modRevision = newStamp;
-        if (release.isCompatibleWith(now)) {
+        version = known.get();
+        modRevision = newModRevision;
+        if (release.isCompatibleWith(version)) {
             refusalReason = "";
-            LOG.info("stored-state version {} ({})", now.writeVersion(), now.phase());
+            LOG.info(
+                    "stored-state version changed: version={} phase={}",
+                    version.writeVersion(),
+                    version.phase());
         } else {
             refuseService(
                     "stored-state version "
-                            + now.highestVersion()
+                            + version.highestVersion()
                             + " is in use, and release "
                             + release.name()
                             + " reads "
@@ -61,11 +65,11 @@
         }
     }
 
-    /** What cannot be known keeps this controller from serving; said once. */
-    void refuseService(String why) {
-        if (!why.equals(refusalReason)) {
-            refusalReason = why;
-            LOG.error("serving nobody: {}", why);
+    /** This controller serves nobody from now on; logged once for each reason. */
+    void refuseService(String reason) {
+        if (!reason.equals(refusalReason)) {
+            refusalReason = reason;
+            LOG.error("not serving: reason=\"{}\"", reason);
         }
     }
 
@@ -89,7 +93,7 @@
         return version;
     }
 
-    /** The condition that every write carries: the version is still the one known here. */
+    /** What every write carries: the version is still the one known here. */
     Precondition precondition() {
         return new Precondition(Keys.ROLLOUT_VERSION, modRevision);
     }
--- a/src/main/java/io/pepperfield/rollout/VersionTransitions.java
+++ b/src/main/java/io/pepperfield/rollout/VersionTransitions.java
@@ -11,11 +11,12 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 
 /**
- * The transactions that change the version record, each by the leader and guarded by its token and
- * the record's stamp. All may be repeated after a lost answer.
+ * The transactions that change the version record, each by the leader and guarded by its fencing
+ * token and the record's modification revision. All may be repeated after a lost answer.
  */
 final class VersionTransitions {
 
@@ -26,16 +27,16 @@
     private final LeaderClaim leaderClaim;
 
     VersionTransitions(
-            KeyValueStore raw,
+            KeyValueStore store,
             VersionGate gate,
-            VersionedKeyValueStore forms,
+            VersionedKeyValueStore versionedStore,
             MemberRegistry registry,
-            LeaderClaim claim) {
-        this.store = raw;
+            LeaderClaim leaderClaim) {
+        this.store = store;
         this.gate = gate;
-        this.versionedStore = forms;
+        this.versionedStore = versionedStore;
         this.registry = registry;
-        this.leaderClaim = claim;
+        this.leaderClaim = leaderClaim;
     }
 
     /**
@@ -54,44 +55,49 @@
             confirm("version " + target + " is active", done);
             return;
         }
-        String refusal = activationRefusal(now, target, without, olderRetired);
-        if (refusal != null) {
-            done.accept(new RolloutResult.Refused(refusal));
+        Optional<String> refusal = activationRefusal(now, target, without, olderRetired);
+        if (refusal.isPresent()) {
+            done.accept(new RolloutResult.Refused(refusal.get()));
             return;
         }
-        List<Precondition> guards = leaderPreconditions();
-        guards.addAll(registry.preconditions(without));
-        List<Mutation> changes = new ArrayList<>();
-        changes.add(versionMutation(now.activated(target, List.copyOf(without))));
+        List<Precondition> preconditions = leaderPreconditions();
+        preconditions.addAll(registry.preconditions(without));
+        List<Mutation> mutations = new ArrayList<>();
+        mutations.add(versionMutation(now.activated(target, List.copyOf(without))));
         if (!gate.fencesOlderReleases()) {
-            moveLeaderKey(Keys.LEADER, Keys.SECOND_FORM_LEADER, changes);
+            moveLeaderKey(Keys.LEADER, Keys.SECOND_FORM_LEADER, mutations);
         }
-        execute(guards, changes, "version " + target + " is active", done);
+        execute(preconditions, mutations, "version " + target + " is active", done);
     }
 
-    private String activationRefusal(
+    private Optional<String> activationRefusal(
             ClusterVersion now, int target, Collection<String> without, boolean olderRetired) {
         if (target > gate.release().newestWritten()) {
-            return "version "
-                    + target
-                    + " is not known to this release, which writes "
-                    + gate.release().newestWritten();
+            return Optional.of(
+                    "version "
+                            + target
+                            + " is not known to this release, which writes "
+                            + gate.release().newestWritten());
         }
         if (target != now.finalizedVersion() + 1) {
-            return "version " + target + " cannot follow version " + now.finalizedVersion();
+            return Optional.of(
+                    "version " + target + " cannot follow version " + now.finalizedVersion());
         }
         for (String node : without) {
             if (!registry.isConfigured(node)) {
-                return node + " is no configured controller";
+                return Optional.of(node + " is no configured controller");
             }
         }
         if (now.finalizedVersion() == StoredVersions.FIRST && !olderRetired) {
-            return "releases without a version gate cannot read version "
-                    + target
-                    + ": repeat with --older-releases-retired once none will be started again";
+            return Optional.of(
+                    "releases without a version gate cannot read version "
+                            + target
+                            + ": repeat with --older-releases-retired once none will be started again");
         }
-        List<String> waiting = registry.activationBlockers(target, without);
-        return waiting.isEmpty() ? null : "waits for: " + String.join("; ", waiting);
+        List<String> blockers = registry.activationBlockers(target, without);
+        return blockers.isEmpty()
+                ? Optional.empty()
+                : Optional.of("waits for: " + String.join("; ", blockers));
     }
 
     /** Makes the active version the only one. */
@@ -141,29 +147,29 @@
 
     /** Ends a rollback: nothing of the newer version is left, and older releases may lead again. */
     void completeRollback(Consumer<RolloutResult> done) {
-        List<Mutation> changes = new ArrayList<>();
-        changes.add(versionMutation(gate.version().rolledBack()));
-        moveLeaderKey(Keys.SECOND_FORM_LEADER, Keys.LEADER, changes);
-        execute(leaderPreconditions(), changes, "rolled back", done);
+        List<Mutation> mutations = new ArrayList<>();
+        mutations.add(versionMutation(gate.version().rolledBack()));
+        moveLeaderKey(Keys.SECOND_FORM_LEADER, Keys.LEADER, mutations);
+        execute(leaderPreconditions(), mutations, "rolled back", done);
     }
 
     /** This node's lead goes on under the other key; nobody can be elected under the old one. */
-    private void moveLeaderKey(String from, String to, List<Mutation> changes) {
-        changes.add(Mutation.set(from, VersionedKeyValueStore.fenceValue()));
-        changes.add(new Mutation(to, leaderClaim.leaderKeyValue(), leaderClaim.grant()));
+    private void moveLeaderKey(String from, String to, List<Mutation> mutations) {
+        mutations.add(Mutation.set(from, VersionedKeyValueStore.fenceValue()));
+        mutations.add(new Mutation(to, leaderClaim.leaderKeyValue(), leaderClaim.grant()));
     }
 
     private static Mutation versionMutation(ClusterVersion version) {
         return Mutation.set(Keys.ROLLOUT_VERSION, version.write());
     }
 
-    /** The conditions of every change of the version. */
+    /** The preconditions of every change of the version. */
     List<Precondition> leaderPreconditions() {
-        List<Precondition> guards = new ArrayList<>();
-        guards.add(gate.precondition());
-        guards.add(
+        List<Precondition> preconditions = new ArrayList<>();
+        preconditions.add(gate.precondition());
+        preconditions.add(
                 new Precondition(versionedStore.leaderKey(), leaderClaim.fencingToken().value()));
-        return guards;
+        return preconditions;
     }
 
     /** Says so if the version known here is still the one in force: another may have changed it. */
@@ -172,25 +178,24 @@
     }
 
     private void execute(
-            List<Precondition> guards,
-            List<Mutation> changes,
+            List<Precondition> preconditions,
+            List<Mutation> mutations,
             String text,
             Consumer<RolloutResult> done) {
         store.compareAndSwap(
                 RequestPriority.LEADER_WRITE,
-                guards,
-                changes,
-                result -> {
-                    if (result instanceof CompareAndSwapOutcome.Committed) {
-                        done.accept(new RolloutResult.Completed(text));
-                    } else if (result instanceof CompareAndSwapOutcome.Unknown) {
-                        done.accept(
-                                new RolloutResult.RetryLater("no answer came; repeat the command"));
-                    } else {
-                        done.accept(
-                                new RolloutResult.RetryLater(
-                                        "the cluster changed meanwhile; repeat the command"));
-                    }
-                });
+                preconditions,
+                mutations,
+                outcome -> done.accept(toResult(outcome, text)));
+    }
+
+    private static RolloutResult toResult(CompareAndSwapOutcome outcome, String text) {
+        if (outcome instanceof CompareAndSwapOutcome.Committed) {
+            return new RolloutResult.Completed(text);
+        }
+        if (outcome instanceof CompareAndSwapOutcome.Unknown) {
+            return new RolloutResult.RetryLater("no answer came; repeat the command");
+        }
+        return new RolloutResult.RetryLater("the cluster changed meanwhile; repeat the command");
     }
 }
--- a/src/main/java/io/pepperfield/rollout/VersionedKeyValueStore.java
+++ b/src/main/java/io/pepperfield/rollout/VersionedKeyValueStore.java
@@ -29,7 +29,7 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(VersionedKeyValueStore.class);
 
-    /** Conflicts of the version guard: certainly not carried out, and to be tried again. */
+    /** Conflicts of the version precondition: certainly not carried out, and to be tried again. */
     private static final int STALE_VERSION = 409;
 
     private static final int NOT_SERVING = 503;
@@ -43,17 +43,19 @@
     private final KeyValueStore store;
     private final VersionGate gate;
 
-    /** Of each run record in the compact form, by its key of the first form: its stamp. */
+    /** The modification revisions of run records in the compact form, by their first-form keys. */
     private final Map<String, Long> compactRecordRevisions = new HashMap<>();
 
-    /** Records of no known form, each said once. */
+    /** Keys of records of no known form, each logged once. */
     private final Set<String> unreadableKeys = new HashSet<>();
 
     /**
-     * @param raw the state service itself
+     * Creates the view through which the rest of the program uses the state service.
+     *
+     * @param store the state service itself
      */
-    VersionedKeyValueStore(KeyValueStore raw, VersionGate gate) {
-        this.store = raw;
+    VersionedKeyValueStore(KeyValueStore store, VersionGate gate) {
+        this.store = store;
         this.gate = gate;
     }
 
@@ -87,71 +89,76 @@
 
     @Override
     public void compareAndSwap(
-            RequestPriority urgency,
-            List<Precondition> guards,
-            List<Mutation> changes,
+            RequestPriority priority,
+            List<Precondition> preconditions,
+            List<Mutation> mutations,
             Consumer<CompareAndSwapOutcome> done) {
         if (!gate.mayWrite()) {
             done.accept(new CompareAndSwapOutcome.Refused(NOT_SERVING));
             return;
         }
-        Map<String, Long> stamps = new HashMap<>();
-        guards.forEach(guard -> stamps.put(guard.key(), guard.modRevision()));
-        List<Precondition> storedGuards = new ArrayList<>();
-        storedGuards.add(gate.precondition());
-        guards.forEach(guard -> addPreconditions(guard, storedGuards));
-        List<Mutation> storedChanges = new ArrayList<>();
-        changes.forEach(
-                change ->
-                        addMutations(change, stamps.getOrDefault(change.key(), 0L), storedChanges));
+        Map<String, Long> modRevisions = new HashMap<>();
+        preconditions.forEach(
+                precondition -> modRevisions.put(precondition.key(), precondition.modRevision()));
+        List<Precondition> storedPreconditions = new ArrayList<>();
+        storedPreconditions.add(gate.precondition());
+        preconditions.forEach(precondition -> addPreconditions(precondition, storedPreconditions));
+        List<Mutation> storedMutations = new ArrayList<>();
+        mutations.forEach(
+                mutation ->
+                        addMutations(
+                                mutation,
+                                modRevisions.getOrDefault(mutation.key(), 0L),
+                                storedMutations));
         store.compareAndSwap(
-                urgency,
-                storedGuards,
-                storedChanges,
-                result -> done.accept(toFirstFormOutcome(result, storedChanges)));
+                priority,
+                storedPreconditions,
+                storedMutations,
+                result -> done.accept(toFirstFormOutcome(result, storedMutations)));
     }
 
     private static boolean isRunRecord(String key) {
         return key.startsWith(Keys.RUN_RECORD_PREFIX);
     }
 
-    /** Whether the record that has this stamp is stored in the compact form. */
-    private boolean isCompact(String key, long stamp) {
-        return stamp != 0 && compactRecordRevisions.getOrDefault(key, 0L) == stamp;
+    /** Whether the record of this modification revision is stored in the compact form. */
+    private boolean isCompact(String key, long modRevision) {
+        return modRevision != 0 && compactRecordRevisions.getOrDefault(key, 0L) == modRevision;
     }
 
-    private void addPreconditions(Precondition guard, List<Precondition> stored) {
-        if (guard.key().equals(Keys.LEADER)) {
-            stored.add(new Precondition(leaderKey(), guard.modRevision()));
-        } else if (!isRunRecord(guard.key()) || !gate.fencesOlderReleases()) {
-            stored.add(guard);
-        } else if (isCompact(guard.key(), guard.modRevision())) {
-            stored.add(new Precondition(compactKey(guard.key()), guard.modRevision()));
+    private void addPreconditions(Precondition precondition, List<Precondition> stored) {
+        if (precondition.key().equals(Keys.LEADER)) {
+            stored.add(new Precondition(leaderKey(), precondition.modRevision()));
+        } else if (!isRunRecord(precondition.key()) || !gate.fencesOlderReleases()) {
+            stored.add(precondition);
+        } else if (isCompact(precondition.key(), precondition.modRevision())) {
+            stored.add(
+                    new Precondition(compactKey(precondition.key()), precondition.modRevision()));
         } else {
-            stored.add(guard);
+            stored.add(precondition);
             // Not known in the compact form, and so it must not exist in it: a record may never be
             // in both.
-            stored.add(new Precondition(compactKey(guard.key()), 0));
+            stored.add(new Precondition(compactKey(precondition.key()), 0));
         }
     }
 
-    private void addMutations(Mutation change, long stamp, List<Mutation> stored) {
-        String key = change.key();
+    private void addMutations(Mutation mutation, long modRevision, List<Mutation> stored) {
+        String key = mutation.key();
         if (key.equals(Keys.LEADER)) {
-            stored.add(new Mutation(leaderKey(), change.value(), change.grant()));
+            stored.add(new Mutation(leaderKey(), mutation.value(), mutation.grant()));
         } else if (!isRunRecord(key)) {
-            stored.add(change);
-        } else if (isCompact(key, stamp)) {
+            stored.add(mutation);
+        } else if (isCompact(key, modRevision)) {
             // Also while rolling back: only the rewriting changes a record's form then, so that the
             // two never undo each other's work.
-            stored.add(compactMutation(change));
+            stored.add(compactMutation(mutation));
         } else if (gate.writesCompactRunRecords()) {
-            stored.add(compactMutation(change));
-            if (stamp != 0) {
+            stored.add(compactMutation(mutation));
+            if (modRevision != 0) {
                 stored.add(Mutation.delete(key));
             }
         } else {
-            stored.add(change);
+            stored.add(mutation);
         }
     }
 
@@ -160,9 +167,9 @@
     }
 
     private CompareAndSwapOutcome toFirstFormOutcome(
-            CompareAndSwapOutcome result, List<Mutation> changes) {
+            CompareAndSwapOutcome result, List<Mutation> mutations) {
         if (result instanceof CompareAndSwapOutcome.Committed done) {
-            changes.forEach(change -> recordCompactForm(change.key(), done.revision()));
+            mutations.forEach(mutation -> recordCompactForm(mutation.key(), done.revision()));
             return result;
         }
         if (!(result instanceof CompareAndSwapOutcome.Conflict conflict)) {
@@ -184,15 +191,16 @@
                 : storedKey;
     }
 
-    private void recordCompactForm(String storedKey, long stamp) {
+    private void recordCompactForm(String storedKey, long modRevision) {
         if (storedKey.startsWith(Keys.SECOND_FORM_RUN_RECORD_PREFIX)) {
-            compactRecordRevisions.merge(firstFormKey(storedKey), stamp, Math::max);
+            compactRecordRevisions.merge(firstFormKey(storedKey), modRevision, Math::max);
         }
     }
 
     /** A record was written in the first form: an older compact one is gone. */
-    private void recordFirstForm(String key, long stamp) {
-        compactRecordRevisions.computeIfPresent(key, (name, known) -> known < stamp ? null : known);
+    private void recordFirstForm(String key, long modRevision) {
+        compactRecordRevisions.computeIfPresent(
+                key, (name, known) -> known < modRevision ? null : known);
     }
 
     // ---- reading
@@ -213,54 +221,45 @@
         }
         List<KeyValue> items = new ArrayList<>(read.entries().size());
         for (KeyValue item : read.entries()) {
-            KeyValue known = toFirstForm(item);
-            if (known != null) {
-                items.add(known);
-            }
+            addInFirstForm(item, items);
         }
         return new ReadResult.Read(items, read.hasMore(), read.revision());
     }
 
-    /** The item in the first form, or null where it says nothing there. */
-    private KeyValue toFirstForm(KeyValue item) {
+    /** Adds the item as it is in the first form, unless it says nothing there. */
+    private void addInFirstForm(KeyValue item, List<KeyValue> items) {
         String key = item.key();
         if (key.startsWith(Keys.SECOND_FORM_PREFIX)) {
-            return fromSecondForm(item);
-        }
-        if (key.equals(Keys.LEADER)) {
-            return isFence(item) ? null : item;
-        }
-        if (isRunRecord(key)) {
-            if (item.value() == null) {
-                // Deleted only in the same transaction that writes the other form.
-                return null;
+            addFromSecondForm(item, items);
+        } else if (isRunRecord(key)) {
+            // Deleted only in the same transaction that writes the other form.
+            if (item.value() != null) {
+                recordFirstForm(key, item.modRevision());
+                items.add(item);
             }
-            recordFirstForm(key, item.modRevision());
-            return item;
+        } else if (!key.equals(Keys.LEADER) || !isFence(item)) {
+            items.add(item);
         }
-        return item;
     }
 
     private static boolean isFence(KeyValue item) {
         return item.value() != null && item.value().path("node").asText().equals(FENCE_HOLDER);
     }
 
-    private KeyValue fromSecondForm(KeyValue item) {
-        String key = item.key();
+    private void addFromSecondForm(KeyValue item, List<KeyValue> items) {
         if (gate.release().newestRead() < StoredVersions.COMPACT_RUN_RECORDS) {
-            return null;
+            return;
         }
+        String key = item.key();
         if (key.equals(Keys.SECOND_FORM_LEADER)) {
-            return isFence(item)
-                    ? null
-                    : new KeyValue(Keys.LEADER, item.value(), item.modRevision());
-        }
-        if (!key.startsWith(Keys.SECOND_FORM_RUN_RECORD_PREFIX) || item.value() == null) {
-            return null;
+            if (!isFence(item)) {
+                items.add(new KeyValue(Keys.LEADER, item.value(), item.modRevision()));
+            }
+        } else if (key.startsWith(Keys.SECOND_FORM_RUN_RECORD_PREFIX) && item.value() != null) {
+            recordCompactForm(key, item.modRevision());
+            JsonNode taskStates = decodeRunRecord(key, item.value());
+            items.add(new KeyValue(firstFormKey(key), taskStates, item.modRevision()));
         }
-        recordCompactForm(key, item.modRevision());
-        return new KeyValue(
-                firstFormKey(key), decodeRunRecord(key, item.value()), item.modRevision());
     }
 
     /** What cannot be read is passed on as such, so that nobody takes the job for one not begun. */
@@ -269,7 +268,10 @@
             return CompactRunRecords.decode(data);
         } catch (UnreadableRecord e) {
             if (unreadableKeys.add(key)) {
-                LOG.error("{} cannot be read: {}; its job is left alone", key, e.getMessage());
+                LOG.error(
+                        "run record unreadable, its job is left alone: key={} reason=\"{}\"",
+                        key,
+                        e.getMessage());
             }
             return TaskState.UNREADABLE_RECORD;
         }
--- a/src/main/java/io/pepperfield/rollout/VersionedTransactionLimits.java
+++ b/src/main/java/io/pepperfield/rollout/VersionedTransactionLimits.java
@@ -13,8 +13,8 @@
     private final int maxMutations;
     private final VersionGate gate;
 
-    VersionedTransactionLimits(int mostChanges, VersionGate gate) {
-        this.maxMutations = mostChanges;
+    VersionedTransactionLimits(int maxMutations, VersionGate gate) {
+        this.maxMutations = maxMutations;
         this.gate = gate;
     }
 
--- a/src/test/java/io/pepperfield/rollout/RolloutCommandsTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutCommandsTest.java
@@ -178,7 +178,7 @@
     }
 
     private ClusterVersion version() {
-        return ClusterVersion.read(state.get(Keys.ROLLOUT_VERSION));
+        return ClusterVersion.read(state.get(Keys.ROLLOUT_VERSION)).orElseThrow();
     }
 
     // ---- late and stale writers
--- a/src/test/java/io/pepperfield/rollout/RolloutForms.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutForms.java
@@ -74,12 +74,12 @@
     }
 
     private static String rewriteVersion(JsonNode form) {
-        ClusterVersion version = ClusterVersion.read(form);
+        ClusterVersion version = ClusterVersion.read(form).orElse(null);
         return version == null ? null : text(version.write());
     }
 
     private static String rewriteMember(JsonNode form) {
-        MemberRelease member = MemberRelease.read(form, 9);
+        MemberRelease member = MemberRelease.read(form, 9).orElse(null);
         return member == null ? null : text(member.write());
     }
 
--- a/src/test/java/io/pepperfield/rollout/RolloutLoopbackTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutLoopbackTest.java
@@ -83,7 +83,7 @@
     }
 
     private ClusterVersion version() throws Exception {
-        return ClusterVersion.read(region.durable("pepperfield/rollout/version"));
+        return ClusterVersion.read(region.durable("pepperfield/rollout/version")).orElseThrow();
     }
 
     private void untilDeclared(int node, String release) throws Exception {
--- a/src/test/java/io/pepperfield/rollout/RolloutSimulationTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutSimulationTest.java
@@ -56,7 +56,7 @@
 
     private static ClusterVersion version(SimulatedRegion region) {
         JsonNode record = region.durable("pepperfield/rollout/version");
-        return record == null ? ClusterVersion.INITIAL : ClusterVersion.read(record);
+        return record == null ? ClusterVersion.INITIAL : ClusterVersion.read(record).orElseThrow();
     }
 
     private static void playEach(Scenario scenario, long seed, Phase phase) {
