--- a/src/main/java/io/pepperfield/admission/AdmissionMessages.java
+++ b/src/main/java/io/pepperfield/admission/AdmissionMessages.java
@@ -95,7 +95,7 @@
                         wait ->
                                 waits.addArray()
                                         .add(wait.team())
-                                        .add(wait.rank().name())
+                                        .add(wait.priority().name())
                                         .add(Math.round(wait.waitS())));
         return Json.write(node);
     }
@@ -121,9 +121,9 @@
         }
         List<QueueWait> waits = new ArrayList<>();
         for (JsonNode line : message.path("waits")) {
-            JobSpec.Priority rank = parsePriority(line.path(1).asText());
-            if (rank != null) {
-                waits.add(new QueueWait(line.path(0).asText(), rank, line.path(2).asDouble()));
+            JobSpec.Priority priority = parsePriority(line.path(1).asText());
+            if (priority != null) {
+                waits.add(new QueueWait(line.path(0).asText(), priority, line.path(2).asDouble()));
             }
         }
         return new Allotment(
@@ -137,9 +137,9 @@
     }
 
     private static JobSpec.Priority parsePriority(String name) {
-        for (JobSpec.Priority rank : JobSpec.Priority.values()) {
-            if (rank.name().equals(name)) {
-                return rank;
+        for (JobSpec.Priority priority : JobSpec.Priority.values()) {
+            if (priority.name().equals(name)) {
+                return priority;
             }
         }
         return null;
--- a/src/main/java/io/pepperfield/admission/AdmissionOverview.java
+++ b/src/main/java/io/pepperfield/admission/AdmissionOverview.java
@@ -74,7 +74,7 @@
         for (QueueWait wait : issuer.queueWaits()) {
             lines.addObject()
                     .put("team", wait.team())
-                    .put("rank", wait.rank().name().toLowerCase(Locale.ROOT))
+                    .put("rank", wait.priority().name().toLowerCase(Locale.ROOT))
                     .put("predictedWaitS", tenths(wait.waitS()))
                     .put("beyondLimit", wait.waitS() > limits.maxPredictedWaitS());
         }
--- a/src/main/java/io/pepperfield/admission/Allotment.java
+++ b/src/main/java/io/pepperfield/admission/Allotment.java
@@ -30,7 +30,10 @@
      *
      * @param limited its demand is not met: it may not use what nobody else asked for
      */
-    record ClassShare(int perMinute, boolean limited) {}
+    record ClassShare(int perMinute, boolean limited) {
+        /** What a class has that the division does not know. */
+        static final ClassShare NONE = new ClassShare(0, false);
+    }
 
     /** Whether another allotment is the later one. */
     boolean isBefore(Allotment other) {
--- a/src/main/java/io/pepperfield/admission/ClassAdmission.java
+++ b/src/main/java/io/pepperfield/admission/ClassAdmission.java
@@ -1,5 +1,6 @@
 package io.pepperfield.admission;
 
+import io.pepperfield.admission.DemandReport.ClassDemand;
 import io.pepperfield.admission.RefusedSubmissions.Generation;
 
 /** What one controller keeps of one class: its token bucket, its demand and its counts. */
@@ -32,27 +33,27 @@
     }
 
     /** A job of it asks; how it is remembered says whether it has asked before. */
-    void recordRequest(Generation before) {
-        if (before == Generation.NONE) {
+    void recordRequest(Generation seenIn) {
+        if (seenIn == Generation.NONE) {
             newJobs++;
         }
     }
 
     /** A job of it was refused and is remembered from now on. */
-    void recordRefused(Generation before) {
-        if (before != Generation.CURRENT) {
+    void recordRefused(Generation seenIn) {
+        if (seenIn != Generation.CURRENT) {
             backlog++;
         }
-        if (before == Generation.PREVIOUS) {
+        if (seenIn == Generation.PREVIOUS) {
             previousBacklog--;
         }
     }
 
     /** A job of it was admitted, and is not remembered any more. */
-    void recordAdmitted(Generation before) {
-        if (before == Generation.CURRENT) {
+    void recordAdmitted(Generation seenIn) {
+        if (seenIn == Generation.CURRENT) {
             backlog--;
-        } else if (before == Generation.PREVIOUS) {
+        } else if (seenIn == Generation.PREVIOUS) {
             previousBacklog--;
         }
     }
@@ -77,6 +78,11 @@
                 + waiting * AdmissionLimits.SECONDS_PER_MINUTE / BACKLOG_DRAIN_S;
     }
 
+    /** The figures that the leader is told. */
+    ClassDemand demand(double now) {
+        return new ClassDemand(demandPerMinute(), admissions.total(now), refusals.total(now));
+    }
+
     /** Nobody has asked for a while and nothing is counted. */
     boolean isIdle(double now) {
         return demandPerMinute() < 0.01 && admissions.total(now) == 0 && refusals.total(now) == 0;
--- a/src/main/java/io/pepperfield/admission/QueueWaitPredictor.java
+++ b/src/main/java/io/pepperfield/admission/QueueWaitPredictor.java
@@ -21,7 +21,7 @@
     /** A queue's wait may be predicted at most as so many times what its oldest task has waited. */
     private static final double MAX_OLDEST_WAIT_MULTIPLE = 4;
 
-    /** The tasks that wait of one team and rank. */
+    /** The tasks that wait of one team and priority. */
     private static final class Queue {
         int waitingTasks;
         double oldestWaitS;
@@ -37,14 +37,18 @@
         updatedAt = now;
     }
 
-    /** A task of that team and rank has begun to run. */
-    public void recordStart(String team, JobSpec.Priority rank) {
-        queue(team, rank).starts++;
+    /** A task of that team and priority has begun to run. */
+    public void recordStart(String team, JobSpec.Priority priority) {
+        queue(team, priority).starts++;
     }
 
     /** Forgets which tasks wait, so that they can be counted anew. */
     public void beginRecount() {
-        queuesByTeam.values().forEach(ranks -> ranks.values().forEach(QueueWaitPredictor::clear));
+        queuesByTeam
+                .values()
+                .forEach(
+                        queuesByPriority ->
+                                queuesByPriority.values().forEach(QueueWaitPredictor::clear));
     }
 
     private static void clear(Queue queue) {
@@ -53,8 +57,8 @@
     }
 
     /** So many tasks of a job wait, the first of them for so many seconds. */
-    public void addWaiting(String team, JobSpec.Priority rank, int tasks, double waitedS) {
-        Queue queue = queue(team, rank);
+    public void addWaiting(String team, JobSpec.Priority priority, int tasks, double waitedS) {
+        Queue queue = queue(team, priority);
         queue.waitingTasks += tasks;
         queue.oldestWaitS = Math.max(queue.oldestWaitS, waitedS);
     }
@@ -67,8 +71,8 @@
         }
         updatedAt = now;
         double kept = Math.pow(RATE_SMOOTHING, seconds);
-        for (Map<JobSpec.Priority, Queue> ranks : queuesByTeam.values()) {
-            for (Queue queue : ranks.values()) {
+        for (Map<JobSpec.Priority, Queue> queuesByPriority : queuesByTeam.values()) {
+            for (Queue queue : queuesByPriority.values()) {
                 queue.startsPerS = kept * queue.startsPerS + (1 - kept) * queue.starts / seconds;
                 queue.starts = 0;
             }
@@ -78,17 +82,24 @@
     /** The queues whose predicted waiting is at least that long. */
     public List<QueueWait> waitsOfAtLeast(double leastS) {
         List<QueueWait> waits = new ArrayList<>();
-        queuesByTeam.forEach((team, ranks) -> addWaits(team, ranks, leastS, waits));
+        queuesByTeam.forEach(
+                (team, queuesByPriority) -> addWaits(team, queuesByPriority, leastS, waits));
         return waits;
     }
 
-    /** What ranks higher begins first: a rank waits for its own queue and for those above. */
+    /**
+     * What has a higher priority begins first: a priority waits for its own queue and for those
+     * above.
+     */
     private static void addWaits(
-            String team, Map<JobSpec.Priority, Queue> ranks, double leastS, List<QueueWait> waits) {
+            String team,
+            Map<JobSpec.Priority, Queue> queuesByPriority,
+            double leastS,
+            List<QueueWait> waits) {
         int tasks = 0;
         double startsPerS = 0;
         double oldestS = 0;
-        for (Map.Entry<JobSpec.Priority, Queue> entry : ranks.entrySet()) {
+        for (Map.Entry<JobSpec.Priority, Queue> entry : queuesByPriority.entrySet()) {
             Queue queue = entry.getValue();
             tasks += queue.waitingTasks;
             startsPerS += queue.startsPerS;
@@ -101,9 +112,9 @@
         }
     }
 
-    private Queue queue(String team, JobSpec.Priority rank) {
+    private Queue queue(String team, JobSpec.Priority priority) {
         return queuesByTeam
                 .computeIfAbsent(team, t -> new EnumMap<>(JobSpec.Priority.class))
-                .computeIfAbsent(rank, r -> new Queue());
+                .computeIfAbsent(priority, r -> new Queue());
     }
 }
--- a/src/test/java/io/pepperfield/admission/AdmissionForms.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionForms.java
@@ -39,7 +39,7 @@
                 AdmissionForms::rewriteReport);
         List<QueueWait> waits =
                 Stream.of(JobSpec.Priority.values())
-                        .map(rank -> new QueueWait("red", rank, 90))
+                        .map(priority -> new QueueWait("red", priority, 90))
                         .toList();
         file.addRewrittenByField(
                 "allotment",
--- a/src/test/java/io/pepperfield/admission/QueueWaitPredictorTest.java
+++ b/src/test/java/io/pepperfield/admission/QueueWaitPredictorTest.java
@@ -12,7 +12,7 @@
     private final QueueWaitPredictor queues = new QueueWaitPredictor(0);
     private double now;
 
-    /** A second in which so many tasks of the lowest rank begin and so many wait. */
+    /** A second in which so many tasks of the lowest priority begin and so many wait. */
     private void second(int started, int waiting, double oldestS) {
         for (int i = 0; i < started; i++) {
             queues.recordStart("guests", Priority.BEST_EFFORT);
@@ -50,7 +50,7 @@
         queues.finishRecount(++now);
         assertEquals(
                 List.of(Priority.BEST_EFFORT),
-                queues.waitsOfAtLeast(1).stream().map(QueueWait::rank).toList());
+                queues.waitsOfAtLeast(1).stream().map(QueueWait::priority).toList());
     }
 
     @Test
