--- a/src/main/java/io/pepperfield/admission/Admission.java
+++ b/src/main/java/io/pepperfield/admission/Admission.java
@@ -11,6 +11,7 @@
 import io.pepperfield.leadership.Leadership;
 import io.pepperfield.loop.Loop;
 import io.pepperfield.peer.Peers;
+import java.util.Optional;
 import java.util.UUID;
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
@@ -24,7 +25,10 @@
     /** Where the leader is asked. */
     public static final String PATH = "/peer/admission";
 
+    private static final int OK = 200;
+    private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
+    private static final int CONFLICT = 409;
 
     /** A leader without the feature is asked again after so many allotments' time. */
     private static final double UNSUPPORTED_RETRY_DURATIONS = 4;
@@ -46,21 +50,25 @@
     /**
      * Creates the admission of one controller, which has its fixed share from now on.
      *
-     * @param contactAt when the state service last answered, a loop time
+     * @param lastConfirmedAt when the state service last answered, a loop time
      */
     public Admission(
-            Loop loop, Settings settings, Peers peers, Leadership lead, DoubleSupplier contactAt) {
+            Loop loop,
+            Settings settings,
+            Peers peers,
+            Leadership leadership,
+            DoubleSupplier lastConfirmedAt) {
         this.loop = loop;
         this.settings = settings;
         this.peers = peers;
-        this.leadership = lead;
+        this.leadership = leadership;
         this.limits = AdmissionLimits.of(settings);
         this.submissions =
                 new SubmissionAdmission(
                         loop,
                         limits,
                         settings.node(),
-                        contactAt,
+                        lastConfirmedAt,
                         settings.deployment().workerTimings().heartbeatIntervalS());
         peers.addEndpoint(PATH, this::handleDemandReport);
     }
@@ -70,16 +78,16 @@
         return submissions;
     }
 
-    /** This node leads from now on, with that token. */
-    public void elected(FencingToken token) {
-        issuer = new AllotmentIssuer(limits, settings.node(), token, loop.now());
+    /** This node leads from now on, with that fencing token. */
+    public void elected(FencingToken fencingToken) {
+        issuer = new AllotmentIssuer(limits, settings.node(), fencingToken, loop.now());
         queueWaitPredictor = new QueueWaitPredictor(loop.now());
     }
 
-    /** The leader's token was minted anew. */
-    public void fencingTokenRenewed(FencingToken token) {
+    /** This leadership has another fencing token. */
+    public void fencingTokenRenewed(FencingToken renewed) {
         if (issuer != null) {
-            issuer.fencingToken(token);
+            issuer.renewFencingToken(renewed);
         }
     }
 
@@ -108,29 +116,27 @@
         nextTickAt = now + limits.requestIntervalS();
         submissions.tick();
         if (issuer != null && leadership.holdsValidLease()) {
-            issuer.queueWaits(queueWaitPredictor.waitsOfAtLeast(limits.maxPredictedWaitS() / 2));
-            Allotment own =
-                    issuer.issue(submissions.demandReport(processIncarnation, ++sequence), now);
-            submissions.useAllotment(own, now, leadership.highestFencingToken());
+            issuer.setQueueWaits(queueWaitPredictor.waitsOfAtLeast(limits.maxPredictedWaitS() / 2));
+            DemandReport ownReport = submissions.demandReport(processIncarnation, ++sequence);
+            issuer.issue(ownReport, now).ifPresent(allotment -> useAllotment(allotment, now));
         } else {
             requestAllotment(now);
         }
     }
 
     private void requestAllotment(double now) {
-        Settings.Member leader =
+        Optional<Settings.Member> leader =
                 settings.members().stream()
                         .filter(member -> member.node().equals(leadership.leaderNode()))
-                        .findFirst()
-                        .orElse(null);
-        if (leader == null || requestInFlight || now < nextRequestAt) {
+                        .findFirst();
+        if (leader.isEmpty() || requestInFlight || now < nextRequestAt) {
             return;
         }
         requestInFlight = true;
         byte[] report =
                 AdmissionMessages.write(submissions.demandReport(processIncarnation, ++sequence));
         peers.send(
-                leader,
+                leader.get(),
                 PATH,
                 report,
                 limits.allotmentDurationS(),
@@ -147,27 +153,34 @@
             nextRequestAt = loop.now() + UNSUPPORTED_RETRY_DURATIONS * limits.allotmentDurationS();
             return;
         }
-        Allotment allotment =
-                answer.status() == 200 ? AdmissionMessages.readAllotment(answer.json()) : null;
-        if (allotment != null) {
-            submissions.useAllotment(allotment, sentAt, leadership.highestFencingToken());
+        if (answer.status() == OK) {
+            AdmissionMessages.readAllotment(answer.json())
+                    .ifPresent(allotment -> useAllotment(allotment, sentAt));
         }
     }
 
+    private void useAllotment(Allotment allotment, double sentAt) {
+        submissions.useAllotment(allotment, sentAt, leadership.highestFencingToken());
+    }
+
     /** Answers another controller's report. */
-    private void handleDemandReport(InboundRequest call, Consumer<HttpReply> answer) {
-        DemandReport report = AdmissionMessages.readReport(Json.read(call.body()));
-        if (report == null) {
-            answer.accept(HttpReply.error(400, "not a report of demand"));
-        } else if (issuer == null || !leadership.holdsValidLease()) {
-            answer.accept(HttpReply.unavailable("not leading"));
-        } else {
-            Allotment allotment = issuer.issue(report, loop.now());
-            answer.accept(
-                    allotment == null
-                            ? HttpReply.error(409, "a report of an earlier process, or a copy")
-                            : new HttpReply(200, AdmissionMessages.write(allotment), 0));
+    private void handleDemandReport(InboundRequest request, Consumer<HttpReply> answer) {
+        answer.accept(
+                AdmissionMessages.readReport(Json.read(request.body()))
+                        .map(this::replyTo)
+                        .orElseGet(() -> HttpReply.error(BAD_REQUEST, "not a report of demand")));
+    }
+
+    private HttpReply replyTo(DemandReport report) {
+        if (issuer == null || !leadership.holdsValidLease()) {
+            return HttpReply.unavailable("not leading");
         }
+        return issuer.issue(report, loop.now())
+                .map(allotment -> new HttpReply(OK, AdmissionMessages.write(allotment), 0))
+                .orElseGet(
+                        () ->
+                                HttpReply.error(
+                                        CONFLICT, "a report of an earlier process, or a copy"));
     }
 
     /** Adds what operators see to the overview of a node. */
--- a/src/main/java/io/pepperfield/admission/AdmissionMessages.java
+++ b/src/main/java/io/pepperfield/admission/AdmissionMessages.java
@@ -9,7 +9,9 @@
 import io.pepperfield.http.Json;
 import io.pepperfield.jobs.JobSpec;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import java.util.SortedMap;
 import java.util.TreeMap;
 
@@ -43,33 +45,34 @@
         return Json.write(node);
     }
 
-    /** Null where it is no such message. */
-    static DemandReport readReport(JsonNode message) {
+    /** Empty where it is no such message. */
+    static Optional<DemandReport> readReport(JsonNode message) {
         if (!message.path("node").isTextual()
                 || !message.path("process").isTextual()
                 || !message.path("seq").isIntegralNumber()
                 || !message.path("heldEpoch").isIntegralNumber()
                 || !message.path("heldSerial").isIntegralNumber()
                 || !message.path("classes").isArray()) {
-            return null;
+            return Optional.empty();
         }
         SortedMap<WorkloadClass, ClassDemand> classes = new TreeMap<>();
         for (JsonNode line : message.path("classes")) {
             double perMinute = line.path(3).asDouble(-1);
             if (!isClass(line) || !(perMinute >= 0 && perMinute <= MAX_PER_MINUTE)) {
-                return null;
+                return Optional.empty();
             }
             classes.put(
                     readClass(line),
                     new ClassDemand(perMinute, line.path(4).asInt(), line.path(5).asInt()));
         }
-        return new DemandReport(
-                message.path("node").textValue(),
-                message.path("process").textValue(),
-                message.path("seq").longValue(),
-                new FencingToken(message.path("heldEpoch").longValue()),
-                message.path("heldSerial").longValue(),
-                classes);
+        return Optional.of(
+                new DemandReport(
+                        message.path("node").textValue(),
+                        message.path("process").textValue(),
+                        message.path("seq").longValue(),
+                        new FencingToken(message.path("heldEpoch").longValue()),
+                        message.path("heldSerial").longValue(),
+                        classes));
     }
 
     static byte[] write(Allotment allotment) {
@@ -100,20 +103,20 @@
         return Json.write(node);
     }
 
-    /** Null where it is no such message. */
-    static Allotment readAllotment(JsonNode message) {
+    /** Empty where it is no such message. */
+    static Optional<Allotment> readAllotment(JsonNode message) {
         if (!message.path("node").isTextual()
                 || !message.path("epoch").isIntegralNumber()
                 || !message.path("serial").isIntegralNumber()
                 || !message.path("durationMs").isIntegralNumber()
                 || !message.path("extraPerMinute").canConvertToInt()
                 || message.path("extraPerMinute").intValue() < 0) {
-            return null;
+            return Optional.empty();
         }
         SortedMap<WorkloadClass, ClassShare> classes = new TreeMap<>();
         for (JsonNode line : message.path("classes")) {
             if (!isClass(line) || line.path(3).asInt(-1) < 0) {
-                return null;
+                return Optional.empty();
             }
             classes.put(
                     readClass(line),
@@ -121,28 +124,30 @@
         }
         List<QueueWait> waits = new ArrayList<>();
         for (JsonNode line : message.path("waits")) {
-            JobSpec.Priority priority = parsePriority(line.path(1).asText());
-            if (priority != null) {
-                waits.add(new QueueWait(line.path(0).asText(), priority, line.path(2).asDouble()));
-            }
+            parsePriority(line.path(1).asText())
+                    .map(
+                            priority ->
+                                    new QueueWait(
+                                            line.path(0).asText(),
+                                            priority,
+                                            line.path(2).asDouble()))
+                    .ifPresent(waits::add);
         }
-        return new Allotment(
-                message.path("node").textValue(),
-                new FencingToken(message.path("epoch").longValue()),
-                message.path("serial").longValue(),
-                message.path("durationMs").longValue() / 1000.0,
-                message.path("extraPerMinute").intValue(),
-                classes,
-                waits);
+        return Optional.of(
+                new Allotment(
+                        message.path("node").textValue(),
+                        new FencingToken(message.path("epoch").longValue()),
+                        message.path("serial").longValue(),
+                        message.path("durationMs").longValue() / 1000.0,
+                        message.path("extraPerMinute").intValue(),
+                        classes,
+                        waits));
     }
 
-    private static JobSpec.Priority parsePriority(String name) {
-        for (JobSpec.Priority priority : JobSpec.Priority.values()) {
-            if (priority.name().equals(name)) {
-                return priority;
-            }
-        }
-        return null;
+    private static Optional<JobSpec.Priority> parsePriority(String name) {
+        return Arrays.stream(JobSpec.Priority.values())
+                .filter(priority -> priority.name().equals(name))
+                .findFirst();
     }
 
     private static ArrayNode addClass(ArrayNode line, WorkloadClass of) {
--- a/src/main/java/io/pepperfield/admission/AllotmentIssuer.java
+++ b/src/main/java/io/pepperfield/admission/AllotmentIssuer.java
@@ -7,6 +7,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SortedMap;
 import java.util.TreeMap;
 
@@ -55,28 +56,28 @@
                         limits.dividedPerMinute(), limits.allotmentDurationS(), electedAt);
     }
 
-    /** The leader's token was minted anew; the leadership is the same. */
-    void fencingToken(FencingToken renewed) {
+    /** The same leadership has another fencing token. */
+    void renewFencingToken(FencingToken renewed) {
         fencingToken = renewed;
     }
 
     /** The queues whose waiting the controllers are to know. */
-    void queueWaits(List<QueueWait> predicted) {
+    void setQueueWaits(List<QueueWait> predicted) {
         queueWaits = predicted;
     }
 
-    /** The answer to a controller's report; null where the report is a late copy. */
-    Allotment issue(DemandReport report, double now) {
+    /** The answer to a controller's report; empty where the report is a late copy. */
+    Optional<Allotment> issue(DemandReport report, double now) {
         if (!members.recordMessage(
                 report.node(), report.processIncarnation(), report.sequence(), now)) {
-            return null;
+            return Optional.empty();
         }
         if (report.heldFencingToken().isAtLeast(firstFencingToken)) {
             outstandingAllotments.acknowledge(report.node(), report.heldSerial());
         }
         reports.values().removeIf(known -> now - known.receivedAt > limits.allotmentDurationS());
         reports.put(report.node(), new ReceivedReport(report, now));
-        return allot(report, now);
+        return Optional.of(allot(report, now));
     }
 
     private Allotment allot(DemandReport report, double now) {
--- a/src/test/java/io/pepperfield/admission/AdmissionForms.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionForms.java
@@ -59,12 +59,12 @@
     }
 
     private static String rewriteReport(JsonNode form) {
-        DemandReport report = AdmissionMessages.readReport(form);
+        DemandReport report = AdmissionMessages.readReport(form).orElse(null);
         return report == null ? null : text(AdmissionMessages.write(report));
     }
 
     private static String rewriteAllotment(JsonNode form) {
-        Allotment allotment = AdmissionMessages.readAllotment(form);
+        Allotment allotment = AdmissionMessages.readAllotment(form).orElse(null);
         return allotment == null ? null : text(AdmissionMessages.write(allotment));
     }
 
--- a/src/test/java/io/pepperfield/admission/AllotmentIssuerTest.java
+++ b/src/test/java/io/pepperfield/admission/AllotmentIssuerTest.java
@@ -1,12 +1,12 @@
 package io.pepperfield.admission;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pepperfield.admission.DemandReport.ClassDemand;
 import io.pepperfield.fencing.FencingToken;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SortedMap;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
@@ -35,7 +35,7 @@
 
     private Allotment ask(String node, double red, double blue, double now) {
         Allotment last = held.get(node);
-        Allotment next =
+        Optional<Allotment> next =
                 issuer.issue(
                         new DemandReport(
                                 node,
@@ -45,8 +45,8 @@
                                 last == null ? 0 : last.serial(),
                                 demand(red, blue)),
                         now);
-        held.put(node, next);
-        return next;
+        held.put(node, next.orElseThrow());
+        return next.get();
     }
 
     private void settle(double from) {
@@ -102,11 +102,12 @@
         ask("b", 200, 0, 4);
         Allotment last = ask("b", 200, 0, 4.5);
         DemandReport copy = new DemandReport("b", "p", 1, FencingToken.NONE, 0, demand(0, 500));
-        assertNull(issuer.issue(copy, 5));
+        assertEquals(Optional.empty(), issuer.issue(copy, 5));
         assertEquals(last.extraPerMinute(), issuer.outstandingAllotments().committed("b", 5));
         // Nor one of the process before.
         issuer.issue(new DemandReport("b", "q", 1, FencingToken.NONE, 0, demand(1, 1)), 5.1);
-        assertNull(
+        assertEquals(
+                Optional.empty(),
                 issuer.issue(
                         new DemandReport("b", "p", 9, FencingToken.NONE, 0, demand(0, 500)), 5.2));
     }
--- a/src/test/java/io/pepperfield/admission/SubmissionAdmissionTest.java
+++ b/src/test/java/io/pepperfield/admission/SubmissionAdmissionTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.pepperfield.admission.Allotment.ClassShare;
@@ -14,6 +13,7 @@
 import io.pepperfield.standin.SimulatedLoop;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SortedMap;
 import java.util.TreeMap;
 import org.junit.jupiter.api.BeforeEach;
@@ -239,18 +239,21 @@
     void messagesAreReadAsTheyWereWrittenAndOthersRefused() {
         Allotment sent = allotment(TOKEN, 3, 40, 10, 20);
         assertEquals(
-                sent, AdmissionMessages.readAllotment(Json.read(AdmissionMessages.write(sent))));
+                Optional.of(sent),
+                AdmissionMessages.readAllotment(Json.read(AdmissionMessages.write(sent))));
         decide(RED, "run-1");
         DemandReport report = admission.demandReport("p", 4);
         assertEquals(
                 report.classes().keySet(),
                 AdmissionMessages.readReport(Json.read(AdmissionMessages.write(report)))
+                        .orElseThrow()
                         .classes()
                         .keySet());
         String negative =
                 "{\"node\":\"a\",\"process\":\"p\",\"seq\":1,\"heldEpoch\":0,\"heldSerial\":0,"
                         + "\"classes\":[[\"red\",\"batch\",false,-5,0,0]]}";
-        assertNull(AdmissionMessages.readReport(Json.read(negative.getBytes())));
-        assertNull(AdmissionMessages.readAllotment(Json.read("{}".getBytes())));
+        assertEquals(
+                Optional.empty(), AdmissionMessages.readReport(Json.read(negative.getBytes())));
+        assertEquals(Optional.empty(), AdmissionMessages.readAllotment(Json.read("{}".getBytes())));
     }
 }
