--- a/src/test/java/io/pepperfield/standin/FaultInjector.java
+++ b/src/test/java/io/pepperfield/standin/FaultInjector.java
@@ -131,7 +131,7 @@
             users.checkReadsAfterWrites(until);
         } else if (trouble instanceof Fault.InvalidRequests invalid) {
             for (int i = 0; i < invalid.forS() * 4; i++) {
-                world.after(i / 4.0, users::invalidRequest);
+                world.after(i / 4.0, users.invalidRequests::sendOne);
             }
         } else if (trouble instanceof Fault.SubmissionFlood swarm) {
             int first = 100_000 * ++submissionFloods;
--- a/src/test/java/io/pepperfield/standin/SimulatedRegion.java
+++ b/src/test/java/io/pepperfield/standin/SimulatedRegion.java
@@ -237,7 +237,7 @@
 
     /** Asks about a job that nobody submitted. */
     public void queryUnknownJob() {
-        users.queryUnknownJob();
+        users.invalidRequests.queryUnknownJob();
     }
 
     /** Users ask eight times as often until then. */
