--- a/src/test/java/io/pepperfield/admission/AdmissionSimulationTest.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionSimulationTest.java
@@ -144,13 +144,13 @@
         SimulatedRegion region = region(5, 3, 70, RED, FLOOD);
         region.world.run(35);
         int alone = (region.leaderIndex() + 1) % 3;
-        region.networkCuts.peers(alone, 50);
+        region.networkPartitions.peers(alone, 50);
         region.world.run(35 + 1.5);
         assertEquals(ALL_PER_MINUTE * 0.5 / 3, region.admissionLoad.perMinute(alone), 1);
         // The cut flaps afterwards.
         for (int i = 0; i < 5; i++) {
             double from = 51 + 3 * i;
-            region.world.at(from, () -> region.networkCuts.peers(alone, from + 1.6));
+            region.world.at(from, () -> region.networkPartitions.peers(alone, from + 1.6));
         }
         region.world.run(70);
         checkServed(region, "red", 12, "cut off");
@@ -162,7 +162,7 @@
     void theLeaderIsFrozenForLongerThanAnAllotment(long seed) {
         SimulatedRegion region = region(seed, 3, 60, RED, FLOOD);
         region.world.run(35);
-        region.pause(region.leaderIndex(), 35 + 4 + seed);
+        region.faults.pause(region.leaderIndex(), 35 + 4 + seed);
         region.world.run(60);
         checkAccepted(region, "red", 20, "frozen");
         checkEnd(region, 60, "frozen leader " + seed);
@@ -174,7 +174,7 @@
         region.world.run(30);
         for (int i = 0; i < 20; i++) {
             int node = i % 3;
-            region.world.at(30 + i, () -> region.crash(node, 0.1));
+            region.world.at(30 + i, () -> region.faults.crash(node, 0.1));
         }
         region.world.run(60);
         checkAccepted(region, "red", 20, "back at once");
@@ -185,7 +185,7 @@
     void anOutageEndsWithEverybodysRetriesAtOnce() {
         SimulatedRegion region = region(10, 3, 80, RED, PATIENT_FLOOD);
         region.world.run(35);
-        region.storeOutage(45);
+        region.faults.storeOutage(45);
         region.world.run(80);
         checkAccepted(region, "red", 30, "outage");
         checkEnd(region, 80, "outage");
@@ -196,7 +196,7 @@
         SimulatedRegion region =
                 region(11, 3, 70, new Stream("red", "batch", 2, false), PATIENT_FLOOD);
         region.world.run(35);
-        region.reduceStoreLimits();
+        region.faults.reduceStoreLimits();
         region.world.run(70);
         checkAccepted(region, "red", 30, "limits fell");
         region.world.run(170);
@@ -210,7 +210,7 @@
         region.world.run(FROM_S);
         // The one without the feature leads.
         for (int i = 0; i < 8 && region.leaderIndex() != 2; i++) {
-            region.crash(region.leaderIndex(), 6);
+            region.faults.crash(region.leaderIndex(), 6);
             region.world.run(region.world.now() + 5);
         }
         assertEquals("node-2", region.leader());
@@ -271,13 +271,13 @@
     private static void trouble(SimulatedRegion region, int kind, int node, double forS) {
         double until = region.world.now() + forS;
         switch (kind) {
-            case 0 -> region.crash(node, forS);
-            case 1 -> region.pause(node, until);
-            case 2 -> region.networkCuts.peers(node, until);
-            case 3 -> region.storeOutage(until);
+            case 0 -> region.faults.crash(node, forS);
+            case 1 -> region.faults.pause(node, until);
+            case 2 -> region.networkPartitions.peers(node, until);
+            case 3 -> region.faults.storeOutage(until);
             default -> {
                 if (!region.leader().isEmpty()) {
-                    region.crash(region.leaderIndex(), Math.min(forS, 0.3));
+                    region.faults.crash(region.leaderIndex(), Math.min(forS, 0.3));
                 }
             }
         }
--- a/src/test/java/io/pepperfield/controller/DecisionDay.java
+++ b/src/test/java/io/pepperfield/controller/DecisionDay.java
@@ -88,7 +88,7 @@
         region.world.at(30, () -> region.jobMix.submitFailing(201, 150));
         region.world.at(70, () -> region.jobMix.submitGuests(200, 150, 2));
         for (int i = 0; i < 14; i++) {
-            region.world.at(20 + 11 * i, region::injectRandomFault);
+            region.world.at(20 + 11 * i, region.faults::injectRandomFault);
         }
         return region;
     }
--- a/src/test/java/io/pepperfield/controller/PipelineSimulationTest.java
+++ b/src/test/java/io/pepperfield/controller/PipelineSimulationTest.java
@@ -151,7 +151,7 @@
             region.world.duplicateDeliveryShare = 0.01;
             submitAll(region, shape);
             for (int i = 0; i < 10; i++) {
-                region.world.at(15 + 9 * i, region::injectRandomFault);
+                region.world.at(15 + 9 * i, region.faults::injectRandomFault);
             }
             region.world.run(330);
             assertEquals(List.of(), region.violations, "seed " + seed);
--- a/src/test/java/io/pepperfield/controller/RollingRestartTest.java
+++ b/src/test/java/io/pepperfield/controller/RollingRestartTest.java
@@ -34,7 +34,7 @@
             }
             int next = restarted.contains(leading) ? firstWithoutTurn(restarted) : leading;
             restarted.add(next);
-            region.crash(next, AWAY_S);
+            region.faults.crash(next, AWAY_S);
         }
         int leadingBefore = region.leaderIndex();
         region.world.run(region.world.now() + BETWEEN_RESTARTS_S);
--- a/src/test/java/io/pepperfield/controller/SimulationTest.java
+++ b/src/test/java/io/pepperfield/controller/SimulationTest.java
@@ -43,7 +43,7 @@
     @Test
     void anOutageOfTheStateServiceCostsNoRunningWork() {
         SimulatedRegion region = region(2, 6, 1);
-        region.world.at(24, () -> region.storeOutage(34));
+        region.world.at(24, () -> region.faults.storeOutage(34));
         region.world.run(150);
         assertEquals(List.of(), region.violations);
         assertEquals(List.of(), region.unfinishedJobs());
@@ -71,12 +71,15 @@
         int lostBefore = region.lostTasks();
         String leader = region.leader();
         int alone = region.leaderIndex();
-        region.networkCuts.isolate(alone, 70);
+        region.networkPartitions.isolate(alone, 70);
         region.world.run(50);
         // It can answer nobody: it leaves the load balancer and ends the connections that were
         // opened before.
-        assertEquals(503, region.answer(alone, "GET", "/up").status());
-        assertTrue(region.answer(alone, "GET", "/api/jobs/run-999998").closeConnection());
+        assertEquals(503, region.directRequests.answer(alone, "GET", "/up").status());
+        assertTrue(
+                region.directRequests
+                        .answer(alone, "GET", "/api/jobs/run-999998")
+                        .closeConnection());
         region.world.run(68);
         assertNotEquals(leader, region.leader());
         // No lease ran out, and no machine was given up for a silence that was the old leader's
@@ -95,7 +98,7 @@
         for (int i = 0; i < 6; i++) {
             // Shorter than a lease, so that workers may still turn to it; longer than its grant.
             region.world.run(40 + 9 * i);
-            region.pause(region.leaderIndex(), region.world.now() + 1.5 + 0.5 * i);
+            region.faults.pause(region.leaderIndex(), region.world.now() + 1.5 + 0.5 * i);
         }
         region.world.run(250);
         assertEquals(List.of(), region.violations);
@@ -108,10 +111,10 @@
         SimulatedRegion region = region(8, 12, 2);
         region.world.run(40);
         int leader = region.leaderIndex();
-        region.networkCuts.zone("east", (leader + 1) % 3, 40 + 2.5 * SimulatedRegion.LEASE_S);
+        region.networkPartitions.zone("east", (leader + 1) % 3, 40 + 2.5 * SimulatedRegion.LEASE_S);
         // The next leader begins while half of the fleet is silent, after those machines had
         // booted.
-        region.world.at(41, () -> region.crash(leader, 5));
+        region.world.at(41, () -> region.faults.crash(leader, 5));
         region.world.run(41);
         // Now, since the earlier leader may still have returned a surplus of its own.
         List<String> zone =
@@ -138,20 +141,20 @@
         region.world.run(10);
         int inside = (region.leaderIndex() + 1) % 3;
         for (int i = 0; i < 100; i++) {
-            region.sendHeartbeat(inside, i % 2 == 0 ? "east" : "west");
+            region.directRequests.sendHeartbeat(inside, i % 2 == 0 ? "east" : "west");
         }
         double cut = region.world.now();
-        region.networkCuts.zone("east", inside, cut + 40);
+        region.networkPartitions.zone("east", inside, cut + 40);
         region.world.run(cut + 4);
         // Alone as far as it knows: others are to take the worker.
-        assertEquals(503, region.sendHeartbeat(inside, "east").status());
+        assertEquals(503, region.directRequests.sendHeartbeat(inside, "east").status());
         for (int i = 0; i < 12; i++) {
-            region.sendHeartbeat(inside, "east");
+            region.directRequests.sendHeartbeat(inside, "east");
         }
-        assertEquals(200, region.sendHeartbeat(inside, "east").status());
+        assertEquals(200, region.directRequests.sendHeartbeat(inside, "east").status());
         // But not beyond what it knows of cancellations.
         region.world.run(cut + SimulatedRegion.CANCELLATION_DEADLINE_S - SimulatedRegion.LEASE_S);
-        assertEquals(503, region.sendHeartbeat(inside, "east").status());
+        assertEquals(503, region.directRequests.sendHeartbeat(inside, "east").status());
     }
 
     @Test
@@ -182,7 +185,7 @@
         assertTrue(region.runningTasks() > 4, "tasks " + region.runningTasks());
         // The others know of the cancellations, but give no stops; their answers must not keep the
         // tasks alive.
-        region.preventElection(36 + 3 * SimulatedRegion.CANCELLATION_DEADLINE_S);
+        region.faults.preventElection(36 + 3 * SimulatedRegion.CANCELLATION_DEADLINE_S);
         region.cancelAll();
         region.world.run(36 + 2 * SimulatedRegion.CANCELLATION_DEADLINE_S);
         assertEquals(List.of(), region.violations);
@@ -198,9 +201,9 @@
         region.world.duplicateDeliveryShare = 0.05;
         for (int i = 0; i < 30; i++) {
             int node = i % 3;
-            region.world.at(20 + 0.9 * i, () -> region.crash(node, 0.1));
+            region.world.at(20 + 0.9 * i, () -> region.faults.crash(node, 0.1));
             // The whole lot at once, in the middle of what the crash before has set off.
-            region.world.at(20.3 + 4.5 * (i / 5), () -> region.crash((node + 1) % 3, 0.15));
+            region.world.at(20.3 + 4.5 * (i / 5), () -> region.faults.crash((node + 1) % 3, 0.15));
         }
         region.world.run(250);
         assertEquals(List.of(), region.violations);
@@ -262,7 +265,7 @@
     @Test
     void machinesThatComeLateAreWaitedForAndThoseThatNeverComeReplaced() {
         SimulatedRegion late = new SimulatedRegion(23);
-        late.slowBoots(4, 0, 60);
+        late.faults.slowBoots(4, 0, 60);
         late.world.at(10, () -> late.jobMix.submitGuests(1, 64, 20));
         SimulatedRegion usual = new SimulatedRegion(23);
         usual.world.at(10, () -> usual.jobMix.submitGuests(1, 64, 20));
@@ -273,7 +276,7 @@
                 late.rentals() <= usual.rentals() + 1,
                 "a second fleet: " + late.rentals() + " machines, usually " + usual.rentals());
         SimulatedRegion never = new SimulatedRegion(24);
-        never.slowBoots(1, 1, 14);
+        never.faults.slowBoots(1, 1, 14);
         never.world.at(10, () -> never.jobMix.submitGuests(1, 64, 5));
         never.world.run(60);
         assertEquals(List.of(), never.unfinishedJobs());
@@ -285,7 +288,7 @@
         region.world.run(40);
         // What workers do tells of a controller only while some of them are its own.
         while (region.partitionSize(region.leaderIndex()) < 2 && region.world.now() < 100) {
-            region.crash(region.leaderIndex(), 0.5);
+            region.faults.crash(region.leaderIndex(), 0.5);
             region.world.run(region.world.now() + 4);
         }
         int leader = region.leaderIndex();
@@ -311,8 +314,8 @@
         SimulatedRegion region = region(27, 4, 1);
         region.world.run(30);
         // 1,000 sockets: 125 questions at once, of which 62 about jobs that nobody submitted.
-        assertEquals(List.of(62, 38), region.floodWithUnknownJobs(1, 100));
-        assertEquals(200, region.answer(1, "GET", "/api/jobs/run-000001").status());
+        assertEquals(List.of(62, 38), region.directRequests.floodWithUnknownJobs(1, 100));
+        assertEquals(200, region.directRequests.answer(1, "GET", "/api/jobs/run-000001").status());
     }
 
     @Test
@@ -320,7 +323,7 @@
         SimulatedRegion region = region(26, 20, 1);
         region.world.run(35);
         int silent = region.leaderIndex();
-        region.pause(silent, 35 + 5 * SimulatedRegion.LEASE_S);
+        region.faults.pause(silent, 35 + 5 * SimulatedRegion.LEASE_S);
         region.queryMoreOften(35 + 6 * SimulatedRegion.LEASE_S);
         region.world.run(35 + 5 * SimulatedRegion.LEASE_S - 1);
         assertNotEquals("node-" + silent, region.leader());
@@ -360,7 +363,7 @@
         region.world.at(30, () -> region.jobMix.submitFailing(201, 150));
         region.world.at(80, () -> region.jobMix.submitFailing(202, 180));
         for (int i = 0; i < 14; i++) {
-            region.world.at(20 + 11 * i, region::injectRandomFault);
+            region.world.at(20 + 11 * i, region.faults::injectRandomFault);
             region.world.at(25 + 11 * i, region::queryUnknownJob);
         }
         region.world.run(420);
--- a/src/test/java/io/pepperfield/controller/UpgradeTest.java
+++ b/src/test/java/io/pepperfield/controller/UpgradeTest.java
@@ -103,18 +103,18 @@
             region.play(day);
             region.world.run(30);
             int first = region.leaderIndex();
-            region.replace(first, Version.CURRENT, 0.2);
+            region.faults.replace(first, Version.CURRENT, 0.2);
             region.world.run(33);
             if (region.leaderIndex() != first) {
                 // Only the new one is there to be elected; the others come back as they were.
-                region.crash((first + 1) % NODES, 3);
-                region.crash((first + 2) % NODES, 3);
+                region.faults.crash((first + 1) % NODES, 3);
+                region.faults.crash((first + 2) % NODES, 3);
                 region.world.run(region.world.now() + 4);
             }
             region.world.run(66);
             assertEquals(first, region.leaderIndex(), "the lead swings");
-            region.replace((first + 1) % NODES, Version.CURRENT, 5);
-            region.replace((first + 2) % NODES, Version.CURRENT, 5);
+            region.faults.replace((first + 1) % NODES, Version.CURRENT, 5);
+            region.faults.replace((first + 2) % NODES, Version.CURRENT, 5);
             region.world.run(day.endsAt());
             checkEnd(region, "seed " + seed);
         }
@@ -194,7 +194,7 @@
                         .at(100 + region.world.random.nextInt(60), new StoreLimitsReduction());
         region.play(day);
         for (int i = 0; i < 12; i++) {
-            region.world.at(20 + 11 * i, region::injectRandomFault);
+            region.world.at(20 + 11 * i, region.faults::injectRandomFault);
         }
         region.world.run(420);
         String what = "seed " + seed;
--- a/src/test/java/io/pepperfield/dispatch/PipelineQueueTest.java
+++ b/src/test/java/io/pepperfield/dispatch/PipelineQueueTest.java
@@ -18,7 +18,10 @@
 
     /** What the leader shows of a job that waits. */
     private JsonNode waiting(String job) {
-        return Json.read(region.answer(region.leaderIndex(), "GET", "/api/nodes").body())
+        return Json.read(
+                        region.directRequests
+                                .answer(region.leaderIndex(), "GET", "/api/nodes")
+                                .body())
                 .path("waiting")
                 .valueStream()
                 .filter(line -> line.path("job").asText().equals(job))
@@ -31,11 +34,11 @@
     }
 
     private JsonNode job(int node, String id) {
-        return Json.read(region.answer(node, "GET", "/api/jobs/" + id).body());
+        return Json.read(region.directRequests.answer(node, "GET", "/api/jobs/" + id).body());
     }
 
     private boolean waits(int node, String job) {
-        return Json.read(region.answer(node, "GET", "/api/nodes").body())
+        return Json.read(region.directRequests.answer(node, "GET", "/api/nodes").body())
                 .path("waiting")
                 .valueStream()
                 .anyMatch(line -> line.path("job").asText().equals(job));
@@ -47,7 +50,7 @@
 
     private void changeLeader() {
         String before = region.leader();
-        region.crash(region.leaderIndex(), 20);
+        region.faults.crash(region.leaderIndex(), 20);
         run(6);
         assertNotEquals(before, region.leader());
     }
--- a/src/test/java/io/pepperfield/forms/ListenerForms.java
+++ b/src/test/java/io/pepperfield/forms/ListenerForms.java
@@ -39,7 +39,9 @@
 
     static void write(FormFile file) {
         SimulatedRegion region = SimulatedRegion.beforeRollout(1, Version.ROLLOUT);
-        file.add("a worker's report before anybody leads", region.sendHeartbeat(0, "east"));
+        file.add(
+                "a worker's report before anybody leads",
+                region.directRequests.sendHeartbeat(0, "east"));
         region.world.run(20);
         region.jobMix.submitWide(1, 400, 8);
         region.world.run(40);
@@ -47,27 +49,33 @@
         int other = leader == 0 ? 1 : 0;
         for (String request : REQUESTS) {
             String[] words = request.split(" ");
-            file.add("leader, " + request, region.answer(leader, words[0], words[1]));
-            file.add("other, " + request, region.answer(other, words[0], words[1]));
+            file.add(
+                    "leader, " + request, region.directRequests.answer(leader, words[0], words[1]));
+            file.add("other, " + request, region.directRequests.answer(other, words[0], words[1]));
         }
         writeReports(file, region, leader, other);
-        addShape(file, "leader's overview", region.answer(leader, "GET", "/api/nodes"));
-        addShape(file, "other's overview", region.answer(other, "GET", "/api/nodes"));
-        addShape(file, "rollout", region.answer(other, "GET", "/api/rollout"));
+        addShape(
+                file,
+                "leader's overview",
+                region.directRequests.answer(leader, "GET", "/api/nodes"));
+        addShape(
+                file, "other's overview", region.directRequests.answer(other, "GET", "/api/nodes"));
+        addShape(file, "rollout", region.directRequests.answer(other, "GET", "/api/rollout"));
         SimulatedRegion admitting = SimulatedRegion.admitting(1, 3, 0);
         admitting.world.run(20);
         admitting.jobMix.submitWide(1, 40, 8);
         admitting.world.run(40);
-        HttpReply overview = admitting.answer(admitting.leaderIndex(), "GET", "/api/nodes");
+        HttpReply overview =
+                admitting.directRequests.answer(admitting.leaderIndex(), "GET", "/api/nodes");
         addShape(file, "overview with admission", overview);
-        file.add("rollout switched off", admitting.answer(0, "GET", "/api/rollout"));
+        file.add("rollout switched off", admitting.directRequests.answer(0, "GET", "/api/rollout"));
     }
 
     /** Of a machine that belongs to one of the controllers; also cut off from the leader. */
     private static void writeReports(FormFile file, SimulatedRegion region, int leader, int other) {
         for (int i = 0; i < 2; i++) {
-            file.add("leader, report", region.sendHeartbeat(leader, "east"));
-            file.add("other, report", region.sendHeartbeat(other, "east"));
+            file.add("leader, report", region.directRequests.sendHeartbeat(leader, "east"));
+            file.add("other, report", region.directRequests.sendHeartbeat(other, "east"));
             region.world.run(region.world.now() + 2 * SimulatedRegion.HEARTBEAT_INTERVAL_S);
         }
         double now = region.world.now();
@@ -76,11 +84,17 @@
                 "10.0.0." + (leader + 1),
                 now + 3 * SimulatedRegion.HEARTBEAT_INTERVAL_S);
         region.world.run(now + 2 * SimulatedRegion.HEARTBEAT_INTERVAL_S);
-        file.add("other, cut off from the leader, report", region.sendHeartbeat(other, "east"));
+        file.add(
+                "other, cut off from the leader, report",
+                region.directRequests.sendHeartbeat(other, "east"));
         region.world.cut("node-" + other, "10.", now + 2 * SimulatedRegion.LEASE_S);
         region.world.run(now + SimulatedRegion.LEASE_S);
-        file.add("other, cut off from all, report", region.sendHeartbeat(other, "east"));
-        file.add("other, cut off from all, health", region.answer(other, "GET", "/up"));
+        file.add(
+                "other, cut off from all, report",
+                region.directRequests.sendHeartbeat(other, "east"));
+        file.add(
+                "other, cut off from all, health",
+                region.directRequests.answer(other, "GET", "/up"));
         region.world.run(now + 4 * SimulatedRegion.LEASE_S);
     }
 
--- a/src/test/java/io/pepperfield/rollout/RecordedVersionFencedTest.java
+++ b/src/test/java/io/pepperfield/rollout/RecordedVersionFencedTest.java
@@ -43,16 +43,16 @@
         if (words[0].equals("while-one-leads")) {
             region.world.run(15);
         }
-        region.write("pepperfield/leader", VersionedKeyValueStore.fenceValue());
-        KEYS.forEach((key, data) -> region.write(key, json(data)));
+        region.directRequests.write("pepperfield/leader", VersionedKeyValueStore.fenceValue());
+        KEYS.forEach((key, data) -> region.directRequests.write(key, json(data)));
         int changes = region.storedMutations();
         region.world.run(region.world.now() + 40);
         String led = region.leader().equals("node-0") ? "nobody of them leads" : region.leader();
         String first = led + ", " + (region.storedMutations() - changes) + " changes in 40 s";
         String job = state(region);
-        HttpReply up = region.answer(0, "GET", "/up");
-        HttpReply beat = region.sendHeartbeat(0, "east");
-        region.write("pepperfield/end/run-000001", json("{\"s\":\"done\"}"));
+        HttpReply up = region.directRequests.answer(0, "GET", "/up");
+        HttpReply beat = region.directRequests.sendHeartbeat(0, "east");
+        region.directRequests.write("pepperfield/end/run-000001", json("{\"s\":\"done\"}"));
         region.world.run(region.world.now() + 2);
         return List.of(
                 first,
@@ -66,7 +66,7 @@
     }
 
     private static String state(SimulatedRegion region) {
-        HttpReply reply = region.answer(0, "GET", "/api/jobs/run-000001");
+        HttpReply reply = region.directRequests.answer(0, "GET", "/api/jobs/run-000001");
         return reply.status() + " " + Json.read(reply.body()).path("status").asText();
     }
 }
--- a/src/test/java/io/pepperfield/rollout/RolloutMeasurement.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutMeasurement.java
@@ -135,7 +135,7 @@
             region.world.at(
                     sent,
                     () ->
-                            region.submitAt(
+                            region.directRequests.submitAt(
                                     number % 5,
                                     number,
                                     reply -> {
--- a/src/test/java/io/pepperfield/rollout/RolloutSimulationTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutSimulationTest.java
@@ -173,13 +173,13 @@
                         .at(150, new Pipelines(4, 20));
         region.play(day);
         for (int i = 0; i < 14; i++) {
-            region.world.at(20 + 11 * i, region::injectRandomFault);
+            region.world.at(20 + 11 * i, region.faults::injectRandomFault);
         }
         for (int i = 0; i < 4; i++) {
             int node = region.world.random.nextInt(5);
             double at = 90 + 10 * region.world.random.nextDouble() * (i + 1);
-            region.world.at(at, () -> region.replace(node, Version.GATED, 0.2));
-            region.world.at(at + 8, () -> region.replace(node, Version.ROLLOUT, 0.2));
+            region.world.at(at, () -> region.faults.replace(node, Version.GATED, 0.2));
+            region.world.at(at + 8, () -> region.faults.replace(node, Version.ROLLOUT, 0.2));
         }
         region.world.run(440);
         String what = "seed " + seed;
@@ -198,7 +198,7 @@
         Scenario day = Scenario.jobs(10, 2).at(20, new OperatorCommand(Command.ACTIVATE, 5));
         region.play(day);
         region.world.run(12);
-        region.replace(3, Version.GATED, 0.2);
+        region.faults.replace(3, Version.GATED, 0.2);
         region.world.run(40);
         assertEquals(Phase.FINALIZED, version(region).phase());
         assertTrue(
--- a/src/test/java/io/pepperfield/standin/FaultInjector.java
+++ b/src/test/java/io/pepperfield/standin/FaultInjector.java
@@ -39,9 +39,9 @@
      */
     private boolean injectIntoServices(Fault trouble, double until) {
         if (trouble instanceof Fault.StoreOutage) {
-            region.storeOutage(until);
+            region.faults.storeOutage(until);
         } else if (trouble instanceof Fault.CloudOutage) {
-            region.cloudOutage(until);
+            region.faults.cloudOutage(until);
         } else if (trouble instanceof Fault.StorePartition cut) {
             each(cut.who(), node -> cut(node, Side.STATE, cut.way(), until));
         } else if (trouble instanceof Fault.StoreLatency slow) {
@@ -53,9 +53,9 @@
         } else if (trouble instanceof Fault.NetworkLatency slow) {
             world.slow(slow.byS(), until);
         } else if (trouble instanceof Fault.StoreLimitsReduction) {
-            region.reduceStoreLimits();
+            region.faults.reduceStoreLimits();
         } else if (trouble instanceof Fault.GrantsRefused) {
-            region.refuseGrants(until);
+            region.faults.refuseGrants(until);
         } else {
             return false;
         }
@@ -94,25 +94,25 @@
     /** Controllers. False where the trouble is of another kind. */
     private boolean injectIntoControllers(Fault trouble, double until) {
         if (trouble instanceof Fault.ZonePartition cut) {
-            each(cut.inside(), node -> region.networkCuts.zone(cut.zone(), node, until));
+            each(cut.inside(), node -> region.networkPartitions.zone(cut.zone(), node, until));
         } else if (trouble instanceof Fault.ControllerPartition cut) {
             each(cut.who(), node -> cut.from().forEach(side -> cut(node, side, cut.way(), until)));
         } else if (trouble instanceof Fault.ControllerCrash crash) {
-            each(crash.who(), node -> region.crash(node, crash.forS()));
+            each(crash.who(), node -> region.faults.crash(node, crash.forS()));
         } else if (trouble instanceof Fault.LeaderChanges changes) {
             for (int i = 0; i < changes.times(); i++) {
                 world.after(
                         i * changes.forS() / changes.times(),
-                        () -> region.crash(region.lastLeader(), downS()));
+                        () -> region.faults.crash(region.lastLeader(), downS()));
             }
         } else if (trouble instanceof Fault.ControllerPause freeze) {
-            each(freeze.who(), node -> region.pause(node, until));
+            each(freeze.who(), node -> region.faults.pause(node, until));
         } else if (trouble instanceof Fault.Upgrade upgrade) {
             new RollingUpgrade(region, region.nodeCount(), upgrade.by()).begin(upgrade);
         } else if (trouble instanceof Fault.OperatorCommand asks) {
             region.operator.repeat(asks.command(), until);
         } else if (trouble instanceof Fault.Replace replace) {
-            each(replace.who(), node -> region.replace(node, replace.by(), replace.forS()));
+            each(replace.who(), node -> region.faults.replace(node, replace.by(), replace.forS()));
         } else {
             return false;
         }
--- a/src/test/java/io/pepperfield/standin/RandomFault.java
+++ b/src/test/java/io/pepperfield/standin/RandomFault.java
@@ -23,11 +23,15 @@
         List<WorkerStandIn> up = machines.all();
         WorkerStandIn worker = up.isEmpty() ? null : up.get(world.random.nextInt(up.size()));
         switch (world.random.nextInt(21)) {
-            case 0 -> region.crash(node, world.random.nextBoolean() ? 0.2 : 3);
+            case 0 -> region.faults.crash(node, world.random.nextBoolean() ? 0.2 : 3);
             case 1 ->
-                    everyNode().forEach(i -> region.crash(i, 0.5 + 2 * world.random.nextDouble()));
-            case 2 -> region.storeOutage(until);
-            case 3 -> region.cloudOutage(until);
+                    everyNode()
+                            .forEach(
+                                    i ->
+                                            region.faults.crash(
+                                                    i, 0.5 + 2 * world.random.nextDouble()));
+            case 2 -> region.faults.storeOutage(until);
+            case 3 -> region.faults.cloudOutage(until);
             case 4 -> world.cut("node-" + node, "10.2.0.1", until);
             case 5 -> cutFromWorkers(node, until);
             case 6 -> world.cut("node-" + node, "10.", until);
@@ -41,29 +45,29 @@
                     worker.failReceiving(until + SimulatedRegion.LEASE_S);
                 }
             }
-            case 9 -> region.networkCuts.isolate(node, until);
+            case 9 -> region.networkPartitions.isolate(node, until);
             case 10 -> world.cut("node-", "10.0.", until);
             case 11 -> {
                 if (worker != null) {
                     machines.reboot(worker);
                 }
             }
-            case 12 -> region.pause(node, until);
-            case 13 -> region.networkCuts.zone("east", node, until);
-            case 14 -> region.hangSomeMachines(until);
-            case 16 -> region.slowBoots(0.05, 0, until);
-            case 17 -> region.slowBoots(4, 0.3, until);
+            case 12 -> region.faults.pause(node, until);
+            case 13 -> region.networkPartitions.zone("east", node, until);
+            case 14 -> region.faults.hangSomeMachines(until);
+            case 16 -> region.faults.slowBoots(0.05, 0, until);
+            case 17 -> region.faults.slowBoots(4, 0.3, until);
             case 18 -> region.queryMoreOften(until);
-            case 19 -> region.pause(node, until + 2 * SimulatedRegion.LEASE_S);
+            case 19 -> region.faults.pause(node, until + 2 * SimulatedRegion.LEASE_S);
             case 15 -> {
-                region.storeOutage(until);
+                region.faults.storeOutage(until);
                 world.after(
                         1,
                         () ->
                                 everyNode()
                                         .forEach(
                                                 i ->
-                                                        region.crash(
+                                                        region.faults.crash(
                                                                 i,
                                                                 0.2
                                                                         + 3
--- a/src/test/java/io/pepperfield/standin/SimMachines.java
+++ b/src/test/java/io/pepperfield/standin/SimMachines.java
@@ -50,7 +50,6 @@
     Consumer<SimJob> onJobCompleted = job -> {};
 
     int taskStarts;
-    int taskStartsAfterCancel;
     int lostTasks;
 
     SimMachines(
@@ -247,9 +246,6 @@
         SimJob job = jobOf(task);
         JobPlan plan = job.plan;
         taskStarts++;
-        if (!Double.isNaN(job.cancelledAt)) {
-            taskStartsAfterCancel++;
-        }
         rules.taskStarted(job, task);
         WorkerStandIn other = job.workersByTask.put(SimJob.taskNumber(task), worker);
         if (other != null && other.isAlive()) {
--- a/src/test/java/io/pepperfield/standin/SimulatedRegion.java
+++ b/src/test/java/io/pepperfield/standin/SimulatedRegion.java
@@ -1,12 +1,10 @@
 package io.pepperfield.standin;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.config.Feature;
 import io.pepperfield.config.Settings;
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.InboundRequest;
-import io.pepperfield.http.Json;
 import io.pepperfield.peer.Partitions;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -14,6 +12,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import java.util.function.Function;
 import java.util.function.IntFunction;
 import java.util.stream.Collectors;
 
@@ -44,23 +43,20 @@
     public final Pipelines pipelines;
     public final JobMix jobMix;
     public final AdmissionLoad admissionLoad;
-    public final NetworkPartitions networkCuts;
+    public final NetworkPartitions networkPartitions;
     public final DecisionLog decisions;
     final StoreStandIn store;
     final StoreLink storeLink;
     final HeartbeatReplays heartbeatReplays;
     public final SimOperator operator;
+    public final RegionFaults faults;
+    public final DirectRequests directRequests;
     private final CloudStandIn cloud;
     private final List<SimNode> nodes = new ArrayList<>();
     private final SimMachines machines;
     private final SimUsers users;
     private final FaultInjector faultInjector;
-    private double storeOutageUntil;
-    private double cloudOutageUntil;
-    private long lastGrant;
-    private int lastLeader;
-    private int madeUpHeartbeats;
-    private int leaderChanges;
+    private final LeaderWatch leaderWatch;
 
     public SimulatedRegion(long seed) {
         this(seed, Version.CURRENT, RegionSettings.LIMITS_NOW, FEW_NODES, FEW_MACHINES);
@@ -129,7 +125,7 @@
         users = new SimUsers(world, violations, machines, submitted, rules, nodeCount);
         jobMix = new JobMix(world, users);
         admissionLoad = new AdmissionLoad(world, users, nodes);
-        networkCuts = new NetworkPartitions(world, machines, nodeCount);
+        networkPartitions = new NetworkPartitions(world, machines, nodeCount);
         pipelines = new Pipelines(world, users, jobMix::team);
         faultInjector = new FaultInjector(this, machines, users);
         heartbeatReplays = new HeartbeatReplays(world, nodes);
@@ -137,30 +133,24 @@
         machines.decided = decisions::add;
         cloud = new CloudStandIn(world::now, capacity, machines);
         cloud.decided = decisions::add;
+        faults = new RegionFaults(this, machines, nodes, cloud);
+        directRequests = new DirectRequests(world, store, nodes);
+        leaderWatch = new LeaderWatch(store, heartbeatReplays::newLeader);
         world.listen("10.2.0.1:2379", host(storeLink::handle));
         world.listen(
                 "10.2.0.2:8443", host((from, call, answer) -> answer.accept(cloud.handle(call))));
         operator = new SimOperator(world, nodes);
-        for (int i = 0; i < nodeCount; i++) {
-            int index = i;
-            SimNode node =
-                    new SimNode(
-                            i,
-                            world,
-                            version,
-                            of ->
-                                    RegionSettings.of(
-                                            index,
-                                            nodeCount,
-                                            of == Version.RECORDED
-                                                    ? RegionSettings.LIMITS_NOW
-                                                    : next,
-                                            features.apply(index)),
-                            violations);
-            nodes.add(node);
-            world.listen("10.0.0." + (i + 1) + ":8080", node);
-            world.listen("10.0.0." + (i + 1) + ":8081", node.peerSide());
-            node.start();
+        for (int index = 0; index < nodeCount; index++) {
+            int number = index;
+            addNode(
+                    index,
+                    version,
+                    running ->
+                            RegionSettings.of(
+                                    number,
+                                    nodeCount,
+                                    running == Version.RECORDED ? RegionSettings.LIMITS_NOW : next,
+                                    features.apply(number)));
         }
         everySoOften(
                 0.05,
@@ -168,11 +158,19 @@
                     store.tick();
                     machines.tick();
                     machines.check();
-                    watchLeader();
+                    leaderWatch.tick();
                 });
         everySoOften(1, users::check);
     }
 
+    private void addNode(int index, Version version, Function<Version, Settings> settingsOf) {
+        SimNode node = new SimNode(index, world, version, settingsOf, violations);
+        nodes.add(node);
+        world.listen("10.0.0." + (index + 1) + ":8080", node);
+        world.listen("10.0.0." + (index + 1) + ":8081", node.peerSide());
+        node.start();
+    }
+
     private static SimWorld.Host host(Handler handler) {
         return new SimWorld.Host() {
             @Override
@@ -221,20 +219,6 @@
 
     // ---- users
 
-    /** Writes a key as a controller of another release would. */
-    public void write(String key, JsonNode data) {
-        ObjectNode body = Json.object();
-        body.putArray("guards");
-        body.putArray("apply").addObject().put("set", key).set("data", data);
-        store.handle(SimWorld.call("POST", "/txn", Json.write(body)), reply -> {});
-    }
-
-    /** Submits a small job once, at that node and without the network between. */
-    public void submitAt(int node, int number, Consumer<HttpReply> answer) {
-        JobPlan plan = JobPlan.array(number, "batch", "red", "standard", 1, 1, List.of(1.0), true);
-        nodes.get(node).request("users", "POST", "/api/jobs", Json.write(plan.body()), answer);
-    }
-
     /** Asks about a job that nobody submitted. */
     public void queryUnknownJob() {
         users.invalidRequests.queryUnknownJob();
@@ -250,99 +234,11 @@
         users.cancelAll();
     }
 
-    // ---- troubles
-
-    /** One trouble drawn from the seed. */
-    public void injectRandomFault() {
-        new RandomFault(this, machines).inject();
-    }
-
-    /**
-     * Machines that are rented until then take so many times as long to boot, and that part of them
-     * never comes up.
-     */
-    public void slowBoots(double factor, double never, double until) {
-        machines.slowBoots(factor, never, until);
-    }
-
-    public void crash(int index, double forS) {
-        nodes.get(index).crash(forS);
-    }
-
-    /** The process stands still while its clocks run on; what comes for it waits. */
-    public void pause(int index, double until) {
-        nodes.get(index).pause(until);
-    }
-
-    /** A third of the machines hang, as when a rack stands still. */
-    public void hangSomeMachines(double until) {
-        machines.all().stream()
-                .filter(w -> world.random.nextInt(3) == 0)
-                .forEach(w -> w.hang(until));
-    }
-
-    /**
-     * The leader ends for good, and until then nobody else can be elected, although the state
-     * service answers.
-     */
-    public void preventElection(double until) {
-        int leader = leaderIndex();
-        store.grantsStalled = true;
-        crash(leader, until - world.now());
-        world.at(until, () -> store.grantsStalled = false);
-    }
-
-    public void storeOutage(double until) {
-        store.outage(true);
-        storeOutageUntil = Math.max(storeOutageUntil, until);
-        world.at(
-                until,
-                () -> {
-                    if (world.now() >= storeOutageUntil) {
-                        store.outage(false);
-                    }
-                });
-    }
-
-    /** From now on the state service has its lower limits. */
-    public void reduceStoreLimits() {
-        store.limits = new StoreLimitsStandIn(RegionSettings.LIMITS_NEXT, world.now());
-    }
-
-    /** Until then every request about grants is refused as beyond the rate. */
-    public void refuseGrants(double until) {
-        store.grantsRefusedUntil = Math.max(store.grantsRefusedUntil, until);
-    }
-
-    /** Ends a controller's process, which comes back as that version. */
-    public void replace(int index, Version by, double downS) {
-        nodes.get(index).replace(by, downS);
-    }
-
-    void cloudOutage(double until) {
-        cloud.outage(true);
-        cloudOutageUntil = Math.max(cloudOutageUntil, until);
-        world.at(
-                until,
-                () -> {
-                    if (world.now() >= cloudOutageUntil) {
-                        cloud.outage(false);
-                    }
-                });
-    }
-
     // ---- who leads
 
     /** The name of the node that leads, as the durable key has it, or empty. */
     public String leader() {
-        JsonNode key = leaderKey();
-        return key == null ? "" : key.path("node").asText();
-    }
-
-    /** The leader key that is in use, or null where nobody leads. */
-    private JsonNode leaderKey() {
-        JsonNode first = store.get("pepperfield/leader");
-        return RolloutRules.isFence(first) ? store.get("pepperfield/v2/leader") : first;
+        return leaderWatch.leader();
     }
 
     /** How many machines are in that node's partition while all take part. */
@@ -361,12 +257,12 @@
 
     /** Which of the nodes leads. */
     public int leaderIndex() {
-        return Integer.parseInt(leader().substring(5));
+        return leaderWatch.leaderIndex();
     }
 
     /** How often another leadership has begun. */
     public int leaderChanges() {
-        return leaderChanges;
+        return leaderWatch.leaderChanges();
     }
 
     /** Whether every controller runs this version, or will once it is started. */
@@ -381,17 +277,7 @@
 
     /** Which of the nodes leads, or led last. */
     int lastLeader() {
-        return lastLeader;
-    }
-
-    private void watchLeader() {
-        JsonNode key = leaderKey();
-        if (key != null && key.path("grant").longValue() != lastGrant) {
-            lastGrant = key.path("grant").longValue();
-            lastLeader = leaderIndex();
-            leaderChanges++;
-            heartbeatReplays.newLeader();
-        }
+        return leaderWatch.lastLeader();
     }
 
     // ---- what can be seen of it
@@ -406,14 +292,6 @@
         return machines.taskStarts;
     }
 
-    /**
-     * How often a task has begun after its user was told that its job is cancelled: commands under
-     * way may do that for a while.
-     */
-    public int taskStartsAfterCancel() {
-        return machines.taskStartsAfterCancel;
-    }
-
     /** Changes that the state service has taken so far. */
     public int storedMutations() {
         return store.mutations;
@@ -434,7 +312,7 @@
     }
 
     public int accepted() {
-        return (int) users.jobs.values().stream().filter(j -> j.accepted).count();
+        return (int) users.jobs.values().stream().filter(job -> job.accepted).count();
     }
 
     public int runningTasks() {
@@ -455,48 +333,6 @@
         return cloud.reusedNames;
     }
 
-    /**
-     * What a node answers, without the network between; null where it has said nothing within two
-     * seconds.
-     */
-    public HttpReply answer(int node, String method, String path) {
-        return answer(node, method, path, null);
-    }
-
-    /**
-     * So many questions at once about jobs that nobody submitted: how many got 404, and how many
-     * were told to come back.
-     */
-    public List<Integer> floodWithUnknownJobs(int node, int questions) {
-        int[] got = new int[600];
-        for (int i = 0; i < questions; i++) {
-            nodes.get(node)
-                    .request(
-                            "users",
-                            "GET",
-                            "/api/jobs/run-9" + (10_000 + i),
-                            null,
-                            reply -> got[reply.status()]++);
-        }
-        world.run(world.now() + 2);
-        return List.of(got[404], got[503]);
-    }
-
-    /** What a node answers to the report of an idle machine of that zone, of which there is one. */
-    public HttpReply sendHeartbeat(int node, String zone) {
-        return answer(
-                node, "POST", "/agent/beat", SimMachines.madeUpHeartbeat(zone, ++madeUpHeartbeats));
-    }
-
-    private HttpReply answer(int node, String method, String path, byte[] body) {
-        HttpReply[] got = new HttpReply[1];
-        nodes.get(node).request("users", method, path, body, reply -> got[0] = reply);
-        for (int step = 0; step < 40 && got[0] == null; step++) {
-            world.run(world.now() + 0.05);
-        }
-        return got[0];
-    }
-
     /** Accepted jobs whose prerequisites are not durable. */
     public List<String> alteredJobs() {
         List<String> altered = new ArrayList<>();
