--- a/src/test/java/io/pepperfield/standin/LoopbackRegion.java
+++ b/src/test/java/io/pepperfield/standin/LoopbackRegion.java
@@ -216,17 +216,10 @@
                                 request,
                                 outcome -> scheduler.execute(() -> onOutcome.accept(outcome)));
         return new WorkerStandIn(
-                name,
-                type,
-                zone,
-                spot,
-                "127.0.0.1:" + port,
+                new WorkerStandIn.MachineIdentity(name, type, zone, spot, "127.0.0.1:" + port),
+                new WorkerStandIn.WorkerConfig(names, addresses, REPORT_S, LEASE_S),
                 this::now,
                 sender,
-                names,
-                addresses,
-                REPORT_S,
-                LEASE_S,
                 this);
     }
 
--- a/src/test/java/io/pepperfield/standin/RandomFault.java
+++ b/src/test/java/io/pepperfield/standin/RandomFault.java
@@ -1,9 +1,10 @@
 package io.pepperfield.standin;
 
 import java.util.List;
+import java.util.Optional;
 import java.util.stream.IntStream;
 
-/** A trouble of any kind, drawn from a region's seed. */
+/** A fault of any kind, drawn from a region's seed. */
 final class RandomFault {
 
     private final SimulatedRegion region;
@@ -20,38 +21,20 @@
         double now = world.now();
         double until = now + 1 + 14 * world.random.nextDouble();
         int node = world.random.nextInt(region.nodeCount());
-        List<WorkerStandIn> up = machines.all();
-        WorkerStandIn worker = up.isEmpty() ? null : up.get(world.random.nextInt(up.size()));
+        Optional<WorkerStandIn> worker = randomWorker();
         switch (world.random.nextInt(21)) {
             case 0 -> region.faults.crash(node, world.random.nextBoolean() ? 0.2 : 3);
-            case 1 ->
-                    everyNode()
-                            .forEach(
-                                    i ->
-                                            region.faults.crash(
-                                                    i, 0.5 + 2 * world.random.nextDouble()));
+            case 1 -> crashAll(0.5, 2);
             case 2 -> region.faults.storeOutage(until);
             case 3 -> region.faults.cloudOutage(until);
             case 4 -> world.cut("node-" + node, "10.2.0.1", until);
             case 5 -> cutFromWorkers(node, until);
             case 6 -> world.cut("node-" + node, "10.", until);
-            case 7 -> {
-                if (worker != null) {
-                    worker.hang(until);
-                }
-            }
-            case 8 -> {
-                if (worker != null) {
-                    worker.failReceiving(until + SimulatedRegion.LEASE_S);
-                }
-            }
+            case 7 -> worker.ifPresent(hit -> hit.hang(until));
+            case 8 -> worker.ifPresent(hit -> hit.failReceiving(until + SimulatedRegion.LEASE_S));
             case 9 -> region.networkPartitions.isolate(node, until);
             case 10 -> world.cut("node-", "10.0.", until);
-            case 11 -> {
-                if (worker != null) {
-                    machines.reboot(worker);
-                }
-            }
+            case 11 -> worker.ifPresent(machines::reboot);
             case 12 -> region.faults.pause(node, until);
             case 13 -> region.networkPartitions.zone("east", node, until);
             case 14 -> region.faults.hangSomeMachines(until);
@@ -61,27 +44,28 @@
             case 19 -> region.faults.pause(node, until + 2 * SimulatedRegion.LEASE_S);
             case 15 -> {
                 region.faults.storeOutage(until);
-                world.after(
-                        1,
-                        () ->
-                                everyNode()
-                                        .forEach(
-                                                i ->
-                                                        region.faults.crash(
-                                                                i,
-                                                                0.2
-                                                                        + 3
-                                                                                * world.random
-                                                                                        .nextDouble())));
-            }
-            default -> {
-                if (worker != null) {
-                    worker.losePower();
-                }
+                world.after(1, () -> crashAll(0.2, 3));
             }
+            default -> worker.ifPresent(hit -> hit.losePower());
         }
     }
 
+    private Optional<WorkerStandIn> randomWorker() {
+        List<WorkerStandIn> all = machines.all();
+        return all.isEmpty()
+                ? Optional.empty()
+                : Optional.of(all.get(world.random.nextInt(all.size())));
+    }
+
+    /** Ends all controllers, each for at least that time and up to so much more. */
+    private void crashAll(double minS, double spreadS) {
+        everyNode()
+                .forEach(
+                        node ->
+                                region.faults.crash(
+                                        node, minS + spreadS * world.random.nextDouble()));
+    }
+
     private void cutFromWorkers(int index, double until) {
         world.cut("node-" + index, "10.1.", until);
         world.cut("host-", "10.0.0." + (index + 1) + ":", until);
--- a/src/test/java/io/pepperfield/standin/RecordedForms.java
+++ b/src/test/java/io/pepperfield/standin/RecordedForms.java
@@ -34,9 +34,7 @@
     /** Whether a value has a form that the recorded version reads under that key. */
     static boolean value(String key, JsonNode data) {
         if (key.equals(ROOT + "leader")) {
-            return has(data, Set.of("node", "grant"))
-                    && data.path("node").isTextual()
-                    && data.path("grant").isIntegralNumber();
+            return leader(data);
         } else if (key.equals(ROOT + "types")) {
             return all(data, type -> has(type, TYPE) && type.path("z").isArray());
         } else if (key.startsWith(ROOT + "job/")) {
@@ -44,11 +42,7 @@
         } else if (key.startsWith(ROOT + "end/")) {
             return end(data);
         } else if (key.startsWith(ROOT + "hire/")) {
-            return has(data, HIRE)
-                    && data.path("n").isIntegralNumber()
-                    && data.path("at").isIntegralNumber()
-                    && data.path("a").isBoolean()
-                    && data.path("h").isArray();
+            return rental(data);
         } else if (key.startsWith(ROOT + "runs/")) {
             return key.matches(ROOT + "runs/\\d+-\\d+")
                     && data.isObject()
@@ -57,6 +51,20 @@
         return key.matches(ROOT + "run/run-\\d+/\\d+") && lines(data);
     }
 
+    private static boolean leader(JsonNode data) {
+        return has(data, Set.of("node", "grant"))
+                && data.path("node").isTextual()
+                && data.path("grant").isIntegralNumber();
+    }
+
+    private static boolean rental(JsonNode data) {
+        return has(data, HIRE)
+                && data.path("n").isIntegralNumber()
+                && data.path("at").isIntegralNumber()
+                && data.path("a").isBoolean()
+                && data.path("h").isArray();
+    }
+
     /** It reads {@code s} alone; {@code at} says beside it when a job was done. */
     private static boolean end(JsonNode data) {
         if (has(data, Set.of("s", "at"))) {
--- a/src/test/java/io/pepperfield/standin/SimMachines.java
+++ b/src/test/java/io/pepperfield/standin/SimMachines.java
@@ -20,9 +20,12 @@
 
     static final double CPUS = 8;
     private static final double ROUNDING_TOLERANCE = 1e-6;
-    private static final List<String> NAMES = List.of("node-0", "node-1", "node-2");
-    private static final List<String> ADDRESSES =
-            List.of("10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080");
+    private static final WorkerStandIn.WorkerConfig WORKER_CONFIG =
+            new WorkerStandIn.WorkerConfig(
+                    List.of("node-0", "node-1", "node-2"),
+                    List.of("10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080"),
+                    SimulatedRegion.HEARTBEAT_INTERVAL_S,
+                    SimulatedRegion.LEASE_S);
 
     /** Until when orders to a machine are held back, and for how many seconds each. */
     private record OrderDelay(double until, double forS) {}
@@ -121,17 +124,10 @@
         }
         WorkerStandIn worker =
                 new WorkerStandIn(
-                        name,
-                        type,
-                        zone,
-                        spot,
-                        address,
+                        new WorkerStandIn.MachineIdentity(name, type, zone, spot, address),
+                        WORKER_CONFIG,
                         world::now,
                         heartbeatSender(name),
-                        NAMES,
-                        ADDRESSES,
-                        SimulatedRegion.HEARTBEAT_INTERVAL_S,
-                        SimulatedRegion.LEASE_S,
                         this);
         workers.put(name, worker);
         world.listen(
--- a/src/test/java/io/pepperfield/standin/SimNode.java
+++ b/src/test/java/io/pepperfield/standin/SimNode.java
@@ -47,91 +47,99 @@
             SimWorld world,
             Version version,
             Function<Version, Settings> settingsOf,
-            List<String> broken) {
+            List<String> violations) {
         this.index = index;
         this.world = world;
         this.version = version;
         this.settingsOf = settingsOf;
-        this.violations = broken;
+        this.violations = violations;
     }
 
     void start() {
         alive = true;
-        int mine = ++processIncarnation;
-        Loop loop =
-                new Loop() {
-                    @Override
-                    public double now() {
-                        return world.now();
-                    }
-
-                    @Override
-                    public long wallMs() {
-                        return 1_000_000_000L + Math.round(world.now() * 1000);
-                    }
-
-                    @Override
-                    public void post(Runnable command) {
-                        after(0, command);
-                    }
-
-                    @Override
-                    public void after(double seconds, Runnable command) {
-                        world.after(
-                                Math.max(seconds, 0),
-                                () ->
-                                        awake(
-                                                mine,
-                                                () -> {
-                                                    command.run();
-                                                    controller.flush();
-                                                }));
-                    }
-                };
+        Loop loop = new NodeLoop(++processIncarnation);
         heardOf = world.now();
         Settings settings = settingsOf.apply(version);
-        HttpSender out = world.from("node-" + index);
-        HttpSender sender =
-                (request, onOutcome) -> {
-                    String path = request.path();
-                    if (request.method().equals("POST")
-                            && (path.endsWith("/orders") || path.startsWith("/rentals"))) {
-                        mustBeAwake("sends " + path);
-                    }
-                    mustHaveFeature(settings, path);
-                    double sent = world.now();
-                    out.send(
-                            request,
-                            outcome -> {
-                                if (outcome instanceof HttpOutcome.Answered answer
-                                        && answer.status() == 200
-                                        && isAuthoritative(request.port())) {
-                                    heardOf = Math.max(heardOf, sent);
-                                }
-                                onOutcome.accept(outcome);
-                            });
-                };
-        HttpSender toState = version == Version.RECORDED ? RecordedVersion.around(sender) : sender;
-        HttpKeyValueStore state = new HttpKeyValueStore(loop, toState, settings.storeAddress());
+        HttpSender sender = checkedSender(settings);
+        HttpSender toStore = version == Version.RECORDED ? RecordedVersion.around(sender) : sender;
+        HttpKeyValueStore store = new HttpKeyValueStore(loop, toStore, settings.storeAddress());
         peers = new Peers(loop, settings, sender);
         Rollout rollout =
                 version.release() == null
                         ? null
-                        : new Rollout(loop, settings, state, version.release());
+                        : new Rollout(loop, settings, store, version.release());
         controller =
                 new Controller(
                         loop,
                         settings,
-                        rollout == null ? state : rollout.keyValueStore(),
+                        rollout == null ? store : rollout.keyValueStore(),
                         new HttpCloudProvider(loop, sender, settings.cloudAddress(), 20),
                         new HttpWorkerClient(loop, sender, SimulatedRegion.HEARTBEAT_INTERVAL_S),
                         peers,
                         new HeartbeatForwarder(loop, sender, settings),
-                        state::setRates,
+                        store::setRates,
                         rollout);
         controller.start();
     }
 
+    /** The event loop of one process, which ends with it and stands still while it is paused. */
+    private final class NodeLoop implements Loop {
+        private final int incarnation;
+
+        NodeLoop(int incarnation) {
+            this.incarnation = incarnation;
+        }
+
+        @Override
+        public double now() {
+            return world.now();
+        }
+
+        @Override
+        public long wallMs() {
+            return 1_000_000_000L + Math.round(world.now() * 1000);
+        }
+
+        @Override
+        public void post(Runnable command) {
+            after(0, command);
+        }
+
+        @Override
+        public void after(double seconds, Runnable command) {
+            world.after(Math.max(seconds, 0), () -> awake(incarnation, () -> run(command)));
+        }
+
+        private void run(Runnable command) {
+            command.run();
+            controller.flush();
+        }
+    }
+
+    /** The way out, with checks of what a controller may send and when. */
+    private HttpSender checkedSender(Settings settings) {
+        HttpSender out = world.from("node-" + index);
+        return (request, onOutcome) -> {
+            String path = request.path();
+            if (request.method().equals("POST")
+                    && (path.endsWith("/orders") || path.startsWith("/rentals"))) {
+                mustBeAwake("sends " + path);
+            }
+            mustHaveFeature(settings, path);
+            double sent = world.now();
+            out.send(
+                    request,
+                    outcome -> {
+                        if (outcome instanceof HttpOutcome.Answered answer
+                                && answer.status() == 200
+                                && isAuthoritative(request.port())) {
+                            heardOf = Math.max(heardOf, sent);
+                        }
+                        onOutcome.accept(outcome);
+                    });
+        };
+    }
+
     /** The state service and other controllers; their answers confirm what this one knows. */
     private static boolean isAuthoritative(int port) {
         return port == 2379 || port == 8081;
--- a/src/test/java/io/pepperfield/standin/WorkerStandIn.java
+++ b/src/test/java/io/pepperfield/standin/WorkerStandIn.java
@@ -79,36 +79,40 @@
     private double receiveFailureUntil;
     private boolean dead;
 
+    /** A machine as the cloud rents it, and where its worker is reached. */
+    public record MachineIdentity(
+            String name, String type, String zone, boolean spot, String address) {}
+
+    /** What a worker is started with: its controllers, in the same order, and its intervals. */
+    public record WorkerConfig(
+            List<String> controllerNames,
+            List<String> controllerAddresses,
+            double heartbeatIntervalS,
+            double leaseS) {}
+
     public WorkerStandIn(
-            String name,
-            String type,
-            String zone,
-            boolean spot,
-            String address,
+            MachineIdentity machine,
+            WorkerConfig config,
             DoubleSupplier clock,
             HttpSender sender,
-            List<String> controllerNames,
-            List<String> controllers,
-            double reportS,
-            double leaseS,
-            TaskOracle truth) {
-        this.name = name;
-        this.type = type;
-        this.zone = zone;
-        this.spot = spot;
-        this.address = address;
+            TaskOracle taskOracle) {
+        this.name = machine.name();
+        this.type = machine.type();
+        this.zone = machine.zone();
+        this.spot = machine.spot();
+        this.address = machine.address();
         this.clock = clock;
         this.sender = sender;
-        this.controllerNames = controllerNames;
-        this.controllers = controllers;
-        this.heartbeatIntervalS = reportS;
-        this.leaseS = leaseS;
-        this.taskOracle = truth;
+        this.controllerNames = config.controllerNames();
+        this.controllers = config.controllerAddresses();
+        this.heartbeatIntervalS = config.heartbeatIntervalS();
+        this.leaseS = config.leaseS();
+        this.taskOracle = taskOracle;
         this.lastAnswerAt = clock.getAsDouble();
         this.nextController = Math.abs(name.hashCode()) % controllers.size();
     }
 
-    /** Its session: 1 while its lease has never run out. */
+    /** The incarnation of its agent: 1 while its lease has never run out. */
     public long incarnation() {
         return incarnation;
     }
