--- a/src/main/java/io/pepperfield/cli/CheckCommand.java
+++ b/src/main/java/io/pepperfield/cli/CheckCommand.java
@@ -31,10 +31,9 @@
                             + " controllers, "
                             + settings.deployment().teams().size()
                             + " teams");
-            return 0;
+            return ExitCode.SUCCESS;
         } catch (SettingsException e) {
-            System.err.println("pepperfield: " + e.getMessage());
-            return 1;
+            return ExitCode.failure(e.getMessage());
         }
     }
 }
--- a/src/main/java/io/pepperfield/cli/ClassDataTraining.java
+++ b/src/main/java/io/pepperfield/cli/ClassDataTraining.java
@@ -1,19 +1,16 @@
 package io.pepperfield.cli;
 
-import io.netty.channel.EventLoopGroup;
-import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.nio.NioIoHandler;
 import io.pepperfield.config.OperatorSettings;
 import io.pepperfield.config.Settings;
 import io.pepperfield.config.SettingsReader;
 import io.pepperfield.controller.ControllerServer;
-import io.pepperfield.http.HttpClient;
-import io.pepperfield.http.HttpOutcome;
+import io.pepperfield.http.BlockingHttpClient;
 import io.pepperfield.http.OutboundRequest;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
+import java.util.Collections;
 import java.util.concurrent.Callable;
-import java.util.concurrent.CompletableFuture;
+import java.util.jar.JarEntry;
 import java.util.jar.JarFile;
 import picocli.CommandLine.Command;
 
@@ -53,34 +50,34 @@
             sockets = 256
             """;
 
+    private static final String[] QUERIES = {"/up", "/api/nodes", "/api/jobs/run-000001"};
+    private static final String HEARTBEAT = "{\"host\":\"a\",\"shards\":[1.5,true]}";
+    private static final int MAX_RESPONSE_BYTES = 1 << 20;
+    private static final long DEADLINE_MS = 2000;
+    private static final String CLASS_SUFFIX = ".class";
+
     @Override
     public Integer call() throws Exception {
         Settings settings = SettingsReader.parse("rehearsal", SETTINGS, OperatorSettings.DEFAULTS);
-        ControllerServer service = new ControllerServer(settings);
-        int port = service.start();
-        Thread owner = new Thread(service::run);
-        owner.start();
-        EventLoopGroup network = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        HttpClient client = new HttpClient(network, 1 << 20);
-        for (String path :
-                new String[] {"/up", "/api/nodes", "/api/jobs/run-000001", "/agent/beat"}) {
-            CompletableFuture<HttpOutcome> done = new CompletableFuture<>();
-            byte[] body =
-                    path.startsWith("/agent")
-                            ? "{\"host\":\"a\",\"shards\":[1.5,true]}"
-                                    .getBytes(StandardCharsets.UTF_8)
-                            : null;
-            client.send(
-                    new OutboundRequest(
-                            "127.0.0.1", port, 1, body == null ? "GET" : "POST", path, body, 2000),
-                    done::complete);
-            done.join();
+        ControllerServer server = new ControllerServer(settings);
+        int port = server.start();
+        Thread eventLoop = new Thread(server::run);
+        eventLoop.start();
+        try (BlockingHttpClient client = new BlockingHttpClient(MAX_RESPONSE_BYTES)) {
+            for (String path : QUERIES) {
+                client.send(request(port, "GET", path, null));
+            }
+            byte[] heartbeat = HEARTBEAT.getBytes(StandardCharsets.UTF_8);
+            client.send(request(port, "POST", "/agent/beat", heartbeat));
         }
-        service.stop();
-        owner.join();
-        network.shutdownGracefully();
+        server.stop();
+        eventLoop.join();
         loadOwnClasses();
-        return 0;
+        return ExitCode.SUCCESS;
+    }
+
+    private static OutboundRequest request(int port, String method, String path, byte[] body) {
+        return new OutboundRequest("127.0.0.1", port, 1, method, path, body, DEADLINE_MS);
     }
 
     private static void loadOwnClasses() throws Exception {
@@ -92,13 +89,12 @@
                                 .getLocation()
                                 .toURI());
         try (JarFile file = new JarFile(jar.toFile())) {
-            for (String name :
-                    file.stream()
-                            .map(e -> e.getName())
-                            .filter(n -> n.endsWith(".class"))
-                            .toList()) {
-                Class.forName(
-                        name.substring(0, name.length() - ".class".length()).replace('/', '.'));
+            for (JarEntry entry : Collections.list(file.entries())) {
+                String name = entry.getName();
+                if (name.endsWith(CLASS_SUFFIX)) {
+                    String className = name.substring(0, name.length() - CLASS_SUFFIX.length());
+                    Class.forName(className.replace('/', '.'));
+                }
             }
         }
     }
--- a/src/main/java/io/pepperfield/cli/ControllerClient.java
+++ b/src/main/java/io/pepperfield/cli/ControllerClient.java
@@ -3,17 +3,13 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
-import io.netty.channel.EventLoopGroup;
-import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.nio.NioIoHandler;
-import io.pepperfield.http.HttpClient;
+import io.pepperfield.config.Settings.Address;
+import io.pepperfield.http.BlockingHttpClient;
 import io.pepperfield.http.HttpOutcome;
 import io.pepperfield.http.OutboundRequest;
 import io.pepperfield.jobs.JobMessages;
 import java.io.IOException;
 import java.util.List;
-import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -25,6 +21,9 @@
 
     private static final long DEADLINE_MS = 5000;
     private static final int UNAVAILABLE = 503;
+    private static final int SUCCESS_CLASS = 2;
+    private static final int MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
+    private static final int MAX_PORT = 65535;
 
     @Option(
             names = "--server",
@@ -58,49 +57,45 @@
 
     private int request(
             String method, String path, byte[] body, Predicate<HttpOutcome.Answered> decides) {
-        for (String server : servers) {
-            if (server.lastIndexOf(':') < 1 || parsePort(server) < 0) {
-                throw new ParameterException(command.commandLine(), server + ": want HOST:PORT");
-            }
-        }
-        EventLoopGroup network = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        try {
-            HttpClient client = new HttpClient(network, 16 * 1024 * 1024);
-            HttpOutcome.Answered undecided = null;
-            for (String server : servers) {
-                CompletableFuture<HttpOutcome> outcome = new CompletableFuture<>();
-                client.send(
+        List<Address> controllers = servers.stream().map(this::parseServer).toList();
+        HttpOutcome.Answered undecided = null;
+        try (BlockingHttpClient client = new BlockingHttpClient(MAX_RESPONSE_BYTES)) {
+            for (Address controller : controllers) {
+                OutboundRequest request =
                         new OutboundRequest(
-                                server.substring(0, server.lastIndexOf(':')),
-                                parsePort(server),
+                                controller.host(),
+                                controller.port(),
                                 1,
                                 method,
                                 path,
                                 body,
-                                DEADLINE_MS),
-                        outcome::complete);
-                if (outcome.join() instanceof HttpOutcome.Answered answer) {
+                                DEADLINE_MS);
+                if (client.send(request) instanceof HttpOutcome.Answered answer) {
                     if (decides.test(answer)) {
                         return printAnswer(answer);
                     }
                     undecided = answer;
                 }
             }
-            if (undecided != null) {
-                return printAnswer(undecided);
-            }
-            System.err.println(
-                    "pepperfield: " + servers.get(servers.size() - 1) + " does not answer");
-            return 1;
-        } finally {
-            network.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
         }
+        return undecided == null
+                ? ExitCode.failure(servers.get(servers.size() - 1) + " does not answer")
+                : printAnswer(undecided);
+    }
+
+    /** What is no address is a mistake on the command line. */
+    private Address parseServer(String server) {
+        int colon = server.lastIndexOf(':');
+        int port = parsePort(server.substring(colon + 1));
+        if (colon < 1 || port < 0 || port > MAX_PORT) {
+            throw new ParameterException(command.commandLine(), server + ": want HOST:PORT");
+        }
+        return new Address(server.substring(0, colon), port);
     }
 
-    private static int parsePort(String server) {
+    private static int parsePort(String text) {
         try {
-            int port = Integer.parseInt(server.substring(server.lastIndexOf(':') + 1));
-            return port <= 65535 ? port : -1;
+            return Integer.parseInt(text);
         } catch (NumberFormatException e) {
             return -1;
         }
@@ -108,13 +103,9 @@
 
     private static int printAnswer(HttpOutcome.Answered answer) {
         JsonNode json = answer.json();
-        boolean fine = answer.status() / 100 == 2;
-        if (!fine) {
-            System.err.println(
-                    "pepperfield: "
-                            + answer.status()
-                            + (json.has("error") ? ": " + json.path("error").asText() : ""));
-            return 1;
+        if (answer.status() / 100 != SUCCESS_CLASS) {
+            String error = json.has("error") ? ": " + json.path("error").asText() : "";
+            return ExitCode.failure(answer.status() + error);
         }
         try {
             System.out.println(
@@ -124,6 +115,6 @@
         } catch (IOException e) {
             throw new IllegalStateException("a tree cannot fail to be written", e);
         }
-        return 0;
+        return ExitCode.SUCCESS;
     }
 }
--- a/src/main/java/io/pepperfield/cli/ServeCommand.java
+++ b/src/main/java/io/pepperfield/cli/ServeCommand.java
@@ -22,8 +22,7 @@
         try {
             settings = files.read();
         } catch (SettingsException e) {
-            System.err.println("pepperfield: " + e.getMessage());
-            return 1;
+            return ExitCode.failure(e.getMessage());
         }
         ControllerServer service = new ControllerServer(settings);
         try {
@@ -31,16 +30,15 @@
         } catch (Exception e) {
             // Netty throws what the socket threw, unchecked: an address in use is the operator's to
             // mend, not a crash.
-            System.err.println(
-                    "pepperfield: cannot listen on "
+            return ExitCode.failure(
+                    "cannot listen on "
                             + settings.bindAddress()
                             + " and "
                             + settings.peerAddress()
                             + ": "
                             + e.getMessage());
-            return 1;
         }
         service.run();
-        return 0;
+        return ExitCode.SUCCESS;
     }
 }
--- a/src/main/java/io/pepperfield/cli/StateCommand.java
+++ b/src/main/java/io/pepperfield/cli/StateCommand.java
@@ -1,11 +1,8 @@
 package io.pepperfield.cli;
 
-import io.netty.channel.EventLoopGroup;
-import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.nio.NioIoHandler;
 import io.pepperfield.config.Settings;
 import io.pepperfield.config.SettingsException;
-import io.pepperfield.http.HttpClient;
+import io.pepperfield.http.BlockingHttpClient;
 import io.pepperfield.recovery.ArchiveException;
 import io.pepperfield.recovery.ArchiveWriter;
 import io.pepperfield.recovery.HttpSnapshotSource;
@@ -15,7 +12,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
-import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
@@ -30,11 +26,6 @@
 
     private static final int MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
 
-    private static int reportFailure(String why) {
-        System.err.println("pepperfield: " + why);
-        return 1;
-    }
-
     /** Writes an archive, whole or not at all. */
     @Command(
             name = "export",
@@ -49,21 +40,18 @@
 
         @Override
         public Integer call() {
-            EventLoopGroup network = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-            try {
+            try (BlockingHttpClient client = new BlockingHttpClient(MAX_RESPONSE_BYTES)) {
                 Settings settings = files.read();
                 HttpSnapshotSource source =
                         new HttpSnapshotSource(
-                                new HttpClient(network, MAX_RESPONSE_BYTES),
+                                client,
                                 settings.storeAddress(),
                                 settings.deployment().storeLimits().requestsPerS());
                 long revision = new ArchiveWriter(source, controllers(settings)).write(file);
                 System.out.println(file + ": revision " + revision);
-                return 0;
+                return ExitCode.SUCCESS;
             } catch (SettingsException | IOException e) {
-                return reportFailure(e.getMessage());
-            } finally {
-                network.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
+                return ExitCode.failure(e.getMessage());
             }
         }
 
@@ -92,10 +80,10 @@
                 System.out.println("revision " + archive.revision());
                 System.out.println("controllers " + String.join(", ", archive.controllers()));
                 archive.keyCounts()
-                        .forEach((kind, count) -> System.out.println(kind + " " + count));
-                return 0;
+                        .forEach((keyKind, count) -> System.out.println(keyKind + " " + count));
+                return ExitCode.SUCCESS;
             } catch (ArchiveException e) {
-                return reportFailure(file + ": " + e.getMessage());
+                return ExitCode.failure(file + ": " + e.getMessage());
             }
         }
     }
--- a/src/main/java/io/pepperfield/cli/SubmitCommand.java
+++ b/src/main/java/io/pepperfield/cli/SubmitCommand.java
@@ -26,8 +26,7 @@
         try {
             body = file.equals("-") ? System.in.readAllBytes() : Files.readAllBytes(Path.of(file));
         } catch (IOException e) {
-            System.err.println("pepperfield: " + file + " cannot be read");
-            return 1;
+            return ExitCode.failure(file + " cannot be read");
         }
         return remote.request("POST", "/api/jobs", body);
     }
--- /dev/null
+++ b/src/main/java/io/pepperfield/http/BlockingHttpClient.java
@@ -0,0 +1,37 @@
+package io.pepperfield.http;
+
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * A client with a network thread of its own, whose requests wait for their outcome: for commands,
+ * which have nothing else to do meanwhile.
+ */
+public final class BlockingHttpClient implements AutoCloseable {
+
+    private static final long MAX_SHUTDOWN_MS = 100;
+
+    private final EventLoopGroup network =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final HttpClient client;
+
+    /** Starts the network thread, which ends with {@link #close}. */
+    public BlockingHttpClient(int maxResponseBytes) {
+        client = new HttpClient(network, maxResponseBytes);
+    }
+
+    /** Sends a request and waits for its outcome, at most until its deadline. */
+    public HttpOutcome send(OutboundRequest request) {
+        CompletableFuture<HttpOutcome> outcome = new CompletableFuture<>();
+        client.send(request, outcome::complete);
+        return outcome.join();
+    }
+
+    @Override
+    public void close() {
+        network.shutdownGracefully(0, MAX_SHUTDOWN_MS, TimeUnit.MILLISECONDS);
+    }
+}
--- a/src/main/java/io/pepperfield/recovery/HttpSnapshotSource.java
+++ b/src/main/java/io/pepperfield/recovery/HttpSnapshotSource.java
@@ -2,13 +2,12 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.config.Settings;
-import io.pepperfield.http.HttpClient;
+import io.pepperfield.http.BlockingHttpClient;
 import io.pepperfield.http.HttpOutcome;
 import io.pepperfield.http.OutboundRequest;
 import io.pepperfield.store.KeyValueResponses;
 import io.pepperfield.store.Keys;
 import java.io.IOException;
-import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.locks.LockSupport;
 
 /** The state service itself, read from a console with a small part of its request rate. */
@@ -17,22 +16,27 @@
     private static final int PAGE_SIZE = 500;
     private static final long DEADLINE_MS = 5000;
     private static final int MAX_ATTEMPTS = 10;
+    private static final double NANOS_PER_S = 1e9;
+    private static final int OK = 200;
     private static final int GONE = 410;
 
     /** The part of the service's requests per second that reading may use. */
     private static final double RATE_SHARE = 0.05;
 
-    private final HttpClient client;
+    private final BlockingHttpClient client;
     private final Settings.Address address;
     private final long spacingNanos;
 
     /**
+     * Creates a source that reads with this client.
+     *
      * @param requestsPerS what the state service allows all its users together
      */
-    public HttpSnapshotSource(HttpClient client, Settings.Address address, double requestsPerS) {
+    public HttpSnapshotSource(
+            BlockingHttpClient client, Settings.Address address, double requestsPerS) {
         this.client = client;
         this.address = address;
-        this.spacingNanos = Math.round(1e9 / (RATE_SHARE * requestsPerS));
+        this.spacingNanos = Math.round(NANOS_PER_S / (RATE_SHARE * requestsPerS));
     }
 
     @Override
@@ -63,23 +67,21 @@
 
     /** Outages and refusals pass: each request is tried a few times. */
     private HttpOutcome.Answered get(String path) throws IOException {
-        String trouble = "";
+        String failure = "";
         for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
             LockSupport.parkNanos(spacingNanos);
-            CompletableFuture<HttpOutcome> outcome = new CompletableFuture<>();
-            client.send(
+            OutboundRequest request =
                     new OutboundRequest(
-                            address.host(), address.port(), 1, "GET", path, null, DEADLINE_MS),
-                    outcome::complete);
-            if (outcome.join() instanceof HttpOutcome.Answered answer) {
-                if (answer.status() == 200 || answer.status() == GONE) {
+                            address.host(), address.port(), 1, "GET", path, null, DEADLINE_MS);
+            if (client.send(request) instanceof HttpOutcome.Answered answer) {
+                if (answer.status() == OK || answer.status() == GONE) {
                     return answer;
                 }
-                trouble = "answers " + answer.status();
+                failure = "answers " + answer.status();
             } else {
-                trouble = "does not answer";
+                failure = "does not answer";
             }
         }
-        throw new IOException("the state service at " + address + " " + trouble);
+        throw new IOException("the state service at " + address + " " + failure);
     }
 }
