--- a/src/main/java/io/pepperfield/cloud/HttpCloudProvider.java
+++ b/src/main/java/io/pepperfield/cloud/HttpCloudProvider.java
@@ -8,6 +8,7 @@
 import io.pepperfield.http.HttpOutcome;
 import io.pepperfield.http.HttpSender;
 import io.pepperfield.http.Json;
+import io.pepperfield.http.OutboundRequest;
 import io.pepperfield.loop.Loop;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
+++ b/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
@@ -6,6 +6,7 @@
 import io.pepperfield.fleet.WorkerProtocol;
 import io.pepperfield.http.HttpOutcome;
 import io.pepperfield.http.HttpSender;
+import io.pepperfield.http.OutboundRequest;
 import io.pepperfield.loop.Loop;
 import io.pepperfield.peer.PeerMessages.CachedHeartbeat;
 import io.pepperfield.peer.PeerMessages.HeartbeatBatchReply;
--- a/src/main/java/io/pepperfield/peer/Peers.java
+++ b/src/main/java/io/pepperfield/peer/Peers.java
@@ -8,6 +8,7 @@
 import io.pepperfield.http.HttpSender;
 import io.pepperfield.http.InboundRequest;
 import io.pepperfield.http.Json;
+import io.pepperfield.http.OutboundRequest;
 import io.pepperfield.loop.Loop;
 import java.util.HashMap;
 import java.util.List;
@@ -199,13 +200,14 @@
             double deadlineS,
             Consumer<HttpOutcome> done) {
         client.send(
-                member.address().host(),
-                member.address().port(),
-                2,
-                "POST",
-                path,
-                body,
-                Math.round(deadlineS * 1000),
+                new OutboundRequest(
+                        member.address().host(),
+                        member.address().port(),
+                        2,
+                        "POST",
+                        path,
+                        body,
+                        Math.round(deadlineS * 1000)),
                 outcome -> loop.post(() -> done.accept(outcome)));
     }
 
