--- a/src/main/java/io/pepperfield/cloud/HttpCloudProvider.java
+++ b/src/main/java/io/pepperfield/cloud/HttpCloudProvider.java
@@ -200,13 +200,14 @@
 
     private void send(String method, String path, byte[] body, Consumer<HttpOutcome> done) {
         client.send(
-                address.host(),
-                address.port(),
-                MAX_CONNECTIONS,
-                method,
-                path,
-                body,
-                Math.round(TIMEOUT_S * 1000),
+                new OutboundRequest(
+                        address.host(),
+                        address.port(),
+                        MAX_CONNECTIONS,
+                        method,
+                        path,
+                        body,
+                        Math.round(TIMEOUT_S * 1000)),
                 outcome -> loop.post(() -> done.accept(outcome)));
     }
 }
--- a/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
+++ b/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
@@ -202,13 +202,14 @@
         // Well within a worker's timeout, so that it can still be answered without orders, also one
         // that waits behind these.
         client.send(
-                to.address().host(),
-                to.address().port(),
-                1,
-                "POST",
-                Peers.HEARTBEATS_PATH,
-                message.write(),
-                Math.round(1000 * Math.min(heartbeatIntervalS / 2, WORKER_TIMEOUT_S / 3)),
+                new OutboundRequest(
+                        to.address().host(),
+                        to.address().port(),
+                        1,
+                        "POST",
+                        Peers.HEARTBEATS_PATH,
+                        message.write(),
+                        Math.round(1000 * Math.min(heartbeatIntervalS / 2, WORKER_TIMEOUT_S / 3))),
                 outcome -> loop.post(() -> replyReceived(to, now, batch, outcome)));
     }
 
--- a/src/main/java/io/pepperfield/peer/Peers.java
+++ b/src/main/java/io/pepperfield/peer/Peers.java
@@ -112,13 +112,14 @@
         queriedAt = now;
         for (Settings.Member member : settings.members()) {
             client.send(
-                    member.address().host(),
-                    member.address().port(),
-                    2,
-                    "GET",
-                    CONTACT_PATH,
-                    null,
-                    Math.round(heartbeatIntervalS * 500),
+                    new OutboundRequest(
+                            member.address().host(),
+                            member.address().port(),
+                            2,
+                            "GET",
+                            CONTACT_PATH,
+                            null,
+                            Math.round(heartbeatIntervalS * 500)),
                     outcome -> loop.post(() -> contactReceived(member.node(), now, outcome)));
         }
     }
@@ -158,13 +159,14 @@
             FencingToken orderToken,
             List<PeerMessages.DirectOrderMessage> messages) {
         client.send(
-                owner.address().host(),
-                owner.address().port(),
-                2,
-                "POST",
-                ORDERS_PATH,
-                PeerMessages.writeDirectOrders(orderToken, messages),
-                Math.round(heartbeatIntervalS * 500),
+                new OutboundRequest(
+                        owner.address().host(),
+                        owner.address().port(),
+                        2,
+                        "POST",
+                        ORDERS_PATH,
+                        PeerMessages.writeDirectOrders(orderToken, messages),
+                        Math.round(heartbeatIntervalS * 500)),
                 outcome -> {});
     }
 
@@ -176,13 +178,14 @@
         byte[] body = PeerMessages.writeCancelledJobs(ids);
         for (Settings.Member member : settings.members()) {
             client.send(
-                    member.address().host(),
-                    member.address().port(),
-                    2,
-                    "POST",
-                    CANCELLED_PATH,
-                    body,
-                    Math.round(heartbeatIntervalS * 500),
+                    new OutboundRequest(
+                            member.address().host(),
+                            member.address().port(),
+                            2,
+                            "POST",
+                            CANCELLED_PATH,
+                            body,
+                            Math.round(heartbeatIntervalS * 500)),
                     outcome -> {});
         }
     }
--- a/src/main/java/io/pepperfield/recovery/HttpSnapshotSource.java
+++ b/src/main/java/io/pepperfield/recovery/HttpSnapshotSource.java
@@ -4,6 +4,7 @@
 import io.pepperfield.config.Settings;
 import io.pepperfield.http.BlockingHttpClient;
 import io.pepperfield.http.HttpOutcome;
+import io.pepperfield.http.OutboundRequest;
 import io.pepperfield.store.KeyValueMessages;
 import io.pepperfield.store.Keys;
 import java.io.IOException;
--- a/src/main/java/io/pepperfield/store/HttpKeyValueStore.java
+++ b/src/main/java/io/pepperfield/store/HttpKeyValueStore.java
@@ -3,6 +3,7 @@
 import io.pepperfield.config.Settings;
 import io.pepperfield.http.HttpOutcome;
 import io.pepperfield.http.HttpSender;
+import io.pepperfield.http.OutboundRequest;
 import io.pepperfield.loop.Loop;
 import java.util.List;
 import java.util.function.Consumer;
@@ -128,13 +129,14 @@
 
     private void send(Request request, Consumer<HttpOutcome> done) {
         client.send(
-                address.host(),
-                address.port(),
-                MAX_CONNECTIONS,
-                request.method,
-                request.path,
-                request.body,
-                Math.round(request.timeoutS * 1000),
+                new OutboundRequest(
+                        address.host(),
+                        address.port(),
+                        MAX_CONNECTIONS,
+                        request.method,
+                        request.path,
+                        request.body,
+                        Math.round(request.timeoutS * 1000)),
                 outcome -> loop.post(() -> done.accept(outcome)));
     }
 
--- a/src/test/java/io/pepperfield/forms/HttpForms.java
+++ b/src/test/java/io/pepperfield/forms/HttpForms.java
@@ -7,10 +7,12 @@
 import io.netty.channel.nio.NioIoHandler;
 import io.pepperfield.cli.Main;
 import io.pepperfield.config.Settings;
+import io.pepperfield.http.BlockingHttpClient;
 import io.pepperfield.http.HttpClient;
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.HttpServer;
 import io.pepperfield.http.Json;
+import io.pepperfield.http.OutboundRequest;
 import io.pepperfield.recovery.HttpSnapshotSource;
 import io.pepperfield.recovery.SnapshotSource;
 import java.io.IOException;
@@ -141,7 +143,7 @@
     private void exports() throws Exception {
         HttpServer server = recordingServer();
         int port = server.start(HOST, 0);
-        HttpClient client = new HttpClient(network, 1 << 16);
+        BlockingHttpClient client = new BlockingHttpClient(1 << 16);
         SnapshotSource source =
                 new HttpSnapshotSource(client, new Settings.Address(HOST, port), 1000);
         answer = HttpReply.json(200, FormFile.json("state-range.json"));
@@ -153,6 +155,7 @@
         answer = HttpReply.empty(410);
         String why = assertThrows(IOException.class, () -> source.changesSince(16)).getMessage();
         file.add("refused", why);
+        client.close();
         server.close();
     }
 
--- a/src/test/java/io/pepperfield/standin/SimNode.java
+++ b/src/test/java/io/pepperfield/standin/SimNode.java
@@ -69,15 +69,15 @@
         peers = new Peers(loop, settings, sender);
         Optional<Rollout> rollout =
                 Optional.ofNullable(version.release())
-                        .map(release -> new Rollout(loop, settings, state, release));
+                        .map(release -> new Rollout(loop, settings, store, release));
         ExternalSystems external =
                 new ExternalSystems(
-                        rollout.<KeyValueStore>map(Rollout::keyValueStore).orElse(state),
+                        rollout.<KeyValueStore>map(Rollout::keyValueStore).orElse(store),
                         new HttpCloudProvider(loop, sender, settings.cloudAddress(), 20),
                         new HttpWorkerClient(loop, sender, SimulatedRegion.HEARTBEAT_INTERVAL_S),
                         peers,
                         new HeartbeatForwarder(loop, sender, settings),
-                        state::setRates);
+                        store::setRates);
         controller = new Controller(loop, settings, external, rollout);
         controller.start();
     }
