--- a/src/main/java/io/pepperfield/jobs/JobSpec.java
+++ b/src/main/java/io/pepperfield/jobs/JobSpec.java
@@ -5,16 +5,25 @@
 import java.util.function.UnaryOperator;
 
 /**
- * What a user asked for.
+ * What a user asked for; never changes.
  *
+ * @param id run- and six digits or more
+ * @param workload the class of jobs by which run times are predicted
+ * @param team the owner, whose quota the job uses
+ * @param cpus of one task, as are gpus and memory
+ * @param image the container image
+ * @param imageGb its size, which a machine without it has to pull
  * @param machineTypes allowed machine types, or null for any
  * @param zone the only allowed zone, or null
  * @param sameZone all tasks in the same zone
  * @param spreadOverZones at most half of the tasks, rounded up, in one zone
  * @param spotAllowed may use spot machines
- * @param deadlineS deadline after the submission, or null
- * @param acceptedMs time of day of the submission
- * @param tasksPerRunRecord tasks per durable run record
+ * @param expectedRunTimeS how many seconds a task is expected to run
+ * @param checkpointIntervalS seconds between two checkpoints of a task; 0 for none
+ * @param checkpointDurationS seconds that a checkpoint takes
+ * @param deadlineS deadline in seconds after the submission, or null
+ * @param acceptedMs time of day of the submission in milliseconds
+ * @param tasksPerRunRecord tasks in one stored run record
  * @param dependencies jobs that must be done before any task starts, each once
  */
 public record JobSpec(
@@ -86,19 +95,19 @@
     }
 
     /**
-     * The key of a part of a divided run record: numbers beyond those of the chunks, which every
-     * version reads like any other chunk.
+     * The key of a part of a split run record: numbers beyond those of the job's records, which
+     * every version reads like any other.
      */
-    public String splitRecordKey(int chunkNumber, int part) {
-        return Keys.runRecord(id, chunkNumber + part * runRecordCount());
+    public String splitRecordKey(int record, int part) {
+        return Keys.runRecord(id, record + part * runRecordCount());
     }
 
-    /** The same job with another rank. */
+    /** The same job with another priority. */
     public JobSpec withPriority(Priority other) {
         return copy(other, dependencies);
     }
 
-    /** The same job, with the ids of those that it needs as {@code shared} has them. */
+    /** The same job, with the ids of its dependencies as {@code shared} gives them. */
     JobSpec withSharedDependencyIds(UnaryOperator<String> shared) {
         return dependencies.isEmpty()
                 ? this
@@ -109,13 +118,13 @@
         return copy(priority, List.of());
     }
 
-    private JobSpec copy(Priority otherRank, List<String> otherAwaits) {
+    private JobSpec copy(Priority otherPriority, List<String> otherDependencies) {
         return new JobSpec(
                 id,
                 workload,
                 team,
                 shape,
-                otherRank,
+                otherPriority,
                 tasks,
                 cpus,
                 gpus,
@@ -133,7 +142,7 @@
                 deadlineS,
                 acceptedMs,
                 tasksPerRunRecord,
-                otherAwaits);
+                otherDependencies);
     }
 
     /** Whether its tasks save checkpoints. */
--- a/src/main/java/io/pepperfield/jobs/PriorityInheritance.java
+++ b/src/main/java/io/pepperfield/jobs/PriorityInheritance.java
@@ -7,33 +7,38 @@
 import java.util.function.BiConsumer;
 
 /**
- * Users set the rank that they care about on the last job of a pipeline: a job is placed by the
- * highest among its own and those of the unfinished jobs that need it, directly or through others.
+ * Priority inheritance: users set the priority that they care about on the last job of a pipeline,
+ * and a job is placed by its effective priority, the highest among its own and those of its
+ * unfinished dependents, direct or not.
  *
  * <p>Derived from the unfinished jobs alone, in whatever order they come, so that a new leader
- * finds the same ranks, and a rank goes again with the job that lent it. Of each job the dependants
- * are counted by rank: a job that comes or goes costs a step for each edge over which a rank
- * changes, however many jobs need the same one.
+ * finds the same priorities, and a priority goes again with the job that it comes from. Of each job
+ * the dependents are counted by effective priority: a job that comes or goes costs a step for each
+ * edge over which a priority changes, however many jobs depend on the same one. Confined to the
+ * event loop's thread.
  */
 public final class PriorityInheritance {
 
     private static final Priority[] PRIORITIES = Priority.values();
 
-    /** A job, or one that is named before it comes, with how many jobs of each rank need it. */
+    /**
+     * A job, or one that is named before it is added, with how many of its dependents there are of
+     * each effective priority.
+     */
     private static final class Node {
         private final int[] dependentsByPriority = new int[PRIORITIES.length];
 
-        /** Null where the job is not known, or over. */
+        /** Null where the job is not known, or has ended. */
         private JobSpec spec;
 
         private Priority effectivePriority;
 
         private Priority highestPriority() {
-            int rank = 0;
-            while (rank < spec.priority().ordinal() && dependentsByPriority[rank] == 0) {
-                rank++;
+            int ordinal = 0;
+            while (ordinal < spec.priority().ordinal() && dependentsByPriority[ordinal] == 0) {
+                ordinal++;
             }
-            return PRIORITIES[rank];
+            return PRIORITIES[ordinal];
         }
 
         private boolean isUnused() {
@@ -46,22 +51,25 @@
         }
     }
 
-    /** One job that needs {@code job} has another rank; null for none. */
+    /**
+     * The effective priority of one dependent of {@code job} changes; null stands for a dependent
+     * that did not exist before, or does not any more.
+     */
     private record Step(String job, Priority before, Priority after) {}
 
     private final Map<String, Node> nodes = new HashMap<>();
-    private final BiConsumer<String, Priority> changed;
+    private final BiConsumer<String, Priority> onChanged;
     private long steps;
 
     /**
-     * @param changed told of a job and the rank that it is placed by from now on, where that is not
-     *     the one before; at first it is its own
+     * @param onChanged told of a job and its new effective priority, where that is not the one
+     *     before; at first it is its own
      */
-    public PriorityInheritance(BiConsumer<String, Priority> changed) {
-        this.changed = changed;
+    public PriorityInheritance(BiConsumer<String, Priority> onChanged) {
+        this.onChanged = onChanged;
     }
 
-    /** A job that is not over; it may come before those that it needs. */
+    /** Adds a job that has not ended; it may be added before its dependencies. */
     public void added(JobSpec job) {
         Node node = nodes.computeIfAbsent(job.id(), id -> new Node());
         if (node.spec != null) {
@@ -75,7 +83,7 @@
         propagate(open);
     }
 
-    /** The job is over: it lends its rank to nobody any more. */
+    /** The job has ended: its dependencies inherit nothing from it any more. */
     public void removed(JobSpec job) {
         Node node = nodes.get(job.id());
         if (node == null || node.spec == null) {
@@ -90,7 +98,7 @@
 
     private static void addSteps(
             JobSpec job, Priority before, Priority after, ArrayDeque<Step> open) {
-        job.dependencies().forEach(needed -> open.add(new Step(needed, before, after)));
+        job.dependencies().forEach(id -> open.add(new Step(id, before, after)));
     }
 
     /** Without recursion: chains may be long. */
@@ -101,19 +109,25 @@
             Node node = nodes.computeIfAbsent(step.job, id -> new Node());
             count(node, step.before, -1);
             count(node, step.after, 1);
-            Priority now = node.spec == null ? null : node.highestPriority();
-            if (now != null && now != node.effectivePriority) {
-                addSteps(node.spec, node.effectivePriority, now, open);
-                node.effectivePriority = now;
-                changed.accept(step.job, now);
+            if (node.spec != null) {
+                updateEffectivePriority(node, open);
             }
             forgetIfUnused(step.job, node);
         }
     }
 
-    private static void count(Node node, Priority rank, int change) {
-        if (rank != null) {
-            node.dependentsByPriority[rank.ordinal()] += change;
+    private void updateEffectivePriority(Node node, ArrayDeque<Step> open) {
+        Priority highest = node.highestPriority();
+        if (highest != node.effectivePriority) {
+            addSteps(node.spec, node.effectivePriority, highest, open);
+            node.effectivePriority = highest;
+            onChanged.accept(node.spec.id(), highest);
+        }
+    }
+
+    private static void count(Node node, Priority priority, int change) {
+        if (priority != null) {
+            node.dependentsByPriority[priority.ordinal()] += change;
         }
     }
 
@@ -123,12 +137,12 @@
         }
     }
 
-    /** Edges gone over so far. */
+    /** How many edges have been visited so far. */
     long steps() {
         return steps;
     }
 
-    /** Jobs kept here. */
+    /** How many jobs are kept here. */
     int size() {
         return nodes.size();
     }
--- a/src/main/java/io/pepperfield/jobs/SharedRunRecords.java
+++ b/src/main/java/io/pepperfield/jobs/SharedRunRecords.java
@@ -12,12 +12,13 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Function;
 
 /**
- * Which small jobs share a durable run record. A swarm of jobs with a task each would otherwise
- * cost a change for each intent, and changes per second are the scarcest resource. A record whose
- * jobs are all over is used again.
+ * Which small jobs share a stored run record. A swarm of jobs with a task each would otherwise cost
+ * a mutation for each intent, and mutations per second are the scarcest resource. A record whose
+ * jobs are all over is used again. Kept by the leader, on the event loop's thread.
  */
 public final class SharedRunRecords {
 
@@ -30,10 +31,10 @@
     private final Map<String, String> recordByJob = new HashMap<>();
     private final ArrayDeque<String> emptyRecords = new ArrayDeque<>();
 
-    /** The records among which a record that had become too large is divided. */
+    /** The records among which a record that had become too large is split. */
     private final Map<String, List<String>> partsByRecord = new HashMap<>();
 
-    /** Of each job in a divided record, the part that holds it. */
+    /** Of each job in a split record, the part that holds it. */
     private final Map<String, String> partByJob = new HashMap<>();
 
     private String openRecord = "";
@@ -41,63 +42,76 @@
     private int sequence;
 
     /**
-     * @param token of the leadership: no record's name is ever chosen by two leaders
-     * @param mostTasks of all jobs in a record: an intent is guarded by the final state of its job,
-     *     and guards are limited
+     * @param fencingToken of the leadership: no record's name is ever chosen by two leaders
+     * @param maxTasks of all jobs in a record: the absence of its job's final state is a
+     *     precondition of an intent, and preconditions are limited
      */
-    public SharedRunRecords(FencingToken token, int mostTasks) {
-        this.fencingToken = token;
-        this.maxTasks = mostTasks;
+    public SharedRunRecords(FencingToken fencingToken, int maxTasks) {
+        this.fencingToken = fencingToken;
+        this.maxTasks = maxTasks;
     }
 
-    /** A record of an earlier leader with those of its jobs that are not over. */
+    /**
+     * Takes over a record of an earlier leader.
+     *
+     * @param ids the jobs that the record holds
+     * @param jobs all jobs that are not over, by id
+     */
     public void restore(String key, Collection<String> ids, Map<String, Job> jobs) {
-        Map<String, Job> inside = jobsByRecord.computeIfAbsent(key, k -> new LinkedHashMap<>());
-        ids.forEach(
-                id -> {
-                    Job job = jobs.get(id);
-                    if (job != null) {
-                        inside.put(id, job);
-                        recordByJob.put(id, key);
-                    }
-                });
-        if (inside.isEmpty()) {
+        Map<String, Job> held = jobsByRecord.computeIfAbsent(key, k -> new LinkedHashMap<>());
+        for (String id : ids) {
+            Job job = jobs.get(id);
+            if (job != null) {
+                held.put(id, job);
+                recordByJob.put(id, key);
+            }
+        }
+        if (held.isEmpty()) {
             emptyRecords.add(key);
         }
     }
 
     /**
-     * The record that the job shares, or null where it has its own; {@code begun}: it has run
-     * records of its own already.
+     * The key of the record that the job shares; empty where the job has records of its own.
+     *
+     * @param begun whether the job has run records of its own already
      */
-    public String recordKeyFor(Job job, boolean begun) {
+    public Optional<String> recordKeyFor(Job job, boolean begun) {
         String known = recordByJob.get(job.spec.id());
-        if (known != null
-                || begun
-                || job.spec.isService()
-                || job.spec.tasks() * MIN_JOBS_PER_RECORD > job.spec.tasksPerRunRecord()) {
-            return known;
+        if (known != null || begun || !isSmall(job.spec)) {
+            return Optional.ofNullable(known);
         }
-        if (openRecord.isEmpty()
-                || openRecordTasks + job.spec.tasks()
-                        > Math.min(maxTasks, job.spec.tasksPerRunRecord())) {
-            if (jobsByRecord.containsKey(openRecord) && jobsByRecord.get(openRecord).isEmpty()) {
-                emptyRecords.add(openRecord);
-            }
-            openRecord = emptyRecords.isEmpty() ? newRecordKey() : emptyRecords.poll();
-            openRecordTasks = 0;
+        if (!hasRoomFor(job.spec)) {
+            openNextRecord();
         }
         openRecordTasks += job.spec.tasks();
         jobsByRecord
                 .computeIfAbsent(openRecord, k -> new LinkedHashMap<>())
                 .put(job.spec.id(), job);
         recordByJob.put(job.spec.id(), openRecord);
-        return openRecord;
+        return Optional.of(openRecord);
+    }
+
+    private static boolean isSmall(JobSpec spec) {
+        return !spec.isService() && spec.tasks() * MIN_JOBS_PER_RECORD <= spec.tasksPerRunRecord();
+    }
+
+    private boolean hasRoomFor(JobSpec spec) {
+        int limit = Math.min(maxTasks, spec.tasksPerRunRecord());
+        return !openRecord.isEmpty() && openRecordTasks + spec.tasks() <= limit;
+    }
+
+    private void openNextRecord() {
+        if (jobsByRecord.containsKey(openRecord) && jobsByRecord.get(openRecord).isEmpty()) {
+            emptyRecords.add(openRecord);
+        }
+        openRecord = emptyRecords.isEmpty() ? newRecordKey() : emptyRecords.poll();
+        openRecordTasks = 0;
     }
 
     /**
-     * The job is over and nothing of it may be alive: its lines are left out from the next writing
-     * on.
+     * The job is over and nothing of it may be alive: its task states are left out from the next
+     * write on.
      */
     public void remove(String id) {
         String key = recordByJob.remove(id);
@@ -117,9 +131,11 @@
     }
 
     /**
-     * The record has become too large for the state service: its jobs are divided among new records
-     * of this leader's, which are written together with it from now on, so that no line is ever
-     * missing or in two of them. False where that is not possible.
+     * The record has become too large for the state service: its jobs are split among new records
+     * of this leader's, which are written together with it from now on, so that no task state is
+     * ever missing or in two of them.
+     *
+     * @return false where that is not possible
      */
     public boolean split(String key) {
         Collection<Job> jobs = jobs(key);
@@ -149,15 +165,19 @@
     /**
      * What the record is to hold now, and its parts. The record comes first: what it leaves out is
      * found in a part afterwards.
+     *
+     * @param taskStates gives the states of a job's tasks
      */
-    public Map<String, JsonNode> encodeRecord(String key, Function<Job, List<TaskState>> lines) {
+    public Map<String, JsonNode> encodeRecord(
+            String key, Function<Job, List<TaskState>> taskStates) {
         Map<String, JsonNode> values = new LinkedHashMap<>();
         partsByRecord
                 .getOrDefault(key, List.of(key))
                 .forEach(part -> values.put(part, Json.object()));
         for (Job job : jobs(key)) {
             String part = partByJob.getOrDefault(job.spec.id(), key);
-            ((ObjectNode) values.get(part)).set(job.spec.id(), TaskState.encode(lines.apply(job)));
+            ((ObjectNode) values.get(part))
+                    .set(job.spec.id(), TaskState.encode(taskStates.apply(job)));
         }
         return values;
     }
--- a/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
+++ b/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
@@ -222,7 +222,8 @@
 
     /** The run record that the job shares with other small ones, or null. */
     private String sharedRecordKey(Job job) {
-        return sharedRecords.recordKeyFor(job, replica.contains(Keys.runRecord(job.spec.id(), 0)));
+        boolean begun = replica.contains(Keys.runRecord(job.spec.id(), 0));
+        return sharedRecords.recordKeyFor(job, begun).orElse(null);
     }
 
     private List<TaskState> taskStates(Job job, int chunk) {
--- a/src/main/java/io/pepperfield/store/Keys.java
+++ b/src/main/java/io/pepperfield/store/Keys.java
@@ -18,7 +18,7 @@
     /** What belongs to the rollout of a release that stores state differently. */
     public static final String ROLLOUT_PREFIX = ROOT + "rollout/";
 
-    /** The record of the stored-state version, by which all writes are guarded. */
+    /** The record of the stored-state version, a precondition of all writes. */
     public static final String ROLLOUT_VERSION = ROLLOUT_PREFIX + "version";
 
     /** A controller's release, while its process lives. */
@@ -35,8 +35,8 @@
 
     private Keys() {}
 
-    /** The key of the run record of one chunk of a job's tasks. */
-    public static String runRecord(String job, int chunk) {
-        return RUN_RECORD_PREFIX + job + "/" + chunk;
+    /** The key of one of a job's run records, by the record's number from 0. */
+    public static String runRecord(String job, int record) {
+        return RUN_RECORD_PREFIX + job + "/" + record;
     }
 }
--- a/src/test/java/io/pepperfield/forms/StoredForms.java
+++ b/src/test/java/io/pepperfield/forms/StoredForms.java
@@ -65,7 +65,9 @@
         file.add("part of a run record", spec.splitRecordKey(1, 2));
         file.add(
                 "shared run records",
-                new SharedRunRecords(new FencingToken(41), 64).recordKeyFor(small(), false));
+                new SharedRunRecords(new FencingToken(41), 64)
+                        .recordKeyFor(small(), false)
+                        .orElseThrow());
     }
 
     private static Job small() {
@@ -196,7 +198,7 @@
     /** Read by the index of jobs, see the tests of the production version's values. */
     private static void writeSharedRecords(FormFile file) {
         SharedRunRecords records = new SharedRunRecords(new FencingToken(41), 64);
-        String key = records.recordKeyFor(small(), false);
+        String key = records.recordKeyFor(small(), false).orElseThrow();
         records.encodeRecord(key, job -> LINES).forEach(file::add);
         records.remove(JOB_ID);
         records.encodeRecord(key, job -> LINES).forEach(file::add);
--- a/src/test/java/io/pepperfield/jobs/SharedRunRecordsTest.java
+++ b/src/test/java/io/pepperfield/jobs/SharedRunRecordsTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -16,6 +15,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
@@ -47,20 +47,25 @@
         SharedRunRecords records = new SharedRunRecords(new FencingToken(7), 2 * CHUNK);
         Set<String> keys = new HashSet<>();
         for (int i = 0; i < 4 * CHUNK; i++) {
-            keys.add(records.recordKeyFor(job(i, 1), false));
+            keys.add(records.recordKeyFor(job(i, 1), false).orElseThrow());
         }
         assertEquals(4, keys.size());
-        assertNull(
-                records.recordKeyFor(job(500, CHUNK), false), "a large job has chunks of its own");
-        assertNull(records.recordKeyFor(job(501, 1), true), "and so has one that began with them");
+        assertEquals(
+                Optional.empty(),
+                records.recordKeyFor(job(500, CHUNK), false),
+                "a large job has chunks of its own");
+        assertEquals(
+                Optional.empty(),
+                records.recordKeyFor(job(501, 1), true),
+                "and so has one that began with them");
     }
 
     @Test
     void whatIsOverIsLeftOutAndItsRecordUsedAgain() {
         SharedRunRecords records = new SharedRunRecords(new FencingToken(7), 2 * CHUNK);
-        String first = records.recordKeyFor(job(0, 1), false);
+        String first = records.recordKeyFor(job(0, 1), false).orElseThrow();
         for (int i = 1; i <= CHUNK; i++) {
-            records.recordKeyFor(job(i, 1), false);
+            records.recordKeyFor(job(i, 1), false).orElseThrow();
         }
         records.remove("run-000003");
         assertEquals(
@@ -71,7 +76,7 @@
         }
         Set<String> keys = new HashSet<>();
         for (int i = 100; i < 100 + 2 * CHUNK; i++) {
-            keys.add(records.recordKeyFor(job(i, 1), false));
+            keys.add(records.recordKeyFor(job(i, 1), false).orElseThrow());
         }
         assertEquals(3, keys.size());
         assertEquals(true, keys.contains(first));
@@ -98,10 +103,10 @@
         assertEquals(1, catalog.get("run-000001").taskStates().size());
         SharedRunRecords next = new SharedRunRecords(new FencingToken(9), 2 * CHUNK);
         next.restore(key, catalog.jobsBySharedRecord().get(key), jobs);
-        assertEquals(key, next.recordKeyFor(jobs.get("run-000001"), false));
+        assertEquals(key, next.recordKeyFor(jobs.get("run-000001"), false).orElseThrow());
         assertEquals(
                 Keys.SHARED_RUN_RECORD_PREFIX + "9-1",
-                next.recordKeyFor(jobs.get("run-000002"), false));
+                next.recordKeyFor(jobs.get("run-000002"), false).orElseThrow());
     }
 
     @Test
