--- a/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
+++ b/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
@@ -200,10 +200,10 @@
         sharedRecords.remove(job.spec.id());
     }
 
-    /** The key of the record that the job shares with other small ones, if it does. */
-    private Optional<String> sharedRecordKey(Job job) {
-        boolean hasOwnRecord = replica.contains(Keys.runRecord(job.spec.id(), 0));
-        return Optional.ofNullable(sharedRecords.recordKeyFor(job, hasOwnRecord));
+    /** The run record that the job shares with other small ones, or null. */
+    private String sharedRecordKey(Job job) {
+        boolean begun = replica.contains(Keys.runRecord(job.spec.id(), 0));
+        return sharedRecords.recordKeyFor(job, begun).orElse(null);
     }
 
     /** The states of the record's tasks, except of those that were never started. */
