--- a/src/main/java/io/pepperfield/placement/BinPacker.java
+++ b/src/main/java/io/pepperfield/placement/BinPacker.java
@@ -2,9 +2,9 @@
 
 import java.util.ArrayList;
 import java.util.Comparator;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.TreeMap;
 
 /**
  * Decides which waiting task goes to which machine. Each team has a queue, served in turn: work
@@ -26,11 +26,44 @@
                     .thenComparing(request -> request.readyAt)
                     .thenComparing(request -> request.job.id());
 
+    /** One team's requests in the order in which they are served. */
+    private record TeamQueue(QuotaUsage quotaUsage, List<PlacementRequest> requests) {
+
+        /** The request of this team whose turn it is, or null where none can be served now. */
+        PlacementRequest firstEligible() {
+            for (PlacementRequest request : requests) {
+                if (!canBeServed(request)) {
+                    continue;
+                }
+                int tasks = request.job.isGang() ? request.waitingTasks : 1;
+                double cpus = tasks * request.job.cpus();
+                double gpus = tasks * request.job.gpus();
+                if (quotaUsage.fitsLimit(cpus, gpus)) {
+                    return request;
+                }
+                if (request.overdue && quotaUsage.fitsLimitBesideReplicas(cpus, gpus)) {
+                    // The rest of the team stands back until its limit leaves enough for this one;
+                    // not where replicas keep it from ever doing so, or all would wait for ever.
+                    return null;
+                }
+            }
+            return null;
+        }
+
+        private static boolean canBeServed(PlacementRequest request) {
+            if (request.waitingTasks == 0 || request.unschedulable) {
+                return false;
+            }
+            // A gang begins again only when all of its earlier attempts are gone.
+            return !request.job.isGang() || request.liveTasks == 0;
+        }
+    }
+
     private final List<FreeCapacity> capacities;
     private final Map<String, QuotaUsage> quotaUsages;
 
-    /** In the order of the teams' names; each queue in the order in which it is served. */
-    private final List<List<PlacementRequest>> queues;
+    /** In the order of the teams' names. */
+    private final List<TeamQueue> queues;
 
     private final List<Placement> placements = new ArrayList<>();
     private final UnschedulableDemand unschedulableDemand = new UnschedulableDemand();
@@ -41,7 +74,7 @@
             Map<String, QuotaUsage> quotaUsages) {
         this.capacities = capacities;
         this.quotaUsages = quotaUsages;
-        this.queues = queuesByTeam(requests);
+        this.queues = teamQueues(requests);
     }
 
     /**
@@ -56,19 +89,21 @@
     }
 
     /** Requests of teams that the settings do not name are left out. */
-    private List<List<PlacementRequest>> queuesByTeam(List<PlacementRequest> requests) {
-        Map<String, List<PlacementRequest>> queuesByTeam = new HashMap<>();
+    private List<TeamQueue> teamQueues(List<PlacementRequest> requests) {
+        Map<String, List<PlacementRequest>> requestsByTeam = new TreeMap<>();
         for (PlacementRequest request : requests) {
             String team = request.job.team();
             if (quotaUsages.containsKey(team)) {
-                queuesByTeam.computeIfAbsent(team, name -> new ArrayList<>()).add(request);
+                requestsByTeam.computeIfAbsent(team, name -> new ArrayList<>()).add(request);
             }
         }
-        queuesByTeam.values().forEach(queue -> queue.sort(TEAM_QUEUE_ORDER));
-        return queuesByTeam.entrySet().stream()
-                .sorted(Map.Entry.comparingByKey())
-                .map(Map.Entry::getValue)
-                .toList();
+        List<TeamQueue> teamQueues = new ArrayList<>();
+        requestsByTeam.forEach(
+                (team, teamRequests) -> {
+                    teamRequests.sort(TEAM_QUEUE_ORDER);
+                    teamQueues.add(new TeamQueue(quotaUsages.get(team), teamRequests));
+                });
+        return teamQueues;
     }
 
     private List<Placement> place() {
@@ -87,8 +122,8 @@
     /** The request whose turn it is, or null where none can be served any more. */
     private PlacementRequest nextRequest() {
         PlacementRequest next = null;
-        for (List<PlacementRequest> queue : queues) {
-            PlacementRequest head = firstEligible(queue);
+        for (TeamQueue queue : queues) {
+            PlacementRequest head = queue.firstEligible();
             if (head != null && (next == null || isServedBefore(head, next))) {
                 next = head;
             }
@@ -96,35 +131,6 @@
         return next;
     }
 
-    private PlacementRequest firstEligible(List<PlacementRequest> queue) {
-        for (PlacementRequest request : queue) {
-            if (!canBeServed(request)) {
-                continue;
-            }
-            QuotaUsage quotaUsage = quotaUsage(request);
-            int tasks = request.job.isGang() ? request.waitingTasks : 1;
-            double cpus = tasks * request.job.cpus();
-            double gpus = tasks * request.job.gpus();
-            if (quotaUsage.fitsLimit(cpus, gpus)) {
-                return request;
-            }
-            if (request.overdue && quotaUsage.fitsLimitBesideReplicas(cpus, gpus)) {
-                // The rest of the team stands back until its limit leaves enough for this one; not
-                // where replicas keep it from ever doing so, or all would wait for ever.
-                return null;
-            }
-        }
-        return null;
-    }
-
-    private static boolean canBeServed(PlacementRequest request) {
-        if (request.waitingTasks == 0 || request.unschedulable) {
-            return false;
-        }
-        // A gang begins again only when all of its earlier attempts are gone.
-        return !request.job.isGang() || request.liveTasks == 0;
-    }
-
     private boolean isServedBefore(PlacementRequest first, PlacementRequest second) {
         if (first.overdue != second.overdue) {
             return first.overdue;
