--- a/src/main/java/io/pepperfield/cluster/ClusterState.java
+++ b/src/main/java/io/pepperfield/cluster/ClusterState.java
@@ -17,6 +17,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.BiPredicate;
 
 /**
  * What the duties of one term share: the jobs, the machines, and the attempts that may be alive on
@@ -79,19 +80,21 @@
                 liveAttempts.replicaGpus(name));
     }
 
-    /**
-     * A new account of the machines that may take tasks now.
-     *
-     * @param now loop time in seconds
-     * @param includeFull also those that have no CPU left
-     */
-    public List<FreeCapacity> freeCapacities(double now, boolean includeFull) {
+    /** A new account of all machines that may take tasks at loop time {@code now}, full or not. */
+    public List<FreeCapacity> schedulableMachines(double now) {
+        return capacities(now, (machine, type) -> true);
+    }
+
+    /** A new account of the machines that may take tasks now and have CPUs left. */
+    public List<FreeCapacity> machinesWithCapacity(double now) {
+        return capacities(now, (machine, type) -> machine.freeCpus(type) > 0);
+    }
+
+    private List<FreeCapacity> capacities(double now, BiPredicate<Machine, MachineType> included) {
         List<FreeCapacity> capacities = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
             MachineType type = machineTypes.get(machine.type());
-            if (type != null
-                    && mayTakeTasks(machine, now)
-                    && (includeFull || machine.freeCpus(type) > 0)) {
+            if (type != null && mayTakeTasks(machine, now) && included.test(machine, type)) {
                 capacities.add(freeCapacity(machine, type));
             }
         }
--- a/src/main/java/io/pepperfield/dispatch/ClusterView.java
+++ b/src/main/java/io/pepperfield/dispatch/ClusterView.java
@@ -36,12 +36,12 @@
 
     /** A new account of the schedulable machines that have capacity left. */
     List<FreeCapacity> machinesWithCapacity() {
-        return cluster.freeCapacities(now, false);
+        return cluster.machinesWithCapacity(now);
     }
 
     /** A new account of all schedulable machines, also of those that are full. */
     List<FreeCapacity> schedulableMachines() {
-        return cluster.freeCapacities(now, true);
+        return cluster.schedulableMachines(now);
     }
 
     Job job(String id) {
--- a/src/main/java/io/pepperfield/dispatch/PendingRequests.java
+++ b/src/main/java/io/pepperfield/dispatch/PendingRequests.java
@@ -207,7 +207,7 @@
      */
     private boolean canEverStart(PlacementRequest request) {
         if (schedulableMachines == null) {
-            schedulableMachines = cluster.freeCapacities(now, true);
+            schedulableMachines = cluster.schedulableMachines(now);
         }
         return schedulableMachines.stream()
                 .anyMatch(capacity -> MachineFit.canEverFit(request, capacity));
