--- a/src/test/java/io/pepperfield/health/FailureDetectorTest.java
+++ b/src/test/java/io/pepperfield/health/FailureDetectorTest.java
@@ -180,7 +180,7 @@
                             || !boots.isStillExpected(fleet.get("never"), now));
         }
         assertEquals(List.of("never"), new ArrayList<>(released));
-        assertTrue(boots.late(types.get("box"), "west"));
+        assertTrue(boots.isLate(types.get("box"), "west"));
         // A leader that begins now has seen no boot at all: what is up speaks for the east, where a
         // few stragglers are no news.
         BootTracker next = new BootTracker(types, 60);
@@ -193,7 +193,7 @@
         now += 20;
         next.update(fleet, now);
         assertEquals(5, next.expectedBootTime(types.get("box"), "east"));
-        assertTrue(next.late(types.get("box"), "west"));
+        assertTrue(next.isLate(types.get("box"), "west"));
         // When the trouble ends, what comes in time is believed again.
         for (int i = 0; i < 6; i++) {
             fleet.confirmReleased("west" + i);
