--- a/src/main/java/io/pepperfield/autoscaling/CapacitySupply.java
+++ b/src/main/java/io/pepperfield/autoscaling/CapacitySupply.java
@@ -146,9 +146,7 @@
      * predicted may go on for ever, and keeps its place.
      */
     private static boolean endsSoon(Attempt attempt, double runTime, double intervalS, double now) {
-        double remaining =
-                RunTimePredictor.remainingTime(
-                        runTime, attempt.running() ? now - attempt.runningSince() : 0);
+        double remaining = RunTimePredictor.remainingTime(runTime, attempt.ranFor(now));
         return remaining > 0 && remaining <= intervalS;
     }
 
--- a/src/main/java/io/pepperfield/autoscaling/JobPredictions.java
+++ b/src/main/java/io/pepperfield/autoscaling/JobPredictions.java
@@ -10,7 +10,10 @@
 import java.util.List;
 import java.util.OptionalDouble;
 
-/** How long tasks run and jobs take, by WIRE's predictor and what is known of their classes. */
+/**
+ * How long tasks run and jobs take, by WIRE's predictor and by what is known of their workload
+ * classes. All times are in seconds.
+ */
 final class JobPredictions {
 
     private final ClusterState cluster;
@@ -20,20 +23,20 @@
         this.cluster = cluster;
     }
 
-    /** A task of the job has completed after running for so long. */
+    /** Records the run time of a completed task. */
     void taskFinished(Job job, double ranS) {
-        job.runTimes.finished(ranS, OptionalDouble.empty());
+        job.runTimes.record(ranS, OptionalDouble.empty());
         workloadRunTimes.record(job.spec.workload(), ranS);
     }
 
-    /** How long a task of the class runs, by those of late or else by its owner's estimate. */
+    /** How long a task of the class runs, by recent ones or else by its owner's estimate. */
     double expectedRunTime(JobSpec spec) {
         return workloadRunTimes.expectedRunTime(spec.workload(), spec.expectedRunTimeS());
     }
 
     /**
-     * What it needs and is not over: one that this leader does not have is done, or its end is
-     * about to be known.
+     * The job's dependencies that have not ended: one that this leader does not have is done, or
+     * its end is about to be known.
      */
     List<String> unfinishedDependencies(Job job) {
         return job.spec.dependencies().stream()
@@ -44,12 +47,12 @@
                 .toList();
     }
 
-    /** How long a task of a job runs of which nothing has begun. */
+    /** How long a task of a job runs of which none has started. */
     double expectedRunTime(Job job) {
         return job.spec.isService() ? Double.POSITIVE_INFINITY : expectedRunTime(job.spec);
     }
 
-    /** Until its last task ends, as if room for all that wait were there. */
+    /** The time until the job's last task ends, if there is capacity for all that wait. */
     double remainingTime(Job job, double now) {
         double runTime =
                 job.runTimes.count() == 0 ? expectedRunTime(job) : predictRunTime(job, now);
@@ -58,15 +61,12 @@
         }
         return cluster.liveAttempts().attemptsOf(job).stream()
                 .mapToDouble(
-                        attempt ->
-                                RunTimePredictor.remainingTime(
-                                        runTime,
-                                        attempt.running() ? now - attempt.runningSince() : 0))
+                        attempt -> RunTimePredictor.remainingTime(runTime, attempt.ranFor(now)))
                 .max()
                 .orElse(0);
     }
 
-    /** WIRE's prediction for a task of the job; a replica has no end in sight. */
+    /** WIRE's prediction for a task of the job; infinite for a replica. */
     double predictRunTime(Job job, double now) {
         if (job.spec.isService()) {
             return Double.POSITIVE_INFINITY;
@@ -75,7 +75,7 @@
         if (job.runTimes.count() == 0) {
             for (Attempt attempt : cluster.liveAttempts().attemptsOf(job)) {
                 if (attempt.running()) {
-                    running.add(now - attempt.runningSince());
+                    running.add(attempt.ranFor(now));
                 }
             }
         }
--- a/src/main/java/io/pepperfield/fleet/Attempt.java
+++ b/src/main/java/io/pepperfield/fleet/Attempt.java
@@ -105,6 +105,11 @@
         return runningSince;
     }
 
+    /** Seconds that it has run at that loop time; 0 where it does not run. */
+    public double ranFor(double now) {
+        return running() ? now - runningSince : 0;
+    }
+
     /** What ended it is durable now: it may be cleared once no late order can bring it back. */
     public void acknowledge() {
         acknowledged = true;
--- a/src/main/java/io/pepperfield/predict/PeerRunTimes.java
+++ b/src/main/java/io/pepperfield/predict/PeerRunTimes.java
@@ -5,35 +5,38 @@
 import it.unimi.dsi.fastutil.doubles.DoubleArrayList;
 import java.util.OptionalDouble;
 
-/** Run times of a job's finished tasks, and those of equal input size apart where sizes exist. */
+/**
+ * Run times of a job's finished tasks (the peers of its others), and by input size where sizes are
+ * known. Used on the owner thread only.
+ */
 public final class PeerRunTimes {
 
     private static final int MAX_SAMPLES = 256;
 
-    private final DoubleArrayList finished = new DoubleArrayList();
+    private final DoubleArrayList recentRunTimes = new DoubleArrayList();
     private int count;
     private final Double2ObjectMap<DoubleArrayList> bySize = new Double2ObjectOpenHashMap<>();
     private final OnlineLinearRegression regression = new OnlineLinearRegression();
 
     /**
-     * Asked for each task in each step: looked for again only after news; NaN while it is not
-     * known.
+     * Read for each task in each pass, so computed again only after a new run time; NaN while it is
+     * not known.
      */
     private double median = Double.NaN;
 
     /** Records the run time of a finished task in seconds, and its input size where it has one. */
-    public void finished(double seconds, OptionalDouble size) {
-        if (finished.size() < MAX_SAMPLES) {
-            finished.add(seconds);
+    public void record(double seconds, OptionalDouble size) {
+        if (recentRunTimes.size() < MAX_SAMPLES) {
+            recentRunTimes.add(seconds);
         } else {
-            // The middle of the last few hundred says as much, and an array of 100,000 tasks is not
-            // sorted anew for each.
-            finished.set(count % MAX_SAMPLES, seconds);
+            // The median of the last few hundred is as good, and an array of 100,000 tasks is not
+            // sorted again for each.
+            recentRunTimes.set(count % MAX_SAMPLES, seconds);
         }
         count++;
         median = Double.NaN;
         if (size.isPresent()) {
-            bySize.computeIfAbsent(size.getAsDouble(), s -> new DoubleArrayList()).add(seconds);
+            bySize.computeIfAbsent(size.getAsDouble(), added -> new DoubleArrayList()).add(seconds);
         }
     }
 
@@ -45,7 +48,7 @@
     /** The median run time in seconds; 0 before the first finished task. */
     public double median() {
         if (Double.isNaN(median)) {
-            median = Medians.of(finished);
+            median = Medians.of(recentRunTimes);
         }
         return median;
     }
--- a/src/main/java/io/pepperfield/predict/ReadinessPredictor.java
+++ b/src/main/java/io/pepperfield/predict/ReadinessPredictor.java
@@ -8,8 +8,9 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * When jobs that need others are predicted to become ready: WIRE looks ahead along the workflow's
- * graph in the same way, and counts what will be ready at the start of the next interval.
+ * When jobs with dependencies are predicted to become ready: WIRE looks ahead along the workflow's
+ * graph in the same way, and counts what will be ready at the start of the next interval. Times are
+ * in seconds from now.
  */
 public final class ReadinessPredictor {
 
@@ -19,19 +20,20 @@
     private final Map<String, Double> doneIn = new HashMap<>();
 
     /**
-     * @param needs the jobs that a job needs and that are not done, without cycles
-     * @param remaining how long a job still takes, from now or from when it is ready
+     * @param dependencies the unfinished dependencies of a job, without cycles
+     * @param remainingTime seconds that a job still takes, from now or from when it is ready
      */
     public ReadinessPredictor(
-            Function<String, Collection<String>> needs, ToDoubleFunction<String> remaining) {
-        this.dependencies = needs;
-        this.remainingTime = remaining;
+            Function<String, Collection<String>> dependencies,
+            ToDoubleFunction<String> remainingTime) {
+        this.dependencies = dependencies;
+        this.remainingTime = remainingTime;
     }
 
     /**
-     * Seconds until the last job that it needs is predicted to be done. Without recursion, since
-     * chains may be long; each edge is gone over a fixed number of times, however often it is
-     * asked.
+     * Seconds until the last dependency of the job is predicted to be done. Without recursion,
+     * since chains may be long; each edge is visited a fixed number of times, however often this is
+     * called.
      */
     public double readyIn(String job) {
         ArrayDeque<String> open = new ArrayDeque<>();
@@ -39,21 +41,21 @@
         while (!open.isEmpty()) {
             String top = open.peek();
             if (readyIn.containsKey(top)) {
-                // Needed by several, and reached through another of them meanwhile.
+                // A dependency of several jobs, reached through another of them meanwhile.
                 open.pop();
                 continue;
             }
             double latest = 0;
-            boolean known = true;
-            for (String needed : dependencies.apply(top)) {
-                if (readyIn.containsKey(needed)) {
-                    latest = Math.max(latest, doneIn(needed));
+            boolean complete = true;
+            for (String dependency : dependencies.apply(top)) {
+                if (readyIn.containsKey(dependency)) {
+                    latest = Math.max(latest, doneIn(dependency));
                 } else {
-                    open.push(needed);
-                    known = false;
+                    open.push(dependency);
+                    complete = false;
                 }
             }
-            if (known) {
+            if (complete) {
                 open.pop();
                 readyIn.put(top, latest);
             }
@@ -61,7 +63,10 @@
         return readyIn.get(job);
     }
 
-    /** Of a job whose readiness is known; a fan asks for the same one thousands of times. */
+    /**
+     * Seconds until a job is predicted to be done whose readiness is known. Kept, since a fan of
+     * jobs asks for the same one thousands of times.
+     */
     private double doneIn(String job) {
         return doneIn.computeIfAbsent(job, id -> readyIn.get(id) + remainingTime.applyAsDouble(id));
     }
--- a/src/main/java/io/pepperfield/predict/RunTimePredictor.java
+++ b/src/main/java/io/pepperfield/predict/RunTimePredictor.java
@@ -3,7 +3,10 @@
 import it.unimi.dsi.fastutil.doubles.DoubleArrayList;
 import java.util.OptionalDouble;
 
-/** WIRE's five policies for a task's least run time, from what its job's peers have shown. */
+/**
+ * WIRE's five policies (Xie et al., "WIRE: Resource-efficient Scaling with Online Prediction for
+ * DAG-based Workflows") for a task's least run time, from its peers in the same job. Stateless.
+ */
 public final class RunTimePredictor {
 
     private RunTimePredictor() {}
--- a/src/main/java/io/pepperfield/predict/WorkloadRunTimes.java
+++ b/src/main/java/io/pepperfield/predict/WorkloadRunTimes.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Late run times of each class of jobs: what is expected of work whose own peers have shown nothing
- * yet.
+ * Recent run times of each workload class: what is expected of tasks none of whose peers has
+ * finished. Used on the owner thread only.
  */
 public final class WorkloadRunTimes {
 
@@ -14,12 +14,12 @@
 
     private final Map<String, DoubleArrayList> runTimes = new HashMap<>();
 
-    /** Asked for each attempt in each step: the middle is looked for again only after news. */
+    /** Read for each attempt in each pass, so computed again only after a new run time. */
     private final Map<String, Double> medians = new HashMap<>();
 
     /** Records the run time of a finished task of that class in seconds. */
     public void record(String workload, double seconds) {
-        DoubleArrayList list = runTimes.computeIfAbsent(workload, w -> new DoubleArrayList());
+        DoubleArrayList list = runTimes.computeIfAbsent(workload, added -> new DoubleArrayList());
         if (list.size() == MAX_SAMPLES) {
             list.removeDouble(0);
         }
@@ -30,6 +30,8 @@
     /** The median of the class, or the owner's estimate while none of it has finished. */
     public double expectedRunTime(String workload, double estimateS) {
         DoubleArrayList list = runTimes.get(workload);
-        return list == null ? estimateS : medians.computeIfAbsent(workload, w -> Medians.of(list));
+        return list == null
+                ? estimateS
+                : medians.computeIfAbsent(workload, unknown -> Medians.of(list));
     }
 }
--- a/src/test/java/io/pepperfield/predict/RunTimePredictorTest.java
+++ b/src/test/java/io/pepperfield/predict/RunTimePredictorTest.java
@@ -31,7 +31,7 @@
                     running.add(Double.parseDouble(words[i]));
                 }
             }
-            case "finished" -> times.finished(Double.parseDouble(words[1]), size(words, 2));
+            case "finished" -> times.record(Double.parseDouble(words[1]), size(words, 2));
             case "interval" -> times.updateModel();
             default -> {
                 double predicted =
