--- a/src/main/java/io/pepperfield/cluster/MachineTypesPoller.java
+++ b/src/main/java/io/pepperfield/cluster/MachineTypesPoller.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * Asks the cloud for the machine types. Prices move: the leader asks now and then; the others need
- * no more than to know the types once.
+ * Polls the cloud for the machine types. The leader polls at intervals, since prices move; the
+ * other controllers only until they know the types. Used on the owner thread only.
  */
 public final class MachineTypesPoller {
 
--- a/src/main/java/io/pepperfield/fleet/Machine.java
+++ b/src/main/java/io/pepperfield/fleet/Machine.java
@@ -159,16 +159,13 @@
      * leadership.
      */
     public boolean isSchedulable(double now) {
-        return ready()
-                && (expected || hasSeenLeaderToken)
-                && !hasReceiveFailure()
-                && !restarted
-                && !releasing
-                && !draining()
-                && quarantinedUntil <= now;
+        boolean exists = ready() && (expected || hasSeenLeaderToken);
+        boolean reachable = !hasReceiveFailure() && !restarted;
+        boolean available = !releasing && !draining() && quarantinedUntil <= now;
+        return exists && reachable && available;
     }
 
-    /** Whether it is being returned to the cloud. */
+    /** Whether it is being released. */
     public boolean releasing() {
         return releasing;
     }
--- a/src/test/java/io/pepperfield/fleet/AttemptTraceTest.java
+++ b/src/test/java/io/pepperfield/fleet/AttemptTraceTest.java
@@ -11,11 +11,10 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import java.util.Optional;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The proofs that an attempt is gone, and when a worker may forget one. */
+/** The proofs that an attempt has ended, and when an agent may forget one. */
 class AttemptTraceTest implements Fleet.Listener {
 
     private final List<String> events = new ArrayList<>();
@@ -43,20 +42,41 @@
     private List<String> play(String[] words) {
         events.clear();
         now += 1;
+        if (words[0].equals("silence")) {
+            return List.of(Math.round(fleet.get(words[1]).unreachableFor(now)) + " s");
+        }
+        if (words[0].equals("ask")) {
+            return List.of(stateOf(fleet.get(words[1])));
+        }
+        if (!playAttempt(words) && !playMachine(words) && !playLeader(words)) {
+            throw new IllegalArgumentException(words[0]);
+        }
+        if (fleet.needsNewerFencingToken()) {
+            events.add("a newer token is wanted");
+        }
+        return List.copyOf(events);
+    }
+
+    /** What happens to the leader; false where the words are about something else. */
+    private boolean playLeader(String[] words) {
         switch (words[0]) {
             case "elected" ->
                     fleet = new Fleet(this, new FencingToken(Long.parseLong(words[1])), 3);
             case "token" -> fleet.renewFencingToken(new FencingToken(Long.parseLong(words[1])));
-            case "intend" -> {
-                Attempt attempt =
-                        fleet.intendAttempt(
-                                job,
-                                task(words[1]),
-                                job.startAttempt(task(words[1])),
-                                fleet.get(words[2]),
-                                now);
-                attempts.put(words[1], attempt);
+            case "hold" -> fleet.suspendStarts(true);
+            case "go" -> fleet.suspendStarts(false);
+            case "wait" -> now += Integer.parseInt(words[1]) - 1;
+            default -> {
+                return false;
             }
+        }
+        return true;
+    }
+
+    /** What the leader does about attempts; false where the words are about something else. */
+    private boolean playAttempt(String[] words) {
+        switch (words[0]) {
+            case "intend" -> attempts.put(words[1], intend(words[1], words[2]));
             case "durable" ->
                     events.add(
                             fleet.intentIsDurable(attempts.get(words[1]))
@@ -68,65 +88,66 @@
                 job.finalStatus(Status.CANCELLED, now);
                 attempts.values().forEach(attempt -> fleet.requestStop(attempt, 0));
             }
+            case "settled" -> attempts.get(words[1]).acknowledge();
+            case "restore" -> attempts.put(words[1], restore(words));
+            default -> {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    private Attempt intend(String ref, String machine) {
+        int task = task(ref);
+        return fleet.intendAttempt(job, task, job.startAttempt(task), fleet.get(machine), now);
+    }
+
+    private Attempt restore(String[] words) {
+        return fleet.restoreAttempt(
+                job,
+                task(words[1]),
+                Integer.parseInt(words[2]),
+                words[3],
+                Long.parseLong(words[4]),
+                now);
+    }
+
+    /** What comes from machines and the cloud; false where the words are about something else. */
+    private boolean playMachine(String[] words) {
+        switch (words[0]) {
             case "unsettled" -> {
                 List<Attempt> unsettled = fleet.cancelledAttemptsThatMayStart(fleet.get(words[1]));
                 events.add(unsettled.isEmpty() ? "nothing" : unsettled.get(0).taskRef.toString());
             }
-            case "silence" -> {
-                return List.of(Math.round(fleet.get(words[1]).unreachableFor(now)) + " s");
-            }
-            case "hold" -> fleet.suspendStarts(true);
-            case "go" -> fleet.suspendStarts(false);
-            case "wait" -> now += Integer.parseInt(words[1]) - 1;
-            case "settled" -> attempts.get(words[1]).acknowledge();
-            case "restore" ->
-                    attempts.put(
-                            words[1],
-                            fleet.restoreAttempt(
-                                    job,
-                                    task(words[1]),
-                                    Integer.parseInt(words[2]),
-                                    words[3],
-                                    Long.parseLong(words[4]),
-                                    now));
             case "released" -> fleet.confirmReleased(words[1]);
-            case "beat" -> {
-                Optional<List<Order>> orders = fleet.handleHeartbeat(heartbeat(words), now);
-                if (orders.isEmpty()) {
-                    events.add("not answered");
-                } else {
-                    orders.get()
-                            .forEach(
-                                    order ->
-                                            events.add(
-                                                    "order "
-                                                            + order.getClass()
-                                                                    .getSimpleName()
-                                                                    .toLowerCase(Locale.ROOT)
-                                                            + " "
-                                                            + order.taskRef()
-                                                            + " try "
-                                                            + order.attemptNumber()));
-                }
-            }
+            case "beat" ->
+                    fleet.handleHeartbeat(heartbeat(words), now)
+                            .ifPresentOrElse(
+                                    orders -> orders.forEach(this::ordered),
+                                    () -> events.add("not answered"));
             case "heard" -> fleet.handleDirectResponse(heartbeat(words), now);
             case "remembered" -> fleet.handleCachedHeartbeat(heartbeat(words), now);
             case "listed" -> fleet.expectMachine(words[1], "box", "east", false, now, now);
-            case "ask" -> {
-                Machine machine = fleet.get(words[1]);
-                return List.of(
-                        machine.isSchedulable(now)
-                                ? "takes work"
-                                : machine.restarted()
-                                        ? "began anew"
-                                        : machine.hasReceiveFailure() ? "deaf" : "no work");
+            default -> {
+                return false;
             }
-            default -> throw new IllegalArgumentException(words[0]);
         }
-        if (fleet.needsNewerFencingToken()) {
-            events.add("a newer token is wanted");
+        return true;
+    }
+
+    private void ordered(Order order) {
+        String verb = order.getClass().getSimpleName().toLowerCase(Locale.ROOT);
+        events.add("order " + verb + " " + order.taskRef() + " try " + order.attemptNumber());
+    }
+
+    private String stateOf(Machine machine) {
+        if (machine.isSchedulable(now)) {
+            return "takes work";
         }
-        return List.copyOf(events);
+        if (machine.restarted()) {
+            return "began anew";
+        }
+        return machine.hasReceiveFailure() ? "deaf" : "no work";
     }
 
     private static int task(String ref) {
