--- a/src/main/java/io/pepperfield/cluster/MachineTypes.java
+++ b/src/main/java/io/pepperfield/cluster/MachineTypes.java
@@ -9,10 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/**
- * The machine types as the cloud last listed them, and which jobs can never run on them. Used on
- * the owner thread only.
- */
+/** The machine types as the cloud last listed them, and what can never run on them. */
 public final class MachineTypes implements UserRequests.Feasibility {
 
     private static final double ROUNDING_TOLERANCE = 1e-9;
@@ -26,9 +23,9 @@
     }
 
     /** Replaces all types. */
-    public void update(List<MachineType> listed) {
+    public void update(List<MachineType> all) {
         Map<String, MachineType> next = new LinkedHashMap<>();
-        listed.forEach(type -> next.put(type.name(), type));
+        all.forEach(type -> next.put(type.name(), type));
         types = next;
     }
 
@@ -63,7 +60,9 @@
         if (team == null) {
             return "owner: no such team";
         }
-        if (exceedsLimit(job, team)) {
+        int atOnce = job.minConcurrentTasks();
+        if (atOnce * job.cpus() > team.cpuLimit() + ROUNDING_TOLERANCE
+                || atOnce * job.gpus() > team.gpuLimit() + ROUNDING_TOLERANCE) {
             return "the job needs more than the team's limit";
         }
         if (job.spreadOverZones() && job.sameZone() && job.tasks() > 1) {
@@ -73,24 +72,16 @@
             throw new UserRequests.UndecidedException();
         }
         boolean fits =
-                types.values().stream().anyMatch(type -> allows(job, type) && fits(job, type));
+                types.values().stream()
+                        .anyMatch(
+                                t ->
+                                        (job.machineTypes() == null
+                                                        || job.machineTypes().contains(t.name()))
+                                                && (job.zone() == null
+                                                        || t.zones().contains(job.zone()))
+                                                && job.cpus() <= t.cpus() + ROUNDING_TOLERANCE
+                                                && job.gpus() <= t.gpus() + ROUNDING_TOLERANCE
+                                                && job.memGb() <= t.memGb() + ROUNDING_TOLERANCE);
         return fits ? null : "a task fits no allowed machine type";
     }
-
-    private static boolean exceedsLimit(JobSpec job, Settings.Team team) {
-        int concurrentTasks = job.minConcurrentTasks();
-        return concurrentTasks * job.cpus() > team.cpuLimit() + ROUNDING_TOLERANCE
-                || concurrentTasks * job.gpus() > team.gpuLimit() + ROUNDING_TOLERANCE;
-    }
-
-    private static boolean allows(JobSpec job, MachineType type) {
-        return (job.machineTypes() == null || job.machineTypes().contains(type.name()))
-                && (job.zone() == null || type.zones().contains(job.zone()));
-    }
-
-    private static boolean fits(JobSpec job, MachineType type) {
-        return job.cpus() <= type.cpus() + ROUNDING_TOLERANCE
-                && job.gpus() <= type.gpus() + ROUNDING_TOLERANCE
-                && job.memGb() <= type.memGb() + ROUNDING_TOLERANCE;
-    }
 }
