--- a/src/main/java/io/pepperfield/admission/ClassAdmissions.java
+++ b/src/main/java/io/pepperfield/admission/ClassAdmissions.java
@@ -22,7 +22,7 @@
     ClassAdmission of(WorkloadClass workloadClass, double now) {
         ClassAdmission known = classes.get(workloadClass);
         return known == null
-                ? classes.computeIfAbsent(counted(workloadClass), c -> add(c, now))
+                ? classes.computeIfAbsent(counted(workloadClass), unknown -> add(unknown, now))
                 : known;
     }
 
--- a/src/main/java/io/pepperfield/admission/MaxMinFairness.java
+++ b/src/main/java/io/pepperfield/admission/MaxMinFairness.java
@@ -39,7 +39,7 @@
     private static List<Integer> byDemandPerWeight(double[] demands, double[] weights) {
         return IntStream.range(0, demands.length)
                 .boxed()
-                .sorted(Comparator.comparingDouble(i -> demands[i] / weights[i]))
+                .sorted(Comparator.comparingDouble(index -> demands[index] / weights[index]))
                 .toList();
     }
 }
--- a/src/main/java/io/pepperfield/admission/OutstandingAllotments.java
+++ b/src/main/java/io/pepperfield/admission/OutstandingAllotments.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /**
- * The leader's books of what may be in use.
+ * What the leader has handed out and may be in use.
  *
  * <p>Invariant: the extra rates of all allotments that may be in use at any moment never exceed the
  * divided rate. An allotment counts until its holder has shown a later one, or until it has surely
@@ -66,7 +66,7 @@
     }
 
     void issue(String node, long serial, int extraPerMinute, double now) {
-        List<Issued> live = issued.computeIfAbsent(node, n -> new ArrayList<>());
+        List<Issued> live = issued.computeIfAbsent(node, key -> new ArrayList<>());
         live.removeIf(allotment -> allotment.endsAt <= now);
         live.add(new Issued(serial, extraPerMinute, now + durationS * CLOCK_DRIFT));
     }
--- a/src/main/java/io/pepperfield/admission/QueueWaitPredictor.java
+++ b/src/main/java/io/pepperfield/admission/QueueWaitPredictor.java
@@ -114,7 +114,7 @@
 
     private Queue queue(String team, JobSpec.Priority priority) {
         return queuesByTeam
-                .computeIfAbsent(team, t -> new EnumMap<>(JobSpec.Priority.class))
-                .computeIfAbsent(priority, r -> new Queue());
+                .computeIfAbsent(team, key -> new EnumMap<>(JobSpec.Priority.class))
+                .computeIfAbsent(priority, key -> new Queue());
     }
 }
--- a/src/main/java/io/pepperfield/admission/RefusedSubmissions.java
+++ b/src/main/java/io/pepperfield/admission/RefusedSubmissions.java
@@ -25,8 +25,8 @@
     private Long2DoubleOpenHashMap current = newGeneration();
     private Long2DoubleOpenHashMap previous = newGeneration();
 
-    RefusedSubmissions(int mostOfGeneration) {
-        this.maxPerGeneration = mostOfGeneration;
+    RefusedSubmissions(int maxPerGeneration) {
+        this.maxPerGeneration = maxPerGeneration;
     }
 
     private static Long2DoubleOpenHashMap newGeneration() {
--- a/src/main/java/io/pepperfield/admission/TokenBucket.java
+++ b/src/main/java/io/pepperfield/admission/TokenBucket.java
@@ -16,10 +16,10 @@
     }
 
     /** Sets the rate from now on, and how many tokens may be saved up. */
-    void setRate(double perSecond, double mostTokens, double now) {
+    void setRate(double newRatePerS, double maxTokens, double now) {
         refill(now);
-        ratePerS = perSecond;
-        capacity = mostTokens;
+        ratePerS = newRatePerS;
+        capacity = maxTokens;
         tokens = Math.min(tokens, capacity);
     }
 
--- a/src/main/java/io/pepperfield/config/Objectives.java
+++ b/src/main/java/io/pepperfield/config/Objectives.java
@@ -17,13 +17,13 @@
 
     /** Sorts the platform's objectives by kind and class of jobs. */
     public Objectives(List<Objective> objectives) {
-        for (Objective o : objectives) {
-            if (o.kind().equals("wait")) {
-                maxWaitByWorkload.merge(o.workload(), o.withinS(), Math::min);
-            } else if (o.kind().equals("finished")) {
+        for (Objective objective : objectives) {
+            if (objective.kind().equals("wait")) {
+                maxWaitByWorkload.merge(objective.workload(), objective.withinS(), Math::min);
+            } else if (objective.kind().equals("finished")) {
                 finishTimesByWorkload
-                        .computeIfAbsent(o.workload(), w -> new DoubleArrayList())
-                        .add(o.withinS());
+                        .computeIfAbsent(objective.workload(), workload -> new DoubleArrayList())
+                        .add(objective.withinS());
             }
         }
         finishTimesByWorkload.values().forEach(list -> list.sort(null));
--- a/src/main/java/io/pepperfield/rollout/CompactRunRecords.java
+++ b/src/main/java/io/pepperfield/rollout/CompactRunRecords.java
@@ -58,7 +58,7 @@
                         new AgentIncarnation(taskState.machine(), taskState.incarnation());
                 appendTask(
                         live.computeIfAbsent(
-                                agent, s -> Json.array().add(s.machine).add(s.incarnation)),
+                                agent, key -> Json.array().add(key.machine).add(key.incarnation)),
                         taskState,
                         LIVE_GROUP_HEADER_FIELDS);
             } else {
--- a/src/test/java/io/pepperfield/admission/AdmissionSimulationTest.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionSimulationTest.java
@@ -252,7 +252,7 @@
             int node = random.nextInt(nodes);
             double forS = 0.1 + 5 * random.nextDouble();
             int kind = random.nextInt(5);
-            region.world.at(at, () -> trouble(region, kind, node, forS));
+            region.world.at(at, () -> injectFault(region, kind, node, forS));
         }
         region.world.run(70);
         region.world.messageLossShare = 0;
@@ -268,7 +268,7 @@
         checkEnd(region, 85, day);
     }
 
-    private static void trouble(SimulatedRegion region, int kind, int node, double forS) {
+    private static void injectFault(SimulatedRegion region, int kind, int node, double forS) {
         double until = region.world.now() + forS;
         switch (kind) {
             case 0 -> region.faults.crash(node, forS);
--- a/src/test/java/io/pepperfield/admission/AllotmentIssuerTest.java
+++ b/src/test/java/io/pepperfield/admission/AllotmentIssuerTest.java
@@ -12,7 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The leader's division and its books: three controllers, 100 a minute of which 10 each are fixed.
+ * The leader's division and its outstanding allotments: three controllers, 100 a minute of which 10
+ * each are fixed.
  */
 class AllotmentIssuerTest {
 
--- a/src/test/java/io/pepperfield/admission/SubmissionAdmissionTest.java
+++ b/src/test/java/io/pepperfield/admission/SubmissionAdmissionTest.java
@@ -29,7 +29,7 @@
     private static final FencingToken TOKEN = new FencingToken(7);
 
     private final SimulatedLoop loop = new SimulatedLoop();
-    private double contactAt;
+    private double lastConfirmedAt;
     private SubmissionAdmission admission;
     private int ids;
 
@@ -37,7 +37,7 @@
     void begin() {
         admission =
                 new SubmissionAdmission(
-                        loop, LIMITS, "a", () -> Math.max(contactAt, loop.now() - 0.1), 2);
+                        loop, LIMITS, "a", () -> Math.max(lastConfirmedAt, loop.now() - 0.1), 2);
     }
 
     private Decision decide(WorkloadClass of, String id) {
@@ -218,11 +218,11 @@
     @Test
     void afterAnOutageNothingSavedUpIsSpentAtOnce() {
         admission.useAllotment(allotment(TOKEN, 1, 600, 300, 300), 0, TOKEN);
-        admission = new SubmissionAdmission(loop, LIMITS, "a", () -> contactAt, 2);
+        admission = new SubmissionAdmission(loop, LIMITS, "a", () -> lastConfirmedAt, 2);
         admission.useAllotment(allotment(TOKEN, 2, 600, 300, 300), 0, TOKEN);
         loop.run(8);
         assertEquals(0, admittedOf(RED, 50));
-        contactAt = 8;
+        lastConfirmedAt = 8;
         loop.run(8.1);
         assertTrue(admittedOf(RED, 50) <= 2);
     }
--- a/src/test/java/io/pepperfield/http/PendingQueryLimitTest.java
+++ b/src/test/java/io/pepperfield/http/PendingQueryLimitTest.java
@@ -14,7 +14,7 @@
     private final List<Consumer<HttpReply>> waiting = new ArrayList<>();
     private final List<HttpReply> said = new ArrayList<>();
     private final PendingQueryLimit admission =
-            new PendingQueryLimit("/api/jobs/", 3, (call, answer) -> waiting.add(answer));
+            new PendingQueryLimit("/api/jobs/", 3, (request, answer) -> waiting.add(answer));
 
     private void call(String method, String path) {
         admission.handle(InboundRequest.of(method, path, new byte[0]), said::add);
--- a/src/test/java/io/pepperfield/http/SocketsTest.java
+++ b/src/test/java/io/pepperfield/http/SocketsTest.java
@@ -30,7 +30,7 @@
     }
 
     private int server() throws InterruptedException {
-        return new HttpServer(network, 4, (call, answer) -> answer.accept(HttpReply.empty(200)))
+        return new HttpServer(network, 4, (request, answer) -> answer.accept(HttpReply.empty(200)))
                 .limitConnections("/beat", 2)
                 .start("127.0.0.1", 0);
     }
@@ -45,8 +45,8 @@
                 new HttpServer(
                                 network,
                                 4,
-                                (call, answer) -> {
-                                    if (!call.path().equals("/beat")) {
+                                (request, answer) -> {
+                                    if (!request.path().equals("/beat")) {
                                         answer.accept(HttpReply.empty(200));
                                     }
                                 })
@@ -88,7 +88,7 @@
     @Test
     void whereNoneIsLeftTheRequestFailsAtOnce() throws InterruptedException {
         HttpClient client = new HttpClient(network, 1 << 16, 1);
-        int silent = new HttpServer(network, 4, (call, answer) -> {}).start("127.0.0.1", 0);
+        int silent = new HttpServer(network, 4, (request, answer) -> {}).start("127.0.0.1", 0);
         int port = server();
         client.send(
                 new OutboundRequest("127.0.0.1", silent, 1, "GET", "/a", null, 60_000),
--- a/src/test/java/io/pepperfield/recovery/StateArchiveTest.java
+++ b/src/test/java/io/pepperfield/recovery/StateArchiveTest.java
@@ -28,7 +28,7 @@
     private static final int PAGE = 3;
 
     /** A key's value and its revision. */
-    private record Entry(String data, long stamp) {}
+    private record Entry(String data, long modRevision) {}
 
     @TempDir private Path directory;
 
@@ -74,7 +74,7 @@
                 return new Page(items, true, revision);
             }
             JsonNode data = Json.object().put("x", entry.getValue().data);
-            items.add(new KeyValue(entry.getKey(), data, entry.getValue().stamp));
+            items.add(new KeyValue(entry.getKey(), data, entry.getValue().modRevision));
         }
         return new Page(items, false, revision);
     }
@@ -95,31 +95,31 @@
 
     /** What the pages with the changes amount to. */
     private static Map<String, Long> content(Path archive) throws ArchiveException {
-        Map<String, Long> stamps = new TreeMap<>();
+        Map<String, Long> modRevisions = new TreeMap<>();
         StateArchive.visit(
                 archive,
                 new StateArchive.Visitor() {
                     @Override
                     public void item(KeyValue item) {
-                        stamps.put(item.key(), item.modRevision());
+                        modRevisions.put(item.key(), item.modRevision());
                     }
 
                     @Override
                     public void change(KeyValue item) {
                         if (item.value() == null) {
-                            stamps.remove(item.key());
+                            modRevisions.remove(item.key());
                         } else {
-                            stamps.put(item.key(), item.modRevision());
+                            modRevisions.put(item.key(), item.modRevision());
                         }
                     }
                 });
-        return stamps;
+        return modRevisions;
     }
 
     private Map<String, Long> now() {
-        Map<String, Long> stamps = new TreeMap<>();
-        keys.forEach((key, entry) -> stamps.put(key, entry.stamp));
-        return stamps;
+        Map<String, Long> modRevisions = new TreeMap<>();
+        keys.forEach((key, entry) -> modRevisions.put(key, entry.modRevision));
+        return modRevisions;
     }
 
     @Test
--- a/src/test/java/io/pepperfield/rollout/RecordedVersionFencedTest.java
+++ b/src/test/java/io/pepperfield/rollout/RecordedVersionFencedTest.java
@@ -51,7 +51,7 @@
         String first = led + ", " + (region.storedMutations() - changes) + " changes in 40 s";
         String job = state(region);
         HttpReply up = region.directRequests.answer(0, "GET", "/up");
-        HttpReply beat = region.directRequests.sendHeartbeat(0, "east");
+        HttpReply heartbeat = region.directRequests.sendHeartbeat(0, "east");
         region.directRequests.write("pepperfield/end/run-000001", json("{\"s\":\"done\"}"));
         region.world.run(region.world.now() + 2);
         return List.of(
@@ -59,9 +59,9 @@
                 "asked about the job: " + job,
                 "asked by the load balancer: " + up.status(),
                 "a worker's report: "
-                        + beat.status()
+                        + heartbeat.status()
                         + " "
-                        + Json.read(beat.body()).path("manager").asText(),
+                        + Json.read(heartbeat.body()).path("manager").asText(),
                 "asked about the job once it is done: " + state(region));
     }
 
--- a/src/test/java/io/pepperfield/standin/CloudStandIn.java
+++ b/src/test/java/io/pepperfield/standin/CloudStandIn.java
@@ -60,12 +60,12 @@
         outage = begins;
     }
 
-    public HttpReply handle(InboundRequest call) {
+    public HttpReply handle(InboundRequest request) {
         if (outage) {
             return HttpReply.error(503, "trouble");
         }
-        JsonNode body = Json.read(call.body());
-        switch (call.path()) {
+        JsonNode body = Json.read(request.body());
+        switch (request.path()) {
             case "/machine_types" -> {
                 ObjectNode types = Json.object();
                 ObjectNode type =
@@ -95,7 +95,7 @@
                 return HttpReply.json(200, Json.object());
             }
             case "/rentals" -> {
-                return call.method().equals("POST") ? rent(body) : list();
+                return request.method().equals("POST") ? rent(body) : list();
             }
             default -> {
                 return HttpReply.empty(400);
@@ -106,7 +106,7 @@
     private HttpReply rent(JsonNode body) {
         String request = body.path("hire").asText();
         String wanted = body.toString();
-        if (!askedRentals.computeIfAbsent(request, r -> wanted).equals(wanted)) {
+        if (!askedRentals.computeIfAbsent(request, key -> wanted).equals(wanted)) {
             reusedNames.add(request);
         }
         List<String> names = requests.get(request);
@@ -150,15 +150,15 @@
     private HttpReply list() {
         ObjectNode reply = Json.object().put("truncated", false);
         ArrayNode hosts = reply.putArray("hosts");
-        for (Rented r : rented.values()) {
-            double age = clock.getAsDouble() - r.at;
+        for (Rented key : rented.values()) {
+            double age = clock.getAsDouble() - key.at;
             if (age > 2) {
                 hosts.addObject()
-                        .put("nameId", r.name)
+                        .put("nameId", key.name)
                         .put("addr", "")
                         .put("flavour", "box")
-                        .put("site", r.zone)
-                        .put("reclaimable", r.spot)
+                        .put("site", key.zone)
+                        .put("reclaimable", key.spot)
                         .put("status", "running")
                         .put("ageS", age);
             }
--- a/src/test/java/io/pepperfield/standin/Fault.java
+++ b/src/test/java/io/pepperfield/standin/Fault.java
@@ -35,12 +35,12 @@
     }
 
     /**
-     * Controllers, chosen when the trouble begins: the leader, others in their order after it, one
-     * by its index, or all.
+     * Controllers, chosen when the fault begins: the leader, others in their order after it, one by
+     * its index, or all.
      */
     record ControllerSelector(Kind kind, int index) {
 
-        /** Which controllers a trouble is aimed at. */
+        /** Which controllers a fault is aimed at. */
         private enum Kind {
             LEADER,
             AFTER_LEADER,
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Machines, chosen when the trouble begins, those with tasks first: so many, that share of all,
+     * Machines, chosen when the fault begins, those with tasks first: so many, that share of all,
      * or a zone's.
      */
     record MachineSelector(int count, double share, String zone) {
@@ -156,8 +156,8 @@
     }
 
     /**
-     * Direct commands to these machines are held up so long, and then carried out if token and
-     * session still match.
+     * Direct commands to these machines are held up so long, and then carried out if fencing token
+     * and incarnation still match.
      */
     record DelayedOrders(MachineSelector which, double heldS, double forS) implements Fault {
         @Override
--- a/src/test/java/io/pepperfield/standin/FaultInjector.java
+++ b/src/test/java/io/pepperfield/standin/FaultInjector.java
@@ -4,7 +4,7 @@
 import io.pepperfield.standin.Fault.Way;
 import java.util.function.Consumer;
 
-/** Makes the troubles of a scenario happen in a region. */
+/** Makes the faults of a scenario happen in a region. */
 final class FaultInjector {
 
     private final SimulatedRegion region;
@@ -21,40 +21,40 @@
         this.users = users;
     }
 
-    void inject(Fault trouble) {
-        double until = world.now() + trouble.forS();
+    void inject(Fault fault) {
+        double until = world.now() + fault.forS();
         boolean begun =
-                injectIntoServices(trouble, until)
-                        || injectIntoMachines(trouble, until)
-                        || injectIntoControllers(trouble, until)
-                        || injectIntoUsers(trouble, until);
+                injectIntoServices(fault, until)
+                        || injectIntoMachines(fault, until)
+                        || injectIntoControllers(fault, until)
+                        || injectIntoUsers(fault, until);
         if (!begun) {
-            throw new IllegalArgumentException(trouble.toString());
+            throw new IllegalArgumentException(fault.toString());
         }
     }
 
     /**
-     * The state service, the cloud, and the network between all. False where the trouble is of
+     * The state service, the cloud, and the network between all. False where the fault is of
      * another kind.
      */
-    private boolean injectIntoServices(Fault trouble, double until) {
-        if (trouble instanceof Fault.StoreOutage) {
+    private boolean injectIntoServices(Fault fault, double until) {
+        if (fault instanceof Fault.StoreOutage) {
             region.faults.storeOutage(until);
-        } else if (trouble instanceof Fault.CloudOutage) {
+        } else if (fault instanceof Fault.CloudOutage) {
             region.faults.cloudOutage(until);
-        } else if (trouble instanceof Fault.StorePartition cut) {
+        } else if (fault instanceof Fault.StorePartition cut) {
             each(cut.who(), node -> cut(node, Side.STATE, cut.way(), until));
-        } else if (trouble instanceof Fault.StoreLatency slow) {
+        } else if (fault instanceof Fault.StoreLatency slow) {
             region.storeLink.slow(slow.byS(), until);
-        } else if (trouble instanceof Fault.DelayedWrites late) {
+        } else if (fault instanceof Fault.DelayedWrites late) {
             region.storeLink.late(late.share(), until, late.atOnce());
-        } else if (trouble instanceof Fault.ReplayedHeartbeats late) {
+        } else if (fault instanceof Fault.ReplayedHeartbeats late) {
             region.heartbeatReplays.copy(late.share(), until, late.forNext());
-        } else if (trouble instanceof Fault.NetworkLatency slow) {
+        } else if (fault instanceof Fault.NetworkLatency slow) {
             world.slow(slow.byS(), until);
-        } else if (trouble instanceof Fault.StoreLimitsReduction) {
+        } else if (fault instanceof Fault.StoreLimitsReduction) {
             region.faults.reduceStoreLimits();
-        } else if (trouble instanceof Fault.GrantsRefused) {
+        } else if (fault instanceof Fault.GrantsRefused) {
             region.faults.refuseGrants(until);
         } else {
             return false;
@@ -62,28 +62,28 @@
         return true;
     }
 
-    /** Machines and their workers. False where the trouble is of another kind. */
-    private boolean injectIntoMachines(Fault trouble, double until) {
-        if (trouble instanceof Fault.MachineReceiveFailure deaf) {
-            each(deaf.which(), worker -> worker.failReceiving(until));
-        } else if (trouble instanceof Fault.MachineSendFailure mute) {
-            each(mute.which(), worker -> machines.failSending(worker, until));
-        } else if (trouble instanceof Fault.MachineHang hang) {
+    /** Machines and their workers. False where the fault is of another kind. */
+    private boolean injectIntoMachines(Fault fault, double until) {
+        if (fault instanceof Fault.MachineReceiveFailure failure) {
+            each(failure.which(), worker -> worker.failReceiving(until));
+        } else if (fault instanceof Fault.MachineSendFailure failure) {
+            each(failure.which(), worker -> machines.failSending(worker, until));
+        } else if (fault instanceof Fault.MachineHang hang) {
             each(hang.which(), worker -> worker.hang(until));
-        } else if (trouble instanceof Fault.MachinePartition cut) {
+        } else if (fault instanceof Fault.MachinePartition cut) {
             each(
                     cut.which(),
                     worker -> {
                         world.cut(worker.name, "10.", until);
                         world.cut("node-", worker.address, until);
                     });
-        } else if (trouble instanceof Fault.MachineLoss die) {
-            each(die.which(), WorkerStandIn::losePower);
-        } else if (trouble instanceof Fault.MachineReboot reboot) {
+        } else if (fault instanceof Fault.MachineLoss loss) {
+            each(loss.which(), WorkerStandIn::losePower);
+        } else if (fault instanceof Fault.MachineReboot reboot) {
             each(reboot.which(), machines::reboot);
-        } else if (trouble instanceof Fault.DelayedOrders held) {
+        } else if (fault instanceof Fault.DelayedOrders held) {
             each(held.which(), worker -> machines.delayOrders(worker, held.heldS(), until));
-        } else if (trouble instanceof Fault.QuickBoots) {
+        } else if (fault instanceof Fault.QuickBoots) {
             machines.slowBoots(0.3, 0, until);
         } else {
             return false;
@@ -91,27 +91,27 @@
         return true;
     }
 
-    /** Controllers. False where the trouble is of another kind. */
-    private boolean injectIntoControllers(Fault trouble, double until) {
-        if (trouble instanceof Fault.ZonePartition cut) {
+    /** Controllers. False where the fault is of another kind. */
+    private boolean injectIntoControllers(Fault fault, double until) {
+        if (fault instanceof Fault.ZonePartition cut) {
             each(cut.inside(), node -> region.networkPartitions.zone(cut.zone(), node, until));
-        } else if (trouble instanceof Fault.ControllerPartition cut) {
+        } else if (fault instanceof Fault.ControllerPartition cut) {
             each(cut.who(), node -> cut.from().forEach(side -> cut(node, side, cut.way(), until)));
-        } else if (trouble instanceof Fault.ControllerCrash crash) {
+        } else if (fault instanceof Fault.ControllerCrash crash) {
             each(crash.who(), node -> region.faults.crash(node, crash.forS()));
-        } else if (trouble instanceof Fault.LeaderChanges changes) {
+        } else if (fault instanceof Fault.LeaderChanges changes) {
             for (int i = 0; i < changes.times(); i++) {
                 world.after(
                         i * changes.forS() / changes.times(),
                         () -> region.faults.crash(region.lastLeader(), downS()));
             }
-        } else if (trouble instanceof Fault.ControllerPause freeze) {
-            each(freeze.who(), node -> region.faults.pause(node, until));
-        } else if (trouble instanceof Fault.Upgrade upgrade) {
+        } else if (fault instanceof Fault.ControllerPause pause) {
+            each(pause.who(), node -> region.faults.pause(node, until));
+        } else if (fault instanceof Fault.Upgrade upgrade) {
             new RollingUpgrade(region, region.nodeCount(), upgrade.by()).begin(upgrade);
-        } else if (trouble instanceof Fault.OperatorCommand asks) {
+        } else if (fault instanceof Fault.OperatorCommand asks) {
             region.operator.repeat(asks.command(), until);
-        } else if (trouble instanceof Fault.Replace replace) {
+        } else if (fault instanceof Fault.Replace replace) {
             each(replace.who(), node -> region.faults.replace(node, replace.by(), replace.forS()));
         } else {
             return false;
@@ -119,36 +119,36 @@
         return true;
     }
 
-    /** Users and what they ask for. False where the trouble is of another kind. */
-    private boolean injectIntoUsers(Fault trouble, double until) {
-        if (trouble instanceof Fault.CancelNow cancel) {
+    /** Users and what they ask for. False where the fault is of another kind. */
+    private boolean injectIntoUsers(Fault fault, double until) {
+        if (fault instanceof Fault.CancelNow cancel) {
             users.cancelRunning(cancel.count(), Fault.CancelNow.WITHIN_S).stream()
                     .limit(cancel.hangS() > 0 ? Fault.CancelNow.MOST_HUNG : 0)
                     .forEach(worker -> worker.hang(world.now() + cancel.hangS()));
-        } else if (trouble instanceof Fault.CancelAtEnd cancel) {
+        } else if (fault instanceof Fault.CancelAtEnd cancel) {
             users.cancelAtEnd(cancel.share(), until);
-        } else if (trouble instanceof Fault.ReadAfterWriteChecks) {
+        } else if (fault instanceof Fault.ReadAfterWriteChecks) {
             users.checkReadsAfterWrites(until);
-        } else if (trouble instanceof Fault.InvalidRequests invalid) {
+        } else if (fault instanceof Fault.InvalidRequests invalid) {
             for (int i = 0; i < invalid.forS() * 4; i++) {
                 world.after(i / 4.0, users.invalidRequests::sendOne);
             }
-        } else if (trouble instanceof Fault.SubmissionFlood swarm) {
+        } else if (fault instanceof Fault.SubmissionFlood flood) {
             int first = 100_000 * ++submissionFloods;
-            for (int i = 0; i < swarm.perS() * swarm.forS(); i++) {
+            for (int i = 0; i < flood.perS() * flood.forS(); i++) {
                 int number = first + i;
-                world.after(i / swarm.perS(), () -> region.jobMix.submitSingle(number));
+                world.after(i / flood.perS(), () -> region.jobMix.submitSingle(number));
             }
-        } else if (trouble instanceof Fault.Pipelines pipelines) {
+        } else if (fault instanceof Fault.Pipelines pipelines) {
             for (int i = 0; i < pipelines.count(); i++) {
                 int number = 700_000 + 10 * i;
                 world.after(
                         i * pipelines.forS() / pipelines.count(),
                         () -> region.pipelines.submitAny(number));
             }
-        } else if (trouble instanceof Fault.QueryFlood) {
+        } else if (fault instanceof Fault.QueryFlood) {
             users.queryMoreOften(until);
-        } else if (trouble instanceof Fault.LargeArrays arrays) {
+        } else if (fault instanceof Fault.LargeArrays arrays) {
             for (int i = 0; i < arrays.count(); i++) {
                 int number = 800_000 + largeArrays++;
                 world.after(
--- a/src/test/java/io/pepperfield/standin/InMemoryKeyValueStore.java
+++ b/src/test/java/io/pepperfield/standin/InMemoryKeyValueStore.java
@@ -118,7 +118,9 @@
 
     /** How many keys have that prefix. */
     public long count(String prefix) {
-        return keys.tailMap(prefix).keySet().stream().takeWhile(k -> k.startsWith(prefix)).count();
+        return keys.tailMap(prefix).keySet().stream()
+                .takeWhile(key -> key.startsWith(prefix))
+                .count();
     }
 
     @Override
--- a/src/test/java/io/pepperfield/standin/LoopbackRegion.java
+++ b/src/test/java/io/pepperfield/standin/LoopbackRegion.java
@@ -49,7 +49,7 @@
 
     /** Answers a request that arrived over a socket. */
     private interface Handler {
-        void handle(InboundRequest call, Consumer<HttpReply> answer);
+        void handle(InboundRequest request, Consumer<HttpReply> answer);
     }
 
     public final List<String> violations = new CopyOnWriteArrayList<>();
@@ -71,7 +71,7 @@
     public LoopbackRegion(int controllers) throws Exception {
         CloudStandIn cloud = new CloudStandIn(this::now, 2 * controllers, new Machines());
         statePort = listen(state::handle);
-        cloudPort = listen((call, answer) -> answer.accept(cloud.handle(call)));
+        cloudPort = listen((request, answer) -> answer.accept(cloud.handle(request)));
         scheduler.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         List<Integer> free = freePorts(2 * controllers);
         ports.addAll(free.subList(0, controllers));
@@ -96,7 +96,8 @@
         return new HttpServer(
                         network,
                         200,
-                        (call, answer) -> scheduler.execute(() -> handler.handle(call, answer)))
+                        (request, answer) ->
+                                scheduler.execute(() -> handler.handle(request, answer)))
                 .start("127.0.0.1", 0);
     }
 
@@ -176,7 +177,8 @@
         @Override
         public void boot(String name, String type, String zone, boolean spot) {
             WorkerStandIn[] made = new WorkerStandIn[1];
-            Handler handler = (call, answer) -> made[0].handle(call.path(), call.body(), answer);
+            Handler handler =
+                    (request, answer) -> made[0].handle(request.path(), request.body(), answer);
             // Bound off the region's own thread, which must not wait for the network's.
             CompletableFuture.supplyAsync(() -> bind(handler))
                     .thenAccept(
@@ -209,7 +211,8 @@
     private WorkerStandIn worker(String name, String type, String zone, boolean spot, int port) {
         List<String> names =
                 IntStream.range(0, ports.size()).mapToObj(node -> "node-" + node).toList();
-        List<String> addresses = ports.stream().map(p -> "127.0.0.1:" + p).toList();
+        List<String> addresses =
+                ports.stream().map(controllerPort -> "127.0.0.1:" + controllerPort).toList();
         HttpSender sender =
                 (request, onOutcome) ->
                         client.send(
--- a/src/test/java/io/pepperfield/standin/NetworkPartitions.java
+++ b/src/test/java/io/pepperfield/standin/NetworkPartitions.java
@@ -24,18 +24,18 @@
         List<String> within =
                 new ArrayList<>(List.of("node-" + inside, "10.0.0." + (inside + 1) + ":"));
         machines.all().stream()
-                .filter(w -> w.zone.equals(zone))
-                .forEach(w -> within.addAll(List.of(w.name, w.address)));
+                .filter(worker -> worker.zone.equals(zone))
+                .forEach(worker -> within.addAll(List.of(worker.name, worker.address)));
         List<String> without = new ArrayList<>(List.of("10.2.0.1", "10.2.0.2", "users"));
         machines.all().stream()
-                .filter(w -> !w.zone.equals(zone))
-                .forEach(w -> without.addAll(List.of(w.name, w.address)));
+                .filter(worker -> !worker.zone.equals(zone))
+                .forEach(worker -> without.addAll(List.of(worker.name, worker.address)));
         for (int other = 0; other < nodeCount; other++) {
             if (other != inside) {
                 without.addAll(List.of("node-" + other, "10.0.0." + (other + 1) + ":"));
             }
         }
-        within.forEach(a -> without.forEach(b -> world.cut(a, b, until)));
+        within.forEach(from -> without.forEach(to -> world.cut(from, to, until)));
     }
 
     /** Cut from the state service and the other controllers, but not from the workers. */
--- a/src/test/java/io/pepperfield/standin/PipelineRules.java
+++ b/src/test/java/io/pepperfield/standin/PipelineRules.java
@@ -21,11 +21,11 @@
      */
     PipelineRules(
             SimWorld world,
-            List<String> broken,
+            List<String> violations,
             Map<String, SimJob> jobs,
             Predicate<String> durablyDone) {
         this.world = world;
-        this.violations = broken;
+        this.violations = violations;
         this.jobs = jobs;
         this.durablyDone = durablyDone;
     }
--- a/src/test/java/io/pepperfield/standin/Pipelines.java
+++ b/src/test/java/io/pepperfield/standin/Pipelines.java
@@ -83,7 +83,7 @@
 
     /** Jobs that have not ended as the cancellation in their pipeline demands. */
     public List<String> wronglyEnded() {
-        return submitted.stream().flatMap(p -> p.wronglyEnded().stream()).toList();
+        return submitted.stream().flatMap(pipeline -> pipeline.wronglyEnded().stream()).toList();
     }
 
     /** How many pipelines lost the job that was to be cancelled, and did not get it done before. */
--- a/src/test/java/io/pepperfield/standin/RecordedForms.java
+++ b/src/test/java/io/pepperfield/standin/RecordedForms.java
@@ -95,7 +95,10 @@
         return lines.isArray() && all(lines, RecordedForms::line);
     }
 
-    /** Task, attempt and state, and of what may be alive the machine and its session. */
+    /**
+     * Task, attempt and state, and of what may be alive the machine and the incarnation of its
+     * agent.
+     */
     private static boolean line(JsonNode line) {
         int state = line.path(2).asInt(-1);
         return line.path(0).isInt()
--- a/src/test/java/io/pepperfield/standin/RolloutRules.java
+++ b/src/test/java/io/pepperfield/standin/RolloutRules.java
@@ -33,9 +33,9 @@
 
     private int finalized = 1;
 
-    RolloutRules(DoubleSupplier clock, List<String> broken) {
+    RolloutRules(DoubleSupplier clock, List<String> violations) {
         this.clock = clock;
-        this.violations = broken;
+        this.violations = violations;
     }
 
     static boolean isFence(JsonNode leader) {
--- a/src/test/java/io/pepperfield/standin/Scenario.java
+++ b/src/test/java/io/pepperfield/standin/Scenario.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * A day in a region: jobs of all kinds at even intervals, and troubles at their times. Played by
+ * A day in a region: jobs of all kinds at even intervals, and faults at their times. Played by
  * {@link SimulatedRegion#play}, and fully told by it and a seed.
  */
 public record Scenario(int jobs, double everyS, List<PlannedFault> faults) {
 
-    /** A trouble and when it begins. */
+    /** A fault and when it begins. */
     public record PlannedFault(double at, Fault fault) {}
 
     /** The first job comes then: a leader leads and knows the machine types. */
@@ -26,16 +26,16 @@
         return new Scenario(jobs, everyS, List.of());
     }
 
-    /** The same with these troubles too, all beginning at that time. */
+    /** The same with these faults too, all beginning at that time. */
     public Scenario at(double time, Fault... more) {
         List<PlannedFault> all = new ArrayList<>(faults);
-        for (Fault trouble : more) {
-            all.add(new PlannedFault(time, trouble));
+        for (Fault fault : more) {
+            all.add(new PlannedFault(time, fault));
         }
         return new Scenario(jobs, everyS, all);
     }
 
-    /** When all troubles are over and the last job has come. */
+    /** When all faults are over and the last job has come. */
     public double calmAt() {
         double calm = FIRST_JOB_S + jobs * everyS;
         for (PlannedFault planned : faults) {
--- a/src/test/java/io/pepperfield/standin/SimMachines.java
+++ b/src/test/java/io/pepperfield/standin/SimMachines.java
@@ -56,9 +56,12 @@
     int lostTasks;
 
     SimMachines(
-            SimWorld world, List<String> broken, Map<String, SimJob> jobs, PipelineRules rules) {
+            SimWorld world,
+            List<String> violations,
+            Map<String, SimJob> jobs,
+            PipelineRules rules) {
         this.world = world;
-        this.violations = broken;
+        this.violations = violations;
         this.jobs = jobs;
         this.rules = rules;
     }
@@ -76,12 +79,12 @@
     @Override
     public void boot(String name, String type, String zone, boolean spot) {
         String address = "10.1.0.1:" + port++;
-        boolean trouble = world.now() < slowBootsUntil;
-        if (trouble && world.random.nextDouble() < bootFailureShare) {
+        boolean fault = world.now() < slowBootsUntil;
+        if (fault && world.random.nextDouble() < bootFailureShare) {
             return;
         }
         world.after(
-                (1 + 5 * world.random.nextDouble()) * (trouble ? bootFactor : 1),
+                (1 + 5 * world.random.nextDouble()) * (fault ? bootFactor : 1),
                 () -> startWorker(name, type, zone, spot, address));
     }
 
@@ -193,7 +196,10 @@
                 new ArrayList<>(
                         workers.values().stream()
                                 .filter(WorkerStandIn::isAlive)
-                                .filter(w -> which.zone() == null || w.zone.equals(which.zone()))
+                                .filter(
+                                        other ->
+                                                which.zone() == null
+                                                        || other.zone.equals(which.zone()))
                                 .toList());
         Collections.shuffle(there, world.random);
         there.sort((a, b) -> Boolean.compare(b.isBusy(), a.isBusy()));
@@ -254,7 +260,9 @@
             violation("wrong_place: " + task + " in " + worker.zone + ", wants " + plan.zone());
         }
         long here =
-                job.workersByTask.values().stream().filter(w -> w.zone.equals(worker.zone)).count();
+                job.workersByTask.values().stream()
+                        .filter(near -> near.zone.equals(worker.zone))
+                        .count();
         if (plan.spread() && here > (plan.tasks() + 1) / 2) {
             violation("wrong_place: " + here + " of " + plan.id() + " in " + worker.zone);
         }
@@ -329,7 +337,7 @@
         for (WorkerStandIn worker : workers.values()) {
             long here =
                     job.workersByTask.values().stream()
-                            .filter(w -> w.zone.equals(worker.zone))
+                            .filter(near -> near.zone.equals(worker.zone))
                             .count();
             boolean may =
                     (plan.spot() || !worker.spot)
--- a/src/test/java/io/pepperfield/standin/SimNode.java
+++ b/src/test/java/io/pepperfield/standin/SimNode.java
@@ -25,7 +25,7 @@
 
     /** Answers a request to a simulated controller. */
     private interface Handler {
-        void handle(InboundRequest call, Consumer<HttpReply> answer);
+        void handle(InboundRequest request, Consumer<HttpReply> answer);
     }
 
     final int index;
@@ -220,16 +220,16 @@
                     String path,
                     byte[] body,
                     Consumer<HttpReply> answer) {
-                InboundRequest call = SimWorld.call(method, path, body);
-                checkForm(isKnown(call), call);
+                InboundRequest request = SimWorld.call(method, path, body);
+                checkForm(isKnown(request), request);
                 take(
                         peers::handle,
-                        call,
+                        request,
                         reply -> {
                             checkForm(
                                     reply.status() != 200
                                             || RecordedForms.answer(path, Json.read(reply.body())),
-                                    call);
+                                    request);
                             answer.accept(reply);
                         });
             }
@@ -242,9 +242,10 @@
     }
 
     /** A feature's messages are known to nobody else; who sends them is checked at the sender. */
-    private static boolean isKnown(InboundRequest call) {
-        return call.path().equals(Admission.PATH)
-                || RecordedForms.request(call.method(), call.path(), Json.read(call.body()));
+    private static boolean isKnown(InboundRequest request) {
+        return request.path().equals(Admission.PATH)
+                || RecordedForms.request(
+                        request.method(), request.path(), Json.read(request.body()));
     }
 
     private void mustHaveFeature(Settings settings, String path) {
@@ -260,23 +261,24 @@
                 : 0;
     }
 
-    private void checkForm(boolean known, InboundRequest call) {
+    private void checkForm(boolean known, InboundRequest request) {
         if (!known) {
-            violations.add(world.now() + " of another form: " + call.path() + " to node-" + index);
+            violations.add(
+                    world.now() + " of another form: " + request.path() + " to node-" + index);
         }
     }
 
     /** An answer of a process that has ended meanwhile never leaves. */
-    private void take(Handler by, InboundRequest call, Consumer<HttpReply> answer) {
+    private void take(Handler by, InboundRequest request, Consumer<HttpReply> answer) {
         int mine = processIncarnation;
         awake(
                 mine,
                 () -> {
                     by.handle(
-                            call,
+                            request,
                             reply -> {
                                 if (alive && processIncarnation == mine) {
-                                    if (call.path().equals("/agent/beat")
+                                    if (request.path().equals("/agent/beat")
                                             && reply.status() == 200) {
                                         mustBeAwake("renews a lease");
                                     }
--- a/src/test/java/io/pepperfield/standin/SimUserExpectations.java
+++ b/src/test/java/io/pepperfield/standin/SimUserExpectations.java
@@ -20,9 +20,12 @@
     private final List<String> leftWaiting = new ArrayList<>();
 
     SimUserExpectations(
-            SimWorld world, List<String> broken, SimMachines machines, Map<String, SimJob> jobs) {
+            SimWorld world,
+            List<String> violations,
+            SimMachines machines,
+            Map<String, SimJob> jobs) {
         this.world = world;
-        this.violations = broken;
+        this.violations = violations;
         this.machines = machines;
         this.jobs = jobs;
     }
@@ -34,7 +37,7 @@
     /**
      * To be called every second.
      *
-     * @param calmAt when all troubles are over; only then users expect to be served
+     * @param calmAt when all faults are over; only then users expect to be served
      */
     void check(double calmAt) {
         double now = world.now();
--- a/src/test/java/io/pepperfield/standin/SimulatedRegion.java
+++ b/src/test/java/io/pepperfield/standin/SimulatedRegion.java
@@ -35,7 +35,7 @@
 
     /** Answers a simulated node's requests. */
     private interface Handler {
-        void handle(String from, InboundRequest call, Consumer<HttpReply> answer);
+        void handle(String from, InboundRequest request, Consumer<HttpReply> answer);
     }
 
     public final SimWorld world;
@@ -138,7 +138,8 @@
         leaderWatch = new LeaderWatch(store, heartbeatReplays::newLeader);
         world.listen("10.2.0.1:2379", host(storeLink::handle));
         world.listen(
-                "10.2.0.2:8443", host((from, call, answer) -> answer.accept(cloud.handle(call))));
+                "10.2.0.2:8443",
+                host((from, request, answer) -> answer.accept(cloud.handle(request))));
         operator = new SimOperator(world, nodes);
         for (int index = 0; index < nodeCount; index++) {
             int number = index;
@@ -201,7 +202,7 @@
 
     // ---- scenarios
 
-    /** Plans a scenario's jobs and troubles; to be run until {@link Scenario#endsAt}. */
+    /** Plans a scenario's jobs and faults; to be run until {@link Scenario#endsAt}. */
     public void play(Scenario scenario) {
         for (int i = 0; i < scenario.jobs(); i++) {
             int number = i + 1;
@@ -246,7 +247,7 @@
         Set<String> all =
                 nodes.stream().map(node -> "node-" + node.index).collect(Collectors.toSet());
         return machines.all().stream()
-                .filter(w -> Partitions.owner(w.name, all).equals("node-" + index))
+                .filter(worker -> Partitions.owner(worker.name, all).equals("node-" + index))
                 .count();
     }
 
--- a/src/test/java/io/pepperfield/standin/StoreLimitsStandIn.java
+++ b/src/test/java/io/pepperfield/standin/StoreLimitsStandIn.java
@@ -35,16 +35,16 @@
     }
 
     /** The status with which a request is refused, or {@link #ALLOWED}. */
-    int refusal(InboundRequest call, double now) {
+    int refusal(InboundRequest request, double now) {
         requests =
                 Math.min(
                         limits.requestsPerS(), requests + (now - filledAt) * limits.requestsPerS());
         changes = Math.min(limits.writesPerS(), changes + (now - filledAt) * limits.writesPerS());
         filledAt = now;
-        boolean transaction = call.path().equals("/txn");
-        JsonNode body = transaction ? Json.read(call.body()) : null;
+        boolean transaction = request.path().equals("/txn");
+        JsonNode body = transaction ? Json.read(request.body()) : null;
         int writes = transaction ? body.path("apply").size() : 0;
-        if (transaction && tooLarge(body, call.body().length)) {
+        if (transaction && tooLarge(body, request.body().length)) {
             malformed++;
             return MALFORMED;
         }
--- a/src/test/java/io/pepperfield/standin/StoreLink.java
+++ b/src/test/java/io/pepperfield/standin/StoreLink.java
@@ -35,8 +35,8 @@
         atOnce = carriedOutAtOnce;
     }
 
-    void handle(String from, InboundRequest call, Consumer<HttpReply> answer) {
-        if (call.path().equals("/txn")
+    void handle(String from, InboundRequest request, Consumer<HttpReply> answer) {
+        if (request.path().equals("/txn")
                 && world.now() < lateUntil
                 && world.random.nextDouble() < lateShare) {
             double after =
@@ -46,12 +46,12 @@
                                     + world.random.nextDouble()
                                             * (Fault.DelayedWrites.MOST_S
                                                     - Fault.DelayedWrites.LEAST_S);
-            world.after(after, () -> state.handle(from, call, lost -> {}));
+            world.after(after, () -> state.handle(from, request, lost -> {}));
         } else if (world.now() < slowUntil) {
             double by = slowByS;
-            state.handle(from, call, reply -> world.after(by, () -> answer.accept(reply)));
+            state.handle(from, request, reply -> world.after(by, () -> answer.accept(reply)));
         } else {
-            state.handle(from, call, answer);
+            state.handle(from, request, answer);
         }
     }
 }
--- a/src/test/java/io/pepperfield/standin/StoreStandIn.java
+++ b/src/test/java/io/pepperfield/standin/StoreStandIn.java
@@ -95,7 +95,7 @@
     public void outage(boolean begins) {
         outageActive = begins;
         if (!begins) {
-            grants.values().forEach(g -> g.until = clock.getAsDouble() + g.ttl);
+            grants.values().forEach(grant -> grant.until = clock.getAsDouble() + grant.ttl);
         }
     }
 
@@ -138,7 +138,7 @@
         grants.remove(id);
         List<String> gone =
                 entries.entrySet().stream()
-                        .filter(e -> e.getValue().grant == id)
+                        .filter(entry -> entry.getValue().grant == id)
                         .map(Map.Entry::getKey)
                         .toList();
         if (!gone.isEmpty()) {
@@ -160,9 +160,9 @@
             boolean news =
                     events.stream()
                             .anyMatch(
-                                    e ->
-                                            e.modRevision > watch.since
-                                                    && e.key.startsWith(watch.prefix));
+                                    entry ->
+                                            entry.modRevision > watch.since
+                                                    && entry.key.startsWith(watch.prefix));
             if (news || watch.until <= now) {
                 it.remove();
                 watch.answer.accept(since(watch.prefix, watch.since));
@@ -190,55 +190,55 @@
         return HttpReply.json(200, body);
     }
 
-    public void handle(InboundRequest call, Consumer<HttpReply> answer) {
-        handle("", call, answer);
+    public void handle(InboundRequest request, Consumer<HttpReply> answer) {
+        handle("", request, answer);
     }
 
-    public void handle(String from, InboundRequest call, Consumer<HttpReply> answer) {
+    public void handle(String from, InboundRequest request, Consumer<HttpReply> answer) {
         if (refused(from)) {
             answer.accept(HttpReply.empty(503));
             return;
         }
-        int refusal = outageActive ? StoreLimitsStandIn.ALLOWED : refusal(call);
+        int refusal = outageActive ? StoreLimitsStandIn.ALLOWED : refusal(request);
         if (refusal != StoreLimitsStandIn.ALLOWED) {
             answer.accept(HttpReply.empty(refusal));
-        } else if (call.path().equals("/follow")) {
-            String prefix = call.queryParameter("starts", "");
-            long since = Long.parseLong(call.queryParameter("since", "0"));
-            double hold = Double.parseDouble(call.queryParameter("holdMs", "0")) / 1000;
+        } else if (request.path().equals("/follow")) {
+            String prefix = request.queryParameter("starts", "");
+            long since = Long.parseLong(request.queryParameter("since", "0"));
+            double hold = Double.parseDouble(request.queryParameter("holdMs", "0")) / 1000;
             if (outageActive && hold == 0) {
                 answer.accept(HttpReply.empty(503));
                 return;
             }
             watches.add(new Watch(from, prefix, since, clock.getAsDouble() + hold, answer));
         } else {
-            answer.accept(outageActive ? HttpReply.empty(503) : now(call));
+            answer.accept(outageActive ? HttpReply.empty(503) : now(request));
         }
         if (!outageActive) {
             answerWatches(clock.getAsDouble());
         }
     }
 
-    private int refusal(InboundRequest call) {
+    private int refusal(InboundRequest request) {
         double now = clock.getAsDouble();
-        if (call.path().startsWith("/grants") && now < grantsRefusedUntil) {
+        if (request.path().startsWith("/grants") && now < grantsRefusedUntil) {
             return StoreLimitsStandIn.TOO_MANY;
         }
-        return limits == null ? StoreLimitsStandIn.ALLOWED : limits.refusal(call, now);
+        return limits == null ? StoreLimitsStandIn.ALLOWED : limits.refusal(request, now);
     }
 
-    private HttpReply now(InboundRequest call) {
-        JsonNode body = Json.read(call.body());
-        if (call.path().equals("/txn")) {
+    private HttpReply now(InboundRequest request) {
+        JsonNode body = Json.read(request.body());
+        if (request.path().equals("/txn")) {
             return txn(body);
         }
-        if (call.path().equals("/kv")) {
+        if (request.path().equals("/kv")) {
             return range(
-                    call.queryParameter("starts", ""),
-                    call.queryParameter("since", ""),
-                    Integer.parseInt(call.queryParameter("limit", "1000")));
+                    request.queryParameter("starts", ""),
+                    request.queryParameter("since", ""),
+                    Integer.parseInt(request.queryParameter("limit", "1000")));
         }
-        if (call.path().equals("/grants")) {
+        if (request.path().equals("/grants")) {
             if (grantsStalled) {
                 return HttpReply.error(503, "trouble");
             }
@@ -246,14 +246,14 @@
             grants.put(nextGrant, new Grant(ttl, clock.getAsDouble() + ttl));
             return HttpReply.json(200, Json.object().put("claim", nextGrant++));
         }
-        if (call.path().startsWith("/grants/")) {
-            String rest = call.path().substring("/grants/".length());
+        if (request.path().startsWith("/grants/")) {
+            String rest = request.path().substring("/grants/".length());
             long id = Long.parseLong(rest.replace("/touch", ""));
             Grant grant = grants.get(id);
             if (grant == null) {
                 return HttpReply.empty(404);
             }
-            if (call.method().equals("DELETE")) {
+            if (request.method().equals("DELETE")) {
                 expireGrant(id);
             } else {
                 grant.until = clock.getAsDouble() + grant.ttl;
--- a/src/test/java/io/pepperfield/standin/WorkerStandIn.java
+++ b/src/test/java/io/pepperfield/standin/WorkerStandIn.java
@@ -124,7 +124,7 @@
     /** The tasks that take room on it. */
     public List<String> tasks() {
         return heldAttempts.entrySet().stream()
-                .filter(e -> !e.getValue().status.equals("ended"))
+                .filter(held -> !held.getValue().status.equals("ended"))
                 .map(Map.Entry::getKey)
                 .toList();
     }
@@ -237,7 +237,8 @@
                     if (outcome instanceof HttpOutcome.Answered answer && answer.status() == 200) {
                         JsonNode json = answer.json();
                         long seen = json.path("epoch").longValue();
-                        // Dropped: a lower token, an answer to an earlier session, or one that came
+                        // Dropped: a lower token, an answer to an earlier incarnation, or one that
+                        // came
                         // after the worker's patience.
                         if (!isHung()
                                 && sentTenure == incarnation
