--- a/src/main/java/io/pepperfield/admission/AdmissionLimits.java
+++ b/src/main/java/io/pepperfield/admission/AdmissionLimits.java
@@ -29,7 +29,9 @@
 
     static final double SECONDS_PER_MINUTE = 60;
 
-    /** Of a report period: long enough for a lost message or two, short enough after a failure. */
+    /**
+     * In heartbeat intervals: long enough for a lost message or two, short enough after a failure.
+     */
     private static final double ALLOTMENT_HEARTBEAT_INTERVALS = 1.0;
 
     private static final double REQUEST_HEARTBEAT_INTERVALS = 0.25;
--- a/src/main/java/io/pepperfield/admission/AdmissionMessages.java
+++ b/src/main/java/io/pepperfield/admission/AdmissionMessages.java
@@ -37,8 +37,8 @@
         ArrayNode classes = node.putArray("classes");
         report.classes()
                 .forEach(
-                        (of, asked) ->
-                                addClass(classes.addArray(), of)
+                        (workloadClass, asked) ->
+                                addClass(classes.addArray(), workloadClass)
                                         .add(Math.round(asked.perMinute() * 100) / 100.0)
                                         .add(asked.admitted())
                                         .add(asked.refused()));
@@ -56,14 +56,14 @@
             return Optional.empty();
         }
         SortedMap<WorkloadClass, ClassDemand> classes = new TreeMap<>();
-        for (JsonNode line : message.path("classes")) {
-            double perMinute = line.path(3).asDouble(-1);
-            if (!isClass(line) || !(perMinute >= 0 && perMinute <= MAX_PER_MINUTE)) {
+        for (JsonNode entry : message.path("classes")) {
+            double perMinute = entry.path(3).asDouble(-1);
+            if (!isClass(entry) || !(perMinute >= 0 && perMinute <= MAX_PER_MINUTE)) {
                 return Optional.empty();
             }
             classes.put(
-                    readClass(line),
-                    new ClassDemand(perMinute, line.path(4).asInt(), line.path(5).asInt()));
+                    readClass(entry),
+                    new ClassDemand(perMinute, entry.path(4).asInt(), entry.path(5).asInt()));
         }
         return Optional.of(
                 new DemandReport(
@@ -87,8 +87,8 @@
         allotment
                 .classes()
                 .forEach(
-                        (of, share) ->
-                                addClass(classes.addArray(), of)
+                        (workloadClass, share) ->
+                                addClass(classes.addArray(), workloadClass)
                                         .add(share.perMinute())
                                         .add(share.limited()));
         ArrayNode waits = node.putArray("waits");
@@ -114,23 +114,23 @@
             return Optional.empty();
         }
         SortedMap<WorkloadClass, ClassShare> classes = new TreeMap<>();
-        for (JsonNode line : message.path("classes")) {
-            if (!isClass(line) || line.path(3).asInt(-1) < 0) {
+        for (JsonNode entry : message.path("classes")) {
+            if (!isClass(entry) || entry.path(3).asInt(-1) < 0) {
                 return Optional.empty();
             }
             classes.put(
-                    readClass(line),
-                    new ClassShare(line.path(3).asInt(), line.path(4).asBoolean()));
+                    readClass(entry),
+                    new ClassShare(entry.path(3).asInt(), entry.path(4).asBoolean()));
         }
         List<QueueWait> waits = new ArrayList<>();
-        for (JsonNode line : message.path("waits")) {
-            parsePriority(line.path(1).asText())
+        for (JsonNode entry : message.path("waits")) {
+            parsePriority(entry.path(1).asText())
                     .map(
                             priority ->
                                     new QueueWait(
-                                            line.path(0).asText(),
+                                            entry.path(0).asText(),
                                             priority,
-                                            line.path(2).asDouble()))
+                                            entry.path(2).asDouble()))
                     .ifPresent(waits::add);
         }
         return Optional.of(
@@ -150,16 +150,18 @@
                 .findFirst();
     }
 
-    private static ArrayNode addClass(ArrayNode line, WorkloadClass of) {
-        return line.add(of.team()).add(of.workload()).add(of.hasDependencies());
+    private static ArrayNode addClass(ArrayNode entry, WorkloadClass workloadClass) {
+        return entry.add(workloadClass.team())
+                .add(workloadClass.workload())
+                .add(workloadClass.hasDependencies());
     }
 
-    private static boolean isClass(JsonNode line) {
-        return line.path(0).isTextual() && line.path(1).isTextual() && line.path(2).isBoolean();
+    private static boolean isClass(JsonNode entry) {
+        return entry.path(0).isTextual() && entry.path(1).isTextual() && entry.path(2).isBoolean();
     }
 
-    private static WorkloadClass readClass(JsonNode line) {
+    private static WorkloadClass readClass(JsonNode entry) {
         return new WorkloadClass(
-                line.path(0).textValue(), line.path(1).textValue(), line.path(2).booleanValue());
+                entry.path(0).textValue(), entry.path(1).textValue(), entry.path(2).booleanValue());
     }
 }
--- a/src/main/java/io/pepperfield/admission/AdmissionOverview.java
+++ b/src/main/java/io/pepperfield/admission/AdmissionOverview.java
@@ -41,9 +41,9 @@
         describeQueues(node.putArray("queues"));
     }
 
-    private void describeControllers(ArrayNode lines) {
+    private void describeControllers(ArrayNode entries) {
         for (String controller : issuer.reportingControllers()) {
-            lines.addObject()
+            entries.addObject()
                     .put("node", controller)
                     .put("allotted", issuer.outstandingAllotments().committed(controller, now))
                     .put(
@@ -52,17 +52,17 @@
         }
     }
 
-    private void describeClasses(ArrayNode lines) {
+    private void describeClasses(ArrayNode entries) {
         SortedMap<WorkloadClass, Double> entitled = issuer.entitlements();
         for (Map.Entry<WorkloadClass, ClassDemand> entry : issuer.classes().entrySet()) {
-            WorkloadClass of = entry.getKey();
+            WorkloadClass workloadClass = entry.getKey();
             ClassDemand figures = entry.getValue();
-            double due = Math.min(entitled.get(of), figures.perMinute());
-            lines.addObject()
-                    .put("team", of.team())
-                    .put("class", of.workload())
-                    .put("dependent", of.hasDependencies())
-                    .put("entitled", tenths(entitled.get(of)))
+            double due = Math.min(entitled.get(workloadClass), figures.perMinute());
+            entries.addObject()
+                    .put("team", workloadClass.team())
+                    .put("class", workloadClass.workload())
+                    .put("dependent", workloadClass.hasDependencies())
+                    .put("entitled", tenths(entitled.get(workloadClass)))
                     .put("demand", tenths(figures.perMinute()))
                     .put("admitted", figures.admitted())
                     .put("refused", figures.refused())
@@ -70,9 +70,9 @@
         }
     }
 
-    private void describeQueues(ArrayNode lines) {
+    private void describeQueues(ArrayNode entries) {
         for (QueueWait wait : issuer.queueWaits()) {
-            lines.addObject()
+            entries.addObject()
                     .put("team", wait.team())
                     .put("rank", wait.priority().name().toLowerCase(Locale.ROOT))
                     .put("predictedWaitS", tenths(wait.waitS()))
--- a/src/main/java/io/pepperfield/admission/Allotment.java
+++ b/src/main/java/io/pepperfield/admission/Allotment.java
@@ -8,7 +8,7 @@
  * What the leader lets one controller admit for a while: a lease on a part of the rate.
  *
  * @param node the controller that it is for
- * @param fencingToken the leader's token
+ * @param fencingToken the leader's fencing token
  * @param serial grows with each allotment of a leader
  * @param durationS how long it lasts; its holder counts from the sending of the request that it
  *     answers, and so ends before the leader takes it for ended
--- a/src/main/java/io/pepperfield/admission/AllotmentIssuer.java
+++ b/src/main/java/io/pepperfield/admission/AllotmentIssuer.java
@@ -43,13 +43,14 @@
     private List<QueueWait> queueWaits = List.of();
 
     /**
-     * @param token this leadership's token
+     * @param fencingToken this leadership's token
      * @param electedAt when this leader learnt that it leads
      */
-    AllotmentIssuer(AdmissionLimits limits, String self, FencingToken token, double electedAt) {
+    AllotmentIssuer(
+            AdmissionLimits limits, String self, FencingToken fencingToken, double electedAt) {
         this.limits = limits;
-        this.firstFencingToken = token;
-        this.fencingToken = token;
+        this.firstFencingToken = fencingToken;
+        this.fencingToken = fencingToken;
         this.members = new Membership(self, limits.allotmentDurationS());
         this.outstandingAllotments =
                 new OutstandingAllotments(
@@ -125,9 +126,9 @@
         }
 
         /** What a controller is due of one class: the class's share by where its demand is. */
-        private double entitlement(WorkloadClass of, ClassDemand at) {
-            double all = demand.get(of);
-            return all > 0 ? shares.get(of) * at.perMinute() / all : 0;
+        private double entitlement(WorkloadClass workloadClass, ClassDemand localDemand) {
+            double all = demand.get(workloadClass);
+            return all > 0 ? shares.get(workloadClass) * localDemand.perMinute() / all : 0;
         }
 
         private double entitlement(DemandReport report) {
@@ -172,8 +173,8 @@
             return rounded;
         }
 
-        private boolean isLimited(WorkloadClass of) {
-            return isUnmet(shares.get(of), demand.get(of));
+        private boolean isLimited(WorkloadClass workloadClass) {
+            return isUnmet(shares.get(workloadClass), demand.get(workloadClass));
         }
     }
 
@@ -182,7 +183,9 @@
         for (ReceivedReport known : reports.values()) {
             known.report
                     .classes()
-                    .forEach((of, asked) -> demand.merge(of, asked.perMinute(), Double::sum));
+                    .forEach(
+                            (workloadClass, asked) ->
+                                    demand.merge(workloadClass, asked.perMinute(), Double::sum));
         }
         return demand;
     }
@@ -199,7 +202,9 @@
         for (ReceivedReport known : reports.values()) {
             known.report
                     .classes()
-                    .forEach((of, asked) -> sums.merge(of, asked, AllotmentIssuer::sum));
+                    .forEach(
+                            (workloadClass, asked) ->
+                                    sums.merge(workloadClass, asked, AllotmentIssuer::sum));
         }
         return sums;
     }
@@ -214,7 +219,9 @@
     /** What each class is entitled to if all classes known now ask for more than there is. */
     SortedMap<WorkloadClass, Double> entitlements() {
         SortedMap<WorkloadClass, Double> unbounded = new TreeMap<>();
-        totalDemand().keySet().forEach(of -> unbounded.put(of, UNBOUNDED_DEMAND));
+        totalDemand()
+                .keySet()
+                .forEach(workloadClass -> unbounded.put(workloadClass, UNBOUNDED_DEMAND));
         int all = limits.dividedPerMinute() + reports.size() * limits.fixedPerMinute();
         return FairDivision.divide(all, unbounded, limits::weight);
     }
--- a/src/main/java/io/pepperfield/admission/DemandReport.java
+++ b/src/main/java/io/pepperfield/admission/DemandReport.java
@@ -9,7 +9,7 @@
  * @param node the controller
  * @param processIncarnation its process; another one after each start
  * @param sequence grows with each report of a process
- * @param heldFencingToken the token of the allotment that it uses, 0 without one
+ * @param heldFencingToken the fencing token of the allotment that it uses, if it has one
  * @param heldSerial the serial of that allotment
  */
 record DemandReport(
--- a/src/main/java/io/pepperfield/config/Settings.java
+++ b/src/main/java/io/pepperfield/config/Settings.java
@@ -53,7 +53,7 @@
             String kind, String workload, double withinS, double share, double times) {}
 
     /**
-     * Intervals of the workers' protocol in seconds: between reports, until a worker without an
+     * Intervals of the workers' protocol in seconds: between heartbeats, until a worker without an
      * answer gives up its tasks, and until a cancelled job's tasks must have ended.
      */
     public record WorkerTimings(
--- a/src/main/java/io/pepperfield/http/PendingQueryLimit.java
+++ b/src/main/java/io/pepperfield/http/PendingQueryLimit.java
@@ -5,8 +5,8 @@
 
 /**
  * A bound on requests of one kind that wait for their answers. When users ask many times as often,
- * what is beyond it is told at once to come back, and neither fills the owner's queue nor delays
- * reports, submissions and health answers there.
+ * what is beyond it is told at once to come back, and neither fills the event loop's queue nor
+ * delays heartbeats, submissions and health answers there.
  */
 public final class PendingQueryLimit implements HttpServer.Handler {
 
--- a/src/main/java/io/pepperfield/recovery/ArchiveWriter.java
+++ b/src/main/java/io/pepperfield/recovery/ArchiveWriter.java
@@ -2,7 +2,6 @@
 
 import io.pepperfield.recovery.SnapshotSource.ChangesCompactedException;
 import io.pepperfield.recovery.SnapshotSource.Page;
-import io.pepperfield.store.KeyValueStore.KeyValue;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.channels.FileChannel;
@@ -36,6 +35,8 @@
     private final List<String> controllers;
 
     /**
+     * Creates a writer that reads from this source.
+     *
      * @param controllers of the cluster, by name, for the manifest
      */
     public ArchiveWriter(SnapshotSource source, List<String> controllers) {
@@ -66,20 +67,20 @@
         if (Files.exists(file)) {
             throw new FileAlreadyExistsException(file.toString(), null, "is there already");
         }
-        Path part = file.resolveSibling(file.getFileName() + ".part");
+        Path partialFile = file.resolveSibling(file.getFileName() + ".part");
         try {
-            long revision = writePartial(part);
-            flushToDisk(part);
-            Files.move(part, file, StandardCopyOption.ATOMIC_MOVE);
+            long revision = writePartial(partialFile);
+            flushToDisk(partialFile);
+            Files.move(partialFile, file, StandardCopyOption.ATOMIC_MOVE);
             return revision;
         } finally {
-            Files.deleteIfExists(part);
+            Files.deleteIfExists(partialFile);
         }
     }
 
-    private long writePartial(Path part) throws IOException {
+    private long writePartial(Path partialFile) throws IOException {
         for (int attempt = 1; ; attempt++) {
-            try (OutputStream out = Files.newOutputStream(part);
+            try (OutputStream out = Files.newOutputStream(partialFile);
                     TarArchiveOutputStream tar = new TarArchiveOutputStream(out)) {
                 return writeEntries(tar);
             } catch (ChangesCompactedException e) {
@@ -93,19 +94,8 @@
 
     private long writeEntries(TarArchiveOutputStream tar) throws IOException {
         List<ArchiveManifest.Entry> entries = new ArrayList<>();
-        long first = -1;
-        String after = "";
-        boolean more = true;
-        while (more) {
-            Page page = source.readPage(after);
-            first = first < 0 ? page.revision() : first;
-            List<KeyValue> items = page.items();
-            more = page.more() && !items.isEmpty();
-            after = items.isEmpty() ? after : items.get(items.size() - 1).key();
-            entries.add(
-                    addEntry(tar, pageName(entries.size() + 1), ArchiveItemsCodec.write(items)));
-        }
-        Page changes = source.changesSince(first);
+        long firstRevision = writePages(tar, entries);
+        Page changes = source.changesSince(firstRevision);
         entries.add(addEntry(tar, CHANGES_ENTRY, ArchiveItemsCodec.write(changes.items())));
         addEntry(
                 tar,
@@ -115,6 +105,31 @@
         return changes.revision();
     }
 
+    /**
+     * Writes all keys, a page at a time.
+     *
+     * @return the revision of the first page; later ones may be newer
+     */
+    private long writePages(TarArchiveOutputStream tar, List<ArchiveManifest.Entry> entries)
+            throws IOException {
+        Page page = source.readPage("");
+        long firstRevision = page.revision();
+        addPage(tar, page, entries);
+        while (page.more() && !page.items().isEmpty()) {
+            String lastKey = page.items().get(page.items().size() - 1).key();
+            page = source.readPage(lastKey);
+            addPage(tar, page, entries);
+        }
+        return firstRevision;
+    }
+
+    private static void addPage(
+            TarArchiveOutputStream tar, Page page, List<ArchiveManifest.Entry> entries)
+            throws IOException {
+        String name = pageName(entries.size() + 1);
+        entries.add(addEntry(tar, name, ArchiveItemsCodec.write(page.items())));
+    }
+
     private static ArchiveManifest.Entry addEntry(
             TarArchiveOutputStream tar, String name, byte[] content) throws IOException {
         TarArchiveEntry entry = new TarArchiveEntry(name);
