--- a/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
+++ b/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
@@ -201,9 +201,9 @@
     }
 
     /** The run record that the job shares with other small ones, or null. */
-    private String sharedRecordKey(Job job) {
-        boolean begun = replica.contains(Keys.runRecord(job.spec.id(), 0));
-        return sharedRecords.recordKeyFor(job, begun).orElse(null);
+    private Optional<String> sharedRecordKey(Job job) {
+        boolean hasOwnRecord = replica.contains(Keys.runRecord(job.spec.id(), 0));
+        return sharedRecords.recordKeyFor(job, hasOwnRecord);
     }
 
     /** The states of the record's tasks, except of those that were never started. */
