--- a/src/main/java/io/pepperfield/health/LeaseRenewal.java
+++ b/src/main/java/io/pepperfield/health/LeaseRenewal.java
@@ -12,70 +12,74 @@
 
 /**
  * How long a machine's lease may be renewed. The invariant: every answer that renews a lease rests
- * on a time K up to which all cancellations are settled on that machine, that is, none of their
- * tasks can be there once the answer has been carried out, and none can begin there any more; and
- * the lease then ends before K + cancel_s. What is cancelled after K is thus gone in time without
- * anybody's doing.
+ * on a cancellation watermark, a loop time up to which all cancellations are settled on that
+ * machine: none of their tasks can be there once the answer has been carried out, and none can
+ * begin there any more. The lease then expires before the watermark plus the deadline for
+ * cancellations. What is cancelled after the watermark thus ends in time without any order.
  *
- * <p>K is always the sending time of a question that the state service answered to the node on
- * whose knowledge the answer rests: neither a refusal nor a renewed grant nor a peer's word that
- * the service is lost to all moves it.
+ * <p>The watermark is always the sending time of a request that the store answered to the
+ * controller on whose knowledge the answer rests: neither a refusal nor a renewed grant nor a
+ * peer's report of an outage moves it. Confined to the event loop.
  */
 public final class LeaseRenewal {
 
-    private final Settings.WorkerTimings times;
+    private final Settings.WorkerTimings timings;
     private final JobIndex jobIndex;
     private final DoubleSupplier lastConfirmedAt;
 
     /**
-     * @param confirmedAt sending time of this node's last question that was answered with all
-     *     changes up to then
+     * @param lastConfirmedAt loop time at which this controller's last request was sent that was
+     *     answered with all changes up to then
      */
     public LeaseRenewal(
-            Settings.WorkerTimings times, JobIndex catalog, DoubleSupplier confirmedAt) {
-        this.times = times;
-        this.jobIndex = catalog;
-        this.lastConfirmedAt = confirmedAt;
+            Settings.WorkerTimings timings, JobIndex jobIndex, DoubleSupplier lastConfirmedAt) {
+        this.timings = timings;
+        this.jobIndex = jobIndex;
+        this.lastConfirmedAt = lastConfirmedAt;
     }
 
     /**
-     * Whether a lease may be renewed now that all cancellations up to then are settled; with the
-     * drift of two clocks and a margin.
+     * Whether a lease may be renewed with all cancellations settled up to the watermark, with a
+     * margin for the drift of two clocks.
      */
-    public boolean mayRenew(double settledUpTo, double now) {
-        double margin = times.cancellationDeadlineS() / 500 + times.heartbeatIntervalS() / 8;
-        return now <= settledUpTo + times.cancellationDeadlineS() - times.leaseS() - margin;
+    public boolean mayRenew(double cancellationWatermark, double now) {
+        double margin = timings.cancellationDeadlineS() / 500 + timings.heartbeatIntervalS() / 8;
+        return now
+                <= cancellationWatermark
+                        + timings.cancellationDeadlineS()
+                        - timings.leaseS()
+                        - margin;
     }
 
     /**
-     * K by this node's own knowledge, while no leader answers. What the report shows of cancelled
-     * jobs is stopped by the answer itself. What it does not show may still be on its way as a run
-     * order; but no order leaves before its intent is durable, and no intent becomes durable once
-     * its job is cancelled: so either its intent is known here, or its job was not cancelled as of
-     * this node's knowledge. Of the former kind the machine may hear no longer than from when the
-     * job was last known to be open.
+     * The watermark by this controller's own replica, while no leader answers. What the heartbeat
+     * shows of cancelled jobs is stopped by the answer itself. What it does not show may still be
+     * on its way as a run order; but no order leaves before its intent is durable, and no intent
+     * becomes durable once its job is cancelled: so either its intent is known here, or its job was
+     * not cancelled as of this replica. Where the intent is known, the watermark is the time at
+     * which the job was last known to be open.
      */
-    public double localCancellationWatermark(Heartbeat report) {
+    public double localCancellationWatermark(Heartbeat heartbeat) {
         return Math.min(
                 lastConfirmedAt.getAsDouble(),
                 jobIndex.noneCancelledAsOf(
-                        report.machine(),
-                        attempt ->
-                                report.attempts().stream()
-                                        .anyMatch(
-                                                line ->
-                                                        line.taskRef()
-                                                                        .toString()
-                                                                        .equals(attempt.task())
-                                                                && line.attemptNumber()
-                                                                        == attempt.number())));
+                        heartbeat.machine(),
+                        attempt -> shows(heartbeat, attempt.task(), attempt.number())));
+    }
+
+    private static boolean shows(Heartbeat heartbeat, String task, int attemptNumber) {
+        return heartbeat.attempts().stream()
+                .anyMatch(
+                        status ->
+                                status.taskRef().toString().equals(task)
+                                        && status.attemptNumber() == attemptNumber);
     }
 
     /**
-     * Stops for what the report shows of jobs that are known to be cancelled: right under any
-     * token, since nobody wants them any more.
+     * Stop orders for what the heartbeat shows of jobs that are known to be cancelled: right under
+     * any fencing token, since a cancellation is final.
      */
-    public List<Order> stopsForCancelled(Heartbeat report) {
+    public List<Order> stopsForCancelled(Heartbeat heartbeat) {
         List<Order> stops = new ArrayList<>();
         for (Heartbeat.AttemptStatus line : report.attempts()) {
             JobRecord record = jobIndex.get(line.taskRef().job());
--- a/src/main/java/io/pepperfield/health/MembershipLog.java
+++ b/src/main/java/io/pepperfield/health/MembershipLog.java
@@ -5,7 +5,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Writes to the leader's log which controllers have fallen silent and which take part again. */
+/** Writes to the leader's log which controllers have fallen silent and which are live again. */
 public final class MembershipLog {
 
     private static final Logger LOG = LoggerFactory.getLogger(MembershipLog.class);
@@ -14,8 +14,8 @@
     private Set<String> logged = Set.of();
 
     /** Creates a log of that membership; nothing has been logged yet. */
-    public MembershipLog(Membership members) {
-        this.membership = members;
+    public MembershipLog(Membership membership) {
+        this.membership = membership;
     }
 
     /** The leadership has ended; the next one names all live controllers anew. */
@@ -26,18 +26,18 @@
     /** Logs what has changed since the last call. */
     public void update(double now) {
         Set<String> live = membership.liveMembers(now);
-        for (String node : logged) {
-            if (!live.contains(node)) {
+        for (String controller : logged) {
+            if (!live.contains(controller)) {
                 LOG.info(
-                        "{} has been silent for {} s: its workers go to {}",
-                        node,
-                        Math.round(membership.silentForS(node, now)),
+                        "controller silent: controller={} silentS={} liveControllers={}",
+                        controller,
+                        Math.round(membership.silentForS(controller, now)),
                         live);
             }
         }
-        for (String node : live) {
-            if (!logged.contains(node)) {
-                LOG.info("{} takes part", node);
+        for (String controller : live) {
+            if (!logged.contains(controller)) {
+                LOG.info("controller live: controller={}", controller);
             }
         }
         logged = live;
--- a/src/main/java/io/pepperfield/health/PauseDetector.java
+++ b/src/main/java/io/pepperfield/health/PauseDetector.java
@@ -6,9 +6,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Notices that this process did not run for longer than a grant lasts. What it knows is then of
- * before, when it may have led or owned a partition that others have taken over: neither answers
- * nor orders may rest on it until somebody has answered something that it asked after resuming.
+ * Detects a process pause: that this process did not run for longer than a grant lasts. What it
+ * knows is then stale, from a time when it may have led or owned a partition that others have taken
+ * over: neither answers nor orders may rest on it until the store or the leader has answered a
+ * request that was sent after the pause. Confined to the event loop.
  */
 public final class PauseDetector {
 
@@ -18,15 +19,15 @@
     private final double grantS;
     private final DoubleSupplier lastAnswerAt;
 
-    /**
-     * When this process last finished a batch of commands, and when it last resumed after a pause.
-     */
+    /** Loop time in seconds at which this process was last seen to run. */
     private double activeAt;
 
+    /** Loop time in seconds at which it last resumed after a pause. */
     private double resumedAt = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param lastAnswerAt sending time of the last question that the state service or the leader
+     * @param grantS the time to live of a grant in seconds: a shorter pause changes no leader
+     * @param lastAnswerAt loop time at which the last request was sent that the store or the leader
      *     has answered
      */
     public PauseDetector(Loop loop, double grantS, DoubleSupplier lastAnswerAt) {
@@ -37,12 +38,13 @@
     }
 
     /**
-     * To be asked with each batch of commands: whether nothing this process knows may be acted on.
+     * Notes that the process runs, and tells whether what it knows is stale. To be called with each
+     * batch of commands.
      */
     public boolean checkStale() {
         double now = loop.now();
         if (now - activeAt > grantS) {
-            LOG.info("stood still for {} s", Math.round(now - activeAt));
+            LOG.info("process paused: pauseS={}", Math.round(now - activeAt));
             resumedAt = now;
         }
         activeAt = now;
--- a/src/main/java/io/pepperfield/health/ZonePartitionDetector.java
+++ b/src/main/java/io/pepperfield/health/ZonePartitionDetector.java
@@ -1,22 +1,25 @@
 package io.pepperfield.health;
 
 /**
- * Tells from the workers' reports whether this node's whole zone is cut off: reports of the zone's
- * own machines go on, and those of all others, of which there were many, have stopped at once. A
- * node that is cut off alone still hears both or none.
+ * Tells from the workers' heartbeats whether this controller's whole zone is partitioned: those of
+ * the zone's own machines go on, and those of all others, of which there were many, have stopped at
+ * once. A controller that is isolated alone still receives both or none. Confined to the event
+ * loop.
  */
 public final class ZonePartitionDetector {
 
     /**
-     * Chances of e to the power of this against one that so long a row of the zone's own reports is
-     * no accident.
+     * The odds that so long a run of the zone's own heartbeats is no accident are e to the power of
+     * this against one.
      */
     private static final double CONFIDENCE = 3;
 
-    /** So many reports count for what is usual. */
+    /** So many heartbeats count for what is usual. */
     private static final double AVERAGING_WINDOW = 64;
 
+    /** Moving average of the part of heartbeats that come from other zones. */
     private double otherZonesShare;
+
     private double shareAtLastOtherZone;
     private int ownZoneRunLength;
 
@@ -31,7 +34,7 @@
         }
     }
 
-    /** Whether this controller's whole zone seems to be cut off from the others. */
+    /** Whether this controller's whole zone seems to be partitioned from the others. */
     public boolean isPartitioned() {
         return ownZoneRunLength * shareAtLastOtherZone > CONFIDENCE;
     }
--- a/src/test/java/io/pepperfield/health/LeaseRenewalTest.java
+++ b/src/test/java/io/pepperfield/health/LeaseRenewalTest.java
@@ -28,12 +28,12 @@
 class LeaseRenewalTest {
 
     private double knownUpTo = 60;
-    private final JobIndex catalog = new JobIndex(() -> knownUpTo);
+    private final JobIndex jobIndex = new JobIndex(() -> knownUpTo);
     private final LeaseRenewal renewal =
-            new LeaseRenewal(new Settings.WorkerTimings(4, 22, 47), catalog, () -> knownUpTo);
+            new LeaseRenewal(new Settings.WorkerTimings(4, 22, 47), jobIndex, () -> knownUpTo);
 
     private void accepted(String id, String... needed) {
-        catalog.changed(
+        jobIndex.changed(
                 Keys.JOB_PREFIX + id,
                 JobCodec.encodeSpec(
                         new JobSpecBuilder()
@@ -46,7 +46,7 @@
     }
 
     private void alive(String id, String machine) {
-        catalog.changed(
+        jobIndex.changed(
                 Keys.runRecord(id, 0),
                 TaskState.encode(List.of(new TaskState(0, 3, TaskState.Phase.LIVE, machine, 1))));
     }
@@ -117,7 +117,7 @@
         // Other machines go on.
         assertEquals(70, renewal.localCancellationWatermark(report("m2")));
         // Proven gone, as the leader has written meanwhile.
-        catalog.changed(
+        jobIndex.changed(
                 Keys.runRecord("run-000001", 0),
                 TaskState.encode(List.of(new TaskState(0, 3, TaskState.Phase.GONE, "", 0))));
         assertEquals(70, renewal.localCancellationWatermark(report("m1")));
