--- a/src/main/java/io/pepperfield/controller/EventLoop.java
+++ b/src/main/java/io/pepperfield/controller/EventLoop.java
@@ -10,15 +10,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one thread that owns all state. It takes commands from its queue in batches; what follows
- * from a batch is done once.
+ * The one thread that owns all state of a controller: it runs commands in batches, and then once
+ * what follows from a batch. Other threads only {@link #post} and {@link #stop}.
  */
 public final class EventLoop implements Loop {
 
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
     private static final int MAX_BATCH_SIZE = 256;
+    private static final double NANOS_PER_S = 1e9;
 
-    /** A command to run at a time in nanoseconds; {@code order} decides among equal times. */
+    /** A command to run at that time since the start; the sequence decides among equal times. */
     private record Timer(long dueNanos, long sequence, Runnable command)
             implements Comparable<Timer> {
         @Override
@@ -37,8 +38,13 @@
     private Runnable afterFailure = () -> {};
     private volatile boolean stopped;
 
+    /** The thread that runs commands; null before {@link #run}. */
+    private volatile Thread owner;
+
     /**
-     * @param afterFailure what to do when a command threw and the books may be half-written
+     * Sets what follows a batch; called before {@link #run}.
+     *
+     * @param afterFailure run when a command threw, so that state may be half-written
      */
     public void setHandlers(Runnable afterBatch, Runnable afterFailure) {
         this.afterBatch = afterBatch;
@@ -47,7 +53,7 @@
 
     @Override
     public double now() {
-        return (System.nanoTime() - startNanos) / 1e9;
+        return elapsedNanos() / NANOS_PER_S;
     }
 
     @Override
@@ -60,14 +66,12 @@
         commands.add(command);
     }
 
-    /** Called on its own thread only; other threads post. */
+    /** Called on the owner thread only, and before it runs; other threads post. */
     @Override
     public void after(double seconds, Runnable command) {
-        timers.add(
-                new Timer(
-                        System.nanoTime() - startNanos + (long) (Math.max(0, seconds) * 1e9),
-                        nextTimerSequence++,
-                        command));
+        assert owner == null || owner == Thread.currentThread() : "timer set on another thread";
+        long delayNanos = (long) (Math.max(0, seconds) * NANOS_PER_S);
+        timers.add(new Timer(elapsedNanos() + delayNanos, nextTimerSequence++, command));
     }
 
     /** Ends {@link #run} after the current batch; may be called on any thread. */
@@ -76,43 +80,55 @@
         commands.add(() -> {});
     }
 
-    /** Works until stopped. */
+    /** Runs commands and timers on the calling thread, the owner from now on, until stopped. */
     public void run() {
+        owner = Thread.currentThread();
         List<Runnable> batch = new ArrayList<>();
         while (!stopped) {
             try {
-                long wait =
-                        timers.isEmpty()
-                                ? Long.MAX_VALUE
-                                : timers.peek().dueNanos - (System.nanoTime() - startNanos);
-                Runnable first =
-                        wait > 0 ? commands.poll(wait, TimeUnit.NANOSECONDS) : commands.poll();
-                if (first != null) {
-                    batch.add(first);
-                    commands.drainTo(batch, MAX_BATCH_SIZE);
-                }
-            } catch (InterruptedException e) {
+                takeCommands(batch);
+            } catch (InterruptedException interrupted) {
                 return;
             }
-            long now = System.nanoTime() - startNanos;
-            while (!timers.isEmpty() && timers.peek().dueNanos <= now) {
-                batch.add(timers.poll().command);
-            }
+            takeDueTimers(batch);
             batch.forEach(this::runGuarded);
             batch.clear();
             runGuarded(afterBatch);
         }
     }
 
+    /** Waits for the first command until a timer is due, and takes what has come with it. */
+    private void takeCommands(List<Runnable> batch) throws InterruptedException {
+        long waitNanos =
+                timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueNanos - elapsedNanos();
+        Runnable first =
+                waitNanos > 0 ? commands.poll(waitNanos, TimeUnit.NANOSECONDS) : commands.poll();
+        if (first != null) {
+            batch.add(first);
+            commands.drainTo(batch, MAX_BATCH_SIZE);
+        }
+    }
+
+    private void takeDueTimers(List<Runnable> batch) {
+        long now = elapsedNanos();
+        while (!timers.isEmpty() && timers.peek().dueNanos <= now) {
+            batch.add(timers.poll().command);
+        }
+    }
+
+    private long elapsedNanos() {
+        return System.nanoTime() - startNanos;
+    }
+
     private void runGuarded(Runnable command) {
         try {
             command.run();
         } catch (RuntimeException e) {
-            LOG.error("a command failed", e);
+            LOG.error("command failed", e);
             try {
                 afterFailure.run();
             } catch (RuntimeException again) {
-                LOG.error("and so did giving up the lead", again);
+                LOG.error("stepping down after a failed command failed", again);
             }
         }
     }
--- a/src/main/java/io/pepperfield/controller/PeerMessageReceiver.java
+++ b/src/main/java/io/pepperfield/controller/PeerMessageReceiver.java
@@ -11,35 +11,38 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Takes what the other controllers send to this one. */
+/** Takes the messages of other controllers. */
 final class PeerMessageReceiver implements Peers.Handler {
 
-    private final StoredStateCompatibility storedStateCompatibility;
+    private final StoredStateCompatibility compatibility;
     private final PauseDetector pauseDetector;
     private final HeartbeatHandler heartbeatHandler;
     private final WorkerClient workers;
     private final HeartbeatForwarder heartbeatForwarder;
     private final Consumer<String> onCancelledByPeer;
 
+    /**
+     * @param onCancelledByPeer told of each job that users of another controller know is cancelled
+     */
     PeerMessageReceiver(
-            StoredStateCompatibility storedVersion,
+            StoredStateCompatibility compatibility,
             PauseDetector pauseDetector,
-            HeartbeatHandler reports,
+            HeartbeatHandler heartbeatHandler,
             WorkerClient workers,
-            HeartbeatForwarder forwarder,
-            Consumer<String> cancelledElsewhere) {
-        this.storedStateCompatibility = storedVersion;
+            HeartbeatForwarder heartbeatForwarder,
+            Consumer<String> onCancelledByPeer) {
+        this.compatibility = compatibility;
         this.pauseDetector = pauseDetector;
-        this.heartbeatHandler = reports;
+        this.heartbeatHandler = heartbeatHandler;
         this.workers = workers;
-        this.heartbeatForwarder = forwarder;
-        this.onCancelledByPeer = cancelledElsewhere;
+        this.heartbeatForwarder = heartbeatForwarder;
+        this.onCancelledByPeer = onCancelledByPeer;
     }
 
     @Override
     public void heartbeatBatchReceived(
             PeerMessages.HeartbeatBatch batch, Consumer<HttpReply> answer) {
-        if (storedStateCompatibility.mayServe()) {
+        if (compatibility.mayServe()) {
             heartbeatHandler.handleForwarded(batch, answer);
         } else {
             answer.accept(HttpReply.error(503, StoredStateCompatibility.NOT_SERVING));
@@ -48,8 +51,9 @@
 
     @Override
     public void directOrdersReceived(FencingToken token, PeerMessages.DirectOrderMessage message) {
-        if (pauseDetector.checkStale() || !storedStateCompatibility.mayServe()) {
-            // Meant for then; by now another may lead, and the machine be told otherwise.
+        if (pauseDetector.checkStale() || !compatibility.mayServe()) {
+            // Sent before a pause, perhaps: by now another controller may lead, and the machine
+            // have other orders.
             return;
         }
         workers.forwardOrders(
@@ -61,7 +65,7 @@
     }
 
     @Override
-    public void jobsCancelled(List<String> ids) {
-        ids.forEach(onCancelledByPeer);
+    public void jobsCancelled(List<String> jobIds) {
+        jobIds.forEach(onCancelledByPeer);
     }
 }
--- a/src/main/java/io/pepperfield/controller/RequestRouter.java
+++ b/src/main/java/io/pepperfield/controller/RequestRouter.java
@@ -13,8 +13,8 @@
 import java.util.function.Supplier;
 
 /**
- * Takes the requests of users, workers and the load balancer to whoever answers them, and keeps how
- * long the answers took.
+ * Hands the requests of users, workers and the load balancer to those who answer them, and records
+ * how long the answers took. Confined to the event loop.
  */
 final class RequestRouter {
 
@@ -28,78 +28,85 @@
     private final LatencyHistograms latencies = new LatencyHistograms();
 
     /**
-     * @param healthy whether this node is to get users' requests
+     * @param healthy whether this controller is to get users' requests
+     * @param overview what operators see of it
      */
     RequestRouter(
             Loop loop,
-            UserRequests users,
-            HeartbeatHandler reports,
+            UserRequests userRequests,
+            HeartbeatHandler heartbeatHandler,
             BooleanSupplier healthy,
             Supplier<JsonNode> overview) {
         this.loop = loop;
-        this.userRequests = users;
-        this.heartbeatHandler = reports;
+        this.userRequests = userRequests;
+        this.heartbeatHandler = heartbeatHandler;
         this.healthy = healthy;
         this.overview = overview;
     }
 
-    void handle(InboundRequest call, Consumer<HttpReply> answer) {
-        String path = call.path();
+    /** Answers the request once, perhaps later. */
+    void handle(InboundRequest request, Consumer<HttpReply> answer) {
+        String path = request.path();
         if (path.startsWith(Controller.JOBS_PATH)) {
-            handleJob(path.substring(Controller.JOBS_PATH.length()), call, answer);
+            handleJob(path.substring(Controller.JOBS_PATH.length()), request, answer);
             return;
         }
         switch (path) {
-            case "/up" -> requireMethod("GET", call, answer, () -> answer.accept(health()));
+            case "/up" -> requireMethod("GET", request, answer, () -> answer.accept(health()));
             case Controller.HEARTBEAT_PATH ->
                     requireMethod(
                             "POST",
-                            call,
+                            request,
                             answer,
-                            () -> heartbeatHandler.handle(call, recordingLatency("beat", answer)));
+                            () ->
+                                    heartbeatHandler.handle(
+                                            request, recordingLatency("beat", answer)));
             case "/api/jobs" ->
                     requireMethod(
                             "POST",
-                            call,
+                            request,
                             answer,
                             () ->
                                     userRequests.submit(
-                                            call.body(), recordingLatency("submit", answer)));
+                                            request.body(), recordingLatency("submit", answer)));
             case "/api/nodes" ->
                     requireMethod(
                             "GET",
-                            call,
+                            request,
                             answer,
                             () -> answer.accept(HttpReply.json(200, overview.get())));
             default -> answer.accept(HttpReply.error(404, "no such path"));
         }
     }
 
-    private void handleJob(String rest, InboundRequest call, Consumer<HttpReply> answer) {
-        boolean cancel = rest.endsWith(CANCEL_SUFFIX);
-        String id = cancel ? rest.substring(0, rest.length() - CANCEL_SUFFIX.length()) : rest;
-        if (!JobMessages.validId(id)) {
+    private void handleJob(String jobPath, InboundRequest request, Consumer<HttpReply> answer) {
+        boolean cancellation = jobPath.endsWith(CANCEL_SUFFIX);
+        String jobId =
+                cancellation
+                        ? jobPath.substring(0, jobPath.length() - CANCEL_SUFFIX.length())
+                        : jobPath;
+        if (!JobMessages.validId(jobId)) {
             // No job of such a name can ever have been accepted.
             answer.accept(HttpReply.error(404, "no such job"));
-        } else if (cancel) {
+        } else if (cancellation) {
             requireMethod(
                     "POST",
-                    call,
+                    request,
                     answer,
-                    () -> userRequests.cancel(id, recordingLatency("cancel", answer)));
+                    () -> userRequests.cancel(jobId, recordingLatency("cancel", answer)));
         } else {
             requireMethod(
                     "GET",
-                    call,
+                    request,
                     answer,
-                    () -> userRequests.query(id, recordingLatency("query", answer)));
+                    () -> userRequests.query(jobId, recordingLatency("query", answer)));
         }
     }
 
     private static void requireMethod(
-            String method, InboundRequest call, Consumer<HttpReply> answer, Runnable then) {
-        if (call.method().equals(method)) {
-            then.run();
+            String method, InboundRequest request, Consumer<HttpReply> answer, Runnable action) {
+        if (request.method().equals(method)) {
+            action.run();
         } else {
             answer.accept(HttpReply.error(405, "want " + method));
         }
@@ -109,12 +116,12 @@
         return HttpReply.empty(healthy.getAsBoolean() ? 200 : 503);
     }
 
-    private Consumer<HttpReply> recordingLatency(String kind, Consumer<HttpReply> answer) {
-        double began = loop.now();
+    private Consumer<HttpReply> recordingLatency(String operation, Consumer<HttpReply> answer) {
+        double receivedAt = loop.now();
         return reply -> {
-            latencies.record(kind, loop.now() - began);
-            // Open connections are never moved: a user on one to a node that can answer nobody
-            // would ask there for ever.
+            latencies.record(operation, loop.now() - receivedAt);
+            // Open connections are never moved: a user on one to a controller that can answer
+            // nobody would ask there for ever.
             boolean close = reply.status() == 503 && !healthy.getAsBoolean();
             answer.accept(close ? reply.closingConnection() : reply);
         };
--- a/src/main/java/io/pepperfield/controller/RoleRateLimits.java
+++ b/src/main/java/io/pepperfield/controller/RoleRateLimits.java
@@ -4,22 +4,20 @@
 import io.pepperfield.config.Settings;
 
 /**
- * This node's part of the state service's rates. The leader writes most. Submissions and
- * cancellations come to all nodes, but seldom to all at once: each may use a quarter of the changes
- * for them, a single one left twice as many, and where that is too much together, the service's own
- * refusal is the limit.
+ * This controller's share of the store's rates by its role. The leader writes most. Submissions and
+ * cancellations come to all controllers, but seldom to all at once: each may use a quarter of the
+ * writes for them, a single one left twice as many, and where that is too much together, the
+ * store's own refusal is the limit.
  */
 public final class RoleRateLimits {
 
-    /** Sets this node's part of the state service's rates. */
+    /** Applies this controller's share of the store's rates. */
     public interface RateLimitSetter {
-        /**
-         * Sets requests per second, and changes per second for the leader's and for users' writes.
-         */
-        void setRateLimits(double requests, double leadersWrites, double usersWrites);
+        /** Sets requests per second, and writes per second of the leader and for users. */
+        void setRateLimits(double requestsPerS, double leaderWritesPerS, double userWritesPerS);
     }
 
-    /** Of the state service's changes, for what comes from users to one node. */
+    /** Part of the store's writes for what comes from users to one controller. */
     static final double USER_WRITE_SHARE = 0.25;
 
     private static final double LEADER_WRITE_SHARE = 0.75;
@@ -27,25 +25,25 @@
     private static final double FOLLOWERS_REQUEST_SHARE = 0.5;
     private static final double SINGLE_CONTROLLER_REQUEST_SHARE = 0.95;
 
-    /** A single controller may be allotted all that is for accepting jobs. */
+    /** With admission, a single controller may be allotted all that is for accepting jobs. */
     private final boolean admissionEnabled;
 
     private final RateLimitSetter setter;
-    private final Settings.StoreLimits serviceLimits;
+    private final Settings.StoreLimits storeLimits;
     private final int clusterSize;
 
     /** Controllers that users may have come to, as far as this one knows. */
     private int liveControllers;
 
-    RoleRateLimits(RateLimitSetter rates, Settings settings) {
-        this.setter = rates;
-        this.serviceLimits = settings.deployment().storeLimits();
+    RoleRateLimits(RateLimitSetter setter, Settings settings) {
+        this.setter = setter;
+        this.storeLimits = settings.deployment().storeLimits();
         this.admissionEnabled = settings.operators().isEnabled(Feature.ADMISSION);
         this.clusterSize = settings.deployment().controllerCount();
         this.liveControllers = clusterSize;
     }
 
-    /** So many controllers are known to be live. */
+    /** Applies a changed number of live controllers. */
     void setLiveControllers(int controllers, boolean leading) {
         if (controllers != liveControllers) {
             liveControllers = controllers;
@@ -53,18 +51,18 @@
         }
     }
 
-    /** Sets the rates for a node that leads, or does not. */
+    /** Applies the rates of the leader, or of another controller. */
     void applyForRole(boolean leading) {
-        double leadersWrites = leading ? serviceLimits.writesPerS() * LEADER_WRITE_SHARE : 0;
+        double leaderWritesPerS = leading ? storeLimits.writesPerS() * LEADER_WRITE_SHARE : 0;
         setter.setRateLimits(
-                serviceLimits.requestsPerS() * requestShare(leading),
-                leadersWrites,
-                serviceLimits.writesPerS() * userWriteShare());
+                storeLimits.requestsPerS() * requestShare(leading),
+                leaderWritesPerS,
+                storeLimits.writesPerS() * userWriteShare());
     }
 
     /**
-     * Of the state service's changes, for what comes from users to this node; where admission is
-     * divided between controllers, that and not this part is their limit.
+     * Part of the store's writes for what comes from users to this controller; where admission
+     * divides them between controllers, that and not this part is their limit.
      */
     private double userWriteShare() {
         if (admissionEnabled) {
--- a/src/main/java/io/pepperfield/controller/StoredStateCompatibility.java
+++ b/src/main/java/io/pepperfield/controller/StoredStateCompatibility.java
@@ -15,12 +15,12 @@
 
 /**
  * Whether this controller can read all that is stored, with the rollout of stored-state versions or
- * without one. If it cannot, it does nothing but say so: what it knows of jobs and machines may
- * lack what others have written.
+ * without one. If it cannot, it serves nobody: what it knows of jobs and machines may lack what
+ * others have written. Confined to the event loop.
  */
 final class StoredStateCompatibility {
 
-    /** What is said to whoever asks a controller that does not serve. */
+    /** The answer of a controller that serves nobody. */
     static final String NOT_SERVING = "this controller cannot read all that is stored";
 
     private static final Logger LOG = LoggerFactory.getLogger(StoredStateCompatibility.class);
@@ -28,7 +28,7 @@
     private final Optional<Rollout> rollout;
     private final TransactionLimits limits;
 
-    /** The rollout is switched off here, and records of a newer form exist. */
+    /** The rollout is switched off here, and records of a newer version exist. */
     private boolean newerVersionInUse;
 
     /**
@@ -56,12 +56,12 @@
         return limits;
     }
 
-    /** Tasks in a run record of a new job, where the first form has so many. */
-    int tasksPerRunRecord(int first) {
-        return rollout.isPresent() ? rollout.get().tasksPerRecord(first) : first;
+    /** Tasks in a run record of a new job, given how many the first stored form takes. */
+    int tasksPerRunRecord(int inFirstForm) {
+        return rollout.isPresent() ? rollout.get().tasksPerRecord(inFirstForm) : inFirstForm;
     }
 
-    /** The replica's news of a key below {@link Keys#ROLLOUT_PREFIX}. */
+    /** The replica brought a change of a key below {@link Keys#ROLLOUT_PREFIX}. */
     void replicaChanged(String key, JsonNode value, long modRevision) {
         if (rollout.isPresent()) {
             rollout.get().changed(key, value, modRevision);
