--- a/src/main/java/io/pepperfield/controller/ControllerServer.java
+++ b/src/main/java/io/pepperfield/controller/ControllerServer.java
@@ -24,7 +24,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One controller process: a network thread, the event loop, and the slices wired to both. */
+/** One controller process: its network thread, its event loop and its servers. */
 public final class ControllerServer {
 
     private static final Logger LOG = LoggerFactory.getLogger(ControllerServer.class);
@@ -149,7 +149,7 @@
         try {
             controller.handle(request, answer);
         } catch (RuntimeException e) {
-            // Without an answer the client would wait in vain, and its place among the questions be
+            // Without an answer the client would wait in vain, and its place among the queries be
             // lost.
             answer.accept(HttpReply.error(500, "an internal error"));
             throw e;
--- a/src/main/java/io/pepperfield/overview/ControllerOverview.java
+++ b/src/main/java/io/pepperfield/overview/ControllerOverview.java
@@ -12,7 +12,7 @@
 import io.pepperfield.store.ReplicaSynchronizer;
 import java.util.Optional;
 
-/** What operators see of one node ({@code GET /api/nodes}). */
+/** What operators see of one controller ({@code GET /api/nodes}). */
 public final class ControllerOverview {
 
     private final Settings settings;
@@ -30,14 +30,14 @@
     public ControllerOverview(
             Settings settings,
             Leadership leadership,
-            ReplicaSynchronizer sync,
-            Membership members,
+            ReplicaSynchronizer synchronizer,
+            Membership membership,
             PartitionAssignment partitions,
             Optional<Admission> admission) {
         this.settings = settings;
         this.leadership = leadership;
-        this.synchronizer = sync;
-        this.membership = members;
+        this.synchronizer = synchronizer;
+        this.membership = membership;
         this.partitions = partitions;
         this.admission = admission;
     }
@@ -46,7 +46,7 @@
      * @param leader what this controller's leader shows; empty while another one leads
      */
     public JsonNode describe(Optional<LeaderOverview> leader, double now) {
-        ObjectNode node =
+        ObjectNode overview =
                 Json.object()
                         .put("node", settings.node())
                         .put("zone", settings.zone())
@@ -56,29 +56,29 @@
                         .put(
                                 "stateContactS",
                                 Math.round(100 * (now - synchronizer.lastConfirmedAt())) / 100.0);
-        admission.ifPresent(present -> present.describe(node));
+        admission.ifPresent(present -> present.describe(overview));
         if (leader.isPresent()) {
-            ArrayNode controllers = node.putArray("controllers");
+            ArrayNode controllers = overview.putArray("controllers");
             settings.members().forEach(member -> describe(member, controllers.addObject(), now));
-            leader.get().describe(node);
+            leader.get().describe(overview);
         }
-        return node;
+        return overview;
     }
 
-    private void describe(Settings.Member member, ObjectNode line, double now) {
-        line.put("node", member.node())
+    private void describe(Settings.Member member, ObjectNode entry, double now) {
+        entry.put("node", member.node())
                 .put("zone", member.zone())
                 .put("state", state(member.node(), now));
         double silentS = membership.silentForS(member.node(), now);
         if (Double.isFinite(silentS)) {
-            line.put("heardAgoS", Math.round(10 * silentS) / 10.0);
+            entry.put("heardAgoS", Math.round(10 * silentS) / 10.0);
         }
     }
 
-    private String state(String node, double now) {
-        if (!membership.liveMembers(now).contains(node)) {
+    private String state(String controller, double now) {
+        if (!membership.liveMembers(now).contains(controller)) {
             return "silent";
         }
-        return partitions.hasReceiveFailure(node, now) ? "hears no workers" : "takes part";
+        return partitions.hasReceiveFailure(controller, now) ? "hears no workers" : "takes part";
     }
 }
--- a/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
+++ b/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
@@ -75,13 +75,14 @@
      * Sets who leads, as this controller knows it; empty where nobody does. Another leader than
      * before has no heartbeats of this partition yet.
      */
-    public void leaderChanged(String node) {
-        if (leader != null && leader.node().equals(node) || leader == null && node.isEmpty()) {
+    public void leaderChanged(String controller) {
+        if (leader != null && leader.node().equals(controller)
+                || leader == null && controller.isEmpty()) {
             return;
         }
         leader =
                 settings.members().stream()
-                        .filter(member -> member.node().equals(node))
+                        .filter(member -> member.node().equals(controller))
                         .findFirst()
                         .orElse(null);
         leaderReachable = false;
--- a/src/main/java/io/pepperfield/peer/PeerMessages.java
+++ b/src/main/java/io/pepperfield/peer/PeerMessages.java
@@ -13,6 +13,7 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.Optional;
+import java.util.OptionalDouble;
 import java.util.Set;
 import java.util.TreeSet;
 
@@ -153,7 +154,7 @@
                         message.path("node").textValue(),
                         message.path("life").textValue(),
                         message.path("seq").longValue(),
-                        new FencingToken(message.path("epoch").longValue()),
+                        readToken(message),
                         heartbeats,
                         readDirectOrderReplies(message),
                         readCachedHeartbeats(message)));
@@ -218,7 +219,7 @@
         }
         return Optional.of(
                 new HeartbeatBatchReply(
-                        new FencingToken(message.path("epoch").longValue()),
+                        readToken(message),
                         message.path("contactAgoMs").doubleValue() / 1000,
                         partitionOwners,
                         verdicts));
@@ -233,6 +234,26 @@
                 : LeaderVerdict.REFUSED;
     }
 
+    /** Encodes how long ago this controller knew all changes in the store, and its token. */
+    static ObjectNode writeStoreContact(double contactAgoS, FencingToken token) {
+        return Json.object()
+                .put("contactAgoMs", Math.round(contactAgoS * 1000))
+                .put("epoch", token.value());
+    }
+
+    /** Seconds since another controller knew all changes; empty where it does not say so. */
+    static OptionalDouble readStoreContactAge(JsonNode message) {
+        JsonNode contactAgoMs = message.path("contactAgoMs");
+        return contactAgoMs.isNumber()
+                ? OptionalDouble.of(contactAgoMs.doubleValue() / 1000)
+                : OptionalDouble.empty();
+    }
+
+    /** The fencing token that the message was sent under. */
+    static FencingToken readToken(JsonNode message) {
+        return new FencingToken(message.path("epoch").longValue());
+    }
+
     static byte[] writeCancelledJobs(List<String> ids) {
         ObjectNode node = Json.object();
         ArrayNode all = node.putArray("jobs");
--- a/src/main/java/io/pepperfield/peer/Peers.java
+++ b/src/main/java/io/pepperfield/peer/Peers.java
@@ -14,6 +14,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.OptionalDouble;
 import java.util.function.Consumer;
 
 /**
@@ -126,11 +127,10 @@
 
     private void contactReceived(String controller, double sentAt, HttpOutcome outcome) {
         if (outcome instanceof HttpOutcome.Answered answer && answer.status() == 200) {
-            JsonNode contactAgoMs = answer.json().path("contactAgoMs");
-            if (contactAgoMs.isNumber()) {
+            OptionalDouble contactAgoS = PeerMessages.readStoreContactAge(answer.json());
+            if (contactAgoS.isPresent()) {
                 peerReachedAt = Math.max(peerReachedAt, sentAt);
-                peerConfirmedAt.merge(
-                        controller, sentAt - contactAgoMs.doubleValue() / 1000, Math::max);
+                peerConfirmedAt.merge(controller, sentAt - contactAgoS.getAsDouble(), Math::max);
             }
         }
     }
@@ -233,11 +233,7 @@
 
     private HttpReply describeContact() {
         double contactAgoS = Math.min(MAX_CONTACT_AGO_S, loop.now() - ownConfirmedAt);
-        return HttpReply.json(
-                200,
-                Json.object()
-                        .put("contactAgoMs", Math.round(contactAgoS * 1000))
-                        .put("epoch", fencingToken.value()));
+        return HttpReply.json(200, PeerMessages.writeStoreContact(contactAgoS, fencingToken));
     }
 
     private void handleHeartbeats(InboundRequest request, Consumer<HttpReply> answer) {
@@ -251,7 +247,7 @@
     }
 
     private void handleDirectOrders(JsonNode body) {
-        FencingToken orderToken = new FencingToken(body.path("epoch").longValue());
+        FencingToken orderToken = PeerMessages.readToken(body);
         for (PeerMessages.DirectOrderMessage message : PeerMessages.readDirectOrders(body)) {
             handler.directOrdersReceived(orderToken, message);
         }
--- a/src/test/java/io/pepperfield/peer/VersionsTest.java
+++ b/src/test/java/io/pepperfield/peer/VersionsTest.java
@@ -85,64 +85,67 @@
                             text);
             case "shared" -> shared(said, text);
             case "hire" -> hire(said);
-            case "types" -> {
-                List<MachineType> types = MachineTypesRecord.decode(said);
-                yield told(
-                        types.stream()
-                                .map(type -> type.name() + " " + type.zones())
-                                .toList()
-                                .toString(),
-                        MachineTypesRecord.encode(types),
-                        text);
-            }
+            case "types" -> machineTypes(said, text);
             case "leader" -> leader(said);
-            case "relay" -> {
-                PeerMessages.HeartbeatBatch batch = PeerMessages.readBatch(said).orElseThrow();
-                yield List.of(
-                        batch.sender()
-                                + " "
-                                + batch.heartbeats().size()
-                                + " reports, "
-                                + batch.cachedHeartbeats().size()
-                                + " kept");
-            }
-            case "answer" -> {
-                PeerMessages.HeartbeatBatchReply answer =
-                        PeerMessages.readBatchReply(said, 3).orElseThrow();
-                yield told(
-                        answer.fencingToken()
-                                + " "
-                                + answer.partitionOwners()
-                                + " "
-                                + answer.verdicts().size()
-                                + " verdicts",
-                        Json.read(
-                                PeerMessages.writeBatchReply(
-                                        answer.fencingToken(),
-                                        answer.stateContactAgeS(),
-                                        answer.partitionOwners(),
-                                        answer.verdicts())),
-                        text);
-            }
-            case "orders" ->
-                    told(
-                            PeerMessages.readDirectOrders(said).size() + " messages",
-                            Json.read(
-                                    PeerMessages.writeDirectOrders(
-                                            new FencingToken(said.path("epoch").longValue()),
-                                            PeerMessages.readDirectOrders(said))),
-                            text);
-            case "cancelled" ->
-                    told(
-                            PeerMessages.readCancelledJobs(said).toString(),
-                            Json.read(
-                                    PeerMessages.writeCancelledJobs(
-                                            PeerMessages.readCancelledJobs(said))),
-                            text);
+            case "relay" -> batch(said);
+            case "answer" -> batchReply(said, text);
+            case "orders" -> directOrders(said, text);
+            case "cancelled" -> cancelledJobs(said, text);
             default -> throw new IllegalArgumentException(words[0]);
         };
     }
 
+    private static List<String> machineTypes(JsonNode said, String text) {
+        List<MachineType> types = MachineTypesRecord.decode(said);
+        return told(
+                types.stream().map(type -> type.name() + " " + type.zones()).toList().toString(),
+                MachineTypesRecord.encode(types),
+                text);
+    }
+
+    private static List<String> batch(JsonNode said) {
+        PeerMessages.HeartbeatBatch batch = PeerMessages.readBatch(said).orElseThrow();
+        return List.of(
+                batch.sender()
+                        + " "
+                        + batch.heartbeats().size()
+                        + " reports, "
+                        + batch.cachedHeartbeats().size()
+                        + " kept");
+    }
+
+    private static List<String> batchReply(JsonNode said, String text) {
+        PeerMessages.HeartbeatBatchReply reply = PeerMessages.readBatchReply(said, 3).orElseThrow();
+        return told(
+                reply.fencingToken()
+                        + " "
+                        + reply.partitionOwners()
+                        + " "
+                        + reply.verdicts().size()
+                        + " verdicts",
+                Json.read(
+                        PeerMessages.writeBatchReply(
+                                reply.fencingToken(),
+                                reply.stateContactAgeS(),
+                                reply.partitionOwners(),
+                                reply.verdicts())),
+                text);
+    }
+
+    private static List<String> directOrders(JsonNode said, String text) {
+        List<PeerMessages.DirectOrderMessage> orders = PeerMessages.readDirectOrders(said);
+        FencingToken token = new FencingToken(said.path("epoch").longValue());
+        return told(
+                orders.size() + " messages",
+                Json.read(PeerMessages.writeDirectOrders(token, orders)),
+                text);
+    }
+
+    private static List<String> cancelledJobs(JsonNode said, String text) {
+        List<String> jobs = PeerMessages.readCancelledJobs(said);
+        return told(jobs.toString(), Json.read(PeerMessages.writeCancelledJobs(jobs)), text);
+    }
+
     /** As the catalog reads it, and as its jobs' lines are written again. */
     private static List<String> shared(JsonNode said, String text) {
         JobIndex catalog = new JobIndex(() -> 0);
