--- a/src/main/java/io/pepperfield/controller/HealthCheck.java
+++ b/src/main/java/io/pepperfield/controller/HealthCheck.java
@@ -13,6 +13,6 @@
      */
     boolean isHealthy() {
         return synchronizer.loaded()
-                && peers.stateContact(loop.now()) != Peers.StateContact.ISOLATED;
+                && peers.storeContact(loop.now()) != Peers.StoreContact.ISOLATED;
     }
 }
--- a/src/main/java/io/pepperfield/heartbeat/IsolationDetector.java
+++ b/src/main/java/io/pepperfield/heartbeat/IsolationDetector.java
@@ -40,7 +40,7 @@
     boolean isIsolated(double now) {
         return !leadership.holdsValidLease()
                 && !forwarder.leaderReachable(now)
-                && peers.stateContact(now) == Peers.StateContact.ISOLATED
+                && peers.storeContact(now) == Peers.StoreContact.ISOLATED
                 && !zonePartitionDetector.isPartitioned();
     }
 
@@ -49,12 +49,12 @@
         return now - forwarder.leaderAnsweredAt()
                         < settings.deployment().workerTimings().heartbeatIntervalS()
                 || leadership.leaderNode().isEmpty()
-                || peers.stateContact(now) != Peers.StateContact.CONNECTED;
+                || peers.storeContact(now) != Peers.StoreContact.CONNECTED;
     }
 
     /** Whether another controller leads that this one cannot reach, while the store answers. */
     boolean othersReachLeader(double now) {
-        return peers.stateContact(now) == Peers.StateContact.CONNECTED
+        return peers.storeContact(now) == Peers.StoreContact.CONNECTED
                 && !leadership.leaderNode().isEmpty()
                 && !leadership.leaderNode().equals(settings.node());
     }
--- a/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
+++ b/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
@@ -53,7 +53,10 @@
     private final ArrayDeque<byte[]> directOrderReplies = new ArrayDeque<>();
     private final ArrayDeque<String> cachedToSend = new ArrayDeque<>();
     private final HeartbeatCache cache;
+
+    /** Null where nobody is known to lead, and while this controller leads itself. */
     private Settings.Member leader;
+
     private FencingToken fencingToken = FencingToken.NONE;
     private Set<String> partitionOwners = Set.of();
     private long sequence;
@@ -254,7 +257,7 @@
         partitionOwners = reply.partitionOwners();
         leaderReachable = true;
         leaderAnsweredAt = Math.max(leaderAnsweredAt, requestSentAt);
-        double knownUpTo = requestSentAt - reply.stateContactAgeS();
+        double knownUpTo = requestSentAt - reply.storeContactAgeS();
         for (int i = 0; i < batch.size(); i++) {
             applyVerdict(batch.get(i), reply.verdicts().get(i), knownUpTo);
         }
--- a/src/main/java/io/pepperfield/peer/PeerMessages.java
+++ b/src/main/java/io/pepperfield/peer/PeerMessages.java
@@ -92,11 +92,11 @@
     /**
      * The leader's reply to a batch, with one verdict for each of its heartbeats.
      *
-     * @param stateContactAgeS seconds since the leader last knew all changes in the store
+     * @param storeContactAgeS seconds since the leader last knew all changes in the store
      */
     public record HeartbeatBatchReply(
             FencingToken fencingToken,
-            double stateContactAgeS,
+            double storeContactAgeS,
             Set<String> partitionOwners,
             List<LeaderVerdict> verdicts) {}
 
@@ -181,13 +181,13 @@
     /** Encodes the reply to a batch. */
     public static byte[] writeBatchReply(
             FencingToken token,
-            double stateContactAgeS,
+            double storeContactAgeS,
             Collection<String> partitionOwners,
             List<LeaderVerdict> verdicts) {
         ObjectNode node =
                 Json.object()
                         .put("epoch", token.value())
-                        .put("contactAgoMs", Math.round(stateContactAgeS * 1000));
+                        .put("contactAgoMs", Math.round(storeContactAgeS * 1000));
         ArrayNode names = node.putArray("live");
         partitionOwners.forEach(names::add);
         ArrayNode answers = node.putArray("answers");
--- a/src/main/java/io/pepperfield/peer/Peers.java
+++ b/src/main/java/io/pepperfield/peer/Peers.java
@@ -44,7 +44,7 @@
     }
 
     /** Whether this controller reaches the store, compared with the others. */
-    public enum StateContact {
+    public enum StoreContact {
         CONNECTED,
         OUTAGE,
         ISOLATED
@@ -139,18 +139,18 @@
      * Whether the store is lost, and to whom. A controller that reaches nobody at all must take
      * itself for the one that is isolated: the others may be deciding without it.
      */
-    public StateContact stateContact(double now) {
+    public StoreContact storeContact(double now) {
         if (now - ownConfirmedAt < LOST_INTERVALS * heartbeatIntervalS) {
-            return StateContact.CONNECTED;
+            return StoreContact.CONNECTED;
         }
         if (settings.members().isEmpty()) {
-            return StateContact.OUTAGE;
+            return StoreContact.OUTAGE;
         }
         boolean isolated =
                 now - peerReachedAt > UNREACHED_INTERVALS * heartbeatIntervalS
                         || peerConfirmedAt.values().stream()
                                 .anyMatch(at -> at > ownConfirmedAt + heartbeatIntervalS);
-        return isolated ? StateContact.ISOLATED : StateContact.OUTAGE;
+        return isolated ? StoreContact.ISOLATED : StoreContact.OUTAGE;
     }
 
     /** Hands orders for workers to the owner of their partition. */
--- a/src/test/java/io/pepperfield/peer/PeerForms.java
+++ b/src/test/java/io/pepperfield/peer/PeerForms.java
@@ -141,7 +141,7 @@
         return text(
                 PeerMessages.writeBatchReply(
                         answer.fencingToken(),
-                        answer.stateContactAgeS(),
+                        answer.storeContactAgeS(),
                         answer.partitionOwners(),
                         answer.verdicts()));
     }
--- a/src/test/java/io/pepperfield/peer/VersionsTest.java
+++ b/src/test/java/io/pepperfield/peer/VersionsTest.java
@@ -126,7 +126,7 @@
                 Json.read(
                         PeerMessages.writeBatchReply(
                                 reply.fencingToken(),
-                                reply.stateContactAgeS(),
+                                reply.storeContactAgeS(),
                                 reply.partitionOwners(),
                                 reply.verdicts())),
                 text);
