--- /dev/null
+++ b/src/test/java/io/pepperfield/heartbeat/MisroutedMachinesTest.java
@@ -0,0 +1,40 @@
+package io.pepperfield.heartbeat;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.pepperfield.peer.Partitions;
+import java.util.Optional;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/** When a machine of another partition is redirected; heartbeats every 2 s. */
+class MisroutedMachinesTest {
+
+    private static final Set<String> OWNERS = Set.of("node-0", "node-1");
+    private static final String MACHINE = "host-000001";
+    private static final String OWNER = Partitions.owner(MACHINE, OWNERS);
+    private static final String OTHER = OWNER.equals("node-0") ? "node-1" : "node-0";
+
+    @Test
+    void aMachineIsRedirectedToItsOwnerAfterAnInterval() {
+        MisroutedMachines misrouted = new MisroutedMachines(OTHER, 2);
+        assertEquals(Optional.empty(), misrouted.redirect(MACHINE, OWNERS, 10));
+        assertEquals(Optional.empty(), misrouted.redirect(MACHINE, OWNERS, 11.9));
+        assertEquals(Optional.of(OWNER), misrouted.redirect(MACHINE, OWNERS, 12));
+    }
+
+    @Test
+    void theOwnerAnswersItsMachinesItself() {
+        MisroutedMachines misrouted = new MisroutedMachines(OWNER, 2);
+        assertEquals(Optional.empty(), misrouted.redirect(MACHINE, OWNERS, 10));
+        assertEquals(Optional.empty(), misrouted.redirect(MACHINE, OWNERS, 20));
+    }
+
+    @Test
+    void aMachineThatIsForgottenIsCountedAnew() {
+        MisroutedMachines misrouted = new MisroutedMachines(OTHER, 2);
+        misrouted.redirect(MACHINE, OWNERS, 10);
+        misrouted.forgetBefore(11);
+        assertEquals(Optional.empty(), misrouted.redirect(MACHINE, OWNERS, 13));
+    }
+}
