--- a/src/main/java/io/pepperfield/health/LeaseRenewal.java
+++ b/src/main/java/io/pepperfield/health/LeaseRenewal.java
@@ -81,12 +81,12 @@
      */
     public List<Order> stopsForCancelled(Heartbeat heartbeat) {
         List<Order> stops = new ArrayList<>();
-        for (Heartbeat.AttemptStatus line : report.attempts()) {
-            JobRecord record = jobIndex.get(line.taskRef().job());
-            if (line.state() != Heartbeat.State.ENDED
-                    && record != null
-                    && record.finalStatus() == Status.CANCELLED) {
-                stops.add(new Order.Stop(line.taskRef(), line.attemptNumber(), 0));
+        for (Heartbeat.AttemptStatus status : heartbeat.attempts()) {
+            JobRecord job = jobIndex.get(status.taskRef().job());
+            if (status.state() != Heartbeat.State.ENDED
+                    && job != null
+                    && job.finalStatus() == Status.CANCELLED) {
+                stops.add(new Order.Stop(status.taskRef(), status.attemptNumber(), 0));
             }
         }
         return stops;
--- a/src/test/java/io/pepperfield/health/LeaseRenewalTest.java
+++ b/src/test/java/io/pepperfield/health/LeaseRenewalTest.java
@@ -52,7 +52,8 @@
     }
 
     private void cancelled(String id) {
-        catalog.changed(Keys.FINAL_STATE_PREFIX + id, JobCodec.encodeFinalStatus(Status.CANCELLED));
+        jobIndex.changed(
+                Keys.FINAL_STATE_PREFIX + id, JobCodec.encodeFinalStatus(Status.CANCELLED));
     }
 
     private static Heartbeat report(String machine, Heartbeat.AttemptStatus... lines) {
--- a/src/test/java/io/pepperfield/heartbeat/HeartbeatVerdictTest.java
+++ b/src/test/java/io/pepperfield/heartbeat/HeartbeatVerdictTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.pepperfield.fencing.FencingToken;
+import io.pepperfield.fleet.WorkerProtocol;
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.Json;
 import java.nio.charset.StandardCharsets;
@@ -46,7 +47,7 @@
     void ordersOfTheLeaderAreHandedOnUnderItsToken() {
         HttpReply reply =
                 new HeartbeatVerdict.Accepted(
-                                HeartbeatReplies.forwardedOrders(
+                                WorkerProtocol.heartbeatReply(
                                         new FencingToken(41),
                                         Json.read("[1]".getBytes(StandardCharsets.UTF_8))))
                         .toReply();
--- a/src/test/java/io/pepperfield/peer/PeerForms.java
+++ b/src/test/java/io/pepperfield/peer/PeerForms.java
@@ -157,7 +157,7 @@
         loop.run(10);
         file.add(
                 "state service lost",
-                peers.stateContact(10) == Peers.StateContact.ISOLATED ? "here" : "by all");
+                peers.storeContact(10) == Peers.StoreContact.ISOLATED ? "here" : "by all");
         peers.announceCancelled(List.of("run-000412"));
         peers.send(SETTINGS.members().get(0), "/peer/path", batch, 1.5, outcome -> {});
         PartitionOrderRouter orders =
