--- a/src/main/java/io/pepperfield/cluster/LatencyHistograms.java
+++ b/src/main/java/io/pepperfield/cluster/LatencyHistograms.java
@@ -1,5 +1,6 @@
 package io.pepperfield.cluster;
 
+import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
@@ -39,6 +40,7 @@
 
     private static String describe(String kind, Histogram histogram) {
         return String.format(
+                Locale.ROOT,
                 "%s %d (%.1f/%.1f/%.1f ms)",
                 kind,
                 histogram.getTotalCount(),
--- a/src/main/java/io/pepperfield/controller/StoredStateCompatibility.java
+++ b/src/main/java/io/pepperfield/controller/StoredStateCompatibility.java
@@ -75,7 +75,8 @@
                 value != null
                         && value.path("highest").asInt(Integer.MAX_VALUE) > StoredVersions.FIRST;
         if (newer && !newerVersionInUse) {
-            LOG.error("serving nobody: a newer stored-state version is in use, and rollout is off");
+            LOG.error(
+                    "not serving: reason=\"a newer stored-state version is in use, and rollout is off\"");
         }
         newerVersionInUse = newer;
     }
--- a/src/main/java/io/pepperfield/heartbeat/LogOnce.java
+++ b/src/main/java/io/pepperfield/heartbeat/LogOnce.java
@@ -20,7 +20,7 @@
         if (logged.size() >= MAX_ENTRIES || !logged.add(sender + ": " + fault)) {
             return false;
         }
-        LOG.warn("bad message: sender={} fault=\"{}\" (logged once)", sender, fault);
+        LOG.warn("bad message: sender=\"{}\" fault=\"{}\" (logged once)", sender, fault);
         return true;
     }
 }
--- a/src/main/java/io/pepperfield/jobs/Job.java
+++ b/src/main/java/io/pepperfield/jobs/Job.java
@@ -98,6 +98,8 @@
     }
 
     /**
+     * Sets the priority by which it is placed.
+     *
      * @param priority the highest among its own and those of the unfinished jobs that depend on it
      */
     public void setEffectivePriority(JobSpec.Priority priority) {
--- a/src/main/java/io/pepperfield/jobs/JobIndex.java
+++ b/src/main/java/io/pepperfield/jobs/JobIndex.java
@@ -119,7 +119,7 @@
             applyFinalState(record, state);
         } else if (record.finalStatus() != state.status()) {
             LOG.error(
-                    "Stored final state contradicts the known one: job={} known={} stored={}",
+                    "stored final state contradicts the known one: job={} known={} stored={}",
                     id,
                     record.finalStatus(),
                     state.status());
--- a/src/main/java/io/pepperfield/leadership/Leadership.java
+++ b/src/main/java/io/pepperfield/leadership/Leadership.java
@@ -234,7 +234,7 @@
     public void observeFencingToken(FencingToken seen) {
         if (fencingToken.exists() && seen.isNewerThan(fencingToken) && !leadershipDoubted) {
             LOG.info(
-                    "Newer fencing token seen, waiting for the lease's renewal: seen={}"
+                    "newer fencing token seen, waiting for the lease's renewal: seen={}"
                             + " fencingToken={}",
                     seen,
                     fencingToken);
@@ -254,7 +254,7 @@
         } else if (ownsOrphanedKey()) {
             revokedOrphanGrant = leaderGrant;
             LOG.info(
-                    "Revoking the grant of an earlier process of this node: controller={} grant={}",
+                    "revoking the grant of an earlier process of this controller: controller={} grant={}",
                     node,
                     leaderGrant);
             store.revokeGrant(leaderGrant);
@@ -341,7 +341,7 @@
     private void becomeLeader(FencingToken token) {
         fencingToken = token;
         leadershipDoubted = false;
-        LOG.info("Elected leader: controller={} fencingToken={}", node, fencingToken);
+        LOG.info("elected leader: controller={} fencingToken={}", node, fencingToken);
         listener.elected(fencingToken);
     }
 
@@ -427,7 +427,7 @@
 
     private void endTerm(String reason) {
         LOG.info(
-                "Leadership lost: controller={} fencingToken={} reason={}",
+                "leadership lost: controller={} fencingToken={} reason=\"{}\"",
                 node,
                 fencingToken,
                 reason);
--- a/src/main/java/io/pepperfield/lifecycle/AttemptOutcomes.java
+++ b/src/main/java/io/pepperfield/lifecycle/AttemptOutcomes.java
@@ -113,7 +113,7 @@
         Job job = attempt.job;
         if (job.recordFailure(attempt.machine.name, loop.now(), heartbeatIntervalS, billingUnitS)) {
             LOG.info(
-                    "job is crash looping and is tried one task at a time until one is completed"
+                    "job is crash looping and is tried one task at a time until one is completed:"
                             + " job={} failedInstances={}",
                     job.spec.id(),
                     job.failedMachines());
--- a/src/main/java/io/pepperfield/overview/ControllerOverview.java
+++ b/src/main/java/io/pepperfield/overview/ControllerOverview.java
@@ -43,6 +43,8 @@
     }
 
     /**
+     * Describes this controller and, where it leads, the cluster.
+     *
      * @param leader what this controller's leader shows; empty while another one leads
      */
     public JsonNode describe(Optional<LeaderOverview> leader, double now) {
--- a/src/main/java/io/pepperfield/overview/LeaderOverview.java
+++ b/src/main/java/io/pepperfield/overview/LeaderOverview.java
@@ -44,7 +44,7 @@
                         .filter(job -> job.finalStatus() == null)
                         .mapToInt(Job::pendingTaskCount)
                         .sum();
-        return "leader status machines="
+        return "machines="
                 + cluster.fleet().countByState(cluster.loop().now(), silentAfterS())
                 + " jobs="
                 + cluster.jobs().size()
--- a/src/main/java/io/pepperfield/predict/RunTimePredictor.java
+++ b/src/main/java/io/pepperfield/predict/RunTimePredictor.java
@@ -12,6 +12,8 @@
     private RunTimePredictor() {}
 
     /**
+     * Predicts the run time of a task from its peers, as WIRE does.
+     *
      * @param times the finished peers
      * @param running how long each running peer has run so far
      * @param ready whether the task could start now
--- a/src/main/java/io/pepperfield/recovery/ArchiveWriter.java
+++ b/src/main/java/io/pepperfield/recovery/ArchiveWriter.java
@@ -15,6 +15,7 @@
 import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
+import java.util.Locale;
 import org.apache.commons.compress.archivers.tar.TarArchiveEntry;
 import org.apache.commons.compress.archivers.tar.TarArchiveOutputStream;
 
@@ -46,7 +47,7 @@
 
     /** The name of the entry with that page. */
     static String pageName(int number) {
-        return String.format("pages/%06d.json", number);
+        return String.format(Locale.ROOT, "pages/%06d.json", number);
     }
 
     /** The checksum that the manifest holds of an entry. */
--- a/src/main/java/io/pepperfield/store/FencedWriter.java
+++ b/src/main/java/io/pepperfield/store/FencedWriter.java
@@ -320,10 +320,10 @@
         PendingWrite write = refused.get(0);
         if (write.split()) {
             LOG.info(
-                    "Stored value is too large by now, split among more keys: key={}", write.key());
+                    "stored value is too large by now, split among more keys: key={}", write.key());
         } else {
             LOG.warn(
-                    "Write refused by the state service, retried later: key={} retryAfterS={}",
+                    "write refused by the key-value store, retried later: key={} retryAfterS={}",
                     write.key(),
                     backgroundDelayS);
             write.retryNotBefore(loop.now() + backgroundDelayS);
--- a/src/test/java/io/pepperfield/admission/AdmissionSimulationTest.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionSimulationTest.java
@@ -162,7 +162,7 @@
     void theLeaderIsFrozenForLongerThanAnAllotment(long seed) {
         SimulatedRegion region = region(seed, 3, 60, RED, FLOOD);
         region.world.run(35);
-        region.faults.pause(region.leaderIndex(), 35 + 4 + seed);
+        region.faults.pause(region.leaderIndex(), 35.0 + 4 + seed);
         region.world.run(60);
         checkAccepted(region, "red", 20, "frozen");
         checkEnd(region, 60, "frozen leader " + seed);
--- a/src/test/java/io/pepperfield/admission/SubmissionAdmissionTest.java
+++ b/src/test/java/io/pepperfield/admission/SubmissionAdmissionTest.java
@@ -11,6 +11,7 @@
 import io.pepperfield.jobs.SubmissionPolicy.Decision;
 import io.pepperfield.standin.JobSpecBuilder;
 import io.pepperfield.standin.SimulatedLoop;
+import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -253,7 +254,10 @@
                 "{\"node\":\"a\",\"process\":\"p\",\"seq\":1,\"heldEpoch\":0,\"heldSerial\":0,"
                         + "\"classes\":[[\"red\",\"batch\",false,-5,0,0]]}";
         assertEquals(
-                Optional.empty(), AdmissionMessages.readReport(Json.read(negative.getBytes())));
-        assertEquals(Optional.empty(), AdmissionMessages.readAllotment(Json.read("{}".getBytes())));
+                Optional.empty(),
+                AdmissionMessages.readReport(Json.read(negative.getBytes(StandardCharsets.UTF_8))));
+        assertEquals(
+                Optional.empty(),
+                AdmissionMessages.readAllotment(Json.read("{}".getBytes(StandardCharsets.UTF_8))));
     }
 }
--- a/src/test/java/io/pepperfield/autoscaling/AutoscalerTest.java
+++ b/src/test/java/io/pepperfield/autoscaling/AutoscalerTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.pepperfield.capacity.InstancePool;
 import io.pepperfield.cloud.InstanceLifecycle;
 import io.pepperfield.cluster.BootTracker;
 import io.pepperfield.cluster.ClusterState;
@@ -44,8 +43,6 @@
  */
 class AutoscalerTest implements Loop, NoOpFleetListener, FencedWriter.Fence, NoOpCloud {
 
-    private static final InstancePool BOX = new InstancePool("box", false);
-
     private final Settings settings =
             SingleNodeSettings.of(
                     List.of("east", "west"),
--- a/src/test/java/io/pepperfield/forms/UserAnswerForms.java
+++ b/src/test/java/io/pepperfield/forms/UserAnswerForms.java
@@ -13,6 +13,7 @@
 import io.pepperfield.store.ReplicaSynchronizer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.Locale;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 
@@ -136,7 +137,7 @@
     private ObjectNode body() {
         ObjectNode body = (ObjectNode) FormFile.json("submission.json");
         body.remove(List.of("awaits", "flavours"));
-        return body.put("nameId", String.format("run-%06d", 100 + ++number));
+        return body.put("nameId", String.format(Locale.ROOT, "run-%06d", 100 + ++number));
     }
 
     private void submit(String what, ObjectNode body) {
--- a/src/test/java/io/pepperfield/forms/UserForms.java
+++ b/src/test/java/io/pepperfield/forms/UserForms.java
@@ -14,6 +14,7 @@
 import io.pepperfield.store.Keys;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.Locale;
 import java.util.stream.IntStream;
 
 /** What users send and are told about jobs. */
@@ -69,7 +70,9 @@
     private static void writeAnswers(FormFile file) {
         JobIndex catalog = new JobIndex(() -> 0);
         List<String> prerequisites =
-                IntStream.range(0, 18).mapToObj(i -> String.format("run-%06d", i)).toList();
+                IntStream.range(0, 18)
+                        .mapToObj(i -> String.format(Locale.ROOT, "run-%06d", i))
+                        .toList();
         JsonNode job =
                 JobCodec.encodeSpec(
                         new JobSpecBuilder().id(ID).tasks(4).dependencies(prerequisites).build());
--- a/src/test/java/io/pepperfield/health/LeaseRenewalTest.java
+++ b/src/test/java/io/pepperfield/health/LeaseRenewalTest.java
@@ -18,6 +18,7 @@
 import io.pepperfield.peer.HeartbeatForwarder;
 import io.pepperfield.standin.JobSpecBuilder;
 import io.pepperfield.store.Keys;
+import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -140,10 +141,14 @@
         assertEquals(70, HeartbeatForwarder.cancellationWatermark(false, 70));
         assertTrue(
                 WorkerProtocol.containsStop(
-                        Json.read("[{\"verb\":\"run\"},{\"verb\":\"stop\"}]".getBytes())));
+                        Json.read(
+                                "[{\"verb\":\"run\"},{\"verb\":\"stop\"}]"
+                                        .getBytes(StandardCharsets.UTF_8))));
         assertFalse(
                 WorkerProtocol.containsStop(
-                        Json.read("[{\"verb\":\"run\"},{\"verb\":\"clear\"}]".getBytes())));
+                        Json.read(
+                                "[{\"verb\":\"run\"},{\"verb\":\"clear\"}]"
+                                        .getBytes(StandardCharsets.UTF_8))));
     }
 
     /**
--- a/src/test/java/io/pepperfield/jobs/PipelineTest.java
+++ b/src/test/java/io/pepperfield/jobs/PipelineTest.java
@@ -9,7 +9,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.http.Json;
 import io.pepperfield.store.Keys;
+import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.Locale;
 import java.util.OptionalLong;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
@@ -22,7 +24,7 @@
     private static String id(int number) {
         return JobMessages.validId("run-" + number)
                 ? "run-" + number
-                : String.format("run-%06d", number);
+                : String.format(Locale.ROOT, "run-%06d", number);
     }
 
     private void accepted(int number, int... needed) {
@@ -116,7 +118,7 @@
                         id(1),
                         Json.read(
                                 "{\"w\":\"w\",\"o\":\"t\",\"s\":0,\"r\":2,\"n\":3,\"c\":1.0,\"k\":68}"
-                                        .getBytes()));
+                                        .getBytes(StandardCharsets.UTF_8)));
         assertEquals(List.of(), old.dependencies());
         assertFalse(JobCodec.encodeSpec(old).has("aw"));
         accepted(1);
--- a/src/test/java/io/pepperfield/jobs/PriorityInheritanceTest.java
+++ b/src/test/java/io/pepperfield/jobs/PriorityInheritanceTest.java
@@ -9,6 +9,7 @@
 import java.util.Collections;
 import java.util.HashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
@@ -28,7 +29,7 @@
     }
 
     private static String id(int number) {
-        return String.format("run-%06d", number);
+        return String.format(Locale.ROOT, "run-%06d", number);
     }
 
     private Priority rank(int number) {
--- a/src/test/java/io/pepperfield/jobs/SharedRunRecordsTest.java
+++ b/src/test/java/io/pepperfield/jobs/SharedRunRecordsTest.java
@@ -9,11 +9,13 @@
 import io.pepperfield.http.Json;
 import io.pepperfield.standin.JobSpecBuilder;
 import io.pepperfield.store.Keys;
+import java.nio.charset.StandardCharsets;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
@@ -30,7 +32,7 @@
 
     private static JobSpec spec(int number, int tasks) {
         return new JobSpecBuilder()
-                .id(String.format("run-%06d", number))
+                .id(String.format(Locale.ROOT, "run-%06d", number))
                 .rank(JobSpec.Priority.BEST_EFFORT)
                 .tasks(tasks)
                 .spot(true)
@@ -65,14 +67,14 @@
         SharedRunRecords records = new SharedRunRecords(new FencingToken(7), 2 * CHUNK);
         String first = records.recordKeyFor(job(0, 1), false).orElseThrow();
         for (int i = 1; i <= CHUNK; i++) {
-            records.recordKeyFor(job(i, 1), false).orElseThrow();
+            assertTrue(records.recordKeyFor(job(i, 1), false).isPresent());
         }
         records.remove("run-000003");
         assertEquals(
                 CHUNK - 1,
                 records.encodeRecord(first, SharedRunRecordsTest::live).get(first).size());
         for (int i = 0; i < CHUNK; i++) {
-            records.remove(String.format("run-%06d", i));
+            records.remove(String.format(Locale.ROOT, "run-%06d", i));
         }
         Set<String> keys = new HashSet<>();
         for (int i = 100; i < 100 + 2 * CHUNK; i++) {
@@ -94,11 +96,13 @@
         JsonNode both =
                 Json.read(
                         "{\"run-000000\":[[0,1,1,\"m1\",1]],\"run-000001\":[[0,1,1,\"m2\",1]]}"
-                                .getBytes());
+                                .getBytes(StandardCharsets.UTF_8));
         catalog.changed(key, both);
         assertEquals("running", catalog.get("run-000000").statusAnswer().path("status").asText());
         // Left out once it was over: a line that stayed would be an attempt on a machine long gone.
-        catalog.changed(key, Json.read("{\"run-000001\":[[0,1,1,\"m2\",1]]}".getBytes()));
+        catalog.changed(
+                key,
+                Json.read("{\"run-000001\":[[0,1,1,\"m2\",1]]}".getBytes(StandardCharsets.UTF_8)));
         assertEquals(0, catalog.get("run-000000").taskStates().size());
         assertEquals(1, catalog.get("run-000001").taskStates().size());
         SharedRunRecords next = new SharedRunRecords(new FencingToken(9), 2 * CHUNK);
@@ -157,12 +161,12 @@
                 Keys.runRecord(spec.id(), 1),
                 Json.read(
                         "[[8,1,1,\"m1\",1],[9,2,2],[10,1,1,\"m1\",1],[11,3,0],[12,1,0]]"
-                                .getBytes()));
+                                .getBytes(StandardCharsets.UTF_8)));
         catalog.changed(
                 Keys.runRecord(spec.id(), 0),
                 Json.read(
                         "[[8,2,1,\"m2\",1],[9,1,1,\"m1\",1],[10,1,0],[11,2,3],[12,1,1,\"m1\",1]]"
-                                .getBytes()));
+                                .getBytes(StandardCharsets.UTF_8)));
         Map<Integer, TaskState> lines = new HashMap<>();
         catalog.get(spec.id()).taskStates().forEach(line -> lines.put(line.task(), line));
         assertEquals(new TaskState(8, 2, TaskState.Phase.LIVE, "m2", 1), lines.get(8));
--- a/src/test/java/io/pepperfield/peer/PartitionsTest.java
+++ b/src/test/java/io/pepperfield/peer/PartitionsTest.java
@@ -5,6 +5,7 @@
 
 import java.util.HashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
@@ -17,7 +18,7 @@
     private static final Set<String> FOUR = Set.of("worker-0", "worker-1", "worker-2", "worker-4");
 
     private static String machine(int number) {
-        return String.format("host-%06d", number);
+        return String.format(Locale.ROOT, "host-%06d", number);
     }
 
     @Test
--- a/src/test/java/io/pepperfield/peer/ReachabilityTest.java
+++ b/src/test/java/io/pepperfield/peer/ReachabilityTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.Locale;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
@@ -14,7 +15,7 @@
     private static final Set<String> FOUR = Set.of("worker-0", "worker-1", "worker-2", "worker-4");
 
     private static String machine(int number) {
-        return String.format("host-%06d", number);
+        return String.format(Locale.ROOT, "host-%06d", number);
     }
 
     /** Heartbeats of 30 machines, each to its partition owner unless that one is unreachable. */
--- a/src/test/java/io/pepperfield/rollout/RolloutLoopbackTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutLoopbackTest.java
@@ -74,7 +74,7 @@
                     "/api/jobs",
                     Json.write(LoopbackRegion.job(number)),
                     answer -> answer.status() == 201 || answer.status() == 200);
-            accepted.add(String.format("run-%06d", number));
+            accepted.add(String.format(Locale.ROOT, "run-%06d", number));
         }
     }
 
--- a/src/test/java/io/pepperfield/rollout/RolloutMeasurement.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutMeasurement.java
@@ -19,6 +19,7 @@
 import io.pepperfield.store.Keys;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 
 /**
  * Figures for {@code docs/design/rollout.md}, not part of the tests: what a rollback of 10,000
@@ -77,7 +78,9 @@
         JsonNode record = CompactRunRecords.encode(TaskState.encode(lines()));
         for (int job = 0; job < RECORDS; job++) {
             state.put(
-                    Keys.SECOND_FORM_RUN_RECORD_PREFIX + String.format("run-%06d/0", job), record);
+                    Keys.SECOND_FORM_RUN_RECORD_PREFIX
+                            + String.format(Locale.ROOT, "run-%06d/0", job),
+                    record);
         }
         ClusterVersion active = ClusterVersion.INITIAL.activated(2, List.of());
         state.put(Keys.SECOND_FORM_LEADER, new Lead(state).leaderKeyValue());
--- a/src/test/java/io/pepperfield/standin/LoopbackRegion.java
+++ b/src/test/java/io/pepperfield/standin/LoopbackRegion.java
@@ -125,20 +125,31 @@
     public String settings(int node) {
         StringBuilder toml =
                 new StringBuilder(
-                        "node = \"node-%d\"\nzone = \"east\"\nbind = \"127.0.0.1:%d\"\n"
-                                .formatted(node, ports.get(node)));
-        toml.append("peer_listen = \"127.0.0.1:%d\"\n".formatted(peerPorts.get(node)));
+                        String.format(
+                                Locale.ROOT,
+                                "node = \"node-%d\"\nzone = \"east\"\nbind = \"127.0.0.1:%d\"\n",
+                                node,
+                                ports.get(node)));
+        toml.append(
+                String.format(
+                        Locale.ROOT, "peer_listen = \"127.0.0.1:%d\"\n", peerPorts.get(node)));
         for (int other = 0; other < ports.size(); other++) {
             if (other != node) {
                 toml.append(
-                        "[[members]]\nnode = \"node-%d\"\nzone = \"east\"\naddr = \"127.0.0.1:%d\"\n"
-                                .formatted(other, peerPorts.get(other)));
+                        String.format(
+                                Locale.ROOT,
+                                "[[members]]\nnode = \"node-%d\"\nzone = \"east\"\naddr = \"127.0.0.1:%d\"\n",
+                                other,
+                                peerPorts.get(other)));
             }
         }
         toml.append(
-                "[endpoints]\ncloud = \"127.0.0.1:%d\"\nstate = \"127.0.0.1:%d\"\n"
-                        .formatted(cloudPort, statePort));
-        return toml.append("[deployment]\nsize = %d\n".formatted(ports.size()))
+                String.format(
+                        Locale.ROOT,
+                        "[endpoints]\ncloud = \"127.0.0.1:%d\"\nstate = \"127.0.0.1:%d\"\n",
+                        cloudPort,
+                        statePort));
+        return toml.append(String.format(Locale.ROOT, "[deployment]\nsize = %d\n", ports.size()))
                 .append(
                         """
                         [[deployment.teams]]
