--- a/src/test/java/io/pepperfield/controller/LoopbackTest.java
+++ b/src/test/java/io/pepperfield/controller/LoopbackTest.java
@@ -103,6 +103,12 @@
     void answersJobsAndSurvivesTheLeader() throws Exception {
         region.until(
                 0, "POST", "/api/jobs", Json.write(LoopbackRegion.job(1)), a -> a.status() == 201);
+        malformedAndInfeasibleJobsAreRefused();
+        knownAndUnknownJobsAreAnswered();
+        anotherControllerTakesOverFromTheLeader();
+    }
+
+    private void malformedAndInfeasibleJobsAreRefused() throws Exception {
         for (String bad :
                 List.of(
                         "",
@@ -128,6 +134,9 @@
         assertEquals(422, status(0, LoopbackRegion.job(2).put("vcpus", 30.0)));
         assertEquals(
                 422, status(0, LoopbackRegion.job(2).put("shape", "standing").put("shards", 20)));
+    }
+
+    private void knownAndUnknownJobsAreAnswered() throws Exception {
         assertEquals(404, region.ask(1, "GET", "/api/jobs/run-000002", null).status());
         assertEquals(
                 404, region.ask(1, "POST", "/api/jobs/run-000002/cancel", new byte[0]).status());
@@ -147,7 +156,9 @@
                         .json()
                         .path("status")
                         .asText());
+    }
 
+    private void anotherControllerTakesOverFromTheLeader() throws Exception {
         int leader =
                 Integer.parseInt(
                         region.ask(0, "GET", "/api/nodes", null)
