--- a/src/main/java/io/pepperfield/autoscaling/Autoscaler.java
+++ b/src/main/java/io/pepperfield/autoscaling/Autoscaler.java
@@ -58,7 +58,7 @@
 
     /** To be called several times in a heartbeat interval. */
     public void tick(double now) {
-        if (now - lastRunAt >= cluster.heartbeatIntervalS() / 2 && cluster.machineTypes().known()) {
+        if (now - lastRunAt >= cluster.heartbeatIntervalS() / 2 && cluster.machineTypes().isLoaded()) {
             lastRunAt = now;
             adjustCapacity(now);
             cluster.passDurations().record("sizing", cluster.loop().now() - now);
--- a/src/main/java/io/pepperfield/autoscaling/CapacitySupply.java
+++ b/src/main/java/io/pepperfield/autoscaling/CapacitySupply.java
@@ -146,7 +146,7 @@
      * predicted may go on for ever, and keeps its place.
      */
     private static boolean endsSoon(Attempt attempt, double runTime, double intervalS, double now) {
-        double remaining = RunTimePredictor.remainingTime(runTime, attempt.ranFor(now));
+        double remaining = RunTimePredictor.remainingTime(runTime, attempt.runTimeS(now));
         return remaining > 0 && remaining <= intervalS;
     }
 
--- a/src/main/java/io/pepperfield/autoscaling/JobPredictions.java
+++ b/src/main/java/io/pepperfield/autoscaling/JobPredictions.java
@@ -61,7 +61,7 @@
         }
         return cluster.liveAttempts().attemptsOf(job).stream()
                 .mapToDouble(
-                        attempt -> RunTimePredictor.remainingTime(runTime, attempt.ranFor(now)))
+                        attempt -> RunTimePredictor.remainingTime(runTime, attempt.runTimeS(now)))
                 .max()
                 .orElse(0);
     }
@@ -75,7 +75,7 @@
         if (job.runTimes.count() == 0) {
             for (Attempt attempt : cluster.liveAttempts().attemptsOf(job)) {
                 if (attempt.running()) {
-                    running.add(attempt.ranFor(now));
+                    running.add(attempt.runTimeS(now));
                 }
             }
         }
--- a/src/main/java/io/pepperfield/autoscaling/PoolScaler.java
+++ b/src/main/java/io/pepperfield/autoscaling/PoolScaler.java
@@ -74,7 +74,7 @@
                         .sorted()
                         .toList();
         List<String> prompt =
-                open.stream().filter(zone -> !cluster.bootTracker().isLate(type, zone)).toList();
+                open.stream().filter(zone -> !cluster.bootTracker().isBootLate(type, zone)).toList();
         return prompt.isEmpty() ? open : prompt;
     }
 
--- a/src/main/java/io/pepperfield/autoscaling/WorkloadProjection.java
+++ b/src/main/java/io/pepperfield/autoscaling/WorkloadProjection.java
@@ -107,7 +107,7 @@
     }
 
     private void addLiveAttempt(Attempt attempt, double runTime) {
-        double ranS = attempt.ranFor(now);
+        double ranS = attempt.runTimeS(now);
         double remainingS = RunTimePredictor.remainingTime(runTime, ranS) - intervalS;
         if (remainingS > 0) {
             addWork(attempt.job, remainingS, attempt.machine.pool(), 1);
--- a/src/main/java/io/pepperfield/cloud/InstanceRentals.java
+++ b/src/main/java/io/pepperfield/cloud/InstanceRentals.java
@@ -82,7 +82,7 @@
     }
 
     private void expectMachine(RentalRequest request, String name, double rentedAt) {
-        fleet.expectMachine(
+        fleet.addExpectedMachine(
                 name, request.pool.type(), request.zone, request.pool.spot(), rentedAt, loop.now());
     }
 
--- a/src/main/java/io/pepperfield/cloud/InventoryReconciler.java
+++ b/src/main/java/io/pepperfield/cloud/InventoryReconciler.java
@@ -67,7 +67,7 @@
         }
         double now = loop.now();
         Machine machine =
-                fleet.expectMachine(
+                fleet.addExpectedMachine(
                         instance.name(),
                         instance.type(),
                         instance.zone(),
--- a/src/main/java/io/pepperfield/cluster/BootTracker.java
+++ b/src/main/java/io/pepperfield/cluster/BootTracker.java
@@ -59,14 +59,14 @@
     }
 
     /** Records the first heartbeat of a machine that this leader has rented. */
-    public void machineBooted(Machine machine, double now) {
+    public void recordBoot(Machine machine, double now) {
         predictor.record(typeInZone(machine.type(), machine.zone()), machine.rentedAt(), now);
         observedBoots.add(machine.name);
     }
 
     /** Updates the expected boot times; to be called a few times in a heartbeat interval. */
     public void update(Fleet fleet, double now) {
-        observedBoots.removeIf(name -> fleet.get(name) == null);
+        observedBoots.removeIf(name -> fleet.getMachine(name) == null);
         Map<String, List<Double>> awaitedRentals = new HashMap<>();
         Map<String, List<Double>> unobservedRentals = new HashMap<>();
         for (Machine machine : fleet.machines()) {
@@ -74,7 +74,7 @@
             // One that an earlier leader awaited in vain may have been ready and be silent now:
             // that
             // is no boot.
-            if (!machine.ready() && !machine.releasing() && !mustHaveBootedBefore(machine)) {
+            if (!machine.ready() && !machine.releasing() && !presumedAlreadyBooted(machine)) {
                 addRental(awaitedRentals, location, machine);
             } else if (machine.ready() && !observedBoots.contains(machine.name)) {
                 addRental(unobservedRentals, location, machine);
@@ -104,7 +104,7 @@
     }
 
     private void updateLate(MachineType type, String zone, String location, double bootS) {
-        boolean late = isLate(type, zone);
+        boolean late = isBootLate(type, zone);
         boolean changed = late ? lateLocations.add(location) : lateLocations.remove(location);
         if (changed) {
             LOG.info(
@@ -128,7 +128,7 @@
     }
 
     /** Whether a machine of this type has lately been slow to boot there. */
-    public boolean isLate(MachineType type, String zone) {
+    public boolean isBootLate(MachineType type, String zone) {
         return BootTimePredictor.isLate(expectedBootTime(type, zone), type.bootS());
     }
 
@@ -149,12 +149,12 @@
     }
 
     /** Whether it has been awaited for too long. */
-    public boolean isGivenUp(Machine machine, double now) {
+    public boolean hasBootTimedOut(Machine machine, double now) {
         return now - machine.rentedAt() > allowedBootTime(machine, GIVE_UP_FACTOR);
     }
 
     /** Whether it must have booted before this leader knew of it, by the time of its rental. */
-    public boolean mustHaveBootedBefore(Machine machine) {
+    public boolean presumedAlreadyBooted(Machine machine) {
         return machine.knownSince() - machine.rentedAt() > allowedBootTime(machine, GIVE_UP_FACTOR);
     }
 
--- a/src/main/java/io/pepperfield/cluster/ClusterState.java
+++ b/src/main/java/io/pepperfield/cluster/ClusterState.java
@@ -119,7 +119,7 @@
                 machine.images(),
                 new Capacity(
                         machine.freeCpus(type), machine.freeGpus(type), machine.freeMemGb(type)),
-                machine.capacityBesideReplicas(type));
+                machine.capacityExcludingReplicas(type));
     }
 
     /**
--- a/src/main/java/io/pepperfield/cluster/MachineTypes.java
+++ b/src/main/java/io/pepperfield/cluster/MachineTypes.java
@@ -30,7 +30,7 @@
     }
 
     /** Whether the types have been learnt from the cloud or the key-value store. */
-    public boolean known() {
+    public boolean isLoaded() {
         return !types.isEmpty();
     }
 
@@ -68,7 +68,7 @@
         if (job.spreadOverZones() && job.sameZone() && job.tasks() > 1) {
             return new Verdict.Infeasible("together and spread rule each other out");
         }
-        if (!known()) {
+        if (!isLoaded()) {
             return new Verdict.Undecided();
         }
         return types.values().stream().anyMatch(type -> isAllowed(job, type) && fits(job, type))
--- a/src/main/java/io/pepperfield/cluster/MachineTypesPoller.java
+++ b/src/main/java/io/pepperfield/cluster/MachineTypesPoller.java
@@ -40,7 +40,7 @@
         if (requestInFlight || now - requestedAt < (everAnswered ? refreshS : RETRY_S)) {
             return;
         }
-        if (!types.known() || leading) {
+        if (!types.isLoaded() || leading) {
             requestInFlight = true;
             requestedAt = now;
             cloud.listMachineTypes(this::handleResponse);
--- a/src/main/java/io/pepperfield/controller/FleetEventRouter.java
+++ b/src/main/java/io/pepperfield/controller/FleetEventRouter.java
@@ -74,12 +74,12 @@
     }
 
     @Override
-    public void attemptGone(Attempt attempt, Heartbeat.Cause cause) {
+    public void attemptTerminated(Attempt attempt, Heartbeat.Cause cause) {
         jobs.attemptGone(attempt, cause);
     }
 
     @Override
-    public void machineAppeared(Machine machine) {
+    public void machineJoined(Machine machine) {
         // At debug level: a line for each machine of a large fleet would fill the log at every
         // failover.
         LOG.debug(
@@ -90,7 +90,7 @@
                 Math.round(loop.now() - machine.rentedAt()));
         // One from before this leader may have been ready for long already.
         if (!machine.ready() && machine.rentedAt() >= leaderSince) {
-            bootTracker.machineBooted(machine, loop.now());
+            bootTracker.recordBoot(machine, loop.now());
         }
         dispatcher.requestPass();
     }
--- a/src/main/java/io/pepperfield/controller/Leader.java
+++ b/src/main/java/io/pepperfield/controller/Leader.java
@@ -163,7 +163,7 @@
                                 instanceLifecycle.restore(
                                         key.substring(Keys.RENTAL_PREFIX.length()), value));
         jobs.restoreAll();
-        if (machineTypes.known()) {
+        if (machineTypes.isLoaded()) {
             machineTypesReceived();
         }
         LOG.info(
--- a/src/main/java/io/pepperfield/controller/LeaderHeartbeatProcessor.java
+++ b/src/main/java/io/pepperfield/controller/LeaderHeartbeatProcessor.java
@@ -40,12 +40,12 @@
     @Override
     public Optional<List<Order>> acceptHeartbeat(Heartbeat heartbeat, String reportingController) {
         double now = loop.now();
-        fleet.suspendStarts(!storeFreshness.isFresh());
+        fleet.setStartsSuspended(!storeFreshness.isFresh());
         Optional<List<Order>> orders = fleet.handleHeartbeat(heartbeat, now);
         if (orders.isEmpty()) {
             return orders;
         }
-        Machine machine = fleet.get(heartbeat.machine());
+        Machine machine = fleet.getMachine(heartbeat.machine());
         machine.setReportingController(reportingController);
         return leaseRenewal.mayRenew(cancellationWatermark(machine), now)
                 ? orders
--- a/src/main/java/io/pepperfield/controller/ReplicaChangeRouter.java
+++ b/src/main/java/io/pepperfield/controller/ReplicaChangeRouter.java
@@ -62,7 +62,7 @@
     }
 
     private void stateChanged(String key, JsonNode value) {
-        if (key.equals(Keys.MACHINE_TYPES) && value != null && !machineTypes.known()) {
+        if (key.equals(Keys.MACHINE_TYPES) && value != null && !machineTypes.isLoaded()) {
             machineTypes.update(MachineTypesRecord.decode(value));
         }
         jobIndex.changed(key, value);
--- a/src/main/java/io/pepperfield/dispatch/ClusterView.java
+++ b/src/main/java/io/pepperfield/dispatch/ClusterView.java
@@ -49,7 +49,7 @@
     }
 
     Machine machine(String name) {
-        return cluster.fleet().get(name);
+        return cluster.fleet().getMachine(name);
     }
 
     /** The attempts on a machine that are not proven gone. */
--- a/src/main/java/io/pepperfield/dispatch/Dispatcher.java
+++ b/src/main/java/io/pepperfield/dispatch/Dispatcher.java
@@ -62,7 +62,7 @@
     /** To be called at the end of each batch of commands. */
     public void runPassIfDue() {
         double now = cluster.loop().now();
-        if (!passRequested || now < nextPassAt || !cluster.machineTypes().known()) {
+        if (!passRequested || now < nextPassAt || !cluster.machineTypes().isLoaded()) {
             return;
         }
         passRequested = false;
--- a/src/main/java/io/pepperfield/fleet/Attempt.java
+++ b/src/main/java/io/pepperfield/fleet/Attempt.java
@@ -106,7 +106,7 @@
     }
 
     /** Seconds that it has run at that loop time; 0 where it does not run. */
-    public double ranFor(double now) {
+    public double runTimeS(double now) {
         return running() ? now - runningSince : 0;
     }
 
--- a/src/main/java/io/pepperfield/fleet/TerminationEvidence.java
+++ b/src/main/java/io/pepperfield/fleet/AttemptReconciler.java
@@ -11,14 +11,14 @@
  * Reconciles the attempts of a machine with its heartbeats. An attempt counts as alive until a
  * {@link TerminationProof} holds; the proofs hold for late heartbeats as for new ones.
  */
-final class TerminationEvidence {
+final class AttemptReconciler {
 
-    private static final Logger LOG = LoggerFactory.getLogger(TerminationEvidence.class);
+    private static final Logger LOG = LoggerFactory.getLogger(AttemptReconciler.class);
 
     private final LeaderFencingTokens tokens;
     private final Fleet.Listener listener;
 
-    TerminationEvidence(LeaderFencingTokens tokens, Fleet.Listener listener) {
+    AttemptReconciler(LeaderFencingTokens tokens, Fleet.Listener listener) {
         this.tokens = tokens;
         this.listener = listener;
     }
@@ -30,7 +30,7 @@
      *     no absence: the reply to an earlier heartbeat may still be on its way
      */
     void reconcile(Machine machine, Heartbeat heartbeat, boolean provesAbsence, double now) {
-        if (!machine.restarted && heartbeat.fencingToken().isAtLeast(tokens.electionToken())) {
+        if (!machine.fencingTokenLost && heartbeat.fencingToken().isAtLeast(tokens.electionToken())) {
             endEarlierIncarnations(machine);
         }
         Set<TaskRef> reported = new HashSet<>();
@@ -43,7 +43,7 @@
                 reconcileAttempt(attempt, status, now);
             }
         }
-        if (provesAbsence && !machine.restarted) {
+        if (provesAbsence && !machine.fencingTokenLost) {
             endMissing(machine, reported);
         }
     }
@@ -159,6 +159,6 @@
                 attempt.incarnation,
                 cause,
                 proof);
-        listener.attemptGone(attempt, cause);
+        listener.attemptTerminated(attempt, cause);
     }
 }
--- a/src/main/java/io/pepperfield/fleet/Fleet.java
+++ b/src/main/java/io/pepperfield/fleet/Fleet.java
@@ -13,7 +13,7 @@
 
 /**
  * The leader's machines and the attempts on them. Pure state: heartbeats and times go in, orders
- * and events come out. {@link HeartbeatReconciler} applies heartbeats, {@link TerminationEvidence}
+ * and events come out. {@link HeartbeatProcessor} applies heartbeats, {@link AttemptReconciler}
  * decides which attempts have ended, {@link OrderPlanner} what a heartbeat is answered with. Used
  * on the owner thread only; times are loop times in seconds.
  */
@@ -36,20 +36,20 @@
         void attemptCompleted(Attempt attempt, double ranS);
 
         /** The attempt is proven to have ended without completing; its task may start again. */
-        void attemptGone(Attempt attempt, Cause cause);
+        void attemptTerminated(Attempt attempt, Cause cause);
 
         /**
          * The machine sends its first heartbeat to this leader, or its agent has begun a new
          * incarnation.
          */
-        void machineAppeared(Machine machine);
+        void machineJoined(Machine machine);
     }
 
     private final MachineRegistry registry = new MachineRegistry();
     private final LeaderFencingTokens tokens;
-    private final TerminationEvidence terminationEvidence;
+    private final AttemptReconciler terminationEvidence;
     private final OrderPlanner orderPlanner;
-    private final HeartbeatReconciler heartbeatReconciler;
+    private final HeartbeatProcessor heartbeatReconciler;
 
     /**
      * Creates the empty state of one term.
@@ -60,10 +60,10 @@
      */
     public Fleet(Listener listener, FencingToken electionToken, double directResponseValidityS) {
         this.tokens = new LeaderFencingTokens(electionToken);
-        this.terminationEvidence = new TerminationEvidence(tokens, listener);
+        this.terminationEvidence = new AttemptReconciler(tokens, listener);
         this.orderPlanner = new OrderPlanner(tokens);
         this.heartbeatReconciler =
-                new HeartbeatReconciler(
+                new HeartbeatProcessor(
                         registry,
                         tokens,
                         terminationEvidence,
@@ -81,8 +81,8 @@
      * While true no reply to a heartbeat orders a start: the key-value store has not answered this
      * leader for so long that others may have cancelled the job meanwhile.
      */
-    public void suspendStarts(boolean suspended) {
-        orderPlanner.suspendStarts(suspended);
+    public void setStartsSuspended(boolean suspended) {
+        orderPlanner.setStartsSuspended(suspended);
     }
 
     /**
@@ -115,7 +115,7 @@
     }
 
     /** The machine of that name, or null. */
-    public Machine get(String name) {
+    public Machine getMachine(String name) {
         return registry.get(name);
     }
 
@@ -125,12 +125,12 @@
     }
 
     /** Adds a machine that should exist, by a rental, the cloud's list or a durable record. */
-    public Machine expectMachine(
+    public Machine addExpectedMachine(
             String name, String type, String zone, boolean spot, double rentedAt, double now) {
         Machine machine = registry.getOrAdd(name, now);
         machine.expected = true;
         if (!type.isEmpty() && machine.type().isEmpty()) {
-            machine.setInstanceClass(type, spot);
+            machine.setPool(type, spot);
             machine.zone = zone;
             machine.rentedAt = Math.min(rentedAt, now);
         }
@@ -143,7 +143,7 @@
      */
     public Attempt restoreAttempt(
             Job job, int task, int number, String machineName, long incarnation, double now) {
-        Machine machine = expectMachine(machineName, "", "", false, now, now);
+        Machine machine = addExpectedMachine(machineName, "", "", false, now, now);
         Attempt attempt =
                 new Attempt(
                         job,
@@ -166,7 +166,7 @@
      *
      * @throws IllegalStateException where the machine still holds another attempt at the task
      */
-    public Attempt intendAttempt(Job job, int task, int number, Machine machine, double now) {
+    public Attempt addIntendedAttempt(Job job, int task, int number, Machine machine, double now) {
         Attempt attempt =
                 new Attempt(
                         job,
@@ -202,7 +202,7 @@
      *
      * @return whether the run order may be sent now
      */
-    public boolean intentIsDurable(Attempt attempt) {
+    public boolean markIntentDurable(Attempt attempt) {
         if (attempt.phase != Attempt.Phase.INTENDED) {
             return false;
         }
@@ -220,7 +220,7 @@
     /**
      * To be called before run orders are sent directly: from here on they may be carried out late.
      */
-    public void directOrdersLeaving(List<Attempt> attempts) {
+    public void recordDirectOrders(List<Attempt> attempts) {
         attempts.forEach(
                 attempt ->
                         attempt.directOrderToken =
@@ -291,7 +291,7 @@
 
     /** The cloud has confirmed that the machine is released, with everything on it. */
     public void confirmReleased(String name) {
-        Machine machine = registry.release(name);
+        Machine machine = registry.markReleased(name);
         if (machine == null) {
             return;
         }
--- a/src/main/java/io/pepperfield/fleet/HeartbeatReconciler.java
+++ b/src/main/java/io/pepperfield/fleet/HeartbeatProcessor.java
@@ -9,19 +9,19 @@
  * gets them: from the agent itself, from a partition owner's cache, or as the answer to a direct
  * message. Used on the owner thread only.
  */
-final class HeartbeatReconciler {
+final class HeartbeatProcessor {
 
     private final MachineRegistry registry;
     private final LeaderFencingTokens tokens;
-    private final TerminationEvidence terminationEvidence;
+    private final AttemptReconciler terminationEvidence;
     private final OrderPlanner orderPlanner;
     private final Fleet.Listener listener;
     private final double directResponseValidityS;
 
-    HeartbeatReconciler(
+    HeartbeatProcessor(
             MachineRegistry registry,
             LeaderFencingTokens tokens,
-            TerminationEvidence terminationEvidence,
+            AttemptReconciler terminationEvidence,
             OrderPlanner orderPlanner,
             Fleet.Listener listener,
             double directResponseValidityS) {
@@ -56,9 +56,9 @@
         machine.receivedPosition.advanceTo(heartbeat);
         machine.lastHeartbeatAt = now;
         machine.lastHeartbeat = heartbeat;
-        machine.replyDelivery.heartbeatReceived(heartbeat, restarted, tokenBefore, now);
+        machine.replyDelivery.recordHeartbeat(heartbeat, restarted, tokenBefore, now);
         List<Order> orders = orderPlanner.plan(machine, heartbeat);
-        machine.replyDelivery.replySent(tokens.currentToken());
+        machine.replyDelivery.recordReply(tokens.currentToken());
         return Optional.of(orders);
     }
 
@@ -76,7 +76,7 @@
         Machine machine = apply(heartbeat, false, receivedAt);
         if (!machine.ready()) {
             machine.lastHeartbeatAt = receivedAt;
-            listener.machineAppeared(machine);
+            listener.machineJoined(machine);
         }
     }
 
@@ -97,7 +97,7 @@
                 machine.ready()
                         ? Math.min(now, machine.lastHeartbeatAt + directResponseValidityS)
                         : now;
-        machine.replyDelivery.directMessageAnswered();
+        machine.replyDelivery.recordDirectResponse();
     }
 
     /**
@@ -122,7 +122,7 @@
 
     private Machine apply(Heartbeat heartbeat, boolean ownMessage, double now) {
         Machine machine = registry.getOrAdd(heartbeat.machine(), now);
-        machine.setInstanceClass(heartbeat.type(), heartbeat.spot());
+        machine.setPool(heartbeat.type(), heartbeat.spot());
         machine.zone = heartbeat.zone();
         machine.address = heartbeat.address();
         if (machine.appliedPosition.covers(heartbeat)) {
@@ -135,7 +135,7 @@
                 heartbeat.reclaimNoticeS() == null ? Double.NaN : now + heartbeat.reclaimNoticeS();
         terminationEvidence.reconcile(machine, heartbeat, ownMessage, now);
         if (appeared && ownMessage) {
-            listener.machineAppeared(machine);
+            listener.machineJoined(machine);
         }
         return machine;
     }
@@ -144,7 +144,7 @@
         // An agent keeps the highest token that it has seen. One that has forgotten it is another
         // process, on a machine that came back at once: it would carry out old orders, so that what
         // its heartbeats do not hold is never proven to have ended.
-        machine.restarted |= token.isOlderThan(machine.highestTokenSeen);
+        machine.fencingTokenLost |= token.isOlderThan(machine.highestTokenSeen);
         machine.highestTokenSeen = FencingToken.newest(machine.highestTokenSeen, token);
         machine.hasSeenLeaderToken |= token.isAtLeast(tokens.electionToken());
     }
--- a/src/main/java/io/pepperfield/fleet/Machine.java
+++ b/src/main/java/io/pepperfield/fleet/Machine.java
@@ -62,7 +62,7 @@
      * Its agent has lost the token that it had seen: only the release of the machine proves that
      * attempts on it have ended.
      */
-    boolean restarted;
+    boolean fencingTokenLost;
 
     /** The last heartbeat that came as the agent's own message; a short one repeats it. */
     Heartbeat lastHeartbeat;
@@ -102,7 +102,7 @@
         return pool;
     }
 
-    void setInstanceClass(String type, boolean spot) {
+    void setPool(String type, boolean spot) {
         if (!pool.type().equals(type) || pool.spot() != spot) {
             pool = new InstancePool(type, spot);
         }
@@ -134,15 +134,15 @@
     }
 
     /** Seconds since its last heartbeat or answer, or since it was first awaited. */
-    public double silentFor(double now) {
+    public double unresponsiveFor(double now) {
         return now - Math.max(lastResponseAt, ready() ? lastHeartbeatAt : knownSince);
     }
 
     /** Seconds since nothing has come from it, or nothing has shown that replies reach it. */
     public double unreachableFor(double now) {
         return hasReceiveFailure()
-                ? Math.max(silentFor(now), replyDelivery.receiveFailureFor(now))
-                : silentFor(now);
+                ? Math.max(unresponsiveFor(now), replyDelivery.receiveFailureFor(now))
+                : unresponsiveFor(now);
     }
 
     /**
@@ -160,7 +160,7 @@
      */
     public boolean isSchedulable(double now) {
         boolean exists = ready() && (expected || hasSeenLeaderToken);
-        boolean reachable = !hasReceiveFailure() && !restarted;
+        boolean reachable = !hasReceiveFailure() && !fencingTokenLost;
         boolean available = !releasing && !draining() && quarantinedUntil <= now;
         return exists && reachable && available;
     }
@@ -209,8 +209,8 @@
     }
 
     /** Whether its agent restarted without the token that it had seen. */
-    public boolean restarted() {
-        return restarted;
+    public boolean hasLostFencingToken() {
+        return fencingTokenLost;
     }
 
     /** The host and port of its agent; empty until known. */
@@ -279,7 +279,7 @@
     }
 
     /** The capacity that it will have at most, however long one waits: beside its replicas. */
-    public Capacity capacityBesideReplicas(MachineType machineType) {
+    public Capacity capacityExcludingReplicas(MachineType machineType) {
         return new Capacity(
                 machineType.cpus() - usage.replicaCpus(),
                 machineType.gpus() - usage.replicaGpus(),
--- a/src/main/java/io/pepperfield/fleet/MachineRegistry.java
+++ b/src/main/java/io/pepperfield/fleet/MachineRegistry.java
@@ -36,7 +36,7 @@
     }
 
     /** Removes a machine for good; null where it was not known. */
-    Machine release(String name) {
+    Machine markReleased(String name) {
         released.add(name);
         return machines.remove(name);
     }
@@ -61,6 +61,6 @@
         if (!machine.ready()) {
             return "awaited";
         }
-        return machine.silentFor(now) > silentAfterS ? "silent" : "up";
+        return machine.unresponsiveFor(now) > silentAfterS ? "silent" : "up";
     }
 }
--- a/src/main/java/io/pepperfield/fleet/OrderPlanner.java
+++ b/src/main/java/io/pepperfield/fleet/OrderPlanner.java
@@ -15,7 +15,7 @@
         this.tokens = tokens;
     }
 
-    void suspendStarts(boolean suspended) {
+    void setStartsSuspended(boolean suspended) {
         startsSuspended = suspended;
     }
 
@@ -58,7 +58,7 @@
             }
         } else if (mayStart(machine, attempt)) {
             orders.add(new Order.Run(attempt.taskRef, attempt.number));
-            machine.replyDelivery.runOrdered(attempt);
+            machine.replyDelivery.recordRunOrder(attempt);
         }
     }
 
--- a/src/main/java/io/pepperfield/fleet/ReplyDeliveryMonitor.java
+++ b/src/main/java/io/pepperfield/fleet/ReplyDeliveryMonitor.java
@@ -26,17 +26,17 @@
     }
 
     /** The machine has answered a direct message. */
-    void directMessageAnswered() {
+    void recordDirectResponse() {
         receiveFailureSince = Double.NaN;
     }
 
     /** The reply to its last heartbeat carries a run order for this attempt. */
-    void runOrdered(Attempt attempt) {
+    void recordRunOrder(Attempt attempt) {
         orderedToRun.add(attempt);
     }
 
     /** Its last heartbeat has been replied to with this token. */
-    void replySent(FencingToken token) {
+    void recordReply(FencingToken token) {
         lastRepliedToken = token;
     }
 
@@ -47,7 +47,7 @@
      * @param restarted whether it is the first of a new incarnation on a machine that was ready
      * @param tokenBefore the newest token that the machine had shown before
      */
-    void heartbeatReceived(
+    void recordHeartbeat(
             Heartbeat heartbeat, boolean restarted, FencingToken tokenBefore, double now) {
         boolean replyReceived = heartbeat.fencingToken().isNewerThan(tokenBefore);
         boolean replyMissed = restarted || heartbeat.fencingToken().isOlderThan(lastRepliedToken);
--- a/src/main/java/io/pepperfield/health/FailureDetector.java
+++ b/src/main/java/io/pepperfield/health/FailureDetector.java
@@ -95,7 +95,7 @@
         // One that had long booted when this leader began may be unreachable with the rest of its
         // zone: silent, and not a machine that never came up.
         boolean bootedBefore =
-                !machine.ready() && cluster.bootTracker().mustHaveBootedBefore(machine);
+                !machine.ready() && cluster.bootTracker().presumedAlreadyBooted(machine);
         if (machine.ready() || bootedBefore) {
             census.machines++;
             census.machinesPerZone.merge(machine.zone(), 1, Integer::sum);
@@ -105,7 +105,7 @@
         }
         if (machine.ready()) {
             checkMachine(machine, now);
-        } else if (!bootedBefore && cluster.bootTracker().isGivenUp(machine, now) && unreachable) {
+        } else if (!bootedBefore && cluster.bootTracker().hasBootTimedOut(machine, now) && unreachable) {
             census.neverReady.add(machine);
         }
     }
@@ -122,7 +122,7 @@
         if (machine.faulty()) {
             machine.drain();
         }
-        if (machine.restarted()) {
+        if (machine.hasLostFencingToken()) {
             cluster.instanceLifecycle().release(machine, "its worker has begun anew");
         } else if (machine.draining() && machine.idle()) {
             String why = machine.faulty() ? "faulty" : "about to be taken";
--- a/src/main/java/io/pepperfield/lifecycle/AttemptStarter.java
+++ b/src/main/java/io/pepperfield/lifecycle/AttemptStarter.java
@@ -44,7 +44,7 @@
     @Override
     public void start(Job job, int task, Machine machine) {
         Attempt attempt =
-                fleet.intendAttempt(job, task, job.startAttempt(task), machine, loop.now());
+                fleet.addIntendedAttempt(job, task, job.startAttempt(task), machine, loop.now());
         liveAttempts.add(attempt);
         runRecords.markChanged(job, task, intentPriority(job), () -> sendRunOrder(attempt));
     }
@@ -56,7 +56,7 @@
     }
 
     private void sendRunOrder(Attempt attempt) {
-        if (!termEnded && fleet.intentIsDurable(attempt)) {
+        if (!termEnded && fleet.markIntentDurable(attempt)) {
             directOrders.enqueue(attempt);
         }
     }
--- a/src/main/java/io/pepperfield/lifecycle/DirectOrders.java
+++ b/src/main/java/io/pepperfield/lifecycle/DirectOrders.java
@@ -88,7 +88,7 @@
         if (orders.isEmpty() || machine.releasing()) {
             return;
         }
-        fleet.directOrdersLeaving(starting);
+        fleet.recordDirectOrders(starting);
         orderRouter.sendOrders(
                 machine.reportingController(),
                 machine.address(),
--- a/src/main/java/io/pepperfield/overview/LeaderOverview.java
+++ b/src/main/java/io/pepperfield/overview/LeaderOverview.java
@@ -123,6 +123,6 @@
         if (machine.hasReceiveFailure()) {
             return "deaf";
         }
-        return machine.silentFor(now) > silentAfterS() ? "silent" : "up";
+        return machine.unresponsiveFor(now) > silentAfterS() ? "silent" : "up";
     }
 }
--- a/src/main/java/io/pepperfield/overview/QueueOverview.java
+++ b/src/main/java/io/pepperfield/overview/QueueOverview.java
@@ -71,7 +71,7 @@
         if (quotaUsage.usedCpus() + job.spec.cpus() > cpuLimit) {
             return "the team's limit";
         }
-        return cluster.machineTypes().known()
+        return cluster.machineTypes().isLoaded()
                 ? "no machine has room"
                 : "the machine types are not known";
     }
--- a/src/test/java/io/pepperfield/autoscaling/AutoscalerTest.java
+++ b/src/test/java/io/pepperfield/autoscaling/AutoscalerTest.java
@@ -114,7 +114,7 @@
     }
 
     private Machine up(String name, String zone, Heartbeat.AttemptStatus... lines) {
-        fleet.expectMachine(name, "box", zone, false, 0, 0);
+        fleet.addExpectedMachine(name, "box", zone, false, 0, 0);
         fleet.handleHeartbeat(
                 new Heartbeat(
                         name,
@@ -128,14 +128,14 @@
                         null,
                         List.of(lines)),
                 now);
-        return fleet.get(name);
+        return fleet.getMachine(name);
     }
 
     private void runs(Job job, int task, String machine, String zone) {
         Attempt attempt =
-                fleet.intendAttempt(job, task, job.startAttempt(task), up(machine, zone), now);
+                fleet.addIntendedAttempt(job, task, job.startAttempt(task), up(machine, zone), now);
         ledger.add(attempt);
-        fleet.intentIsDurable(attempt);
+        fleet.markIntentDurable(attempt);
         up(
                 machine,
                 zone,
@@ -190,7 +190,7 @@
     void whatIsComingThereCountsAndWhatNeverComesIsReplaced() {
         up("m1", "west");
         job(Shape.ARRAY, 1, "east", false, false);
-        fleet.expectMachine("m2", "box", "east", false, now, now);
+        fleet.addExpectedMachine("m2", "box", "east", false, now, now);
         now += 5;
         autoscaler.tick(now);
         assertEquals(List.of(), rented);
--- a/src/test/java/io/pepperfield/dispatch/DispatcherTest.java
+++ b/src/test/java/io/pepperfield/dispatch/DispatcherTest.java
@@ -86,7 +86,7 @@
     }
 
     private void heartbeat(String machine, int serial, Heartbeat.AttemptStatus... attempts) {
-        fleet.expectMachine(machine, "box", "east", false, 0, 0);
+        fleet.addExpectedMachine(machine, "box", "east", false, 0, 0);
         fleet.handleHeartbeat(
                 new Heartbeat(
                         machine,
@@ -104,9 +104,9 @@
 
     @Override
     public void start(Job job, int task, Machine machine) {
-        Attempt attempt = fleet.intendAttempt(job, task, job.startAttempt(task), machine, now());
+        Attempt attempt = fleet.addIntendedAttempt(job, task, job.startAttempt(task), machine, now());
         liveAttempts.add(attempt);
-        fleet.intentIsDurable(attempt);
+        fleet.markIntentDurable(attempt);
         actions.add("start " + attempt.taskRef + " on " + machine.name);
     }
 
@@ -125,8 +125,8 @@
         types.update(List.of(new MachineType("box", 8, 0, 32, 20, 1, 1, 0.4, 5, List.of("east"))));
         heartbeat("m1", 1);
         Job array = job("run-000001", "batch", "red", Priority.STANDARD, "img", 3);
-        start(array, 0, fleet.get("m1"));
-        start(array, 1, fleet.get("m1"));
+        start(array, 0, fleet.getMachine("m1"));
+        start(array, 1, fleet.getMachine("m1"));
         heartbeat(
                 "m1",
                 2,
@@ -158,8 +158,8 @@
         types.update(List.of(new MachineType("box", 8, 0, 32, 20, 1, 1, 0.4, 5, List.of("east"))));
         heartbeat("m1", 1);
         Job swarm = job("run-000001", "swarm", "red", Priority.BEST_EFFORT, "img", 4);
-        start(swarm, 0, fleet.get("m1"));
-        start(swarm, 1, fleet.get("m1"));
+        start(swarm, 0, fleet.getMachine("m1"));
+        start(swarm, 1, fleet.getMachine("m1"));
         heartbeat("m1", 2, running(0), running(1));
         Job large =
                 new Job(
@@ -230,15 +230,15 @@
         heartbeat("m1", 1);
         heartbeat("m2", 1);
         Job array = job("run-000001", "batch", "red", Priority.BEST_EFFORT, "img", 2);
-        start(array, 0, fleet.get("m1"));
-        start(array, 1, fleet.get("m1"));
+        start(array, 0, fleet.getMachine("m1"));
+        start(array, 1, fleet.getMachine("m1"));
         heartbeat("m1", 2, running(0), running(1));
         Job urgent = job("run-000002", "batch", "blue", Priority.URGENT, "img", 3);
         actions.clear();
         DispatchPlan plan =
                 DispatchPlanner.plan(
                         new ClusterView(cluster, now), dispatcher.pendingRequests(now));
-        Machine free = fleet.get("m2");
+        Machine free = fleet.getMachine("m2");
         assertEquals(
                 List.of(
                         new DispatchPlan.Start(urgent, free),
@@ -268,7 +268,7 @@
         for (int i = 1; i <= 2; i++) {
             Job job = job("run-00000" + i, "batch", "blue", Priority.STANDARD, "img", 3);
             heartbeat("m1", 10 * i);
-            start(job, 0, fleet.get("m1"));
+            start(job, 0, fleet.getMachine("m1"));
             heartbeat(
                     "m1",
                     10 * i + 1,
@@ -278,11 +278,11 @@
                             Heartbeat.State.ENDED,
                             Heartbeat.Cause.ERROR));
         }
-        assertFalse(fleet.get("m1").faulty());
+        assertFalse(fleet.getMachine("m1").faulty());
         jobs.get("run-000001").markDone(1);
-        assertFalse(fleet.get("m1").faulty());
+        assertFalse(fleet.getMachine("m1").faulty());
         jobs.get("run-000002").markDone(1);
-        assertTrue(fleet.get("m1").faulty());
+        assertTrue(fleet.getMachine("m1").faulty());
     }
 
     /**
@@ -297,7 +297,7 @@
                                 "box", 8, 0, 32, 20, 1, 1, 0.4, 5, List.of("east", "west"))));
         heartbeat("m1", 1);
         Job first = job("run-000001", "batch", "red", Priority.STANDARD, "img", 1);
-        start(first, 0, fleet.get("m1"));
+        start(first, 0, fleet.getMachine("m1"));
         JobSpec elsewhere =
                 new JobSpecBuilder()
                         .id("run-000002")
@@ -361,7 +361,7 @@
         Job service = new Job(spec, 0);
         jobs.put(spec.id(), service);
         heartbeat("m1", 1);
-        start(service, 0, fleet.get("m1"));
+        start(service, 0, fleet.getMachine("m1"));
         heartbeat(
                 "m1",
                 2,
--- a/src/test/java/io/pepperfield/fleet/AttemptTraceTest.java
+++ b/src/test/java/io/pepperfield/fleet/AttemptTraceTest.java
@@ -43,10 +43,10 @@
         events.clear();
         now += 1;
         if (words[0].equals("silence")) {
-            return List.of(Math.round(fleet.get(words[1]).unreachableFor(now)) + " s");
+            return List.of(Math.round(fleet.getMachine(words[1]).unreachableFor(now)) + " s");
         }
         if (words[0].equals("ask")) {
-            return List.of(stateOf(fleet.get(words[1])));
+            return List.of(stateOf(fleet.getMachine(words[1])));
         }
         if (!playAttempt(words) && !playMachine(words) && !playLeader(words)) {
             throw new IllegalArgumentException(words[0]);
@@ -63,8 +63,8 @@
             case "elected" ->
                     fleet = new Fleet(this, new FencingToken(Long.parseLong(words[1])), 3);
             case "token" -> fleet.renewFencingToken(new FencingToken(Long.parseLong(words[1])));
-            case "hold" -> fleet.suspendStarts(true);
-            case "go" -> fleet.suspendStarts(false);
+            case "hold" -> fleet.setStartsSuspended(true);
+            case "go" -> fleet.setStartsSuspended(false);
             case "wait" -> now += Integer.parseInt(words[1]) - 1;
             default -> {
                 return false;
@@ -79,10 +79,10 @@
             case "intend" -> attempts.put(words[1], intend(words[1], words[2]));
             case "durable" ->
                     events.add(
-                            fleet.intentIsDurable(attempts.get(words[1]))
+                            fleet.markIntentDurable(attempts.get(words[1]))
                                     ? "may be ordered"
                                     : "not ordered");
-            case "direct" -> fleet.directOrdersLeaving(List.of(attempts.get(words[1])));
+            case "direct" -> fleet.recordDirectOrders(List.of(attempts.get(words[1])));
             case "stop" -> fleet.requestStop(attempts.get(words[1]), 0);
             case "cancelled" -> {
                 job.finish(Status.CANCELLED, now);
@@ -99,7 +99,7 @@
 
     private Attempt intend(String ref, String machine) {
         int task = task(ref);
-        return fleet.intendAttempt(job, task, job.startAttempt(task), fleet.get(machine), now);
+        return fleet.addIntendedAttempt(job, task, job.startAttempt(task), fleet.getMachine(machine), now);
     }
 
     private Attempt restore(String[] words) {
@@ -116,7 +116,7 @@
     private boolean playMachine(String[] words) {
         switch (words[0]) {
             case "unsettled" -> {
-                List<Attempt> unsettled = fleet.cancelledAttemptsThatMayStart(fleet.get(words[1]));
+                List<Attempt> unsettled = fleet.cancelledAttemptsThatMayStart(fleet.getMachine(words[1]));
                 events.add(unsettled.isEmpty() ? "nothing" : unsettled.get(0).taskRef.toString());
             }
             case "released" -> fleet.confirmReleased(words[1]);
@@ -127,7 +127,7 @@
                                     () -> events.add("not answered"));
             case "heard" -> fleet.handleDirectResponse(heartbeat(words), now);
             case "remembered" -> fleet.handleCachedHeartbeat(heartbeat(words), now);
-            case "listed" -> fleet.expectMachine(words[1], "box", "east", false, now, now);
+            case "listed" -> fleet.addExpectedMachine(words[1], "box", "east", false, now, now);
             default -> {
                 return false;
             }
@@ -144,7 +144,7 @@
         if (machine.isSchedulable(now)) {
             return "takes work";
         }
-        if (machine.restarted()) {
+        if (machine.hasLostFencingToken()) {
             return "began anew";
         }
         return machine.hasReceiveFailure() ? "deaf" : "no work";
@@ -198,13 +198,13 @@
     }
 
     @Override
-    public void attemptGone(Attempt attempt, Heartbeat.Cause cause) {
+    public void attemptTerminated(Attempt attempt, Heartbeat.Cause cause) {
         events.add("gone " + attempt.taskRef + " try " + attempt.number + " " + cause);
         job.requeue(attempt.task);
     }
 
     @Override
-    public void machineAppeared(Machine machine) {
+    public void machineJoined(Machine machine) {
         events.add("appeared " + machine.name);
     }
 }
--- a/src/test/java/io/pepperfield/health/FailureDetectorTest.java
+++ b/src/test/java/io/pepperfield/health/FailureDetectorTest.java
@@ -101,7 +101,7 @@
     }
 
     private void report(String name, String zone) {
-        fleet.expectMachine(name, "box", zone, false, 0, now);
+        fleet.addExpectedMachine(name, "box", zone, false, 0, now);
         fleet.handleHeartbeat(
                 new Heartbeat(
                         name,
@@ -148,13 +148,13 @@
     void machinesOfASlowZoneAreWaitedForAndOneThatNeverComesIsNot() {
         // Nominal 5 s. In the west all come late; in the east all but one are up in time.
         for (int i = 0; i < 6; i++) {
-            fleet.expectMachine("west" + i, "box", "west", false, 0, 0);
+            fleet.addExpectedMachine("west" + i, "box", "west", false, 0, 0);
         }
-        fleet.expectMachine("never", "box", "east", false, 0, 0);
+        fleet.addExpectedMachine("never", "box", "east", false, 0, 0);
         for (int i = 0; i < 4; i++) {
             report("east" + i, "east");
             now = 6;
-            boots.machineBooted(fleet.get("east" + i), now);
+            boots.recordBoot(fleet.getMachine("east" + i), now);
         }
         for (now = 6; now < 19; now += 0.5) {
             boots.update(fleet, now);
@@ -163,19 +163,19 @@
             }
             tick();
             // Counted on or a second fleet would be rented for one that is about to come.
-            assertTrue(boots.isStillExpected(fleet.get("west0"), now), "at " + now);
+            assertTrue(boots.isStillExpected(fleet.getMachine("west0"), now), "at " + now);
             assertTrue(
                     now <= 12
-                            || fleet.get("never") == null
-                            || !boots.isStillExpected(fleet.get("never"), now));
+                            || fleet.getMachine("never") == null
+                            || !boots.isStillExpected(fleet.getMachine("never"), now));
         }
         assertEquals(List.of("never"), new ArrayList<>(released));
-        assertTrue(boots.isLate(types.get("box"), "west"));
+        assertTrue(boots.isBootLate(types.get("box"), "west"));
         // A leader that begins now has seen no boot at all: what is up speaks for the east, where a
         // few stragglers are no news.
         BootTracker next = new BootTracker(types, 60);
         for (int i = 0; i < 3; i++) {
-            fleet.expectMachine("straggler" + i, "box", "east", false, 0, now);
+            fleet.addExpectedMachine("straggler" + i, "box", "east", false, 0, now);
         }
         next.update(fleet, now);
         // Nor are three that died as they booted, where nothing else was rented since.
@@ -183,7 +183,7 @@
         now += 20;
         next.update(fleet, now);
         assertEquals(5, next.expectedBootTime(types.get("box"), "east"));
-        assertTrue(next.isLate(types.get("box"), "west"));
+        assertTrue(next.isBootLate(types.get("box"), "west"));
         // When the trouble ends, what comes in time is believed again.
         for (int i = 0; i < 6; i++) {
             fleet.confirmReleased("west" + i);
--- a/src/test/java/io/pepperfield/standin/NoOpFleetListener.java
+++ b/src/test/java/io/pepperfield/standin/NoOpFleetListener.java
@@ -15,8 +15,8 @@
     default void attemptCompleted(Attempt attempt, double ranS) {}
 
     @Override
-    default void attemptGone(Attempt attempt, Heartbeat.Cause cause) {}
+    default void attemptTerminated(Attempt attempt, Heartbeat.Cause cause) {}
 
     @Override
-    default void machineAppeared(Machine machine) {}
+    default void machineJoined(Machine machine) {}
 }
