--- a/src/main/java/io/pepperfield/cluster/BootTracker.java
+++ b/src/main/java/io/pepperfield/cluster/BootTracker.java
@@ -14,37 +14,43 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How long boots take at present, by machine type and zone, and by that how long to wait for a
- * machine. Belongs to one term; used on the owner thread only. Times are loop times in seconds.
+ * Tracks the current boot times by machine type and zone, and derives from them how long to wait
+ * for a machine. Created anew for each leadership term and used on the owner thread only. Times are
+ * loop times in seconds.
  */
 public final class BootTracker {
 
     private static final Logger LOG = LoggerFactory.getLogger(BootTracker.class);
 
-    /** Multiple of the expected time beyond which a machine is not counted on and is replaced. */
+    /**
+     * Multiple of the expected boot time after which a machine is not counted on and is replaced.
+     */
     private static final double REPLACE_FACTOR = 2;
 
-    /** Multiple of the expected time beyond which a machine is given up. */
-    private static final double GIVE_UP_FACTOR = 3;
+    /** Multiple of the expected boot time after which the boot counts as failed. */
+    private static final double BOOT_TIMEOUT_FACTOR = 3;
 
-    /** For so many billing units a boot says something about the next. */
+    /** Billing units for which an observed boot time is used for predictions. */
     private static final double RETENTION_BILLING_UNITS = 2;
 
     private final MachineTypes types;
     private final BootTimePredictor predictor;
     private final double billingUnitS;
 
-    /** Seconds by type and zone, as of the last update: read for each awaited machine. */
+    /**
+     * Expected boot time in seconds by type and zone, as of the last update. Cached because it is
+     * read for each machine that has not booted yet.
+     */
     private final Map<String, Map<String, Double>> expectedBootTime = new HashMap<>();
 
     /** Names of machines whose boot this leader has observed. */
     private final Set<String> observedBoots = new HashSet<>();
 
-    /** Machine types in zones where boots are late. */
+    /** Combinations of machine type and zone with slow boots. */
     private final Set<String> lateLocations = new HashSet<>();
 
     /**
-     * Creates a tracker that knows the nominal boot times alone.
+     * Creates a tracker that uses the nominal boot times until boots are observed.
      *
      * @param billingUnitS the billing unit in seconds
      */
@@ -54,46 +60,45 @@
         this.billingUnitS = billingUnitS;
     }
 
-    private static String typeInZone(String type, String zone) {
+    private static String locationKey(String type, String zone) {
         return type + " in " + zone;
     }
 
-    /** Records the first heartbeat of a machine that this leader has rented. */
+    /** Records the first heartbeat of a machine rented by this leader. */
     public void recordBoot(Machine machine, double now) {
-        predictor.record(typeInZone(machine.type(), machine.zone()), machine.rentedAt(), now);
+        predictor.record(locationKey(machine.type(), machine.zone()), machine.rentedAt(), now);
         observedBoots.add(machine.name);
     }
 
-    /** Updates the expected boot times; to be called a few times in a heartbeat interval. */
+    /** Updates the expected boot times. Must be called several times per heartbeat interval. */
     public void update(Fleet fleet, double now) {
         observedBoots.removeIf(name -> fleet.getMachine(name) == null);
-        Map<String, List<Double>> awaitedRentals = new HashMap<>();
+        Map<String, List<Double>> bootingRentals = new HashMap<>();
         Map<String, List<Double>> unobservedRentals = new HashMap<>();
         for (Machine machine : fleet.machines()) {
-            String location = typeInZone(machine.type(), machine.zone());
-            // One that an earlier leader awaited in vain may have been ready and be silent now:
-            // that
-            // is no boot.
+            String location = locationKey(machine.type(), machine.zone());
+            // A machine rented long before this leader added it has presumably booted and is now
+            // unreachable. It does not count as a slow boot.
             if (!machine.ready() && !machine.releasing() && !presumedAlreadyBooted(machine)) {
-                addRental(awaitedRentals, location, machine);
+                addRental(bootingRentals, location, machine);
             } else if (machine.ready() && !observedBoots.contains(machine.name)) {
                 addRental(unobservedRentals, location, machine);
             }
         }
         for (MachineType type : types.all()) {
             for (String zone : type.zones()) {
-                String location = typeInZone(type.name(), zone);
+                String location = locationKey(type.name(), zone);
                 double bootS =
                         predictor.expectedBootTime(
                                 location,
                                 type.bootS(),
-                                awaitedRentals.getOrDefault(location, List.of()),
+                                bootingRentals.getOrDefault(location, List.of()),
                                 unobservedRentals.getOrDefault(location, List.of()),
                                 now);
                 expectedBootTime
                         .computeIfAbsent(type.name(), name -> new HashMap<>())
                         .put(zone, bootS);
-                updateLate(type, zone, location, bootS);
+                updateBootLate(type, zone, location, bootS);
             }
         }
     }
@@ -103,7 +108,7 @@
         rentals.computeIfAbsent(location, added -> new ArrayList<>()).add(machine.rentedAt());
     }
 
-    private void updateLate(MachineType type, String zone, String location, double bootS) {
+    private void updateBootLate(MachineType type, String zone, String location, double bootS) {
         boolean late = isBootLate(type, zone);
         boolean changed = late ? lateLocations.add(location) : lateLocations.remove(location);
         if (changed) {
@@ -118,8 +123,8 @@
     }
 
     /**
-     * Seconds that a machine of this type is expected to take there from its rental to its first
-     * heartbeat.
+     * Expected time in seconds from the rental to the first heartbeat for machines of this type in
+     * the zone.
      */
     public double expectedBootTime(MachineType type, String zone) {
         return expectedBootTime
@@ -127,12 +132,15 @@
                 .getOrDefault(zone, type.bootS());
     }
 
-    /** Whether a machine of this type has lately been slow to boot there. */
+    /** Whether machines of this type currently boot slowly in the zone. */
     public boolean isBootLate(MachineType type, String zone) {
         return BootTimePredictor.isLate(expectedBootTime(type, zone), type.bootS());
     }
 
-    /** The longest expected boot in seconds of any type anywhere: WIRE's interval. */
+    /**
+     * The longest expected boot time in seconds over all types and zones, used as the interval of
+     * the WIRE algorithm.
+     */
     public double longestBootTime() {
         return types.all().stream()
                 .flatMapToDouble(
@@ -143,24 +151,31 @@
                 .orElse(0);
     }
 
-    /** Whether a machine that has sent no heartbeat yet is still counted on. */
+    /**
+     * Whether a machine that has sent no heartbeat yet is still expected to boot and needs no
+     * replacement.
+     */
     public boolean isStillExpected(Machine machine, double now) {
         return now - machine.rentedAt() <= allowedBootTime(machine, REPLACE_FACTOR);
     }
 
-    /** Whether it has been awaited for too long. */
+    /** Whether the machine has exceeded the maximum boot time. */
     public boolean hasBootTimedOut(Machine machine, double now) {
-        return now - machine.rentedAt() > allowedBootTime(machine, GIVE_UP_FACTOR);
+        return now - machine.rentedAt() > allowedBootTime(machine, BOOT_TIMEOUT_FACTOR);
     }
 
-    /** Whether it must have booted before this leader knew of it, by the time of its rental. */
+    /**
+     * Whether the machine was rented so long before this leader added it that its boot is presumed
+     * to have completed earlier.
+     */
     public boolean presumedAlreadyBooted(Machine machine) {
-        return machine.knownSince() - machine.rentedAt() > allowedBootTime(machine, GIVE_UP_FACTOR);
+        return machine.knownSince() - machine.rentedAt()
+                > allowedBootTime(machine, BOOT_TIMEOUT_FACTOR);
     }
 
     private double allowedBootTime(Machine machine, double factor) {
         MachineType type = types.get(machine.type());
-        // Nothing is known of an unknown type's boots: the machine may stay for a billing unit.
+        // There is no boot time for an unknown type, so one billing unit is allowed.
         return type == null ? billingUnitS : factor * expectedBootTime(type, machine.zone());
     }
 }
--- a/src/main/java/io/pepperfield/cluster/ClusterState.java
+++ b/src/main/java/io/pepperfield/cluster/ClusterState.java
@@ -20,11 +20,11 @@
 import java.util.function.BiPredicate;
 
 /**
- * What the duties of one term share: the jobs, the machines, and the attempts that may be alive on
- * them. All of it is live state, confined to the event loop.
+ * The mutable state shared by the leader's components during one term: the jobs, the machines and
+ * the live attempts on them. Confined to the event loop.
  *
- * @param jobs by id: those that have not ended or may still have an attempt alive
- * @param passDurations how long passes of dispatch and autoscaling took
+ * @param jobs jobs by id that have not ended or still have live attempts
+ * @param passDurations durations of the dispatch and autoscaling passes
  */
 public record ClusterState(
         Loop loop,
@@ -38,31 +38,34 @@
         BootTracker bootTracker,
         LatencyHistograms passDurations) {
 
-    /** Heartbeat intervals after which a machine without a heartbeat counts as unreachable. */
-    private static final double TIMEOUT_INTERVALS = 2.25;
+    /** Heartbeat intervals without a heartbeat after which a machine counts as unreachable. */
+    private static final double HEARTBEAT_TIMEOUT_INTERVALS = 2.25;
 
-    /** Heartbeat intervals after which a machine without a heartbeat gets no more tasks. */
+    /** Heartbeat intervals without a heartbeat after which a machine gets no more tasks. */
     private static final double SCHEDULABLE_INTERVALS = 1.5;
 
-    /** Seconds between two heartbeats of a worker. */
+    /** Interval in seconds between two heartbeats of a worker. */
     public double heartbeatIntervalS() {
         return settings.deployment().workerTimings().heartbeatIntervalS();
     }
 
-    /** Seconds that a worker's lease lasts from the sending of an answered heartbeat. */
+    /**
+     * Duration in seconds of a worker's lease, measured from when it sent an answered heartbeat.
+     */
     public double leaseS() {
         return settings.deployment().workerTimings().leaseS();
     }
 
     /**
-     * Seconds without a heartbeat after which a machine counts as unreachable: a heartbeat is due
-     * within 1.25 intervals; a probe is sent after 1.5 and has half an interval for its answer.
+     * Seconds without a heartbeat after which a machine counts as unreachable. A heartbeat is due
+     * within 1.25 intervals. After 1.5 intervals a probe is sent, which times out after half an
+     * interval.
      */
     public double heartbeatTimeoutS() {
-        return TIMEOUT_INTERVALS * heartbeatIntervalS();
+        return HEARTBEAT_TIMEOUT_INTERVALS * heartbeatIntervalS();
     }
 
-    /** A new account of what each team uses of its guarantee and limit, by team. */
+    /** Creates a snapshot of each team's use of its guarantee and limit, by team name. */
     public Map<String, QuotaUsage> quotaUsages() {
         Map<String, QuotaUsage> quotaUsages = new HashMap<>();
         settings.deployment()
@@ -80,12 +83,15 @@
                 liveAttempts.replicaGpus(name));
     }
 
-    /** A new account of all machines that may take tasks at loop time {@code now}, full or not. */
+    /**
+     * Creates a snapshot of all machines that may be assigned tasks at loop time {@code now},
+     * including full ones.
+     */
     public List<FreeCapacity> schedulableMachines(double now) {
         return capacities(now, (machine, type) -> true);
     }
 
-    /** A new account of the machines that may take tasks now and have CPUs left. */
+    /** Creates a snapshot of the machines that may be assigned tasks now and have free CPUs. */
     public List<FreeCapacity> machinesWithCapacity(double now) {
         return capacities(now, (machine, type) -> machine.freeCpus(type) > 0);
     }
@@ -94,7 +100,7 @@
         List<FreeCapacity> capacities = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
             MachineType type = machineTypes.get(machine.type());
-            if (type != null && mayTakeTasks(machine, now) && included.test(machine, type)) {
+            if (type != null && mayBeAssignedTasks(machine, now) && included.test(machine, type)) {
                 capacities.add(freeCapacity(machine, type));
             }
         }
@@ -102,10 +108,11 @@
     }
 
     /**
-     * What is late, hears nothing or is not yet known to hear this leader gets no work: it could
-     * not be told to start it.
+     * Whether tasks may be assigned to the machine. Excludes machines whose heartbeat is overdue,
+     * that replies do not reach, or that have not yet been confirmed to receive messages from this
+     * leader, since run orders might not reach them.
      */
-    private boolean mayTakeTasks(Machine machine, double now) {
+    private boolean mayBeAssignedTasks(Machine machine, double now) {
         return machine.isSchedulable(now)
                 && machine.unreachableFor(now) < SCHEDULABLE_INTERVALS * heartbeatIntervalS();
     }
@@ -123,8 +130,8 @@
     }
 
     /**
-     * Seconds of work since the attempt's last checkpoint or its start, which would be lost if it
-     * were stopped at once.
+     * Returns the seconds of work since the attempt's last checkpoint or its start, which would be
+     * lost if it were stopped immediately.
      */
     public static double lostWorkS(Attempt attempt, double now) {
         if (!attempt.running()) {
--- a/src/main/java/io/pepperfield/cluster/LatencyHistograms.java
+++ b/src/main/java/io/pepperfield/cluster/LatencyHistograms.java
@@ -6,7 +6,7 @@
 import java.util.stream.Collectors;
 import org.HdrHistogram.Histogram;
 
-/** How long things took, by kind, since the last summary. Confined to the event loop. */
+/** Histograms of durations by kind since the last summary. Confined to the event loop. */
 public final class LatencyHistograms {
 
     private static final long MAX_RECORDED_MICROS = 60_000_000;
@@ -15,7 +15,7 @@
 
     private final Map<String, Histogram> histograms = new TreeMap<>();
 
-    /** Counts one duration in seconds under its kind. */
+    /** Records a duration in seconds under the given kind. */
     public void record(String kind, double seconds) {
         long micros = Math.min(MAX_RECORDED_MICROS, Math.max(0, Math.round(seconds * 1e6)));
         histograms
@@ -25,8 +25,8 @@
     }
 
     /**
-     * One line with count, median, 99th percentile and longest in milliseconds of each kind; starts
-     * anew.
+     * Returns one line with the count, and the median, 99th percentile and maximum in milliseconds,
+     * of each kind, and resets the histograms.
      */
     public String summarizeAndReset() {
         String line =
--- a/src/main/java/io/pepperfield/cluster/MachineTypes.java
+++ b/src/main/java/io/pepperfield/cluster/MachineTypes.java
@@ -9,7 +9,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The machine types as the cloud last listed them, and what can never run on them. */
+/**
+ * The machine types last listed by the cloud provider, and the check whether a job can ever run on
+ * them.
+ */
 public final class MachineTypes implements Feasibility {
 
     private static final double ROUNDING_TOLERANCE = 1e-9;
@@ -17,7 +20,7 @@
     private final Settings settings;
     private Map<String, MachineType> types = Map.of();
 
-    /** Creates an empty list; {@link #update} fills it. */
+    /** Creates an empty list, to be filled by {@link #update}. */
     public MachineTypes(Settings settings) {
         this.settings = settings;
     }
@@ -29,22 +32,22 @@
         types = next;
     }
 
-    /** Whether the types have been learnt from the cloud or the key-value store. */
+    /** Whether the types have been loaded from the cloud provider or the key-value store. */
     public boolean isLoaded() {
         return !types.isEmpty();
     }
 
-    /** The type of that name, or null. */
+    /** Returns the type with this name, or null if it is unknown. */
     public MachineType get(String name) {
         return types.get(name);
     }
 
-    /** All types. */
+    /** Returns all types. */
     public Collection<MachineType> all() {
         return types.values();
     }
 
-    /** Whether the given types are the same as these, except for their prices. */
+    /** Whether the given types are equal to the current types except for their prices. */
     public boolean equalsIgnoringPrices(List<MachineType> others) {
         return others.size() == types.size() && others.stream().allMatch(this::isOffered);
     }
@@ -60,9 +63,9 @@
         if (team == null) {
             return new Verdict.Infeasible("owner: no such team");
         }
-        int atOnce = job.minConcurrentTasks();
-        if (atOnce * job.cpus() > team.cpuLimit() + ROUNDING_TOLERANCE
-                || atOnce * job.gpus() > team.gpuLimit() + ROUNDING_TOLERANCE) {
+        int concurrentTasks = job.minConcurrentTasks();
+        if (concurrentTasks * job.cpus() > team.cpuLimit() + ROUNDING_TOLERANCE
+                || concurrentTasks * job.gpus() > team.gpuLimit() + ROUNDING_TOLERANCE) {
             return new Verdict.Infeasible("the job needs more than the team's limit");
         }
         if (job.spreadOverZones() && job.sameZone() && job.tasks() > 1) {
--- a/src/main/java/io/pepperfield/cluster/MachineTypesPoller.java
+++ b/src/main/java/io/pepperfield/cluster/MachineTypesPoller.java
@@ -6,12 +6,13 @@
 import java.util.Optional;
 
 /**
- * Polls the cloud for the machine types. The leader polls at intervals, since prices move; the
- * other controllers only until they know the types. Used on the owner thread only.
+ * Polls the cloud provider for the machine types. The leader polls at regular intervals, since
+ * prices change; the other controllers poll only until the types are loaded. Used on the owner
+ * thread only.
  */
 public final class MachineTypesPoller {
 
-    /** Seconds between attempts until the cloud has answered for the first time. */
+    /** Retry interval in seconds until the cloud provider has answered for the first time. */
     private static final double RETRY_S = 2;
 
     private final CloudProvider cloud;
@@ -19,13 +20,13 @@
     private final double refreshS;
     private final Runnable onUpdate;
 
-    private double requestedAt = Double.NEGATIVE_INFINITY;
+    private double lastRequestAt = Double.NEGATIVE_INFINITY;
     private boolean requestInFlight;
-    private boolean everAnswered;
+    private boolean everLoaded;
 
     /**
-     * @param refreshS seconds between two requests of a leader
-     * @param onUpdate run after each valid answer
+     * @param refreshS poll interval of the leader in seconds
+     * @param onUpdate called after each valid response
      */
     public MachineTypesPoller(
             CloudProvider cloud, MachineTypes types, double refreshS, Runnable onUpdate) {
@@ -35,23 +36,23 @@
         this.onUpdate = onUpdate;
     }
 
-    /** To be called often; asks the cloud when the types are due. */
+    /** Polls the cloud provider if a request is due. Must be called frequently. */
     public void tick(double now, boolean leading) {
-        if (requestInFlight || now - requestedAt < (everAnswered ? refreshS : RETRY_S)) {
+        if (requestInFlight || now - lastRequestAt < (everLoaded ? refreshS : RETRY_S)) {
             return;
         }
         if (!types.isLoaded() || leading) {
             requestInFlight = true;
-            requestedAt = now;
+            lastRequestAt = now;
             cloud.listMachineTypes(this::handleResponse);
         }
     }
 
-    private void handleResponse(Optional<List<MachineType>> listed) {
+    private void handleResponse(Optional<List<MachineType>> response) {
         requestInFlight = false;
-        if (listed.isPresent()) {
-            types.update(listed.get());
-            everAnswered = true;
+        if (response.isPresent()) {
+            types.update(response.get());
+            everLoaded = true;
             onUpdate.run();
         }
     }
--- a/src/main/java/io/pepperfield/cluster/package-info.java
+++ b/src/main/java/io/pepperfield/cluster/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The state that the duties of one term share: jobs, machines, attempts that may be alive, machine
- * types and boot times.
+ * The state shared by the leader's components during one term: jobs, machines, live attempts,
+ * machine types and boot times.
  */
 package io.pepperfield.cluster;
--- a/src/main/java/io/pepperfield/fleet/Attempt.java
+++ b/src/main/java/io/pepperfield/fleet/Attempt.java
@@ -4,21 +4,22 @@
 import io.pepperfield.jobs.Job;
 
 /**
- * One start of one task on one machine; possibly alive from its durable intent until a {@link
- * TerminationProof} holds. Used on the owner thread only; times are loop times in seconds.
+ * One attempt to run a task on a machine. It counts as live from the time its intent is made
+ * durable until a {@link TerminationProof} holds. Used on the owner thread only; times are loop
+ * times in seconds.
  */
 public final class Attempt {
 
-    /** How far an attempt has come, as its machine's heartbeats show it. */
+    /** The phase of an attempt, as last reported by the heartbeats of its machine. */
     public enum Phase {
-        /** The intent is being made durable; no order has left. */
+        /** The intent is being made durable; no run order has been sent. */
         INTENDED,
-        /** Durable; the order may be on its way, the machine has not shown it. */
+        /** The intent is durable and a run order may be in flight; no heartbeat has reported it. */
         ORDERED,
         PULLING,
         RUNNING,
         SAVING,
-        /** Ended on its machine, whose heartbeats show it until it is cleared. */
+        /** Ended; the machine's heartbeats report the attempt until it is cleared. */
         ENDED
     }
 
@@ -33,26 +34,29 @@
     Phase phase;
 
     /**
-     * The newest token with which a run order may have been sent directly, and so may be carried
-     * out late.
+     * The newest fencing token of any run order sent as a direct message for this attempt. Such an
+     * order may be executed late.
      */
     FencingToken directOrderToken;
 
     /**
-     * Restored from a durable record of an earlier leader, which may have cleared it: no run order
-     * is sent for it again.
+     * Whether the attempt was restored from a durable record of an earlier leader. That leader may
+     * have cleared it, so no further run order is sent for it.
      */
     boolean restored;
 
     double runningSince = Double.NaN;
 
-    /** Whether this leader has seen it start, so that the time that it runs is known. */
+    /** Whether this leader observed the start of the process, so that its run time is known. */
     boolean startObserved;
 
     boolean stopRequested;
     double gracePeriodS;
 
-    /** Whether its end is durable or of no consequence, so that nothing is lost by clearing it. */
+    /**
+     * Whether the end of the attempt is durable or needs no record, so that the agent may clear it
+     * without loss.
+     */
     boolean acknowledged;
 
     Attempt(
@@ -75,42 +79,45 @@
         this.taskRef = new TaskRef(job.spec.id(), task);
     }
 
-    /** How far it has come. */
+    /** Returns the phase last observed by this leader. */
     public Phase phase() {
         return phase;
     }
 
-    /** Alive as far as anyone can prove. */
+    /** Whether the attempt has not been proven to have ended. */
     public boolean live() {
         return phase != Phase.ENDED;
     }
 
-    /** Whether its process runs or saves a checkpoint. */
+    /** Whether the process is running or saving a checkpoint. */
     public boolean running() {
         return phase == Phase.RUNNING || phase == Phase.SAVING;
     }
 
-    /** Whether it is to be stopped; the order is repeated until the attempt is proven gone. */
+    /** Whether a stop was requested; the order is repeated until the attempt has provably ended. */
     public boolean stopRequested() {
         return stopRequested;
     }
 
-    /** Seconds that its process is given to end by itself when it is stopped. */
+    /** Grace period in seconds for the process to exit by itself after a stop order. */
     public double gracePeriodS() {
         return gracePeriodS;
     }
 
-    /** Loop time since which it runs, NaN before. */
+    /** Loop time in seconds at which the process was first observed running; NaN before. */
     public double runningSince() {
         return runningSince;
     }
 
-    /** Seconds that it has run at that loop time; 0 where it does not run. */
+    /** Seconds that the process has been running at loop time {@code now}; 0 if not running. */
     public double runTimeS(double now) {
         return running() ? now - runningSince : 0;
     }
 
-    /** What ended it is durable now: it may be cleared once no late order can bring it back. */
+    /**
+     * Marks the end of the attempt as durable. It may be cleared once no late order can start it
+     * again.
+     */
     public void acknowledge() {
         acknowledged = true;
     }
--- a/src/main/java/io/pepperfield/fleet/AttemptReconciler.java
+++ b/src/main/java/io/pepperfield/fleet/AttemptReconciler.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reconciles the attempts of a machine with its heartbeats. An attempt counts as alive until a
- * {@link TerminationProof} holds; the proofs hold for late heartbeats as for new ones.
+ * Reconciles the attempts of a machine with its heartbeats. An attempt counts as live until a
+ * {@link TerminationProof} holds. The proofs are valid for late heartbeats as well as new ones.
  */
 final class AttemptReconciler {
 
@@ -24,13 +24,15 @@
     }
 
     /**
-     * Applies a heartbeat that is newer than what is known.
+     * Applies a heartbeat that is newer than the last one applied.
      *
-     * @param provesAbsence whether it is the agent's own message. An answer to direct orders proves
-     *     no absence: the reply to an earlier heartbeat may still be on its way
+     * @param provesAbsence whether attempts missing from the heartbeat may count as ended, which
+     *     requires a heartbeat sent by the agent itself. With a response to direct orders, the
+     *     reply to an earlier heartbeat may still be in flight
      */
     void reconcile(Machine machine, Heartbeat heartbeat, boolean provesAbsence, double now) {
-        if (!machine.fencingTokenLost && heartbeat.fencingToken().isAtLeast(tokens.electionToken())) {
+        if (!machine.fencingTokenLost
+                && heartbeat.fencingToken().isAtLeast(tokens.electionToken())) {
             endEarlierIncarnations(machine);
         }
         Set<TaskRef> reported = new HashSet<>();
@@ -44,14 +46,14 @@
             }
         }
         if (provesAbsence && !machine.fencingTokenLost) {
-            endMissing(machine, reported);
+            endAbsentAttempts(machine, reported);
         }
     }
 
     /**
-     * Proof {@link TerminationProof#NEWER_INCARNATION}. Only a heartbeat with this leader's token
-     * gives it: incarnations begin at 1 again on a machine that was back at once, and a late copy
-     * from before that names a higher incarnation than the one in which its tasks run now.
+     * Applies {@link TerminationProof#NEWER_INCARNATION}. The proof requires a heartbeat with this
+     * leader's fencing token: incarnations restart from 1 on a machine that was off only briefly,
+     * so a late duplicate from before the restart has a higher incarnation than the current one.
      */
     private void endEarlierIncarnations(Machine machine) {
         for (Attempt attempt : List.copyOf(machine.attempts.values())) {
@@ -78,7 +80,7 @@
 
     private void observeRunning(Attempt attempt, Attempt.Phase phase, double now) {
         boolean first = Double.isNaN(attempt.runningSince);
-        // One that an earlier leader has started may have run for long before it is first seen.
+        // An attempt started by an earlier leader may have run long before it is first observed.
         attempt.startObserved |=
                 first && (!attempt.restored || attempt.phase == Attempt.Phase.PULLING);
         attempt.phase = phase;
@@ -102,10 +104,11 @@
     }
 
     /**
-     * Proof {@link TerminationProof#ABSENT_FROM_HEARTBEAT}. Orders in replies to earlier heartbeats
-     * are over, since an agent has one heartbeat under way at a time.
+     * Applies {@link TerminationProof#ABSENT_FROM_HEARTBEAT}. Orders in replies to earlier
+     * heartbeats can no longer be executed, since an agent has only one heartbeat in flight at a
+     * time.
      */
-    private void endMissing(Machine machine, Set<TaskRef> reported) {
+    private void endAbsentAttempts(Machine machine, Set<TaskRef> reported) {
         for (Attempt attempt : List.copyOf(machine.attempts.values())) {
             if (reported.contains(attempt.taskRef)
                     || attempt.phase == Attempt.Phase.INTENDED
@@ -121,17 +124,17 @@
         }
     }
 
-    /** Whether no reply to a heartbeat orders this attempt to run any more. */
+    /** Whether no further reply to a heartbeat will contain a run order for this attempt. */
     private static boolean cannotStartAgain(Attempt attempt) {
         return attempt.phase != Attempt.Phase.ORDERED || attempt.stopRequested || attempt.restored;
     }
 
-    /** The intent of an attempt is given up before an order has left. */
+    /** Withdraws the intent of an attempt for which no order was sent. */
     void withdrawIntent(Attempt attempt) {
         endAttempt(attempt, Cause.STOPPED, TerminationProof.NEVER_ORDERED);
     }
 
-    /** The cloud has confirmed that the machine is released. */
+    /** Ends all live attempts of a machine whose release the cloud has confirmed. */
     void endAllAttempts(Machine machine) {
         for (Attempt attempt : List.copyOf(machine.attempts.values())) {
             if (attempt.live()) {
@@ -140,7 +143,7 @@
         }
     }
 
-    /** The attempt is proven to have ended without being completed. */
+    /** Marks an attempt as ended without completion. */
     private void endAttempt(Attempt attempt, Cause cause, TerminationProof proof) {
         Machine machine = attempt.machine;
         attempt.phase = Attempt.Phase.ENDED;
--- a/src/main/java/io/pepperfield/fleet/Fleet.java
+++ b/src/main/java/io/pepperfield/fleet/Fleet.java
@@ -12,83 +12,85 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's machines and the attempts on them. Pure state: heartbeats and times go in, orders
- * and events come out. {@link HeartbeatProcessor} applies heartbeats, {@link AttemptReconciler}
- * decides which attempts have ended, {@link OrderPlanner} what a heartbeat is answered with. Used
- * on the owner thread only; times are loop times in seconds.
+ * The leader's state of the machines and the attempts on them. Performs no I/O: callers pass in
+ * heartbeats and loop times, and receive orders and events. {@link HeartbeatProcessor} applies
+ * heartbeats, {@link AttemptReconciler} decides which attempts have ended, and {@link OrderPlanner}
+ * selects the orders for the reply to a heartbeat. Used on the owner thread only; times are loop
+ * times in seconds.
  */
 public final class Fleet {
 
     private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
 
-    /** What the leader does about events in the fleet. */
+    /** Receives the events of the fleet. */
     public interface Listener {
-        /** The attempt runs now, for the first time as far as this leader knows. */
+        /** Called when this leader first observes the attempt running. */
         void attemptStarted(Attempt attempt);
 
         /**
-         * The attempt is completed; it stays in the machine's heartbeats until it is acknowledged
-         * and cleared.
+         * Called when the attempt has completed. The machine's heartbeats report it until it is
+         * acknowledged and cleared.
          *
-         * @param ranS seconds that it ran; 0 where its start was not observed, since a part of the
-         *     time would make every later prediction too short
+         * @param runTimeS run time in seconds; 0 if the start was not observed, since a partial run
+         *     time would make all later predictions too short
          */
-        void attemptCompleted(Attempt attempt, double ranS);
+        void attemptCompleted(Attempt attempt, double runTimeS);
 
-        /** The attempt is proven to have ended without completing; its task may start again. */
+        /** Called when the attempt provably ended without completing; its task may be restarted. */
         void attemptTerminated(Attempt attempt, Cause cause);
 
         /**
-         * The machine sends its first heartbeat to this leader, or its agent has begun a new
-         * incarnation.
+         * Called when this leader receives the first heartbeat from the machine, or the first one
+         * of a new agent incarnation.
          */
         void machineJoined(Machine machine);
     }
 
     private final MachineRegistry registry = new MachineRegistry();
     private final LeaderFencingTokens tokens;
-    private final AttemptReconciler terminationEvidence;
+    private final AttemptReconciler attemptReconciler;
     private final OrderPlanner orderPlanner;
-    private final HeartbeatProcessor heartbeatReconciler;
+    private final HeartbeatProcessor heartbeatProcessor;
 
     /**
-     * Creates the empty state of one term.
+     * Creates the empty state for one leadership term.
      *
      * @param electionToken the fencing token of the election
      * @param directResponseValidityS seconds after a machine's last heartbeat during which its
-     *     answers to direct messages show that it is reachable
+     *     responses to direct messages count as signs that it is reachable
      */
     public Fleet(Listener listener, FencingToken electionToken, double directResponseValidityS) {
         this.tokens = new LeaderFencingTokens(electionToken);
-        this.terminationEvidence = new AttemptReconciler(tokens, listener);
+        this.attemptReconciler = new AttemptReconciler(tokens, listener);
         this.orderPlanner = new OrderPlanner(tokens);
-        this.heartbeatReconciler =
+        this.heartbeatProcessor =
                 new HeartbeatProcessor(
                         registry,
                         tokens,
-                        terminationEvidence,
+                        attemptReconciler,
                         orderPlanner,
                         listener,
                         directResponseValidityS);
     }
 
-    /** The leader has a newer fencing token. */
+    /** Sets the fencing token for all further orders. */
     public void renewFencingToken(FencingToken renewed) {
         tokens.renew(renewed);
     }
 
     /**
-     * While true no reply to a heartbeat orders a start: the key-value store has not answered this
-     * leader for so long that others may have cancelled the job meanwhile.
+     * Suspends or resumes run orders in replies to heartbeats. They are suspended while the
+     * key-value store has not answered this leader for so long that another controller may have
+     * cancelled a job in the meantime.
      */
     public void setStartsSuspended(boolean suspended) {
         orderPlanner.setStartsSuspended(suspended);
     }
 
     /**
-     * Attempts of cancelled jobs that the machine may still start after the reply to its last
-     * heartbeat: a direct run order with the current token may be on its way, and is only refused
-     * once the machine has seen a newer one.
+     * Returns the attempts of cancelled jobs that the machine may still start after the reply to
+     * its last heartbeat. A direct run order with the current token may be in flight, and the
+     * machine refuses it only after it has seen a newer token.
      */
     public List<Attempt> cancelledAttemptsThatMayStart(Machine machine) {
         return machine.attempts.values().stream()
@@ -102,29 +104,32 @@
     }
 
     /**
-     * Whether something waits for the machines to see a newer token, after which they refuse orders
-     * with the old one.
+     * Whether a newer fencing token is needed, so that machines that have seen it refuse orders
+     * with the current one.
      */
     public boolean needsNewerFencingToken() {
         return tokens.newerRequested();
     }
 
-    /** All that may exist, in the order in which they became known. */
+    /** Returns all machines that may exist, in the order in which they were added. */
     public Collection<Machine> machines() {
         return registry.all();
     }
 
-    /** The machine of that name, or null. */
+    /** Returns the machine with this name, or null if it is unknown. */
     public Machine getMachine(String name) {
         return registry.get(name);
     }
 
-    /** Whether the cloud has confirmed that the machine is gone. */
+    /** Whether the cloud provider has confirmed the release of the machine. */
     public boolean wasReleased(String name) {
         return registry.wasReleased(name);
     }
 
-    /** Adds a machine that should exist, by a rental, the cloud's list or a durable record. */
+    /**
+     * Adds a machine that is expected to exist according to a rental, the cloud provider's list or
+     * a durable record.
+     */
     public Machine addExpectedMachine(
             String name, String type, String zone, boolean spot, double rentedAt, double now) {
         Machine machine = registry.getOrAdd(name, now);
@@ -138,8 +143,8 @@
     }
 
     /**
-     * Restores an attempt from a durable record of an earlier leader: possibly alive, its orders
-     * possibly under way.
+     * Restores an attempt from a durable record of an earlier leader. The attempt may be live, and
+     * orders for it may be in flight.
      */
     public Attempt restoreAttempt(
             Job job, int task, int number, String machineName, long incarnation, double now) {
@@ -161,10 +166,10 @@
     }
 
     /**
-     * Adds an attempt whose intent is about to be written; nothing may be ordered before it is
-     * durable.
+     * Adds an attempt whose intent is about to be written. No order may be sent for it until the
+     * intent is durable.
      *
-     * @throws IllegalStateException where the machine still holds another attempt at the task
+     * @throws IllegalStateException if another attempt of the same task is recorded on the machine
      */
     public Attempt addIntendedAttempt(Job job, int task, int number, Machine machine, double now) {
         Attempt attempt =
@@ -179,10 +184,10 @@
                         now);
         Attempt previous = machine.attempts.put(attempt.taskRef, attempt);
         if (previous != null) {
-            // An agent refuses a task that it still holds, and to forget the earlier attempt would
-            // lose track of its late orders.
+            // An agent refuses a task that it still holds. Dropping the record of the earlier
+            // attempt would lose track of orders for it that may arrive late.
             throw new IllegalStateException(
-                    "task intended on a machine that still holds it: task="
+                    "new attempt for a task that already has one on this machine: task="
                             + attempt.taskRef
                             + " attempt="
                             + number
@@ -198,9 +203,9 @@
     }
 
     /**
-     * The intent is durable.
+     * Marks the intent of an attempt as durable.
      *
-     * @return whether the run order may be sent now
+     * @return whether the run order may now be sent
      */
     public boolean markIntentDurable(Attempt attempt) {
         if (attempt.phase != Attempt.Phase.INTENDED) {
@@ -209,8 +214,8 @@
         if (attempt.stopRequested
                 || attempt.machine.incarnation() != attempt.incarnation
                 || attempt.machine.releasing) {
-            // Nothing has left for it, so it is certain never to have been alive.
-            terminationEvidence.withdrawIntent(attempt);
+            // No order was sent for the attempt, so it cannot have started.
+            attemptReconciler.withdrawIntent(attempt);
             return false;
         }
         attempt.phase = Attempt.Phase.ORDERED;
@@ -218,7 +223,8 @@
     }
 
     /**
-     * To be called before run orders are sent directly: from here on they may be carried out late.
+     * Records that run orders are about to be sent as direct messages. Must be called before they
+     * are sent, since from then on they may be executed late.
      */
     public void recordDirectOrders(List<Attempt> attempts) {
         attempts.forEach(
@@ -229,10 +235,10 @@
     }
 
     /**
-     * Requests that the attempt be stopped; the order is repeated until it is proven to have ended.
-     * An intent for which no order has left is withdrawn once it is durable.
+     * Requests a stop of the attempt. The stop order is repeated until the attempt has provably
+     * ended. If no run order was sent, the intent is withdrawn once it is durable.
      *
-     * @param gracePeriodS seconds that its process is given to end by itself
+     * @param gracePeriodS grace period in seconds for the process to exit by itself
      */
     public void requestStop(Attempt attempt, double gracePeriodS) {
         if (attempt.live() && (!attempt.stopRequested || gracePeriodS < attempt.gracePeriodS)) {
@@ -245,29 +251,31 @@
     }
 
     /**
-     * Takes an agent's own heartbeat.
+     * Processes a heartbeat sent by an agent.
      *
-     * @return the orders to reply with; empty where it is not to be answered: a late copy, or of a
-     *     released machine
+     * @return the orders for the reply; empty if no reply may be sent because the heartbeat is a
+     *     late duplicate or comes from a released machine
      */
     public Optional<List<Order>> handleHeartbeat(Heartbeat heartbeat, double now) {
-        return heartbeatReconciler.receive(heartbeat, now);
+        return heartbeatProcessor.receive(heartbeat, now);
     }
 
     /**
-     * Takes a heartbeat from a partition owner's cache, for a machine whose next one is still to
-     * come.
+     * Processes a heartbeat from a partition owner's cache, if this leader has not yet received one
+     * from the machine.
      *
-     * @param receivedAt loop time in seconds at which the owner received it
+     * @param receivedAt loop time in seconds at which the owner received the heartbeat
      */
     public void handleCachedHeartbeat(Heartbeat heartbeat, double receivedAt) {
-        heartbeatReconciler.receiveCached(heartbeat, receivedAt);
+        heartbeatProcessor.receiveCached(heartbeat, receivedAt);
     }
 
     /**
-     * Restores a heartbeat that differs from the one named only in its sequence and token.
+     * Reconstructs a heartbeat that differs from an earlier one only in its sequence and fencing
+     * token.
      *
-     * @return empty where that is not the last one here
+     * @param baseSequence sequence of the earlier heartbeat
+     * @return empty if the earlier heartbeat is not the last one received from the machine
      */
     public Optional<Heartbeat> expandRepeatedHeartbeat(
             String name,
@@ -275,21 +283,21 @@
             long baseSequence,
             long sequence,
             FencingToken fencingToken) {
-        return heartbeatReconciler.expandRepeated(
+        return heartbeatProcessor.expandRepeated(
                 name, incarnation, baseSequence, sequence, fencingToken);
     }
 
-    /** Takes the status with which an agent has answered a direct message. */
+    /** Processes the status in an agent's response to a direct message. */
     public void handleDirectResponse(Heartbeat heartbeat, double now) {
-        heartbeatReconciler.receiveDirectResponse(heartbeat, now);
+        heartbeatProcessor.receiveDirectResponse(heartbeat, now);
     }
 
-    /** The cloud is asked to release the machine: it gets no more work. */
+    /** Marks the machine as being released; no more tasks are placed on it. */
     public void markReleasing(Machine machine) {
         machine.releasing = true;
     }
 
-    /** The cloud has confirmed that the machine is released, with everything on it. */
+    /** Removes a machine whose release the cloud has confirmed, and ends all attempts on it. */
     public void confirmReleased(String name) {
         Machine machine = registry.markReleased(name);
         if (machine == null) {
@@ -301,15 +309,16 @@
                     machine.name,
                     machine.liveAttemptCount());
         }
-        terminationEvidence.endAllAttempts(machine);
+        attemptReconciler.endAllAttempts(machine);
     }
 
     /**
-     * The number of machines in each state, by the names that operators see.
+     * Returns the number of machines by state name as shown to operators.
      *
-     * @param silentAfterS seconds without a heartbeat or answer after which a machine is silent
+     * @param unresponsiveAfterS seconds without a heartbeat or direct response after which a
+     *     machine counts as unresponsive, shown as {@code silent}
      */
-    public Map<String, Integer> countByState(double now, double silentAfterS) {
-        return registry.countByState(now, silentAfterS);
+    public Map<String, Integer> countByState(double now, double unresponsiveAfterS) {
+        return registry.countByState(now, unresponsiveAfterS);
     }
 }
--- a/src/main/java/io/pepperfield/fleet/Heartbeat.java
+++ b/src/main/java/io/pepperfield/fleet/Heartbeat.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * A heartbeat of a worker's agent with the status of all attempts that it holds. Heartbeats of one
- * machine are ordered by incarnation and, within it, by sequence.
+ * A heartbeat from a worker's agent with the status of all attempts that the agent holds.
+ * Heartbeats of a machine are ordered by incarnation, then by sequence.
  *
- * @param incarnation number of the agent's incarnation, counted up at each restart
+ * @param incarnation number of the agent's incarnation, incremented at each restart
  * @param sequence number of the heartbeat within the incarnation
- * @param fencingToken the newest token that the agent has seen
- * @param reclaimNoticeS seconds until the cloud reclaims the machine; null without a notice
+ * @param fencingToken the newest fencing token that the agent has seen
+ * @param reclaimNoticeS seconds until the cloud reclaims the machine; null if no notice was given
  */
 public record Heartbeat(
         String machine,
@@ -32,7 +32,7 @@
         ENDED
     }
 
-    /** Why an attempt has ended; {@code NONE} while it has not. */
+    /** Why an attempt ended; {@code NONE} if it has not ended. */
     public enum Cause {
         NONE,
         DONE,
@@ -44,10 +44,10 @@
         OTHER
     }
 
-    /** What a heartbeat says about one attempt. */
+    /** The status of one attempt as reported by a heartbeat. */
     public record AttemptStatus(TaskRef taskRef, int attemptNumber, State state, Cause cause) {}
 
-    /** The heartbeat that differs from this one only in its sequence and token. */
+    /** Returns a copy of this heartbeat with another sequence and fencing token. */
     Heartbeat withSequenceAndToken(long newSequence, FencingToken newToken) {
         return new Heartbeat(
                 machine,
--- a/src/main/java/io/pepperfield/fleet/HeartbeatPosition.java
+++ b/src/main/java/io/pepperfield/fleet/HeartbeatPosition.java
@@ -1,8 +1,8 @@
 package io.pepperfield.fleet;
 
 /**
- * The newest heartbeat of one machine that has been taken in some way, by incarnation and sequence.
- * Changed in place, since there is one update for each heartbeat.
+ * The incarnation and sequence of the newest heartbeat of one machine that was received or applied.
+ * Mutable to avoid an allocation per heartbeat.
  */
 final class HeartbeatPosition {
 
@@ -13,7 +13,7 @@
         return incarnation;
     }
 
-    /** Whether this or a newer heartbeat has been taken. */
+    /** Whether the position is at or after the given heartbeat. */
     boolean covers(Heartbeat heartbeat) {
         return heartbeat.incarnation() < incarnation
                 || heartbeat.incarnation() == incarnation && heartbeat.sequence() <= sequence;
--- a/src/main/java/io/pepperfield/fleet/HeartbeatProcessor.java
+++ b/src/main/java/io/pepperfield/fleet/HeartbeatProcessor.java
@@ -5,15 +5,15 @@
 import java.util.Optional;
 
 /**
- * Applies heartbeats to the machines that they come from, by each of the ways in which a leader
- * gets them: from the agent itself, from a partition owner's cache, or as the answer to a direct
- * message. Used on the owner thread only.
+ * Applies heartbeats to the state of their machines. A leader receives them from the agent itself,
+ * from a partition owner's cache, or in the response to a direct message. Used on the owner thread
+ * only.
  */
 final class HeartbeatProcessor {
 
     private final MachineRegistry registry;
     private final LeaderFencingTokens tokens;
-    private final AttemptReconciler terminationEvidence;
+    private final AttemptReconciler attemptReconciler;
     private final OrderPlanner orderPlanner;
     private final Fleet.Listener listener;
     private final double directResponseValidityS;
@@ -21,29 +21,30 @@
     HeartbeatProcessor(
             MachineRegistry registry,
             LeaderFencingTokens tokens,
-            AttemptReconciler terminationEvidence,
+            AttemptReconciler attemptReconciler,
             OrderPlanner orderPlanner,
             Fleet.Listener listener,
             double directResponseValidityS) {
         this.registry = registry;
         this.tokens = tokens;
-        this.terminationEvidence = terminationEvidence;
+        this.attemptReconciler = attemptReconciler;
         this.orderPlanner = orderPlanner;
         this.listener = listener;
         this.directResponseValidityS = directResponseValidityS;
     }
 
     /**
-     * Takes an agent's own heartbeat; its state is applied unless a newer one is known.
+     * Processes a heartbeat sent by the agent. Its state is applied unless a newer one was applied
+     * before.
      *
-     * @return the orders to reply with; empty for a late copy and for a released machine, neither
-     *     of which is to be answered
+     * @return the orders for the reply; empty if the heartbeat is a late duplicate or comes from a
+     *     released machine, which get no reply
      */
     Optional<List<Order>> receive(Heartbeat heartbeat, double now) {
         Machine known = registry.get(heartbeat.machine());
         if (known != null && known.receivedPosition.covers(heartbeat)) {
-            // A late copy: its sender has given it up, and it does not prove that the machine is
-            // still there.
+            // A late duplicate: the sender no longer waits for a reply, and the message does not
+            // prove that the machine still exists.
             return Optional.empty();
         }
         boolean restarted =
@@ -63,10 +64,11 @@
     }
 
     /**
-     * Takes a heartbeat that a partition owner has cached, for a machine whose next one is still to
-     * come. It proves no absence, and nothing is answered to it.
+     * Processes a heartbeat cached by a partition owner; ignored if the machine has already sent a
+     * heartbeat to this leader. Attempts missing from it are not considered ended, and no reply is
+     * sent.
      *
-     * @param receivedAt loop time in seconds at which the owner received it
+     * @param receivedAt loop time in seconds at which the owner received the heartbeat
      */
     void receiveCached(Heartbeat heartbeat, double receivedAt) {
         Machine known = registry.get(heartbeat.machine());
@@ -81,8 +83,9 @@
     }
 
     /**
-     * Takes the status that answers a direct message of a known machine; it proves no absence, and
-     * stands in for a heartbeat only for a limited time.
+     * Processes the status in a machine's response to a direct message; ignored if the machine is
+     * unknown. Attempts missing from it are not considered ended, and it replaces a heartbeat only
+     * for a limited time.
      */
     void receiveDirectResponse(Heartbeat heartbeat, double now) {
         if (registry.get(heartbeat.machine()) == null
@@ -90,9 +93,9 @@
             return;
         }
         Machine machine = apply(heartbeat, false, now);
-        // An agent whose heartbeats reach nobody loses its tasks with its lease, however well it
-        // answers direct messages: were these enough, it would be given work again and again, each
-        // time in vain.
+        // An agent whose heartbeats reach no controller loses its lease and its tasks even if it
+        // answers direct messages. If responses alone kept it schedulable, it would repeatedly be
+        // assigned tasks that cannot finish.
         machine.lastResponseAt =
                 machine.ready()
                         ? Math.min(now, machine.lastHeartbeatAt + directResponseValidityS)
@@ -101,10 +104,11 @@
     }
 
     /**
-     * Restores a heartbeat of which only the difference was sent.
+     * Reconstructs a heartbeat that was sent as a difference from an earlier one.
      *
-     * @param baseSequence the heartbeat that it repeats but for sequence and token
-     * @return empty where the base is not the machine's last heartbeat here
+     * @param baseSequence sequence of the earlier heartbeat, which differs only in its sequence and
+     *     fencing token
+     * @return empty if the earlier heartbeat is not the last one received from the machine
      */
     Optional<Heartbeat> expandRepeated(
             String name,
@@ -120,7 +124,7 @@
         return Optional.of(base.withSequenceAndToken(sequence, fencingToken));
     }
 
-    private Machine apply(Heartbeat heartbeat, boolean ownMessage, double now) {
+    private Machine apply(Heartbeat heartbeat, boolean sentByAgent, double now) {
         Machine machine = registry.getOrAdd(heartbeat.machine(), now);
         machine.setPool(heartbeat.type(), heartbeat.spot());
         machine.zone = heartbeat.zone();
@@ -133,17 +137,17 @@
         observeFencingToken(machine, heartbeat.fencingToken());
         machine.reclaimAt =
                 heartbeat.reclaimNoticeS() == null ? Double.NaN : now + heartbeat.reclaimNoticeS();
-        terminationEvidence.reconcile(machine, heartbeat, ownMessage, now);
-        if (appeared && ownMessage) {
+        attemptReconciler.reconcile(machine, heartbeat, sentByAgent, now);
+        if (appeared && sentByAgent) {
             listener.machineJoined(machine);
         }
         return machine;
     }
 
     private void observeFencingToken(Machine machine, FencingToken token) {
-        // An agent keeps the highest token that it has seen. One that has forgotten it is another
-        // process, on a machine that came back at once: it would carry out old orders, so that what
-        // its heartbeats do not hold is never proven to have ended.
+        // An agent keeps the highest token that it has seen. A lower one means that the machine was
+        // off only briefly and runs a new agent process, which would still execute old orders. An
+        // attempt missing from its heartbeats is therefore never proven to have ended.
         machine.fencingTokenLost |= token.isOlderThan(machine.highestTokenSeen);
         machine.highestTokenSeen = FencingToken.newest(machine.highestTokenSeen, token);
         machine.hasSeenLeaderToken |= token.isAtLeast(tokens.electionToken());
--- a/src/main/java/io/pepperfield/fleet/HttpWorkerClient.java
+++ b/src/main/java/io/pepperfield/fleet/HttpWorkerClient.java
@@ -12,14 +12,14 @@
 import java.util.function.Consumer;
 
 /**
- * Direct messages to the workers' agents over their published HTTP protocol. Used on the event loop
- * thread, on which the callbacks run too.
+ * Sends direct messages to the workers' agents over their published HTTP protocol. Used on the
+ * event loop thread only, which also runs the callbacks.
  */
 public final class HttpWorkerClient implements WorkerClient {
 
     private static final int STATUS_OK = 200;
 
-    /** The agent has seen a newer token, or runs in another incarnation. */
+    /** The agent has seen a newer fencing token or runs in another incarnation. */
     private static final int STATUS_ORDERS_REFUSED = 409;
 
     private final Loop loop;
@@ -29,13 +29,12 @@
     /**
      * Creates a client whose requests time out after one heartbeat interval.
      *
-     * @param heartbeatIntervalS that interval in seconds
+     * @param heartbeatIntervalS heartbeat interval in seconds
      */
     public HttpWorkerClient(Loop loop, HttpSender client, double heartbeatIntervalS) {
         this.loop = loop;
         this.client = client;
-        // A worker that has not answered by then is sent the orders in reply to its next heartbeat
-        // anyway.
+        // After one interval, the reply to the worker's next heartbeat carries the orders anyway.
         this.timeoutMs = Math.round(heartbeatIntervalS * 1000);
     }
 
@@ -71,9 +70,10 @@
                 Json.write(WorkerProtocol.directMessage(token, incarnation, orders)),
                 timeoutMs,
                 outcome -> {
-                    // What is no heartbeat must not get into a message together with others.
+                    // The response may be batched with others, so only a valid heartbeat is passed
+                    // on.
                     if (outcome instanceof HttpOutcome.Answered answer
-                            && answersOrders(answer)
+                            && isOrderResponse(answer)
                             && WorkerProtocol.parseHeartbeat(answer.json()).isPresent()) {
                         response.accept(answer.body());
                     }
@@ -82,8 +82,8 @@
 
     @Override
     public void probe(String address, Consumer<Optional<Heartbeat>> done) {
-        // On a second connection: the first may be waiting for orders that a hanging machine has
-        // not taken up.
+        // A probe may use a second connection, since the first may be blocked by orders that an
+        // unresponsive machine has not accepted.
         send(
                 address,
                 2,
@@ -106,7 +106,7 @@
             String method,
             String path,
             byte[] body,
-            long withinMs,
+            long requestTimeoutMs,
             Consumer<HttpOutcome> done) {
         int colon = address.lastIndexOf(':');
         int port;
@@ -124,7 +124,7 @@
                         method,
                         path,
                         body,
-                        withinMs),
+                        requestTimeoutMs),
                 outcome -> loop.post(() -> done.accept(outcome)));
     }
 
@@ -132,7 +132,7 @@
         if (outcome instanceof HttpOutcome.NotSent) {
             return new Result.NotSent();
         }
-        if (outcome instanceof HttpOutcome.Answered answer && answersOrders(answer)) {
+        if (outcome instanceof HttpOutcome.Answered answer && isOrderResponse(answer)) {
             Optional<Heartbeat> heartbeat = WorkerProtocol.parseHeartbeat(answer.json());
             if (heartbeat.isPresent()) {
                 return new Result.Responded(answer.status() == STATUS_OK, heartbeat.get());
@@ -141,8 +141,8 @@
         return new Result.NoResponse();
     }
 
-    /** Whether the agent has carried the orders out or refused them, and says what it holds. */
-    private static boolean answersOrders(HttpOutcome.Answered answer) {
+    /** Whether the agent executed or refused the orders; the body then holds its status. */
+    private static boolean isOrderResponse(HttpOutcome.Answered answer) {
         return answer.status() == STATUS_OK || answer.status() == STATUS_ORDERS_REFUSED;
     }
 }
--- a/src/main/java/io/pepperfield/fleet/JobFailures.java
+++ b/src/main/java/io/pepperfield/fleet/JobFailures.java
@@ -4,10 +4,10 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The jobs of which a task failed on one machine since a task of any job was completed there. */
+/** The jobs that had a task fail on one machine since any task last completed there. */
 final class JobFailures {
 
-    /** So many jobs must have failed here and succeeded elsewhere. */
+    /** Minimum number of jobs that failed on this machine and completed tasks elsewhere. */
     private static final int MIN_FAILED_JOBS = 2;
 
     private final Set<Job> failedJobs = new HashSet<>();
@@ -16,12 +16,14 @@
         failedJobs.add(job);
     }
 
-    /** A task was completed here. */
+    /** Resets the record after a task has completed on the machine. */
     void clear() {
         failedJobs.clear();
     }
 
-    /** Whether several jobs failed here that succeed elsewhere, which speaks for a bad machine. */
+    /**
+     * Whether several jobs failed here that complete tasks elsewhere, a sign of a faulty machine.
+     */
     boolean indicateFaultyMachine() {
         return failedJobs.size() >= MIN_FAILED_JOBS
                 && failedJobs.stream().filter(job -> job.doneTaskCount() > 0).count()
--- a/src/main/java/io/pepperfield/fleet/LeaderFencingTokens.java
+++ b/src/main/java/io/pepperfield/fleet/LeaderFencingTokens.java
@@ -3,8 +3,8 @@
 import io.pepperfield.fencing.FencingToken;
 
 /**
- * The fencing tokens of one term: that of the election, the newest one since, and whether something
- * waits for a newer one still.
+ * The fencing tokens of one leadership term: the token of the election, the current token, and
+ * whether a newer one is needed.
  */
 final class LeaderFencingTokens {
 
@@ -31,8 +31,8 @@
     }
 
     /**
-     * Something waits for the machines to see a newer token, after which they refuse orders with
-     * the old one.
+     * Requests a newer token, so that machines that have seen it refuse orders with the current
+     * one.
      */
     void requestNewer() {
         newerRequested = true;
--- a/src/main/java/io/pepperfield/fleet/LiveAttempts.java
+++ b/src/main/java/io/pepperfield/fleet/LiveAttempts.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 
 /**
- * All attempts that may be alive, by job, with what those of each team use of its limit. Updated as
- * attempts come and go, so that a pass of the leader costs what changes and not what exists. Used
- * on the owner thread only.
+ * All live attempts by job, and the resources that they use by team. Updated incrementally, so that
+ * the cost of a pass of the leader depends on the number of changes rather than the number of
+ * attempts. Used on the owner thread only.
  */
 public final class LiveAttempts {
 
@@ -24,16 +24,17 @@
     private int size;
 
     /**
-     * Adds an attempt that may be alive.
+     * Adds a live attempt.
      *
-     * @throws IllegalStateException where another attempt at the same task may be alive
+     * @throws IllegalStateException if the same task already has a live attempt
      */
     public void add(Attempt attempt) {
         Attempt previous =
                 byJob.computeIfAbsent(attempt.job, job -> new Int2ObjectOpenHashMap<>())
                         .put(attempt.task, attempt);
         if (previous != null) {
-            // A task must never be alive twice: this state is not to be trusted any further.
+            // A task must never have two live attempts: the leader's state is inconsistent and
+            // must not be used any further.
             throw new IllegalStateException(
                     "task already has a live attempt: task="
                             + attempt.taskRef
@@ -50,7 +51,7 @@
                 .add(attempt.job.spec);
     }
 
-    /** Removes an attempt that has ended; one that is not recorded changes nothing. */
+    /** Removes an attempt that has ended; does nothing if it is not recorded. */
     public void remove(Attempt attempt) {
         Int2ObjectMap<Attempt> tasks = byJob.get(attempt.job);
         if (tasks == null || tasks.get(attempt.task) != attempt) {
@@ -64,61 +65,61 @@
         usageByTeam.get(attempt.job.spec.team()).remove(attempt.job.spec);
     }
 
-    /** The number of attempts that may be alive. */
+    /** Returns the number of live attempts. */
     public int size() {
         return size;
     }
 
-    /** The live attempt at a task, or null where there is none. */
+    /** Returns the live attempt of a task, or null if there is none. */
     public Attempt get(Job job, int task) {
         return byJob.getOrDefault(job, Int2ObjectMaps.emptyMap()).get(task);
     }
 
-    /** The job's live attempts as a copy, for loops that end some of them. */
+    /** Returns a copy of the job's live attempts, for loops that end some of them. */
     public List<Attempt> snapshot(Job job) {
         Int2ObjectMap<Attempt> tasks = byJob.get(job);
         return tasks == null ? List.of() : List.copyOf(tasks.values());
     }
 
-    /** Whether any attempt of the job may be alive. */
+    /** Whether the job has a live attempt. */
     public boolean hasAny(Job job) {
         return byJob.containsKey(job);
     }
 
-    /** The jobs with at least one attempt that may be alive. */
+    /** Returns the jobs with at least one live attempt. */
     public Collection<Job> jobs() {
         return byJob.keySet();
     }
 
-    /** The attempts of a job that may be alive, as a view. */
+    /** Returns a view of the live attempts of a job. */
     public Collection<Attempt> attemptsOf(Job job) {
         Int2ObjectMap<Attempt> tasks = byJob.get(job);
         return tasks == null ? List.of() : tasks.values();
     }
 
-    /** How many of the job's tasks may be alive in each zone. */
+    /** Returns the number of live attempts of the job by zone. */
     public Map<String, Integer> countByZone(Job job) {
         Map<String, Integer> zones = new HashMap<>();
         attemptsOf(job).forEach(attempt -> zones.merge(attempt.machine.zone(), 1, Integer::sum));
         return zones;
     }
 
-    /** CPUs that a team's live attempts take. */
+    /** CPUs used by a team's live attempts. */
     public double usedCpus(String team) {
         return usageOf(team).cpus();
     }
 
-    /** Accelerators that a team's live attempts take. */
+    /** Accelerators used by a team's live attempts. */
     public double usedGpus(String team) {
         return usageOf(team).gpus();
     }
 
-    /** CPUs that a team's service replicas take, which end only when their users say so. */
+    /** CPUs used by a team's service replicas, which run until their users cancel them. */
     public double replicaCpus(String team) {
         return usageOf(team).replicaCpus();
     }
 
-    /** Accelerators that a team's service replicas take. */
+    /** Accelerators used by a team's service replicas. */
     public double replicaGpus(String team) {
         return usageOf(team).replicaGpus();
     }
--- a/src/main/java/io/pepperfield/fleet/Machine.java
+++ b/src/main/java/io/pepperfield/fleet/Machine.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 /**
- * One rented machine as the leader knows it: its identity, the attempts on it, and whether tasks
- * may be placed there. Used on the owner thread only.
+ * The leader's state of one rented machine: its identity, the attempts on it, and whether tasks may
+ * be placed on it. Used on the owner thread only.
  */
 public final class Machine {
 
@@ -20,51 +20,55 @@
     String zone = "";
     private String reportingController = "";
 
-    /** Whether its agent has shown a token of this leadership. */
+    /** Whether the agent has reported a fencing token of this leader's term. */
     boolean hasSeenLeaderToken;
 
     private InstancePool pool = new InstancePool("", false);
 
-    /** The newest heartbeat whose state is applied, whichever way it came. */
+    /** Position of the newest heartbeat whose state was applied, from any source. */
     final HeartbeatPosition appliedPosition = new HeartbeatPosition();
 
-    /** The newest heartbeat that came as the agent's own message. */
+    /** Position of the newest heartbeat sent by the agent itself. */
     final HeartbeatPosition receivedPosition = new HeartbeatPosition();
 
     FencingToken highestTokenSeen = FencingToken.NONE;
 
-    /** Loop time of the last heartbeat in seconds, NaN before the first under this leader. */
+    /** Loop time in seconds of the last heartbeat; NaN before the first one to this leader. */
     double lastHeartbeatAt = Double.NaN;
 
-    /** Loop time of its last answer to a direct message. */
+    /**
+     * Loop time in seconds of the last response to a direct message, limited to the time for which
+     * a response may replace a heartbeat.
+     */
     double lastResponseAt = Double.NEGATIVE_INFINITY;
 
     double lastProbeAt = Double.NEGATIVE_INFINITY;
 
-    /** Loop time since which this leader waits for a heartbeat. */
+    /** Loop time in seconds at which this leader added the machine. */
     double knownSince;
 
-    /** Loop time of its rental, as well as it is known. */
+    /** Loop time in seconds of the rental, or the best known estimate. */
     double rentedAt;
 
-    /** Loop time at which the cloud reclaims it, NaN without a notice. */
+    /** Loop time in seconds at which the cloud reclaims the machine; NaN without a notice. */
     double reclaimAt = Double.NaN;
 
     /**
-     * Expected by a rental, the cloud's list or a durable intent: not known from a heartbeat alone.
+     * Whether a rental, the cloud provider's list or a durable intent names the machine, rather
+     * than a heartbeat alone.
      */
     boolean expected;
 
-    /** Whether replies to its heartbeats reach it. */
+    /** Tracks whether replies to heartbeats reach the machine. */
     final ReplyDeliveryMonitor replyDelivery = new ReplyDeliveryMonitor();
 
     /**
-     * Its agent has lost the token that it had seen: only the release of the machine proves that
-     * attempts on it have ended.
+     * Whether the agent has lost the fencing token that it had seen. In that case only the release
+     * of the machine proves that the attempts on it have ended.
      */
     boolean fencingTokenLost;
 
-    /** The last heartbeat that came as the agent's own message; a short one repeats it. */
+    /** The last heartbeat sent by the agent itself; the base for repeated heartbeats. */
     Heartbeat lastHeartbeat;
 
     boolean releasing;
@@ -82,22 +86,22 @@
         this.rentedAt = now;
     }
 
-    /** The name of its machine type; empty until known. */
+    /** The name of the machine type; empty until known. */
     public String type() {
         return pool.type();
     }
 
-    /** The controller that its last heartbeat came through; empty where it was this one. */
+    /** The controller that forwarded the last heartbeat; empty if this one received it. */
     public String reportingController() {
         return reportingController;
     }
 
-    /** Sets the controller that its last heartbeat came through; empty for this one. */
+    /** Sets the controller that forwarded the last heartbeat; empty for this one. */
     public void setReportingController(String controller) {
         reportingController = controller;
     }
 
-    /** Its machine type and instance class. */
+    /** The machine type and instance class. */
     public InstancePool pool() {
         return pool;
     }
@@ -108,37 +112,43 @@
         }
     }
 
-    /** The zone it is in; empty until known. */
+    /** The zone; empty until known. */
     public String zone() {
         return zone;
     }
 
-    /** Whether it is a spot machine, which the cloud may take back. */
+    /** Whether this is a spot machine, which the cloud may reclaim. */
     public boolean spot() {
         return pool.spot();
     }
 
-    /** Whether a heartbeat has come to this leader, so that its attempts are known. */
+    /** Whether this leader has received a heartbeat, so that the machine's attempts are known. */
     public boolean ready() {
         return !Double.isNaN(lastHeartbeatAt);
     }
 
-    /** Loop time in seconds since which this leader knows of it. */
+    /** Loop time in seconds at which this leader added the machine. */
     public double knownSince() {
         return knownSince;
     }
 
-    /** Loop time of its rental in seconds, as well as it is known. */
+    /** Loop time in seconds of the rental, or the best known estimate. */
     public double rentedAt() {
         return rentedAt;
     }
 
-    /** Seconds since its last heartbeat or answer, or since it was first awaited. */
+    /**
+     * Seconds since the last heartbeat or direct response, or since the machine was added if it has
+     * sent neither.
+     */
     public double unresponsiveFor(double now) {
         return now - Math.max(lastResponseAt, ready() ? lastHeartbeatAt : knownSince);
     }
 
-    /** Seconds since nothing has come from it, or nothing has shown that replies reach it. */
+    /**
+     * Seconds since the machine last sent a message, or since the first sign that replies do not
+     * reach it, whichever is longer.
+     */
     public double unreachableFor(double now) {
         return hasReceiveFailure()
                 ? Math.max(unresponsiveFor(now), replyDelivery.receiveFailureFor(now))
@@ -146,17 +156,17 @@
     }
 
     /**
-     * Whether the path to it is cut one way: its heartbeats arrive, but they show that neither
-     * replies nor orders reach it.
+     * Whether there is a one-way network partition: heartbeats arrive, but they show that replies
+     * and orders do not reach the machine.
      */
     public boolean hasReceiveFailure() {
         return replyDelivery.hasReceiveFailure();
     }
 
     /**
-     * Whether tasks may be placed on it. A heartbeat alone does not prove that a machine exists,
-     * since copies come late: one that nothing else speaks of must first have shown a token of this
-     * leadership.
+     * Whether tasks may be placed on the machine. A heartbeat alone does not prove that a machine
+     * exists, since it may be a late duplicate. A machine known from heartbeats alone must first
+     * have reported a fencing token of this leader's term.
      */
     public boolean isSchedulable(double now) {
         boolean exists = ready() && (expected || hasSeenLeaderToken);
@@ -165,120 +175,126 @@
         return exists && reachable && available;
     }
 
-    /** Whether it is being released. */
+    /** Whether the machine is being released. */
     public boolean releasing() {
         return releasing;
     }
 
     /**
-     * Whether it takes no new tasks, by a decision of the leader or because the cloud takes it
-     * back.
+     * Whether the machine gets no new tasks, by a decision of the leader or because the cloud will
+     * reclaim it.
      */
     public boolean draining() {
         return draining || !Double.isNaN(reclaimAt);
     }
 
-    /** Loop time at which the cloud takes it, NaN without a notice. */
+    /** Loop time in seconds at which the cloud reclaims the machine; NaN without a notice. */
     public double reclaimAt() {
         return reclaimAt;
     }
 
-    /** Loop time in seconds until which it takes no tasks. */
+    /** Loop time in seconds until which no tasks are placed on the machine. */
     public double quarantinedUntil() {
         return quarantinedUntil;
     }
 
-    /** Whether a probe is due, at most one in each interval; the caller is to send it. */
+    /**
+     * Returns whether a probe is due, at most once per interval, and records it as sent. The caller
+     * must send it.
+     */
     public boolean claimDueProbe(double now, double intervalS) {
         boolean due = now - lastProbeAt >= intervalS && !address.isEmpty();
         lastProbeAt = due ? now : lastProbeAt;
         return due;
     }
 
-    /** Places no tasks on it before that loop time in seconds. */
+    /** Prevents the placement of tasks until the given loop time in seconds. */
     public void quarantine(double untilTime) {
         quarantinedUntil = Math.max(quarantinedUntil, untilTime);
     }
 
     /**
-     * Whether tasks of several jobs failed here that succeed elsewhere. What fails everywhere is no
-     * fault of the machine.
+     * Whether tasks of several jobs failed here that complete tasks elsewhere. A job that fails on
+     * all machines does not indicate a faulty machine.
      */
     public boolean faulty() {
         return jobFailures.indicateFaultyMachine();
     }
 
-    /** Whether its agent restarted without the token that it had seen. */
+    /** Whether the agent restarted and lost the fencing token that it had seen. */
     public boolean hasLostFencingToken() {
         return fencingTokenLost;
     }
 
-    /** The host and port of its agent; empty until known. */
+    /** The host and port of the agent; empty until known. */
     public String address() {
         return address;
     }
 
-    /** The number of its agent's incarnation, which counts up at each restart. */
+    /** The incarnation of the agent, incremented at each restart. */
     public long incarnation() {
         return appliedPosition.incarnation();
     }
 
-    /** The images in its agent's cache, the latest used last. */
+    /** The images in the agent's cache, least recently used first. */
     public Set<String> images() {
         return images;
     }
 
-    /** The attempts on it that are not proven gone. */
+    /** The attempts recorded on the machine, including ended ones that are not yet cleared. */
     public Collection<Attempt> attempts() {
         return attempts.values();
     }
 
-    /** Whether no attempt on it may be alive. */
+    /** Whether the machine has no live attempts. */
     public boolean idle() {
         return usage.attemptCount() == 0;
     }
 
-    /** The number of attempts on it that may be alive. */
+    /** The number of live attempts on the machine. */
     public int liveAttemptCount() {
         return usage.attemptCount();
     }
 
-    /** Whether a service's replica may be alive on it. */
+    /** Whether the machine has a live attempt of a service replica. */
     public boolean holdsReplica() {
         return usage.replicaCount() > 0;
     }
 
-    /** Whether its agent has the image in its cache. */
+    /** Whether the image is in the agent's cache. */
     public boolean hasImage(String image) {
         return images.contains(image);
     }
 
-    /** Places no more tasks on it; what runs there may end. */
+    /** Places no more tasks on the machine; running attempts may finish. */
     public void drain() {
         draining = true;
     }
 
-    /** Its name, type, instance class and zone for log messages. */
+    /** Returns the name, type, instance class and zone for log messages. */
     public String describe() {
         return name + " (" + type() + (spot() ? ", spot" : "") + ", " + zone + ")";
     }
 
-    /** CPUs left beside all attempts that may be alive. */
+    /** CPUs not used by live attempts. */
     public double freeCpus(MachineType machineType) {
         return machineType.cpus() - usage.cpus();
     }
 
-    /** Accelerators left beside all attempts that may be alive. */
+    /** Accelerators not used by live attempts. */
     public double freeGpus(MachineType machineType) {
         return machineType.gpus() - usage.gpus();
     }
 
-    /** Memory in gigabytes left beside all attempts that may be alive. */
+    /** Memory in gigabytes not used by live attempts. */
     public double freeMemGb(MachineType machineType) {
         return machineType.memGb() - usage.memGb();
     }
 
-    /** The capacity that it will have at most, however long one waits: beside its replicas. */
+    /**
+     * The capacity not used by service replicas: the most that can become free, since replicas do
+     * not end by themselves.
+     */
     public Capacity capacityExcludingReplicas(MachineType machineType) {
         return new Capacity(
                 machineType.cpus() - usage.replicaCpus(),
--- a/src/main/java/io/pepperfield/fleet/MachineRegistry.java
+++ b/src/main/java/io/pepperfield/fleet/MachineRegistry.java
@@ -8,21 +8,24 @@
 import java.util.Set;
 
 /**
- * The machines that may exist, in the order in which they became known, and the names of those that
- * are released. Used on the owner thread only.
+ * The machines that may exist, in the order in which they were added, and the names of released
+ * machines. Used on the owner thread only.
  */
 final class MachineRegistry {
 
     private final Map<String, Machine> machines = new LinkedHashMap<>();
 
-    /** Confirmed by the cloud: a late heartbeat of one must not bring it back. */
+    /**
+     * Names of machines whose release the cloud has confirmed. A late heartbeat must not add such a
+     * machine again.
+     */
     private final Set<String> released = new HashSet<>();
 
     Collection<Machine> all() {
         return machines.values();
     }
 
-    /** The machine of that name, or null where it is not known. */
+    /** Returns the machine with this name, or null if it is unknown. */
     Machine get(String name) {
         return machines.get(name);
     }
@@ -35,32 +38,33 @@
         return released.contains(name);
     }
 
-    /** Removes a machine for good; null where it was not known. */
+    /** Removes a machine permanently and returns it, or null if it was unknown. */
     Machine markReleased(String name) {
         released.add(name);
         return machines.remove(name);
     }
 
     /**
-     * The number of machines in each state, by the names that operators see.
+     * Returns the number of machines by state name as shown to operators.
      *
-     * @param silentAfterS seconds without a heartbeat or answer after which a machine is silent
+     * @param unresponsiveAfterS seconds without a heartbeat or direct response after which a
+     *     machine counts as unresponsive, shown as {@code silent}
      */
-    Map<String, Integer> countByState(double now, double silentAfterS) {
+    Map<String, Integer> countByState(double now, double unresponsiveAfterS) {
         Map<String, Integer> counts = new HashMap<>();
         for (Machine machine : machines.values()) {
-            counts.merge(stateName(machine, now, silentAfterS), 1, Integer::sum);
+            counts.merge(stateName(machine, now, unresponsiveAfterS), 1, Integer::sum);
         }
         return counts;
     }
 
-    private static String stateName(Machine machine, double now, double silentAfterS) {
+    private static String stateName(Machine machine, double now, double unresponsiveAfterS) {
         if (machine.releasing) {
             return "releasing";
         }
         if (!machine.ready()) {
             return "awaited";
         }
-        return machine.unresponsiveFor(now) > silentAfterS ? "silent" : "up";
+        return machine.unresponsiveFor(now) > unresponsiveAfterS ? "silent" : "up";
     }
 }
--- a/src/main/java/io/pepperfield/fleet/MachineType.java
+++ b/src/main/java/io/pepperfield/fleet/MachineType.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * A type of machine on offer; prices are per hour.
+ * A machine type offered by the cloud provider; prices are per hour.
  *
- * @param gpus accelerators
+ * @param gpus number of accelerators
  * @param cacheGb size of the image cache in gigabytes
  * @param fetchGbPerS rate at which images are pulled, in gigabytes per second
- * @param bootS nominal seconds from the rental to the first heartbeat
+ * @param bootS nominal time in seconds from the rental to the first heartbeat
  */
 public record MachineType(
         String name,
@@ -22,18 +22,27 @@
         double bootS,
         List<String> zones) {
 
-    /** The price per hour of a spot or an on-demand machine. */
+    /** Returns the price per hour of a spot or on-demand machine. */
     public double price(boolean spot) {
         return spot ? spotPrice : price;
     }
 
-    /** Whether the other type differs in its prices at most. */
+    /** Whether the other type is equal to this one except for its prices. */
     public boolean equalsIgnoringPrices(MachineType other) {
         return equals(other.withPrices(price, spotPrice));
     }
 
-    private MachineType withPrices(double hourly, double spotHourly) {
+    private MachineType withPrices(double newPrice, double newSpotPrice) {
         return new MachineType(
-                name, cpus, gpus, memGb, cacheGb, fetchGbPerS, hourly, spotHourly, bootS, zones);
+                name,
+                cpus,
+                gpus,
+                memGb,
+                cacheGb,
+                fetchGbPerS,
+                newPrice,
+                newSpotPrice,
+                bootS,
+                zones);
     }
 }
--- a/src/main/java/io/pepperfield/fleet/Order.java
+++ b/src/main/java/io/pepperfield/fleet/Order.java
@@ -3,10 +3,10 @@
 /** A command to a worker's agent about one attempt; {@link WorkerProtocol} encodes it. */
 public sealed interface Order {
 
-    /** The task that the order is about. */
+    /** The task that the order applies to. */
     TaskRef taskRef();
 
-    /** The number of the attempt that the order is about. */
+    /** The number of the attempt that the order applies to. */
     int attemptNumber();
 
     /** Starts an attempt. */
@@ -15,10 +15,10 @@
     /**
      * Stops an attempt.
      *
-     * @param gracePeriodS seconds that its process is given to end by itself
+     * @param gracePeriodS grace period in seconds for the process to exit by itself
      */
     record Stop(TaskRef taskRef, int attemptNumber, double gracePeriodS) implements Order {}
 
-    /** Lets the agent forget an attempt that has ended. */
+    /** Makes the agent delete its record of an attempt that has ended. */
     record Clear(TaskRef taskRef, int attemptNumber) implements Order {}
 }
--- a/src/main/java/io/pepperfield/fleet/OrderPlanner.java
+++ b/src/main/java/io/pepperfield/fleet/OrderPlanner.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** The orders in reply to a heartbeat: what is to run, to stop and to be cleared on the machine. */
+/** Selects the run, stop and clear orders for the reply to a heartbeat. */
 final class OrderPlanner {
 
     private final LeaderFencingTokens tokens;
@@ -19,7 +19,10 @@
         startsSuspended = suspended;
     }
 
-    /** No orders where the heartbeat is of an earlier incarnation. */
+    /**
+     * Returns the orders for the reply to a heartbeat; none if the heartbeat is of an earlier
+     * incarnation.
+     */
     List<Order> plan(Machine machine, Heartbeat heartbeat) {
         List<Order> orders = new ArrayList<>();
         if (heartbeat.incarnation() != machine.incarnation()) {
@@ -44,8 +47,8 @@
     private void addOrderForKnown(Machine machine, Attempt attempt, List<Order> orders) {
         boolean lateOrderPossible = !machine.highestTokenSeen.isNewerThan(attempt.directOrderToken);
         if (!attempt.live()) {
-            // A clear makes the agent forget the attempt; a late direct order with a token that it
-            // still accepts would then start the attempt once more.
+            // A clear deletes the agent's record of the attempt. A late direct order with a token
+            // that the agent still accepts would then start the attempt again.
             if (attempt.acknowledged && !lateOrderPossible) {
                 orders.add(new Order.Clear(attempt.taskRef, attempt.number));
             } else if (attempt.acknowledged) {
@@ -78,7 +81,7 @@
         return known.contains(status.taskRef()) || attempt.phase == Attempt.Phase.INTENDED;
     }
 
-    /** For an attempt by an earlier leader that no durable record names any more. */
+    /** Adds an order for an attempt of an earlier leader that no longer has a durable record. */
     private void addOrderForUnknown(
             Machine machine, Heartbeat.AttemptStatus status, List<Order> orders) {
         if (status.state() != Heartbeat.State.ENDED) {
--- a/src/main/java/io/pepperfield/fleet/ReplyDeliveryMonitor.java
+++ b/src/main/java/io/pepperfield/fleet/ReplyDeliveryMonitor.java
@@ -5,16 +5,16 @@
 import java.util.List;
 
 /**
- * Detects that replies to heartbeats do not reach one machine (a one-way partition). That
- * heartbeats arrive does not prove it: the next one should show the token of the reply and its run
- * orders.
+ * Detects that replies to heartbeats do not reach a machine (a one-way partition). The arrival of
+ * heartbeats does not prove that replies are delivered: the heartbeat after a reply must report the
+ * fencing token of the reply and the attempts that it ordered to run.
  */
 final class ReplyDeliveryMonitor {
 
     private final List<Attempt> orderedToRun = new ArrayList<>();
     private FencingToken lastRepliedToken = FencingToken.NONE;
 
-    /** Loop time since which nothing shows that replies and orders arrive, NaN while they do. */
+    /** Loop time in seconds of the first sign that replies do not arrive; NaN while they do. */
     private double receiveFailureSince = Double.NaN;
 
     boolean hasReceiveFailure() {
@@ -25,27 +25,27 @@
         return now - receiveFailureSince;
     }
 
-    /** The machine has answered a direct message. */
+    /** Records a response of the machine to a direct message. */
     void recordDirectResponse() {
         receiveFailureSince = Double.NaN;
     }
 
-    /** The reply to its last heartbeat carries a run order for this attempt. */
+    /** Records that the reply to the last heartbeat contains a run order for this attempt. */
     void recordRunOrder(Attempt attempt) {
         orderedToRun.add(attempt);
     }
 
-    /** Its last heartbeat has been replied to with this token. */
+    /** Records that the last heartbeat was answered with this fencing token. */
     void recordReply(FencingToken token) {
         lastRepliedToken = token;
     }
 
     /**
-     * A heartbeat came after the last reply. An incarnation that ended although its heartbeats were
-     * replied to shows that the replies do not arrive.
+     * Records a heartbeat and checks whether the last reply has arrived. An incarnation that ended
+     * although its heartbeats were answered shows that the replies do not arrive.
      *
-     * @param restarted whether it is the first of a new incarnation on a machine that was ready
-     * @param tokenBefore the newest token that the machine had shown before
+     * @param restarted whether this is the first heartbeat of a new incarnation on a ready machine
+     * @param tokenBefore the newest fencing token that the machine had reported before
      */
     void recordHeartbeat(
             Heartbeat heartbeat, boolean restarted, FencingToken tokenBefore, double now) {
--- a/src/main/java/io/pepperfield/fleet/ResourceUsage.java
+++ b/src/main/java/io/pepperfield/fleet/ResourceUsage.java
@@ -3,9 +3,9 @@
 import io.pepperfield.jobs.JobSpec;
 
 /**
- * The resources that a set of attempts takes as long as they may be alive, such as those of one
- * machine or one team, with the part of service replicas, which do not end by themselves. Used on
- * the owner thread only.
+ * The resources used by a set of live attempts, such as those of one machine or one team. The share
+ * of service replicas, which do not end by themselves, is also counted separately. Used on the
+ * owner thread only.
  */
 final class ResourceUsage {
 
@@ -18,19 +18,19 @@
     private double replicaGpus;
     private double replicaMemGb;
 
-    /** Counts an attempt that may be alive from now on. */
+    /** Adds the resources of a live attempt. */
     void add(JobSpec spec) {
         adjust(spec, 1);
     }
 
-    /** Counts an attempt no longer that was added before. */
+    /** Removes the resources of an attempt that was added before. */
     void remove(JobSpec spec) {
         adjust(spec, -1);
     }
 
     private void adjust(JobSpec spec, int sign) {
         attemptCount += sign;
-        // An empty set starts again from zero, so that rounding errors never add up.
+        // Reset to zero when the set is empty, so that rounding errors do not accumulate.
         cpus = attemptCount == 0 ? 0 : cpus + sign * spec.cpus();
         gpus = attemptCount == 0 ? 0 : gpus + sign * spec.gpus();
         memGb = attemptCount == 0 ? 0 : memGb + sign * spec.memGb();
@@ -42,7 +42,7 @@
         }
     }
 
-    /** The number of attempts that may be alive. */
+    /** The number of live attempts. */
     int attemptCount() {
         return attemptCount;
     }
--- a/src/main/java/io/pepperfield/fleet/TaskRef.java
+++ b/src/main/java/io/pepperfield/fleet/TaskRef.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * Names a task by its job and its index.
+ * Identifies a task by its job and its index.
  *
  * @param job the job's id
  * @param task the task's index in the job, from 0
@@ -12,7 +12,10 @@
 
     private static final int MAX_INDEX_DIGITS = 7;
 
-    /** Parses the form that {@link #toString} gives; empty where the text is no task's name. */
+    /**
+     * Parses the format of {@link #toString}; returns empty if the text is not a valid task
+     * reference.
+     */
     public static Optional<TaskRef> parse(String text) {
         int slash = text.lastIndexOf('/');
         if (slash < 1
--- a/src/main/java/io/pepperfield/fleet/WorkerClient.java
+++ b/src/main/java/io/pepperfield/fleet/WorkerClient.java
@@ -6,32 +6,32 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Direct messages to the workers' agents; callbacks run on the event loop. */
+/** Sends direct messages to the workers' agents; callbacks run on the event loop. */
 public interface WorkerClient {
 
-    /** How a direct message to a worker ended. */
+    /** The result of a direct message to a worker. */
     sealed interface Result {
         /**
-         * The agent's status after the orders.
+         * The agent has answered with its status after processing the orders.
          *
-         * @param executed false where the agent has refused all of them
+         * @param executed false if the agent refused all orders
          */
         record Responded(boolean executed, Heartbeat heartbeat) implements Result {}
 
-        /** The message never left: its orders are not carried out. */
+        /** The message was not sent, so its orders will not be executed. */
         record NotSent() implements Result {}
 
-        /** The orders may be carried out at any later time. */
+        /** No response was received. The orders may be executed at any later time. */
         record NoResponse() implements Result {}
     }
 
-    /** Asks the agent for its status without ordering anything; empty where no answer comes. */
+    /** Requests the agent's status without sending orders; empty if there is no valid response. */
     void probe(String address, Consumer<Optional<Heartbeat>> done);
 
     /**
-     * Passes on orders that are encoded already.
+     * Forwards orders that are already encoded.
      *
-     * @param response gets the agent's status as received, if it is a valid heartbeat
+     * @param response called with the body of the agent's response if it is a valid heartbeat
      */
     void forwardOrders(
             String address,
@@ -40,7 +40,7 @@
             JsonNode orders,
             Consumer<byte[]> response);
 
-    /** Sends orders outside the replies to heartbeats; {@code done} is called once. */
+    /** Sends orders as a direct message; {@code done} is called exactly once. */
     void sendOrders(
             String address,
             FencingToken token,
--- a/src/main/java/io/pepperfield/fleet/WorkerProtocol.java
+++ b/src/main/java/io/pepperfield/fleet/WorkerProtocol.java
@@ -10,10 +10,10 @@
 import java.util.Optional;
 
 /**
- * The messages between controllers and the workers' agents: maps the protocol's field names to the
- * types of this package and back. No other class spells a field name of this protocol.
+ * Encodes and decodes the messages between controllers and the workers' agents. All field names of
+ * the protocol are defined in this class only.
  *
- * <p>Stateless, for any thread.
+ * <p>Stateless and thread-safe.
  */
 public final class WorkerProtocol {
 
@@ -42,10 +42,10 @@
     private WorkerProtocol() {}
 
     /**
-     * Decodes a heartbeat. One that is incomplete is refused whole, since a part of the attempts
-     * proves nothing about the others.
+     * Decodes a heartbeat. An incomplete heartbeat is rejected as a whole, since a partial list of
+     * attempts does not show which other attempts have ended.
      *
-     * @return the heartbeat, or empty where a required field is missing or has another type
+     * @return the heartbeat, or empty if a required field is missing or has the wrong type
      */
     public static Optional<Heartbeat> parseHeartbeat(JsonNode message) {
         if (!hasIdentity(message) || !hasPosition(message) || !message.path(ATTEMPTS).isArray()) {
@@ -102,20 +102,20 @@
                 parseCause(entry.path(CAUSE).asText("")));
     }
 
-    private static Heartbeat.State parseState(String word) {
-        return switch (word) {
+    private static Heartbeat.State parseState(String text) {
+        return switch (text) {
             case "pulling" -> Heartbeat.State.PULLING;
             case "running" -> Heartbeat.State.RUNNING;
             case "saving" -> Heartbeat.State.SAVING;
             case "ended" -> Heartbeat.State.ENDED;
-            // A state of a later version, or one such as waiting for the rest of its gang: alive,
-            // and not counted as running.
+            // Unknown states, such as those of later versions or waiting for the rest of a gang,
+            // are treated as live but not running.
             default -> Heartbeat.State.PULLING;
         };
     }
 
-    private static Heartbeat.Cause parseCause(String word) {
-        return switch (word) {
+    private static Heartbeat.Cause parseCause(String text) {
+        return switch (text) {
             case "" -> Heartbeat.Cause.NONE;
             case "done" -> Heartbeat.Cause.DONE;
             case "stopped" -> Heartbeat.Cause.STOPPED;
@@ -127,30 +127,30 @@
         };
     }
 
-    /** The body of the reply to a heartbeat: the leader's fencing token and its orders. */
+    /** Encodes the reply to a heartbeat: the leader's fencing token and its orders. */
     public static ObjectNode heartbeatReply(FencingToken token, List<Order> orders) {
         return heartbeatReply(token, encodeOrders(orders));
     }
 
-    /** The same with orders that are encoded already. */
+    /** Encodes the reply to a heartbeat with orders that are already encoded. */
     public static ObjectNode heartbeatReply(FencingToken token, JsonNode encodedOrders) {
         ObjectNode body = Json.object().put(FENCING_TOKEN, token.value());
         body.set(ORDERS, encodedOrders);
         return body;
     }
 
-    /** The body of a reply that sends the agent to another controller. */
+    /** Encodes a reply that redirects the agent to another controller. */
     public static ObjectNode redirect(String controller) {
         return Json.object().put(CONTROLLER, controller);
     }
 
-    /** The body of a direct message, which holds for one incarnation of the agent only. */
+    /** Encodes a direct message, which is valid for one incarnation of the agent only. */
     public static ObjectNode directMessage(
             FencingToken token, long incarnation, List<Order> orders) {
         return heartbeatReply(token, orders).put(INCARNATION, incarnation);
     }
 
-    /** The same with orders that are encoded already. */
+    /** Encodes a direct message with orders that are already encoded. */
     static ObjectNode directMessage(FencingToken token, long incarnation, JsonNode encodedOrders) {
         ObjectNode body =
                 Json.object().put(FENCING_TOKEN, token.value()).put(INCARNATION, incarnation);
@@ -158,7 +158,7 @@
         return body;
     }
 
-    /** The orders as they stand in a message. */
+    /** Encodes the orders of a message. */
     public static ArrayNode encodeOrders(List<Order> orders) {
         ArrayNode encoded = Json.array();
         for (Order order : orders) {
@@ -181,7 +181,7 @@
         return order instanceof Order.Stop ? VERB_STOP : VERB_CLEAR;
     }
 
-    /** Whether one of the encoded orders stops an attempt. */
+    /** Whether the encoded orders contain a stop order. */
     public static boolean containsStop(JsonNode encodedOrders) {
         for (JsonNode order : encodedOrders) {
             if (order.path(VERB).asText().equals(VERB_STOP)) {
--- a/src/main/java/io/pepperfield/fleet/package-info.java
+++ b/src/main/java/io/pepperfield/fleet/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The rented machines, the attempts that may be alive on them, and the workers' protocol. {@link
- * io.pepperfield.fleet.Fleet} decides from heartbeats what has started and what has ended; {@link
- * io.pepperfield.fleet.LiveAttempts} counts live attempts by job and team. The state belongs to the
- * leader of one term and is changed on the owner thread only; messages and the {@link
- * io.pepperfield.fleet.WorkerClient} client are used by every controller.
+ * The rented machines, the attempts on them, and the workers' protocol. {@link
+ * io.pepperfield.fleet.Fleet} derives from heartbeats which attempts have started or ended; {@link
+ * io.pepperfield.fleet.LiveAttempts} tracks live attempts by job and team. An attempt is live until
+ * it has provably ended. The state is held by the leader for one term and modified on the owner
+ * thread only. All controllers use the messages and the {@link io.pepperfield.fleet.WorkerClient}.
  */
 package io.pepperfield.fleet;
--- a/src/test/java/io/pepperfield/fleet/AttemptTraceTest.java
+++ b/src/test/java/io/pepperfield/fleet/AttemptTraceTest.java
@@ -14,7 +14,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The proofs that an attempt has ended, and when an agent may forget one. */
+/**
+ * Replays recorded traces against {@link Fleet}. Guards against treating an attempt as ended
+ * without a {@link TerminationProof}, which would run a task twice, and against clearing an attempt
+ * that a late order could start again.
+ */
 class AttemptTraceTest implements Fleet.Listener {
 
     private final List<String> events = new ArrayList<>();
@@ -35,11 +39,11 @@
                 "attempt-held-orders.txt",
                 "attempt-starts-held.txt"
             })
-    void trace(String name) throws IOException {
-        ReplayTrace.check(name, this::play);
+    void fleetReplayingAttemptTraceYieldsRecordedDecisions(String name) throws IOException {
+        ReplayTrace.check(name, this::applyEvent);
     }
 
-    private List<String> play(String[] words) {
+    private List<String> applyEvent(String[] words) {
         events.clear();
         now += 1;
         if (words[0].equals("silence")) {
@@ -48,7 +52,7 @@
         if (words[0].equals("ask")) {
             return List.of(stateOf(fleet.getMachine(words[1])));
         }
-        if (!playAttempt(words) && !playMachine(words) && !playLeader(words)) {
+        if (!applyAttemptEvent(words) && !applyMachineEvent(words) && !applyLeaderEvent(words)) {
             throw new IllegalArgumentException(words[0]);
         }
         if (fleet.needsNewerFencingToken()) {
@@ -57,8 +61,8 @@
         return List.copyOf(events);
     }
 
-    /** What happens to the leader; false where the words are about something else. */
-    private boolean playLeader(String[] words) {
+    /** Applies an event of the leader itself; returns false for any other event. */
+    private boolean applyLeaderEvent(String[] words) {
         switch (words[0]) {
             case "elected" ->
                     fleet = new Fleet(this, new FencingToken(Long.parseLong(words[1])), 3);
@@ -73,8 +77,8 @@
         return true;
     }
 
-    /** What the leader does about attempts; false where the words are about something else. */
-    private boolean playAttempt(String[] words) {
+    /** Applies an action of the leader on attempts; returns false for any other event. */
+    private boolean applyAttemptEvent(String[] words) {
         switch (words[0]) {
             case "intend" -> attempts.put(words[1], intend(words[1], words[2]));
             case "durable" ->
@@ -98,32 +102,34 @@
     }
 
     private Attempt intend(String ref, String machine) {
-        int task = task(ref);
-        return fleet.addIntendedAttempt(job, task, job.startAttempt(task), fleet.getMachine(machine), now);
+        int task = taskIndex(ref);
+        return fleet.addIntendedAttempt(
+                job, task, job.startAttempt(task), fleet.getMachine(machine), now);
     }
 
     private Attempt restore(String[] words) {
         return fleet.restoreAttempt(
                 job,
-                task(words[1]),
+                taskIndex(words[1]),
                 Integer.parseInt(words[2]),
                 words[3],
                 Long.parseLong(words[4]),
                 now);
     }
 
-    /** What comes from machines and the cloud; false where the words are about something else. */
-    private boolean playMachine(String[] words) {
+    /** Applies an event from a machine or the cloud; returns false for any other event. */
+    private boolean applyMachineEvent(String[] words) {
         switch (words[0]) {
             case "unsettled" -> {
-                List<Attempt> unsettled = fleet.cancelledAttemptsThatMayStart(fleet.getMachine(words[1]));
-                events.add(unsettled.isEmpty() ? "nothing" : unsettled.get(0).taskRef.toString());
+                List<Attempt> mayStart =
+                        fleet.cancelledAttemptsThatMayStart(fleet.getMachine(words[1]));
+                events.add(mayStart.isEmpty() ? "nothing" : mayStart.get(0).taskRef.toString());
             }
             case "released" -> fleet.confirmReleased(words[1]);
             case "beat" ->
                     fleet.handleHeartbeat(heartbeat(words), now)
                             .ifPresentOrElse(
-                                    orders -> orders.forEach(this::ordered),
+                                    orders -> orders.forEach(this::recordOrder),
                                     () -> events.add("not answered"));
             case "heard" -> fleet.handleDirectResponse(heartbeat(words), now);
             case "remembered" -> fleet.handleCachedHeartbeat(heartbeat(words), now);
@@ -135,7 +141,7 @@
         return true;
     }
 
-    private void ordered(Order order) {
+    private void recordOrder(Order order) {
         String verb = order.getClass().getSimpleName().toLowerCase(Locale.ROOT);
         events.add("order " + verb + " " + order.taskRef() + " try " + order.attemptNumber());
     }
@@ -150,22 +156,22 @@
         return machine.hasReceiveFailure() ? "deaf" : "no work";
     }
 
-    private static int task(String ref) {
+    private static int taskIndex(String ref) {
         return TaskRef.parse(ref).orElseThrow().task();
     }
 
-    /** MACHINE TENURE SERIAL TOKEN [TASK:TRY:STATE[:CAUSE]]... */
+    /** Parses MACHINE TENURE SERIAL TOKEN [TASK:TRY:STATE[:CAUSE]]... from the second word on. */
     private static Heartbeat heartbeat(String[] words) {
-        List<Heartbeat.AttemptStatus> lines = new ArrayList<>();
+        List<Heartbeat.AttemptStatus> statuses = new ArrayList<>();
         for (int i = 5; i < words.length; i++) {
-            String[] part = words[i].split(":");
-            lines.add(
+            String[] fields = words[i].split(":");
+            statuses.add(
                     new Heartbeat.AttemptStatus(
-                            TaskRef.parse(part[0]).orElseThrow(),
-                            Integer.parseInt(part[1]),
-                            Heartbeat.State.valueOf(part[2].toUpperCase(Locale.ROOT)),
-                            part.length > 3
-                                    ? Heartbeat.Cause.valueOf(part[3].toUpperCase(Locale.ROOT))
+                            TaskRef.parse(fields[0]).orElseThrow(),
+                            Integer.parseInt(fields[1]),
+                            Heartbeat.State.valueOf(fields[2].toUpperCase(Locale.ROOT)),
+                            fields.length > 3
+                                    ? Heartbeat.Cause.valueOf(fields[3].toUpperCase(Locale.ROOT))
                                     : Heartbeat.Cause.NONE));
         }
         return new Heartbeat(
@@ -178,7 +184,7 @@
                 Long.parseLong(words[3]),
                 new FencingToken(Long.parseLong(words[4])),
                 null,
-                lines);
+                statuses);
     }
 
     @Override
@@ -187,13 +193,13 @@
     }
 
     @Override
-    public void attemptCompleted(Attempt attempt, double ranS) {
+    public void attemptCompleted(Attempt attempt, double runTimeS) {
         events.add(
                 "completed "
                         + attempt.taskRef
                         + " try "
                         + attempt.number
-                        + (ranS > 0 ? " after " + Math.round(ranS) + " s" : ""));
+                        + (runTimeS > 0 ? " after " + Math.round(runTimeS) + " s" : ""));
         job.markDone(attempt.task);
     }
 
