--- a/src/main/java/io/pepperfield/fleet/HeartbeatReconciler.java
+++ b/src/main/java/io/pepperfield/fleet/HeartbeatProcessor.java
@@ -5,45 +5,46 @@
 import java.util.Optional;
 
 /**
- * Applies heartbeats to the machines that they come from, by each of the ways in which a leader
- * gets them: from the agent itself, from a partition owner's cache, or as the answer to a direct
- * message. Used on the owner thread only.
+ * Applies heartbeats to the state of their machines. A leader receives them from the agent itself,
+ * from a partition owner's cache, or in the response to a direct message. Used on the owner thread
+ * only.
  */
-final class HeartbeatReconciler {
+final class HeartbeatProcessor {
 
     private final MachineRegistry registry;
     private final LeaderFencingTokens tokens;
-    private final TerminationEvidence terminationEvidence;
+    private final AttemptReconciler attemptReconciler;
     private final OrderPlanner orderPlanner;
     private final Fleet.Listener listener;
     private final double directResponseValidityS;
 
-    HeartbeatReconciler(
+    HeartbeatProcessor(
             MachineRegistry registry,
             LeaderFencingTokens tokens,
-            TerminationEvidence terminationEvidence,
+            AttemptReconciler attemptReconciler,
             OrderPlanner orderPlanner,
             Fleet.Listener listener,
             double directResponseValidityS) {
         this.registry = registry;
         this.tokens = tokens;
-        this.terminationEvidence = terminationEvidence;
+        this.attemptReconciler = attemptReconciler;
         this.orderPlanner = orderPlanner;
         this.listener = listener;
         this.directResponseValidityS = directResponseValidityS;
     }
 
     /**
-     * Takes an agent's own heartbeat; its state is applied unless a newer one is known.
+     * Processes a heartbeat sent by the agent. Its state is applied unless a newer one was applied
+     * before.
      *
-     * @return the orders to reply with; empty for a late copy and for a released machine, neither
-     *     of which is to be answered
+     * @return the orders for the reply; empty if the heartbeat is a late duplicate or comes from a
+     *     released machine, which get no reply
      */
     Optional<List<Order>> receive(Heartbeat heartbeat, double now) {
         Machine known = registry.get(heartbeat.machine());
         if (known != null && known.receivedPosition.covers(heartbeat)) {
-            // A late copy: its sender has given it up, and it does not prove that the machine is
-            // still there.
+            // A late duplicate: the sender no longer waits for a reply, and the message does not
+            // prove that the machine still exists.
             return Optional.empty();
         }
         boolean restarted =
@@ -56,17 +57,18 @@
         machine.receivedPosition.advanceTo(heartbeat);
         machine.lastHeartbeatAt = now;
         machine.lastHeartbeat = heartbeat;
-        machine.replyDelivery.heartbeatReceived(heartbeat, restarted, tokenBefore, now);
+        machine.replyDelivery.recordHeartbeat(heartbeat, restarted, tokenBefore, now);
         List<Order> orders = orderPlanner.plan(machine, heartbeat);
-        machine.replyDelivery.replySent(tokens.currentToken());
+        machine.replyDelivery.recordReply(tokens.currentToken());
         return Optional.of(orders);
     }
 
     /**
-     * Takes a heartbeat that a partition owner has cached, for a machine whose next one is still to
-     * come. It proves no absence, and nothing is answered to it.
+     * Processes a heartbeat cached by a partition owner; ignored if the machine has already sent a
+     * heartbeat to this leader. Attempts missing from it are not considered ended, and no reply is
+     * sent.
      *
-     * @param receivedAt loop time in seconds at which the owner received it
+     * @param receivedAt loop time in seconds at which the owner received the heartbeat
      */
     void receiveCached(Heartbeat heartbeat, double receivedAt) {
         Machine known = registry.get(heartbeat.machine());
@@ -76,13 +78,14 @@
         Machine machine = apply(heartbeat, false, receivedAt);
         if (!machine.ready()) {
             machine.lastHeartbeatAt = receivedAt;
-            listener.machineAppeared(machine);
+            listener.machineJoined(machine);
         }
     }
 
     /**
-     * Takes the status that answers a direct message of a known machine; it proves no absence, and
-     * stands in for a heartbeat only for a limited time.
+     * Processes the status in a machine's response to a direct message; ignored if the machine is
+     * unknown. Attempts missing from it are not considered ended, and it replaces a heartbeat only
+     * for a limited time.
      */
     void receiveDirectResponse(Heartbeat heartbeat, double now) {
         if (registry.get(heartbeat.machine()) == null
@@ -90,21 +93,22 @@
             return;
         }
         Machine machine = apply(heartbeat, false, now);
-        // An agent whose heartbeats reach nobody loses its tasks with its lease, however well it
-        // answers direct messages: were these enough, it would be given work again and again, each
-        // time in vain.
+        // An agent whose heartbeats reach no controller loses its lease and its tasks even if it
+        // answers direct messages. If responses alone kept it schedulable, it would repeatedly be
+        // assigned tasks that cannot finish.
         machine.lastResponseAt =
                 machine.ready()
                         ? Math.min(now, machine.lastHeartbeatAt + directResponseValidityS)
                         : now;
-        machine.replyDelivery.directMessageAnswered();
+        machine.replyDelivery.recordDirectResponse();
     }
 
     /**
-     * Restores a heartbeat of which only the difference was sent.
+     * Reconstructs a heartbeat that was sent as a difference from an earlier one.
      *
-     * @param baseSequence the heartbeat that it repeats but for sequence and token
-     * @return empty where the base is not the machine's last heartbeat here
+     * @param baseSequence sequence of the earlier heartbeat, which differs only in its sequence and
+     *     fencing token
+     * @return empty if the earlier heartbeat is not the last one received from the machine
      */
     Optional<Heartbeat> expandRepeated(
             String name,
@@ -120,9 +124,9 @@
         return Optional.of(base.withSequenceAndToken(sequence, fencingToken));
     }
 
-    private Machine apply(Heartbeat heartbeat, boolean ownMessage, double now) {
+    private Machine apply(Heartbeat heartbeat, boolean sentByAgent, double now) {
         Machine machine = registry.getOrAdd(heartbeat.machine(), now);
-        machine.setInstanceClass(heartbeat.type(), heartbeat.spot());
+        machine.setPool(heartbeat.type(), heartbeat.spot());
         machine.zone = heartbeat.zone();
         machine.address = heartbeat.address();
         if (machine.appliedPosition.covers(heartbeat)) {
@@ -133,18 +137,18 @@
         observeFencingToken(machine, heartbeat.fencingToken());
         machine.reclaimAt =
                 heartbeat.reclaimNoticeS() == null ? Double.NaN : now + heartbeat.reclaimNoticeS();
-        terminationEvidence.reconcile(machine, heartbeat, ownMessage, now);
-        if (appeared && ownMessage) {
-            listener.machineAppeared(machine);
+        attemptReconciler.reconcile(machine, heartbeat, sentByAgent, now);
+        if (appeared && sentByAgent) {
+            listener.machineJoined(machine);
         }
         return machine;
     }
 
     private void observeFencingToken(Machine machine, FencingToken token) {
-        // An agent keeps the highest token that it has seen. One that has forgotten it is another
-        // process, on a machine that came back at once: it would carry out old orders, so that what
-        // its heartbeats do not hold is never proven to have ended.
-        machine.restarted |= token.isOlderThan(machine.highestTokenSeen);
+        // An agent keeps the highest token that it has seen. A lower one means that the machine was
+        // off only briefly and runs a new agent process, which would still execute old orders. An
+        // attempt missing from its heartbeats is therefore never proven to have ended.
+        machine.fencingTokenLost |= token.isOlderThan(machine.highestTokenSeen);
         machine.highestTokenSeen = FencingToken.newest(machine.highestTokenSeen, token);
         machine.hasSeenLeaderToken |= token.isAtLeast(tokens.electionToken());
     }
