--- a/src/main/java/io/pepperfield/cloud/InstanceReleases.java
+++ b/src/main/java/io/pepperfield/cloud/InstanceReleases.java
@@ -77,7 +77,7 @@
     private void send() {
         if (!leadershipConfirmed.getAsBoolean()) {
             requestInFlight = false;
-            loop.after(retryS, this::sendNext);
+            loop.schedule(retryS, this::sendNext);
             return;
         }
         List<String> names = pending.keySet().stream().limit(MAX_INSTANCES_PER_REQUEST).toList();
@@ -91,7 +91,7 @@
             return;
         }
         if (!confirmed) {
-            loop.after(retryS, this::sendNext);
+            loop.schedule(retryS, this::sendNext);
             return;
         }
         names.forEach(pending::remove);
--- a/src/main/java/io/pepperfield/cloud/InstanceRentals.java
+++ b/src/main/java/io/pepperfield/cloud/InstanceRentals.java
@@ -77,7 +77,7 @@
             return;
         }
         double now = loop.now();
-        double ageS = Math.max(0, (loop.wallMs() - request.requestedAtMs) / 1000.0);
+        double ageS = Math.max(0, (loop.wallClockMs() - request.requestedAtMs) / 1000.0);
         request.instanceNames.forEach(name -> expectMachine(request, name, now - ageS));
     }
 
@@ -115,7 +115,7 @@
                             pool,
                             zone,
                             Math.min(left, MAX_INSTANCES_PER_REQUEST),
-                            loop.wallMs());
+                            loop.wallClockMs());
             requests.put(request.requestId, request);
             writer.enqueue(
                     request.key(),
@@ -130,7 +130,7 @@
             return;
         }
         if (!leadershipConfirmed.getAsBoolean()) {
-            loop.after(retryS, () -> send(request));
+            loop.schedule(retryS, () -> send(request));
             return;
         }
         cloud.rentInstances(
@@ -151,7 +151,7 @@
                     "rental request repeated: rental={} reason={}",
                     request.requestId,
                     failed.reason());
-            loop.after(retryS, () -> send(request));
+            loop.schedule(retryS, () -> send(request));
             return;
         }
         request.answered = true;
--- a/src/main/java/io/pepperfield/cloud/PacedRequestQueue.java
+++ b/src/main/java/io/pepperfield/cloud/PacedRequestQueue.java
@@ -52,7 +52,7 @@
             nextRequestAt = Math.max(nextRequestAt, now - BURST_S);
             if (nextRequestAt > now) {
                 wakeupScheduled = true;
-                loop.after(nextRequestAt - now, this::sendDue);
+                loop.schedule(nextRequestAt - now, this::sendDue);
                 return;
             }
             nextRequestAt += spacingS;
--- a/src/main/java/io/pepperfield/controller/ControllerTicker.java
+++ b/src/main/java/io/pepperfield/controller/ControllerTicker.java
@@ -42,9 +42,9 @@
 
     /** Runs the duties now and at each interval from now on. */
     void tick() {
-        loop.after(intervalS, this::tick);
+        loop.schedule(intervalS, this::tick);
         pauseDetector.checkStale();
-        if (synchronizer.loaded()) {
+        if (synchronizer.isLoaded()) {
             compatibility.tick();
         }
         if (!compatibility.mayServe()) {
--- a/src/main/java/io/pepperfield/controller/EventLoop.java
+++ b/src/main/java/io/pepperfield/controller/EventLoop.java
@@ -57,7 +57,7 @@
     }
 
     @Override
-    public long wallMs() {
+    public long wallClockMs() {
         return System.currentTimeMillis();
     }
 
@@ -68,7 +68,7 @@
 
     /** Called on the owner thread only, and before it runs; other threads post. */
     @Override
-    public void after(double seconds, Runnable command) {
+    public void schedule(double seconds, Runnable command) {
         assert owner == null || owner == Thread.currentThread() : "timer set on another thread";
         long delayNanos = (long) (Math.max(0, seconds) * NANOS_PER_S);
         timers.add(new Timer(elapsedNanos() + delayNanos, nextTimerSequence++, command));
--- a/src/main/java/io/pepperfield/controller/HealthCheck.java
+++ b/src/main/java/io/pepperfield/controller/HealthCheck.java
@@ -12,7 +12,7 @@
      * outage stays.
      */
     boolean isHealthy() {
-        return synchronizer.loaded()
+        return synchronizer.isLoaded()
                 && peers.storeContact(loop.now()) != Peers.StoreContact.ISOLATED;
     }
 }
--- a/src/main/java/io/pepperfield/controller/LeaderSupervisor.java
+++ b/src/main/java/io/pepperfield/controller/LeaderSupervisor.java
@@ -41,7 +41,7 @@
     }
 
     void tick() {
-        if (synchronizer.loaded()) {
+        if (synchronizer.isLoaded()) {
             leadership.replicaLoaded();
         }
         leadership.tick();
--- a/src/main/java/io/pepperfield/controller/LeadershipTransitions.java
+++ b/src/main/java/io/pepperfield/controller/LeadershipTransitions.java
@@ -67,7 +67,7 @@
         if (current) {
             currentLeader.begin();
         } else {
-            loop.after(retryS, () -> confirmReplica(elected));
+            loop.schedule(retryS, () -> confirmReplica(elected));
         }
     }
 
--- a/src/main/java/io/pepperfield/controller/ReplicaChangeRouter.java
+++ b/src/main/java/io/pepperfield/controller/ReplicaChangeRouter.java
@@ -80,7 +80,7 @@
         if (key.startsWith(Keys.JOB_PREFIX)
                 || key.startsWith(Keys.RUN_RECORD_PREFIX)
                 || key.startsWith(Keys.SHARED_RUN_RECORD_PREFIX)) {
-            replica.compact(key);
+            replica.discardValue(key);
         }
     }
 
--- a/src/main/java/io/pepperfield/controller/StoredStateCompatibility.java
+++ b/src/main/java/io/pepperfield/controller/StoredStateCompatibility.java
@@ -40,7 +40,7 @@
                 rollout.map(Rollout::transactionLimits)
                         .orElseGet(
                                 () ->
-                                        TransactionLimits.all(
+                                        TransactionLimits.serviceMaximum(
                                                 settings.deployment()
                                                         .storeLimits()
                                                         .maxTransactionOps()));
--- a/src/main/java/io/pepperfield/jobs/UserRequests.java
+++ b/src/main/java/io/pepperfield/jobs/UserRequests.java
@@ -134,7 +134,7 @@
         }
         JobSpec job;
         try {
-            job = JobMessages.decodeSubmission(json, loop.wallMs(), limits.tasksInRunRecord());
+            job = JobMessages.decodeSubmission(json, loop.wallClockMs(), limits.tasksInRunRecord());
         } catch (JobMessages.InvalidSubmissionException e) {
             answerUnlessKnown(id, HttpReply.error(400, e.getMessage()), answer);
             return;
--- a/src/main/java/io/pepperfield/leadership/Leadership.java
+++ b/src/main/java/io/pepperfield/leadership/Leadership.java
@@ -21,7 +21,7 @@
  * as a precondition proves that its writer still led when it took effect. Confined to the event
  * loop's thread.
  */
-public final class Leadership implements LeaderClaim {
+public final class Leadership implements LeadershipView {
 
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
 
--- a/src/main/java/io/pepperfield/leadership/LeaderClaim.java
+++ b/src/main/java/io/pepperfield/leadership/LeadershipView.java
@@ -4,7 +4,7 @@
 import io.pepperfield.fencing.FencingToken;
 
 /** The leadership of this controller, as far as it has it. */
-public interface LeaderClaim {
+public interface LeadershipView {
 
     /** Whether this controller leads and its lease cannot have expired. */
     boolean holdsValidLease();
--- a/src/main/java/io/pepperfield/lifecycle/JobCompletion.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobCompletion.java
@@ -65,7 +65,7 @@
             return;
         }
         String key = Keys.FINAL_STATE_PREFIX + job.spec.id();
-        long doneMs = loop.wallMs();
+        long doneMs = loop.wallClockMs();
         durable.writer()
                 .enqueueOnce(
                         key,
--- a/src/main/java/io/pepperfield/lifecycle/JobRecovery.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobRecovery.java
@@ -24,7 +24,7 @@
         this.fleet = fleet;
         this.liveAttempts = liveAttempts;
         this.now = loop.now();
-        this.wallClockMs = loop.wallMs();
+        this.wallClockMs = loop.wallClockMs();
     }
 
     /** The job as its records say; empty where it has ended and nothing of it may be alive. */
--- a/src/main/java/io/pepperfield/lifecycle/JobTracker.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobTracker.java
@@ -153,7 +153,9 @@
     /** By this leader's clock; now where the final states, by an older version, do not say. */
     private double readyAt(JobRecord record) {
         long sinceMs =
-                record.readyMs().isPresent() ? loop.wallMs() - record.readyMs().getAsLong() : 0;
+                record.readyMs().isPresent()
+                        ? loop.wallClockMs() - record.readyMs().getAsLong()
+                        : 0;
         return loop.now() - Math.max(0, sinceMs / 1000.0);
     }
 
--- a/src/main/java/io/pepperfield/loop/Loop.java
+++ b/src/main/java/io/pepperfield/loop/Loop.java
@@ -7,11 +7,11 @@
     double now();
 
     /** Time of day in milliseconds, within the bound of the settings. */
-    long wallMs();
+    long wallClockMs();
 
     /** Runs the command on the event loop, after those already queued. */
     void post(Runnable command);
 
     /** Runs the command on the event loop once that many seconds have passed. */
-    void after(double seconds, Runnable command);
+    void schedule(double seconds, Runnable command);
 }
--- a/src/main/java/io/pepperfield/recovery/HttpSnapshotSource.java
+++ b/src/main/java/io/pepperfield/recovery/HttpSnapshotSource.java
@@ -5,7 +5,7 @@
 import io.pepperfield.http.BlockingHttpClient;
 import io.pepperfield.http.HttpOutcome;
 import io.pepperfield.http.OutboundRequest;
-import io.pepperfield.store.KeyValueMessages;
+import io.pepperfield.store.KeyValueStoreCodec;
 import io.pepperfield.store.Keys;
 import java.io.IOException;
 import java.util.concurrent.locks.LockSupport;
@@ -44,7 +44,7 @@
         String since = after.isEmpty() ? "" : "&since=" + after;
         JsonNode body = get("/kv?starts=" + Keys.ROOT + "&limit=" + PAGE_SIZE + since).json();
         boolean more = body.path("truncated").asBoolean();
-        return new Page(KeyValueMessages.pairs(body), more, revision(body));
+        return new Page(KeyValueStoreCodec.decodePairs(body), more, revision(body));
     }
 
     @Override
@@ -55,7 +55,7 @@
             throw new ChangesCompactedException(revision);
         }
         JsonNode body = answer.json();
-        return new Page(KeyValueMessages.events(body), false, revision(body));
+        return new Page(KeyValueStoreCodec.decodeEvents(body), false, revision(body));
     }
 
     private static long revision(JsonNode body) throws IOException {
--- a/src/main/java/io/pepperfield/rollout/RollbackRewriter.java
+++ b/src/main/java/io/pepperfield/rollout/RollbackRewriter.java
@@ -41,8 +41,7 @@
 
     /** Sorts right before all compact records. */
     private static final String SCAN_START =
-            Keys.SECOND_FORM_RUN_RECORD_PREFIX.substring(
-                    0, Keys.SECOND_FORM_RUN_RECORD_PREFIX.length() - 1);
+            Keys.V2_RUN_RECORD_PREFIX.substring(0, Keys.V2_RUN_RECORD_PREFIX.length() - 1);
 
     /** How the next records are written, after a transaction was refused for good. */
     private enum Batching {
@@ -138,7 +137,7 @@
         }
         List<KeyValue> records =
                 read.entries().stream()
-                        .filter(item -> item.key().startsWith(Keys.SECOND_FORM_RUN_RECORD_PREFIX))
+                        .filter(item -> item.key().startsWith(Keys.V2_RUN_RECORD_PREFIX))
                         .limit(batching == Batching.BATCH ? maxRecordsPerTransaction : 1)
                         .toList();
         if (!records.isEmpty()) {
--- a/src/main/java/io/pepperfield/rollout/Rollout.java
+++ b/src/main/java/io/pepperfield/rollout/Rollout.java
@@ -5,7 +5,7 @@
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.InboundRequest;
 import io.pepperfield.jobs.JobSpec;
-import io.pepperfield.leadership.LeaderClaim;
+import io.pepperfield.leadership.LeadershipView;
 import io.pepperfield.loop.Loop;
 import io.pepperfield.rollout.ClusterVersion.Phase;
 import io.pepperfield.store.KeyValueStore;
@@ -31,7 +31,7 @@
     private final VersionedKeyValueStore versionedStore;
     private final MemberRegistry memberRegistry;
     private final MemberDeclaration memberDeclaration;
-    private LeaderClaim leaderClaim;
+    private LeadershipView leaderClaim;
     private RolloutRequestHandler requestHandler;
     private RollbackRewriter rollbackRewriter;
 
@@ -63,7 +63,7 @@
      * @param leaderClaim of this node, which alone changes the version
      * @param jobSpecs gives the description of an accepted job, or null
      */
-    public void attach(LeaderClaim leaderClaim, Function<String, JobSpec> jobSpecs) {
+    public void attach(LeadershipView leaderClaim, Function<String, JobSpec> jobSpecs) {
         this.leaderClaim = leaderClaim;
         VersionTransitions versions =
                 new VersionTransitions(store, gate, versionedStore, memberRegistry, leaderClaim);
--- a/src/main/java/io/pepperfield/rollout/RolloutRequestHandler.java
+++ b/src/main/java/io/pepperfield/rollout/RolloutRequestHandler.java
@@ -6,7 +6,7 @@
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.InboundRequest;
 import io.pepperfield.http.Json;
-import io.pepperfield.leadership.LeaderClaim;
+import io.pepperfield.leadership.LeadershipView;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -26,7 +26,7 @@
     private final VersionedKeyValueStore versionedStore;
     private final MemberRegistry registry;
     private final VersionTransitions versionTransitions;
-    private final LeaderClaim leaderClaim;
+    private final LeadershipView leaderClaim;
     private boolean changeInFlight;
 
     RolloutRequestHandler(
@@ -34,7 +34,7 @@
             VersionedKeyValueStore versionedStore,
             MemberRegistry registry,
             VersionTransitions versionTransitions,
-            LeaderClaim leaderClaim) {
+            LeadershipView leaderClaim) {
         this.gate = gate;
         this.versionedStore = versionedStore;
         this.registry = registry;
--- a/src/main/java/io/pepperfield/rollout/VersionTransitions.java
+++ b/src/main/java/io/pepperfield/rollout/VersionTransitions.java
@@ -1,6 +1,6 @@
 package io.pepperfield.rollout;
 
-import io.pepperfield.leadership.LeaderClaim;
+import io.pepperfield.leadership.LeadershipView;
 import io.pepperfield.rollout.ClusterVersion.Phase;
 import io.pepperfield.store.KeyValueStore;
 import io.pepperfield.store.KeyValueStore.CompareAndSwapOutcome;
@@ -24,14 +24,14 @@
     private final VersionGate gate;
     private final VersionedKeyValueStore versionedStore;
     private final MemberRegistry registry;
-    private final LeaderClaim leaderClaim;
+    private final LeadershipView leaderClaim;
 
     VersionTransitions(
             KeyValueStore store,
             VersionGate gate,
             VersionedKeyValueStore versionedStore,
             MemberRegistry registry,
-            LeaderClaim leaderClaim) {
+            LeadershipView leaderClaim) {
         this.store = store;
         this.gate = gate;
         this.versionedStore = versionedStore;
@@ -65,7 +65,7 @@
         List<Mutation> mutations = new ArrayList<>();
         mutations.add(versionMutation(now.activated(target, List.copyOf(without))));
         if (!gate.fencesOlderReleases()) {
-            moveLeaderKey(Keys.LEADER, Keys.SECOND_FORM_LEADER, mutations);
+            moveLeaderKey(Keys.LEADER, Keys.V2_LEADER, mutations);
         }
         execute(preconditions, mutations, "version " + target + " is active", done);
     }
@@ -149,7 +149,7 @@
     void completeRollback(Consumer<RolloutResult> done) {
         List<Mutation> mutations = new ArrayList<>();
         mutations.add(versionMutation(gate.version().rolledBack()));
-        moveLeaderKey(Keys.SECOND_FORM_LEADER, Keys.LEADER, mutations);
+        moveLeaderKey(Keys.V2_LEADER, Keys.LEADER, mutations);
         execute(leaderPreconditions(), mutations, "rolled back", done);
     }
 
--- a/src/main/java/io/pepperfield/rollout/VersionedKeyValueStore.java
+++ b/src/main/java/io/pepperfield/rollout/VersionedKeyValueStore.java
@@ -66,18 +66,17 @@
 
     /** The key of a run record in the second form. */
     static String compactKey(String key) {
-        return Keys.SECOND_FORM_RUN_RECORD_PREFIX + key.substring(Keys.RUN_RECORD_PREFIX.length());
+        return Keys.V2_RUN_RECORD_PREFIX + key.substring(Keys.RUN_RECORD_PREFIX.length());
     }
 
     /** The key of the first form of what is stored under a key of the second. */
     static String firstFormKey(String compactKey) {
-        return Keys.RUN_RECORD_PREFIX
-                + compactKey.substring(Keys.SECOND_FORM_RUN_RECORD_PREFIX.length());
+        return Keys.RUN_RECORD_PREFIX + compactKey.substring(Keys.V2_RUN_RECORD_PREFIX.length());
     }
 
     /** The leader key that is in use now. */
     String leaderKey() {
-        return gate.fencesOlderReleases() ? Keys.SECOND_FORM_LEADER : Keys.LEADER;
+        return gate.fencesOlderReleases() ? Keys.V2_LEADER : Keys.LEADER;
     }
 
     /** How many run records are known in the compact form. */
@@ -183,16 +182,16 @@
     }
 
     private static String firstFormName(String storedKey) {
-        if (storedKey.equals(Keys.SECOND_FORM_LEADER)) {
+        if (storedKey.equals(Keys.V2_LEADER)) {
             return Keys.LEADER;
         }
-        return storedKey.startsWith(Keys.SECOND_FORM_RUN_RECORD_PREFIX)
+        return storedKey.startsWith(Keys.V2_RUN_RECORD_PREFIX)
                 ? firstFormKey(storedKey)
                 : storedKey;
     }
 
     private void recordCompactForm(String storedKey, long modRevision) {
-        if (storedKey.startsWith(Keys.SECOND_FORM_RUN_RECORD_PREFIX)) {
+        if (storedKey.startsWith(Keys.V2_RUN_RECORD_PREFIX)) {
             compactRecordRevisions.merge(firstFormKey(storedKey), modRevision, Math::max);
         }
     }
@@ -229,7 +228,7 @@
     /** Adds the item as it is in the first form, unless it says nothing there. */
     private void addInFirstForm(KeyValue item, List<KeyValue> items) {
         String key = item.key();
-        if (key.startsWith(Keys.SECOND_FORM_PREFIX)) {
+        if (key.startsWith(Keys.V2_PREFIX)) {
             addFromSecondForm(item, items);
         } else if (isRunRecord(key)) {
             // Deleted only in the same transaction that writes the other form.
@@ -251,11 +250,11 @@
             return;
         }
         String key = item.key();
-        if (key.equals(Keys.SECOND_FORM_LEADER)) {
+        if (key.equals(Keys.V2_LEADER)) {
             if (!isFence(item)) {
                 items.add(new KeyValue(Keys.LEADER, item.value(), item.modRevision()));
             }
-        } else if (key.startsWith(Keys.SECOND_FORM_RUN_RECORD_PREFIX) && item.value() != null) {
+        } else if (key.startsWith(Keys.V2_RUN_RECORD_PREFIX) && item.value() != null) {
             recordCompactForm(key, item.modRevision());
             JsonNode taskStates = decodeRunRecord(key, item.value());
             items.add(new KeyValue(firstFormKey(key), taskStates, item.modRevision()));
--- a/src/main/java/io/pepperfield/store/FencedWriter.java
+++ b/src/main/java/io/pepperfield/store/FencedWriter.java
@@ -230,7 +230,7 @@
         if (transactionInFlight || paused || queue.isEmpty() || !fence.holdsValidLease()) {
             return;
         }
-        List<PendingWrite> ready = queue.ready(loop.now(), limits.maxMutations());
+        List<PendingWrite> ready = queue.selectReady(loop.now(), limits.maxMutations());
         if (ready.isEmpty()) {
             return;
         }
@@ -255,7 +255,7 @@
         WriteTransaction transaction =
                 new WriteTransaction(limits, maxWrites, fence.fencingPrecondition());
         for (PendingWrite write : ready) {
-            if (!transaction.add(write, this::expectedRevision)) {
+            if (!transaction.tryAdd(write, this::expectedRevision)) {
                 break;
             }
             queue.remove(write.key());
@@ -297,7 +297,7 @@
     /** Runs the command after the retry pause, unless the leadership has ended by then. */
     private void afterRetryPause(Runnable command) {
         int scheduledIn = term;
-        loop.after(
+        loop.schedule(
                 retryS,
                 () -> {
                     if (scheduledIn == term) {
@@ -362,6 +362,6 @@
         }
         // Spaced, so that a precondition which keeps failing until the replica brings the reason
         // does not spin.
-        loop.after(retryS / 4, this::flush);
+        loop.schedule(retryS / 4, this::flush);
     }
 }
--- a/src/main/java/io/pepperfield/store/HttpKeyValueStore.java
+++ b/src/main/java/io/pepperfield/store/HttpKeyValueStore.java
@@ -57,7 +57,7 @@
             List<Precondition> preconditions,
             List<Mutation> mutations,
             Consumer<CompareAndSwapOutcome> done) {
-        byte[] body = KeyValueMessages.transaction(preconditions, mutations);
+        byte[] body = KeyValueStoreCodec.encodeTransaction(preconditions, mutations);
         Request request = new Request("POST", "/txn", body, REQUEST_TIMEOUT_S);
         rateLimiter.submit(
                 priority,
@@ -68,7 +68,8 @@
                                 request,
                                 outcome ->
                                         done.accept(
-                                                KeyValueMessages.compareAndSwapOutcome(outcome))),
+                                                KeyValueStoreCodec.decodeTransactionOutcome(
+                                                        outcome))),
                 () -> done.accept(new CompareAndSwapOutcome.Refused(STATUS_TOO_MANY_REQUESTS)));
     }
 
@@ -78,7 +79,7 @@
         String path = "/kv?starts=" + Keys.ROOT + "&limit=" + PAGE_SIZE + position;
         read(
                 new Request("GET", path, null, PAGE_TIMEOUT_S),
-                outcome -> done.accept(KeyValueMessages.page(outcome)),
+                outcome -> done.accept(KeyValueStoreCodec.decodePage(outcome)),
                 done);
     }
 
@@ -88,7 +89,7 @@
         String path = "/follow?starts=" + Keys.ROOT + "&since=" + since + "&holdMs=" + holdMs;
         read(
                 new Request("GET", path, null, holdS + REQUEST_TIMEOUT_S),
-                outcome -> done.accept(KeyValueMessages.changes(outcome)),
+                outcome -> done.accept(KeyValueStoreCodec.decodeChanges(outcome)),
                 done);
     }
 
@@ -103,10 +104,10 @@
 
     @Override
     public void createGrant(double ttlS, Consumer<GrantOutcome> done) {
-        byte[] body = KeyValueMessages.grantRequest(ttlS);
+        byte[] body = KeyValueStoreCodec.encodeGrantRequest(ttlS);
         sendAtOnce(
                 new Request("POST", "/grants", body, REQUEST_TIMEOUT_S),
-                outcome -> done.accept(KeyValueMessages.createdGrant(outcome)));
+                outcome -> done.accept(KeyValueStoreCodec.decodeCreatedGrant(outcome)));
     }
 
     @Override
@@ -114,7 +115,7 @@
         String path = "/grants/" + id + "/touch";
         sendAtOnce(
                 new Request("POST", path, EMPTY_BODY, REQUEST_TIMEOUT_S),
-                outcome -> done.accept(KeyValueMessages.renewedGrant(id, outcome)));
+                outcome -> done.accept(KeyValueStoreCodec.decodeRenewedGrant(id, outcome)));
     }
 
     @Override
--- a/src/main/java/io/pepperfield/store/KeyValueMessages.java
+++ b/src/main/java/io/pepperfield/store/KeyValueStoreCodec.java
@@ -19,7 +19,7 @@
  * wire a modification revision is a {@code stamp}, the store's revision a {@code generation}, a
  * precondition a {@code guard} and a grant's id a {@code claim}.
  */
-public final class KeyValueMessages {
+public final class KeyValueStoreCodec {
 
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
@@ -29,11 +29,11 @@
     private static final int TOO_MANY_REQUESTS = 429;
     private static final int SERVICE_UNAVAILABLE = 503;
 
-    private KeyValueMessages() {}
+    private KeyValueStoreCodec() {}
 
     // ---- requests
 
-    static byte[] transaction(List<Precondition> preconditions, List<Mutation> mutations) {
+    static byte[] encodeTransaction(List<Precondition> preconditions, List<Mutation> mutations) {
         ObjectNode body = Json.object();
         ArrayNode guards = body.putArray("guards");
         for (Precondition precondition : preconditions) {
@@ -57,13 +57,13 @@
         }
     }
 
-    static byte[] grantRequest(double ttlS) {
+    static byte[] encodeGrantRequest(double ttlS) {
         return Json.write(Json.object().put("ttlMs", Math.round(ttlS * 1000)));
     }
 
     // ---- answers
 
-    static CompareAndSwapOutcome compareAndSwapOutcome(HttpOutcome outcome) {
+    static CompareAndSwapOutcome decodeTransactionOutcome(HttpOutcome outcome) {
         if (outcome instanceof HttpOutcome.NotSent) {
             return new CompareAndSwapOutcome.Refused(0);
         }
@@ -93,18 +93,18 @@
         return new CompareAndSwapOutcome.Conflict(failedKeys);
     }
 
-    static ReadResult page(HttpOutcome outcome) {
+    static ReadResult decodePage(HttpOutcome outcome) {
         if (!(outcome instanceof HttpOutcome.Answered answer) || answer.status() != OK) {
             return new ReadResult.Failed();
         }
         JsonNode body = answer.json();
         return new ReadResult.Read(
-                pairs(body),
+                decodePairs(body),
                 body.path("truncated").asBoolean(),
                 body.path("generation").longValue());
     }
 
-    static ReadResult changes(HttpOutcome outcome) {
+    static ReadResult decodeChanges(HttpOutcome outcome) {
         if (!(outcome instanceof HttpOutcome.Answered answer)) {
             return new ReadResult.Failed();
         }
@@ -117,11 +117,11 @@
         JsonNode body = answer.json();
         JsonNode revision = body.path("generation");
         return revision.isIntegralNumber()
-                ? new ReadResult.Read(events(body), false, revision.longValue())
+                ? new ReadResult.Read(decodeEvents(body), false, revision.longValue())
                 : new ReadResult.Failed();
     }
 
-    static GrantOutcome createdGrant(HttpOutcome outcome) {
+    static GrantOutcome decodeCreatedGrant(HttpOutcome outcome) {
         if (outcome instanceof HttpOutcome.Answered answer && answer.status() == OK) {
             long id = answer.json().path("claim").longValue();
             return id == 0 ? new GrantOutcome.Unavailable() : new GrantOutcome.Granted(id);
@@ -132,7 +132,7 @@
     /**
      * @param id the grant that was to be renewed
      */
-    static GrantOutcome renewedGrant(long id, HttpOutcome outcome) {
+    static GrantOutcome decodeRenewedGrant(long id, HttpOutcome outcome) {
         if (!(outcome instanceof HttpOutcome.Answered answer)) {
             return new GrantOutcome.Unavailable();
         }
@@ -144,7 +144,7 @@
     }
 
     /** The keys in the answer to a reading of a range. */
-    public static List<KeyValue> pairs(JsonNode body) {
+    public static List<KeyValue> decodePairs(JsonNode body) {
         List<KeyValue> pairs = new ArrayList<>();
         for (JsonNode pair : body.path("pairs")) {
             long modRevision = pair.path("stamp").longValue();
@@ -154,7 +154,7 @@
     }
 
     /** The changes in the answer to a watch; deleted keys have a null value. */
-    public static List<KeyValue> events(JsonNode body) {
+    public static List<KeyValue> decodeEvents(JsonNode body) {
         List<KeyValue> events = new ArrayList<>();
         for (JsonNode event : body.path("events")) {
             long modRevision = event.path("stamp").longValue();
--- a/src/main/java/io/pepperfield/store/Keys.java
+++ b/src/main/java/io/pepperfield/store/Keys.java
@@ -25,13 +25,13 @@
     public static final String ROLLOUT_MEMBER_PREFIX = ROLLOUT_PREFIX + "member/";
 
     /** What is stored in the second form; after the jobs in the order of keys. */
-    public static final String SECOND_FORM_PREFIX = ROOT + "v2/";
+    public static final String V2_PREFIX = ROOT + "v2/";
 
     /** The leader key while records may exist in the second form. */
-    public static final String SECOND_FORM_LEADER = SECOND_FORM_PREFIX + "leader";
+    public static final String V2_LEADER = V2_PREFIX + "leader";
 
     /** A job's run records in the second form. */
-    public static final String SECOND_FORM_RUN_RECORD_PREFIX = SECOND_FORM_PREFIX + "run/";
+    public static final String V2_RUN_RECORD_PREFIX = V2_PREFIX + "run/";
 
     private Keys() {}
 
--- a/src/main/java/io/pepperfield/store/PendingWrite.java
+++ b/src/main/java/io/pepperfield/store/PendingWrite.java
@@ -111,7 +111,7 @@
     }
 
     /** Joins what was enqueued for the same key while this write was under way. */
-    void join(PendingWrite later) {
+    void merge(PendingWrite later) {
         onDurable.addAll(later.onDurable);
         raisePriority(later.priority);
     }
--- a/src/main/java/io/pepperfield/store/RateLimiter.java
+++ b/src/main/java/io/pepperfield/store/RateLimiter.java
@@ -128,7 +128,7 @@
         // What was sent may have submitted more and set the timer already.
         if (blocked && !drainScheduled) {
             drainScheduled = true;
-            loop.after(Math.max(1 / requestRate, MIN_DRAIN_INTERVAL_S), this::drainQueues);
+            loop.schedule(Math.max(1 / requestRate, MIN_DRAIN_INTERVAL_S), this::drainQueues);
         }
     }
 
--- a/src/main/java/io/pepperfield/store/Replica.java
+++ b/src/main/java/io/pepperfield/store/Replica.java
@@ -61,7 +61,7 @@
     }
 
     /** Keeps only the key's revision, where its value is of no use to anybody any more. */
-    public void compact(String key) {
+    public void discardValue(String key) {
         Entry entry = entries.get(key);
         if (entry != null) {
             entries.put(key, new Entry(MissingNode.getInstance(), entry.modRevision));
--- a/src/main/java/io/pepperfield/store/ReplicaSynchronizer.java
+++ b/src/main/java/io/pepperfield/store/ReplicaSynchronizer.java
@@ -62,7 +62,7 @@
     }
 
     /** Whether all keys have been read once. */
-    public boolean loaded() {
+    public boolean isLoaded() {
         return loaded;
     }
 
@@ -101,7 +101,7 @@
                 0,
                 result -> {
                     // First of all: whatever throws below must not end all later requests.
-                    loop.after(minIntervalS, this::requestNextReadIndex);
+                    loop.schedule(minIntervalS, this::requestNextReadIndex);
                     completeReads(reads, result, sentAt);
                 });
     }
@@ -146,7 +146,7 @@
 
     private void watch() {
         if (!loaded) {
-            loop.after(RETRY_INTERVALS * minIntervalS, this::watch);
+            loop.schedule(RETRY_INTERVALS * minIntervalS, this::watch);
             return;
         }
         double sentAt = loop.now();
@@ -158,7 +158,7 @@
         try {
             applied = applyResult(result, sentAt);
         } finally {
-            loop.after(applied ? minIntervalS : RETRY_INTERVALS * minIntervalS, this::watch);
+            loop.schedule(applied ? minIntervalS : RETRY_INTERVALS * minIntervalS, this::watch);
         }
         consecutiveWatchFailures = applied ? 0 : consecutiveWatchFailures + 1;
         if (consecutiveWatchFailures > MAX_WATCH_FAILURES
@@ -214,7 +214,7 @@
 
         private void pageRead(String after, ReadResult result) {
             if (!(result instanceof ReadResult.Read page)) {
-                loop.after(RETRY_INTERVALS * minIntervalS, () -> retry(after));
+                loop.schedule(RETRY_INTERVALS * minIntervalS, () -> retry(after));
                 return;
             }
             entries.addAll(page.entries());
@@ -246,7 +246,7 @@
                 loaded = true;
             } finally {
                 if (!loaded) {
-                    loop.after(RETRY_INTERVALS * minIntervalS, ReplicaSynchronizer.this::load);
+                    loop.schedule(RETRY_INTERVALS * minIntervalS, ReplicaSynchronizer.this::load);
                 }
             }
         }
--- a/src/main/java/io/pepperfield/store/TransactionLimits.java
+++ b/src/main/java/io/pepperfield/store/TransactionLimits.java
@@ -13,7 +13,7 @@
     int maxPreconditions();
 
     /** All that the state service allows. */
-    static TransactionLimits all(int maxMutations) {
+    static TransactionLimits serviceMaximum(int maxMutations) {
         return new TransactionLimits() {
             @Override
             public int maxMutations() {
--- a/src/main/java/io/pepperfield/store/WriteQueue.java
+++ b/src/main/java/io/pepperfield/store/WriteQueue.java
@@ -54,7 +54,7 @@
      * @param now loop time in seconds
      * @param most how many are wanted
      */
-    List<PendingWrite> ready(double now, int most) {
+    List<PendingWrite> selectReady(double now, int most) {
         List<PendingWrite> ready = new ArrayList<>();
         for (int rank = 0; rank < Priority.values().length; rank++) {
             for (PendingWrite write : writes.values()) {
@@ -95,7 +95,7 @@
                 (key, write) -> {
                     PendingWrite earlier = writes.putIfAbsent(key, write);
                     if (earlier != null) {
-                        earlier.join(write);
+                        earlier.merge(write);
                     }
                 });
     }
--- a/src/main/java/io/pepperfield/store/WriteTransaction.java
+++ b/src/main/java/io/pepperfield/store/WriteTransaction.java
@@ -54,7 +54,7 @@
      * @param expectedRevision the modification revision that a key is expected to have
      * @return false where there is no room for it
      */
-    boolean add(PendingWrite write, ToLongFunction<String> expectedRevision) {
+    boolean tryAdd(PendingWrite write, ToLongFunction<String> expectedRevision) {
         Map<String, JsonNode> values = write.values();
         Collection<String> requiredAbsent = write.requiredAbsent();
         int size = encodedSize(values, requiredAbsent);
--- a/src/test/java/io/pepperfield/autoscaling/AutoscalerTest.java
+++ b/src/test/java/io/pepperfield/autoscaling/AutoscalerTest.java
@@ -57,7 +57,7 @@
                     replica,
                     new ReplicaSynchronizer(state, state, replica, 1, 1),
                     this,
-                    TransactionLimits.all(32),
+                    TransactionLimits.serviceMaximum(32),
                     1,
                     2);
     private final Fleet fleet = new Fleet(this, new FencingToken(10), 3);
@@ -258,7 +258,7 @@
     }
 
     @Override
-    public long wallMs() {
+    public long wallClockMs() {
         return 0;
     }
 
@@ -268,7 +268,7 @@
     }
 
     @Override
-    public void after(double seconds, Runnable command) {}
+    public void schedule(double seconds, Runnable command) {}
 
     @Override
     public boolean holdsValidLease() {
--- a/src/test/java/io/pepperfield/controller/EventLoopTest.java
+++ b/src/test/java/io/pepperfield/controller/EventLoopTest.java
@@ -26,9 +26,9 @@
 
     @Test
     void timersRunInTheOrderInWhichTheyAreDue() {
-        eventLoop.after(0.01, () -> ran.add("second"));
-        eventLoop.after(0.001, () -> ran.add("first"));
-        eventLoop.after(0.011, eventLoop::stop);
+        eventLoop.schedule(0.01, () -> ran.add("second"));
+        eventLoop.schedule(0.001, () -> ran.add("first"));
+        eventLoop.schedule(0.011, eventLoop::stop);
         eventLoop.run();
         assertEquals(List.of("first", "second"), ran);
     }
@@ -53,7 +53,7 @@
         Thread owner = new Thread(eventLoop::run);
         owner.start();
         running.await();
-        assertThrows(AssertionError.class, () -> eventLoop.after(1, () -> {}));
+        assertThrows(AssertionError.class, () -> eventLoop.schedule(1, () -> {}));
         eventLoop.stop();
         owner.join();
     }
--- a/src/test/java/io/pepperfield/dispatch/DispatcherTest.java
+++ b/src/test/java/io/pepperfield/dispatch/DispatcherTest.java
@@ -390,7 +390,7 @@
     }
 
     @Override
-    public long wallMs() {
+    public long wallClockMs() {
         return 0;
     }
 
@@ -398,7 +398,7 @@
     public void post(Runnable command) {}
 
     @Override
-    public void after(double seconds, Runnable command) {}
+    public void schedule(double seconds, Runnable command) {}
 
     /**
      * An older and higher job takes neither the guarantee nor the turn while it waits for others.
--- a/src/test/java/io/pepperfield/forms/StoredForms.java
+++ b/src/test/java/io/pepperfield/forms/StoredForms.java
@@ -241,7 +241,7 @@
                         replica,
                         new ReplicaSynchronizer(loop, state, replica, 1, 1),
                         new SureLead(),
-                        TransactionLimits.all(8),
+                        TransactionLimits.serviceMaximum(8),
                         1,
                         2);
         InstanceLifecycle renting =
--- a/src/test/java/io/pepperfield/forms/UserAnswerForms.java
+++ b/src/test/java/io/pepperfield/forms/UserAnswerForms.java
@@ -172,7 +172,7 @@
             List<Precondition> guards,
             List<Mutation> changes,
             Consumer<CompareAndSwapOutcome> done) {
-        loop.after(0.1, () -> done.accept(written));
+        loop.schedule(0.1, () -> done.accept(written));
     }
 
     @Override
@@ -183,7 +183,7 @@
     @Override
     public void watch(long since, double holdS, Consumer<ReadResult> done) {
         if (holdS == 0) {
-            loop.after(0.1, () -> done.accept(read));
+            loop.schedule(0.1, () -> done.accept(read));
         }
     }
 }
--- a/src/test/java/io/pepperfield/health/FailureDetectorTest.java
+++ b/src/test/java/io/pepperfield/health/FailureDetectorTest.java
@@ -198,7 +198,7 @@
     }
 
     @Override
-    public long wallMs() {
+    public long wallClockMs() {
         return 0;
     }
 
@@ -208,5 +208,5 @@
     }
 
     @Override
-    public void after(double seconds, Runnable command) {}
+    public void schedule(double seconds, Runnable command) {}
 }
--- a/src/test/java/io/pepperfield/leadership/LeadershipElectionTest.java
+++ b/src/test/java/io/pepperfield/leadership/LeadershipElectionTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aCandidateThatLosesStandsEverMoreRarelyUntilItHearsWhoLeads() {
+    void lostElectionsBackOffUntilALeaderIsObserved() {
         leadership.replicaLoaded();
         tickUntil(2 * TTL_S);
         int before = elections;
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void itStandsAgainAsSoonAsThatLeaderIsGone() {
+    void anElectionStartsPromptlyAfterTheLeaderKeyIsDeleted() {
         leadership.replicaLoaded();
         tickUntil(2 * TICK_S);
         int before = elections;
--- a/src/test/java/io/pepperfield/rollout/RollbackRecordsTest.java
+++ b/src/test/java/io/pepperfield/rollout/RollbackRecordsTest.java
@@ -31,7 +31,7 @@
         leader.command("rollback", "{}");
         passTime();
         assertEquals(LATER, state.get(RECORD));
-        assertEquals(0, state.count(Keys.SECOND_FORM_RUN_RECORD_PREFIX));
+        assertEquals(0, state.count(Keys.V2_RUN_RECORD_PREFIX));
         assertEquals(ClusterVersion.INITIAL, version());
         assertEquals(LATER, other.seen.get(RECORD));
     }
@@ -60,14 +60,14 @@
         hearAll();
         leader.command("rollback", "{}");
         leader.hear();
-        assertEquals(2, state.count(Keys.SECOND_FORM_RUN_RECORD_PREFIX), "not rewritten yet");
+        assertEquals(2, state.count(Keys.V2_RUN_RECORD_PREFIX), "not rewritten yet");
         assertEquals(200, leader.command("activate", ACTIVATE).status());
         hearAll();
         // Compact once more, before the place that the rewriting had reached.
         assertInstanceOf(CompareAndSwapOutcome.Committed.class, leader.write(LATER));
         leader.command("rollback", "{}");
         passTime();
-        assertEquals(0, state.count(Keys.SECOND_FORM_RUN_RECORD_PREFIX));
+        assertEquals(0, state.count(Keys.V2_RUN_RECORD_PREFIX));
         assertEquals(LATER, state.get(RECORD));
         assertEquals(ClusterVersion.INITIAL, version());
     }
@@ -113,7 +113,7 @@
         leader.command("rollback", "{}");
         passTime();
         assertEquals(LINES.toString(), String.valueOf(state.get(Keys.runRecord("run-000002", 0))));
-        assertEquals(1, state.count(Keys.SECOND_FORM_RUN_RECORD_PREFIX));
+        assertEquals(1, state.count(Keys.V2_RUN_RECORD_PREFIX));
         assertEquals(ClusterVersion.Phase.ROLLING_BACK, version().phase());
     }
 }
--- a/src/test/java/io/pepperfield/rollout/RolloutCommandForms.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutCommandForms.java
@@ -8,7 +8,7 @@
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.InboundRequest;
 import io.pepperfield.http.Json;
-import io.pepperfield.leadership.LeaderClaim;
+import io.pepperfield.leadership.LeadershipView;
 import io.pepperfield.standin.NoOpKeyValueStore;
 import io.pepperfield.standin.RegionSettings;
 import java.nio.charset.StandardCharsets;
@@ -16,7 +16,7 @@
 import java.util.Map;
 
 /** What operators ask about the rollout, and what a leader answers them. */
-public final class RolloutCommandForms implements LeaderClaim {
+public final class RolloutCommandForms implements LeadershipView {
 
     private static final long TOKEN = 41;
     private static final Release NEWER = new Release("9.1.0", 1, 3, 3);
--- a/src/test/java/io/pepperfield/rollout/RolloutFixture.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutFixture.java
@@ -8,7 +8,7 @@
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.Json;
 import io.pepperfield.jobs.JobSpec;
-import io.pepperfield.leadership.LeaderClaim;
+import io.pepperfield.leadership.LeadershipView;
 import io.pepperfield.standin.InMemoryKeyValueStore;
 import io.pepperfield.standin.RegionSettings;
 import io.pepperfield.standin.SimWorld;
@@ -45,7 +45,7 @@
     private final SimulatedLoop loop = new SimulatedLoop();
 
     /** A controller as far as the rollout is concerned; it leads if it is told that it does. */
-    final class Node implements LeaderClaim {
+    final class Node implements LeadershipView {
         final Rollout rollout;
         final Map<String, Long> modRevisions = new HashMap<>();
         final Map<String, JsonNode> seen = new HashMap<>();
--- a/src/test/java/io/pepperfield/rollout/RolloutMeasurement.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutMeasurement.java
@@ -6,7 +6,7 @@
 import io.pepperfield.http.Json;
 import io.pepperfield.jobs.TaskState;
 import io.pepperfield.jobs.TaskState.Phase;
-import io.pepperfield.leadership.LeaderClaim;
+import io.pepperfield.leadership.LeadershipView;
 import io.pepperfield.standin.Fault.LargeArrays;
 import io.pepperfield.standin.Fault.OperatorCommand;
 import io.pepperfield.standin.InMemoryKeyValueStore;
@@ -35,7 +35,7 @@
     private RolloutMeasurement() {}
 
     /** A leader that is never replaced. */
-    private record Lead(InMemoryKeyValueStore state) implements LeaderClaim {
+    private record Lead(InMemoryKeyValueStore state) implements LeadershipView {
         @Override
         public boolean holdsValidLease() {
             return true;
@@ -43,7 +43,7 @@
 
         @Override
         public FencingToken fencingToken() {
-            return new FencingToken(state.modRevision(Keys.SECOND_FORM_LEADER));
+            return new FencingToken(state.modRevision(Keys.V2_LEADER));
         }
 
         @Override
@@ -78,12 +78,11 @@
         JsonNode record = CompactRunRecords.encode(TaskState.encode(lines()));
         for (int job = 0; job < RECORDS; job++) {
             state.put(
-                    Keys.SECOND_FORM_RUN_RECORD_PREFIX
-                            + String.format(Locale.ROOT, "run-%06d/0", job),
+                    Keys.V2_RUN_RECORD_PREFIX + String.format(Locale.ROOT, "run-%06d/0", job),
                     record);
         }
         ClusterVersion active = ClusterVersion.INITIAL.activated(2, List.of());
-        state.put(Keys.SECOND_FORM_LEADER, new Lead(state).leaderKeyValue());
+        state.put(Keys.V2_LEADER, new Lead(state).leaderKeyValue());
         state.put(Keys.ROLLOUT_VERSION, active.rollingBack().write());
         Settings settings = RegionSettings.of(0, 1, new Settings.StoreLimits(150, 50, 8, 40));
         Rollout rollout = new Rollout(loop, settings, state, Release.CURRENT);
--- a/src/test/java/io/pepperfield/standin/RecordingKeyValueStore.java
+++ b/src/test/java/io/pepperfield/standin/RecordingKeyValueStore.java
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public long wallMs() {
+    public long wallClockMs() {
         return 0;
     }
 
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public void after(double seconds, Runnable command) {
+    public void schedule(double seconds, Runnable command) {
         waiting.add(command);
     }
 
--- a/src/test/java/io/pepperfield/standin/SimNode.java
+++ b/src/test/java/io/pepperfield/standin/SimNode.java
@@ -96,17 +96,17 @@
         }
 
         @Override
-        public long wallMs() {
+        public long wallClockMs() {
             return 1_000_000_000L + Math.round(world.now() * 1000);
         }
 
         @Override
         public void post(Runnable command) {
-            after(0, command);
+            schedule(0, command);
         }
 
         @Override
-        public void after(double seconds, Runnable command) {
+        public void schedule(double seconds, Runnable command) {
             world.after(Math.max(seconds, 0), () -> awake(incarnation, () -> run(command)));
         }
 
--- a/src/test/java/io/pepperfield/standin/SimulatedLoop.java
+++ b/src/test/java/io/pepperfield/standin/SimulatedLoop.java
@@ -21,17 +21,17 @@
     }
 
     @Override
-    public long wallMs() {
+    public long wallClockMs() {
         return 0;
     }
 
     @Override
     public void post(Runnable command) {
-        after(0, command);
+        schedule(0, command);
     }
 
     @Override
-    public void after(double seconds, Runnable command) {
+    public void schedule(double seconds, Runnable command) {
         timers.add(new Timer(now + seconds, command));
     }
 
--- a/src/test/java/io/pepperfield/store/FencedWriterTest.java
+++ b/src/test/java/io/pepperfield/store/FencedWriterTest.java
@@ -37,7 +37,7 @@
                             return new KeyValueStore.Precondition("leader", 1);
                         }
                     },
-                    TransactionLimits.all(2),
+                    TransactionLimits.serviceMaximum(2),
                     1,
                     2);
 
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void intentsThenEndsThenWhatHasGathered() {
+    void writesAreSentByPriorityAndBackgroundWritesAfterTheirDelay() {
         mark("completed", Priority.BACKGROUND);
         mark("end", Priority.FINAL_STATE);
         mark("start 1", Priority.INTENT);
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void whatKeepsComingHoldsNothingBackForEver() {
+    void continuousIntentsDoNotStarveLowerPriorities() {
         mark("end", Priority.FINAL_STATE);
         mark("completed", Priority.BACKGROUND);
         for (int i = 0; i < 4; i++) {
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void intentsOfTheLowestRankAreGatheredForAMoment() {
+    void batchedIntentsAreMergedUntilTheBatchDelayHasPassed() {
         mark("swarm", Priority.BATCHED);
         mark("swarm", Priority.BATCHED);
         writer.flush();
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void anIntentTakesAlongWhatItsChunkHasGathered() {
+    void anIntentSendsThePendingBackgroundWriteOfItsKeyAtOnce() {
         mark("chunk", Priority.BACKGROUND);
         writer.flush();
         assertEquals(List.of(), state.writtenKeys);
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void anIntentTakesEffectOnlyWhileItsJobHasNotEnded() {
+    void anIntentRequiresThatItsJobHasNoFinalState() {
         boolean[] known = new boolean[1];
         writer.enqueue(
                 "run 1",
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void noTransactionHasMoreGuardsThanTheServiceTakes() {
+    void transactionsStayWithinThePreconditionLimit() {
         List<String> ends = IntStream.range(0, 5).mapToObj(i -> "end " + i).toList();
         for (String key : List.of("run 1", "run 2")) {
             writer.enqueue(
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void aValueThatIsRefusedForItselfHoldsUpNoOther() {
+    void aPermanentlyRefusedWriteDoesNotBlockOthers() {
         mark("stored larger", Priority.INTENT);
         mark("run 1", Priority.INTENT);
         writer.flush();
@@ -175,7 +175,7 @@
     }
 
     @Test
-    void aValueThatIsRefusedForItselfIsDividedAndWrittenAsAWhole() {
+    void aPermanentlyRefusedWriteIsSplitAndSentInOneTransaction() {
         boolean[] divided = new boolean[1];
         List<String> effects = new ArrayList<>();
         FencedWriter.Content content =
--- a/src/test/java/io/pepperfield/store/HttpKeyValueStoreTest.java
+++ b/src/test/java/io/pepperfield/store/HttpKeyValueStoreTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aRenewalFindsAFreeConnectionWhateverElseIsUnderWay() {
+    void aGrantRenewalFindsAFreeConnectionWhileAllOtherRequestsArePending() {
         state.setRates(50, 20, 20);
         loop.run(1);
         // One of each kind is under way at most: the open watch, a confirmation, a reading in
--- a/src/test/java/io/pepperfield/store/RateLimiterTest.java
+++ b/src/test/java/io/pepperfield/store/RateLimiterTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void aLeaderThatWritesAllTheTimeKeepsNobodyElseWaiting() {
+    void continuousLeaderWritesDoNotDelaySubmissionsOrReads() {
         budget.setRates(50, 10, 5);
         ask("starts", RequestPriority.LEADER_WRITE, 40);
         ask("more starts", RequestPriority.LEADER_WRITE, 40);
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void whatWaitsTooLongIsRefusedHereAndNotByTheService() {
+    void requestsQueuedBeyondTheirTimeoutAreRejectedLocally() {
         budget.setRates(50, 0, 5);
         ask("rush", RequestPriority.SUBMISSION, 20);
         ask("late", RequestPriority.SUBMISSION, 1);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aRenewalWaitsForNothingHoweverShortTheRatesAre() {
+    void grantRequestsAreChargedButNeverQueued() {
         budget.setRates(2, 1, 1);
         for (int i = 0; i < 20; i++) {
             ask("question " + i, RequestPriority.READ, 0);
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void ratesThatFallHoldFromThenOnAndNothingSavedUpIsLeftOver() {
+    void loweredRatesApplyAtOnceAndCapSavedTokens() {
         budget.setRates(50, 40, 20);
         loop.run(2);
         budget.setRates(50, 10, 5);
--- a/src/test/java/io/pepperfield/store/ReplicaSynchronizerTest.java
+++ b/src/test/java/io/pepperfield/store/ReplicaSynchronizerTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void afterALongOutageNobodyReadsAllKeysForNothing() {
+    void aLongOutageCausesNoConcurrentOrNeedlessFullReads() {
         sync.start();
         loop.run(1);
         refuses = true;
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void anErrorInWhatFollowsFromAChangeCostsItsCommandAndNoLaterQuestion() {
+    void aListenerExceptionFailsItsReadsButNoLaterOnes() {
         sync.start();
         loop.run(1);
         throwsOnChange = true;
@@ -79,7 +79,7 @@
     @Override
     public void readPage(String after, Consumer<ReadResult> done) {
         readFrom.add(after);
-        loop.after(
+        loop.schedule(
                 0.005,
                 () ->
                         done.accept(
@@ -93,9 +93,9 @@
     public void watch(long since, double holdS, Consumer<ReadResult> done) {
         if (refuses) {
             // Not always as quick as the readings, which would hide how many there are.
-            loop.after(0.003 * (1 + refused++ % 11), () -> done.accept(new ReadResult.Failed()));
+            loop.schedule(0.003 * (1 + refused++ % 11), () -> done.accept(new ReadResult.Failed()));
         } else if (holdS == 0) {
-            loop.after(
+            loop.schedule(
                     0.005,
                     () ->
                             done.accept(
@@ -103,7 +103,7 @@
                                             List.of(item("a", 1), item("b", 2)), false, 2)));
         } else {
             held = done;
-            loop.after(
+            loop.schedule(
                     holdS,
                     () -> {
                         if (held == done && !refuses) {
