--- a/src/main/java/io/pepperfield/fencing/FencingToken.java
+++ b/src/main/java/io/pepperfield/fencing/FencingToken.java
@@ -2,14 +2,14 @@
 
 /**
  * The fencing token of a leader ({@code epoch} on the wire): the modification revision of the
- * leader key, so that each later leader, and each renewal by the same one, has a higher token.
- * Whoever has seen a token refuses what carries a lower one.
+ * leader key. Every later leader, and every rewrite of the key by the same leader, therefore has a
+ * higher token. A receiver rejects requests that carry a lower token than the highest it has seen.
  *
- * @param value the revision; 0 where no token has been seen
+ * @param value the revision; 0 for {@link #NONE}
  */
 public record FencingToken(long value) implements Comparable<FencingToken> {
 
-    /** Older than every token: no leader has been seen. */
+    /** The absence of a token, ordered before all tokens: no leader has been observed. */
     public static final FencingToken NONE = new FencingToken(0);
 
     /** The newer of two tokens. */
@@ -17,27 +17,27 @@
         return one.isOlderThan(other) ? other : one;
     }
 
-    /** Whether this is a leader's token at all. */
+    /** Whether this is a leader's token, that is, not {@link #NONE}. */
     public boolean exists() {
         return value != 0;
     }
 
-    /** Whether a later leader or renewal has this token. */
+    /** Whether this token was issued after the other one. */
     public boolean isNewerThan(FencingToken other) {
         return value > other.value;
     }
 
-    /** Whether an earlier leader, or the same one before a renewal, had this token. */
+    /** Whether this token was issued before the other one. */
     public boolean isOlderThan(FencingToken other) {
         return value < other.value;
     }
 
-    /** Whether this is the other token or a newer one. */
+    /** Whether this token equals the other one or was issued after it. */
     public boolean isAtLeast(FencingToken other) {
         return value >= other.value;
     }
 
-    /** The newest token that is older than this one. */
+    /** The highest possible token that is lower than this one. */
     public FencingToken predecessor() {
         return new FencingToken(value - 1);
     }
@@ -47,7 +47,7 @@
         return Long.compare(value, other.value);
     }
 
-    /** The number alone, as it stands on the wire and in the log. */
+    /** The plain number, as on the wire and in the log. */
     @Override
     public String toString() {
         return Long.toString(value);
--- a/src/main/java/io/pepperfield/fencing/package-info.java
+++ b/src/main/java/io/pepperfield/fencing/package-info.java
@@ -1,2 +1,2 @@
-/** The fencing token that proves which leader a message or a write comes from. */
+/** The fencing token, which identifies the leader term of a message or write. */
 package io.pepperfield.fencing;
--- a/src/main/java/io/pepperfield/leadership/Leadership.java
+++ b/src/main/java/io/pepperfield/leadership/Leadership.java
@@ -16,42 +16,51 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Leader election and the lease of the leader. The key {@code leader} is bound to a grant; the
- * modification revision that writing it returned is the fencing token. A write with that revision
- * as a precondition proves that its writer still led when it took effect. Confined to the event
- * loop's thread.
+ * Leader election and the leader's lease. The key {@code leader} is attached to a grant; the
+ * modification revision returned by the write of that key is the fencing token. A write that
+ * carries this revision as a precondition takes effect only while its writer is still the leader.
+ * Confined to the event loop's thread.
  */
 public final class Leadership implements LeadershipView {
 
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
 
-    /** Part of the lease for which candidates that are no newcomers hold back. */
-    private static final double NEWCOMER_HEAD_START = 1.0 / 20;
+    /**
+     * Fraction of the lease TTL for which a process that did not start under the previous leader
+     * delays its candidacy, which gives the processes that did a head start.
+     */
+    private static final double NEW_PROCESS_HEAD_START_FRACTION = 1.0 / 20;
 
-    /** Part of the lease between two renewals. */
-    private static final double RENEWAL_INTERVAL = 1.0 / 4;
+    /** Interval between lease renewals, as a fraction of the lease TTL. */
+    private static final double LEASE_RENEWAL_FRACTION = 1.0 / 4;
 
-    /** Part of the lease that this controller relies on; the rest covers clock drift. */
-    private static final double RELIABLE_PART = 0.9;
+    /**
+     * Fraction of the lease TTL after which this controller treats its lease as expired; the
+     * remainder allows for clock drift.
+     */
+    private static final double USABLE_LEASE_FRACTION = 0.9;
 
-    /** The lease is this many times the pause after a failed candidacy, which doubles with each. */
-    private static final int LEASE_PER_ELECTION_BACKOFF = 10;
+    /**
+     * The backoff after the first lost election is the lease TTL divided by this number; it doubles
+     * with each further lost election.
+     */
+    private static final int ELECTION_BACKOFF_DIVISOR = 10;
 
-    /** Part of the lease before the next candidacy after one of which the outcome is unknown. */
-    private static final double UNCERTAIN_ELECTION_BACKOFF = 1.0 / 4;
+    /** Backoff after an election with an unknown outcome, as a fraction of the lease TTL. */
+    private static final double UNKNOWN_OUTCOME_BACKOFF_FRACTION = 1.0 / 4;
 
-    /** The owner's reaction to changes of role; called on the event loop. */
+    /** Callbacks for changes of this controller's role; run on the event loop. */
     public interface Listener {
-        /** This controller leads from now on, with that fencing token. */
+        /** This controller has become the leader, with this fencing token. */
         void elected(FencingToken token);
 
-        /** The leader key was written anew: writes are fenced by this token from now on. */
+        /** The leader key has been rewritten; further writes must be fenced with this token. */
         void fencingTokenRenewed(FencingToken token);
 
         /**
-         * This controller does not lead any more.
+         * This controller is no longer the leader.
          *
-         * @param reason for the log
+         * @param reason the reason, for the log
          */
         void leadershipLost(String reason);
     }
@@ -62,14 +71,14 @@
     private final double leaseTtlS;
     private final Listener listener;
 
-    /** The node named by the leader key, or empty. */
+    /** The node named in the leader key, or empty if there is none. */
     private String leaderNode = "";
 
     private long leaderGrant;
     private FencingToken highestFencingToken = FencingToken.NONE;
     private boolean leaderKeyKnown;
 
-    /** The fencing token of this controller's term; none while it does not lead. */
+    /** The fencing token of this controller's term; NONE while it is not the leader. */
     private FencingToken fencingToken = FencingToken.NONE;
 
     private long grant;
@@ -78,29 +87,32 @@
     private boolean tokenRenewalInFlight;
     private boolean leaseRenewalInFlight;
     private double nextLeaseRenewalAt;
-    private double noCandidacyBefore;
+    private double nextElectionNotBefore;
 
-    /** Elections lost since the replica last brought a change of the leader key. */
+    /** Elections lost since the replica last delivered a change of the leader key. */
     private int consecutiveLostElections;
 
-    /** The leader's grant when this process began, or 0 where nobody led. */
-    private long grantAtProcessStart;
+    /** The leader's grant when this process started, or 0 if there was no leader. */
+    private long leaderGrantAtProcessStart;
 
-    private boolean initialLeaderSeen;
+    private boolean initialLeaderRecorded;
 
-    /** The grant of an earlier process of this node that was last asked to be revoked. */
+    /** The last grant of an earlier process of this node for which a revocation was requested. */
     private long revokedOrphanGrant;
 
-    /** A newer fencing token was seen than this controller's own. */
-    private boolean leadershipDoubted;
+    /**
+     * Whether a fencing token newer than this controller's own has been observed, and no lease
+     * renewal sent since then has succeeded.
+     */
+    private boolean leadershipUnverified;
 
-    private double doubtedAt;
+    private double unverifiedSince;
 
     /**
-     * Creates the state of a controller that does not lead.
+     * Creates the leadership state of a controller that is not the leader.
      *
      * @param node this controller's name
-     * @param leaseTtlS the lifetime of its grant in seconds
+     * @param leaseTtlS the TTL of its grant in seconds
      */
     public Leadership(
             Loop loop, KeyValueStore store, String node, double leaseTtlS, Listener listener) {
@@ -112,49 +124,49 @@
     }
 
     /**
-     * Whether this controller leads as far as it knows: enough to renew workers' leases, not to
-     * decide anything new.
+     * Whether this controller is the leader by its own state, without a check of its lease. This is
+     * sufficient for renewing workers' leases, but not for new decisions.
      */
     public boolean isLeader() {
-        return fencingToken.exists() && !leadershipDoubted;
+        return fencingToken.exists() && !leadershipUnverified;
     }
 
-    /** Whether it leads, and its lease cannot have expired by its own clock. */
+    /** Whether this controller is the leader and its lease cannot have expired by its own clock. */
     @Override
     public boolean holdsValidLease() {
         return isLeader() && loop.now() < leaseValidUntil;
     }
 
-    /** The fencing token of this controller's term; none while it does not lead. */
+    /** The fencing token of this controller's term; NONE while it is not the leader. */
     @Override
     public FencingToken fencingToken() {
         return fencingToken;
     }
 
-    /** The highest fencing token that the state service has shown, whoever's it was. */
+    /** The highest fencing token of any controller that the state service has returned. */
     public FencingToken highestFencingToken() {
         return FencingToken.newest(fencingToken, highestFencingToken);
     }
 
-    /** The grant of this controller's term. */
+    /** The id of the grant of this controller's term. */
     @Override
     public long grant() {
         return grant;
     }
 
-    /** What this controller writes under the leader key. */
+    /** The value that this controller writes to the leader key. */
     @Override
     public JsonNode leaderKeyValue() {
         return Json.object().put("node", node).put("grant", grant);
     }
 
-    /** The leading controller as far as known, or empty. */
+    /** The name of the last known leader, or empty if none is known. */
     @Override
     public String leaderNode() {
         return leaderNode;
     }
 
-    /** The precondition that a leader's write must carry. */
+    /** The precondition that every write of the leader must carry. */
     public Precondition fencingPrecondition() {
         return new Precondition(Keys.LEADER, fencingToken.value());
     }
@@ -162,64 +174,65 @@
     // ---- changes of the leader key
 
     /**
-     * The replica has brought a change of the leader key.
+     * Handles a change of the leader key that the replica has received.
      *
-     * @param value the key's value, or null where it was deleted
+     * @param value the key's new value, or null if it was deleted
      */
     public void leaderKeyChanged(JsonNode value, long modRevision) {
         leaderKeyKnown = true;
         consecutiveLostElections = 0;
-        long lostGrant = leaderGrant;
+        long previousGrant = leaderGrant;
         boolean deleted = value == null;
         leaderNode = deleted ? "" : value.path("node").asText();
         leaderGrant = deleted ? 0 : value.path("grant").longValue();
-        FencingToken shown = deleted ? FencingToken.NONE : new FencingToken(modRevision);
-        highestFencingToken = FencingToken.newest(highestFencingToken, shown);
+        FencingToken observed = deleted ? FencingToken.NONE : new FencingToken(modRevision);
+        highestFencingToken = FencingToken.newest(highestFencingToken, observed);
         recordInitialLeader();
-        boolean own = !deleted && leaderNode.equals(node) && leaderGrant == grant && grant != 0;
-        if (own) {
-            ownKeyWritten(shown);
-        } else if (fencingToken.exists() && (deleted || shown.isNewerThan(fencingToken))) {
-            endTerm("another node has the leader key");
+        boolean ownKey = !deleted && leaderNode.equals(node) && leaderGrant == grant && grant != 0;
+        if (ownKey) {
+            onOwnKeyWritten(observed);
+        } else if (fencingToken.exists() && (deleted || observed.isNewerThan(fencingToken))) {
+            endTerm("leader key deleted or held by another controller");
         }
-        if (deleted && lostGrant != 0 && !fencingToken.exists()) {
-            onLeaderGone(lostGrant);
+        if (deleted && previousGrant != 0 && !fencingToken.exists()) {
+            onLeaderKeyDeleted(previousGrant);
         }
     }
 
-    private void ownKeyWritten(FencingToken written) {
+    private void onOwnKeyWritten(FencingToken written) {
         if (!fencingToken.exists()) {
             becomeLeader(written);
         } else if (written.isNewerThan(fencingToken)) {
-            // A renewal that was not answered has taken effect: older preconditions fail from here
-            // on.
+            // A rewrite of the leader key without a response has taken effect; preconditions with
+            // the older token fail from now on.
             fencingTokenRenewed(written);
         }
     }
 
     private void recordInitialLeader() {
-        if (!initialLeaderSeen) {
-            initialLeaderSeen = true;
-            grantAtProcessStart = leaderGrant;
+        if (!initialLeaderRecorded) {
+            initialLeaderRecorded = true;
+            leaderGrantAtProcessStart = leaderGrant;
         }
     }
 
     /**
-     * The leader is gone. A process that began under it is a newcomer and stands for election at
-     * once, the others a moment later: while controllers are restarted one after the other, a
-     * newcomer has had its turn, and any other leader would end within seconds, each time with a
-     * failover.
+     * Handles the deletion of the leader key. A process that started under the previous leader
+     * starts an election at once, all others after a short delay. In a rolling restart, such a
+     * process has already been restarted; any other leader would be restarted within seconds, which
+     * costs another failover.
      */
-    private void onLeaderGone(long lostGrant) {
-        if (lostGrant != grantAtProcessStart) {
-            noCandidacyFor(leaseTtlS * NEWCOMER_HEAD_START);
-        } else if (mayStandForElection()) {
-            standForElection();
+    private void onLeaderKeyDeleted(long previousGrant) {
+        if (previousGrant != leaderGrantAtProcessStart) {
+            delayNextElection(leaseTtlS * NEW_PROCESS_HEAD_START_FRACTION);
+        } else if (canStartElection()) {
+            startElection();
         }
     }
 
     /**
-     * Called when the replica is known to be loaded, so that a missing key means a missing leader.
+     * Called once the replica is loaded, so that an absent leader key means that there is no
+     * leader.
      */
     public void replicaLoaded() {
         leaderKeyKnown = true;
@@ -227,80 +240,85 @@
     }
 
     /**
-     * A worker or peer has shown a fencing token. If it is newer than this controller's own, the
-     * controller stops acting until the state service has renewed its grant, which it does only for
-     * the controller that still has the key. A made-up token thus stops it for a moment only.
+     * Handles a fencing token received from a worker or peer. If it is newer than this controller's
+     * own, the controller stops acting as leader until the state service has renewed its grant,
+     * which succeeds only while the leader key is still attached to that grant. A forged token
+     * therefore interrupts the leader only briefly.
      */
     public void observeFencingToken(FencingToken seen) {
-        if (fencingToken.exists() && seen.isNewerThan(fencingToken) && !leadershipDoubted) {
+        if (fencingToken.exists() && seen.isNewerThan(fencingToken) && !leadershipUnverified) {
             LOG.info(
-                    "newer fencing token seen, waiting for the lease's renewal: seen={}"
+                    "newer fencing token observed, waiting for the lease renewal: seen={}"
                             + " fencingToken={}",
                     seen,
                     fencingToken);
-            leadershipDoubted = true;
-            doubtedAt = loop.now();
+            leadershipUnverified = true;
+            unverifiedSince = loop.now();
         }
     }
 
     // ---- election
 
-    /** Renews the lease or stands for election where due; to be called a few times per lease. */
+    /**
+     * Renews the lease or starts an election if either is due. Must be called several times per
+     * lease TTL.
+     */
     public void tick() {
         if (fencingToken.exists()) {
             renewLease();
-        } else if (mayStandForElection()) {
-            standForElection();
-        } else if (ownsOrphanedKey()) {
+        } else if (canStartElection()) {
+            startElection();
+        } else if (isLeaderKeyOrphaned()) {
             revokedOrphanGrant = leaderGrant;
             LOG.info(
-                    "revoking the grant of an earlier process of this controller: controller={} grant={}",
+                    "revoking orphaned leader grant of an earlier process: controller={} grant={}",
                     node,
                     leaderGrant);
             store.revokeGrant(leaderGrant);
         }
     }
 
-    private boolean mayStandForElection() {
+    private boolean canStartElection() {
         return leaderKeyKnown
                 && leaderNode.isEmpty()
                 && !electionInFlight
-                && loop.now() >= noCandidacyBefore;
+                && loop.now() >= nextElectionNotBefore;
     }
 
     /**
-     * The key names this node, which holds no grant: an earlier process of this node wrote it and
-     * has ended, or an election that this process gave up has been carried out late.
+     * Whether the leader key names this node although this process holds no grant. Either an
+     * earlier process of this node wrote the key, or an election that this process abandoned took
+     * effect late.
      */
-    private boolean ownsOrphanedKey() {
+    private boolean isLeaderKeyOrphaned() {
         return leaderKeyKnown
                 && leaderNode.equals(node)
                 && grant == 0
                 && revokedOrphanGrant != leaderGrant;
     }
 
-    private void standForElection() {
+    private void startElection() {
         electionInFlight = true;
         double sentAt = loop.now();
-        store.createGrant(leaseTtlS, outcome -> candidateGrant(outcome, sentAt));
+        store.createGrant(leaseTtlS, outcome -> onElectionGrantOutcome(outcome, sentAt));
     }
 
-    private void candidateGrant(GrantOutcome outcome, double sentAt) {
+    private void onElectionGrantOutcome(GrantOutcome outcome, double sentAt) {
         if (!(outcome instanceof GrantOutcome.Granted granted)) {
             electionInFlight = false;
-            noCandidacyBefore = loop.now() + leaseTtlS / LEASE_PER_ELECTION_BACKOFF;
+            nextElectionNotBefore = loop.now() + leaseTtlS / ELECTION_BACKOFF_DIVISOR;
             return;
         }
         grant = granted.id();
-        leaseValidUntil = leaseEnd(sentAt);
+        leaseValidUntil = leaseExpiry(sentAt);
         store.compareAndSwap(
                 RequestPriority.GRANT,
                 List.of(new Precondition(Keys.LEADER, 0)),
                 List.of(new Mutation(Keys.LEADER, leaderKeyValue(), grant)),
-                this::electionEnded);
+                this::onElectionOutcome);
     }
 
-    private void electionEnded(CompareAndSwapOutcome outcome) {
+    private void onElectionOutcome(CompareAndSwapOutcome outcome) {
         electionInFlight = false;
         if (outcome instanceof CompareAndSwapOutcome.Committed committed) {
             leaderNode = node;
@@ -309,38 +327,39 @@
                 becomeLeader(new FencingToken(committed.revision()));
             }
         } else if (!fencingToken.exists()) {
-            // Also where the outcome is unknown, perhaps elected without knowing it: revoking the
-            // grant undoes it whenever it takes effect.
+            // If the outcome is unknown, the write may still have taken effect or do so later;
+            // revoking the grant deletes the key in either case.
             store.revokeGrant(grant);
             grant = 0;
-            boolean uncertain = outcome instanceof CompareAndSwapOutcome.Unknown;
-            noCandidacyBefore =
+            boolean outcomeUnknown = outcome instanceof CompareAndSwapOutcome.Unknown;
+            nextElectionNotBefore =
                     loop.now()
-                            + (uncertain
-                                    ? leaseTtlS * UNCERTAIN_ELECTION_BACKOFF
+                            + (outcomeUnknown
+                                    ? leaseTtlS * UNKNOWN_OUTCOME_BACKOFF_FRACTION
                                     : backoffAfterLostElection());
         }
     }
 
     /**
-     * Another controller has the key, or something else has changed that this one has not heard of.
-     * To stand again and again before the replica brings it would cost three requests each time,
-     * which never wait, and so leave none for the watch that brings the change.
+     * Returns the delay in seconds before the next election, and counts the lost one. Another
+     * controller holds the leader key, or some other change has not reached the replica yet. Every
+     * election costs three requests that the rate limiter never delays; frequent retries would
+     * therefore leave no request budget for the watch that delivers the change.
      */
     private double backoffAfterLostElection() {
-        double pause =
-                leaseTtlS / LEASE_PER_ELECTION_BACKOFF * Math.pow(2, consecutiveLostElections);
+        double backoffS =
+                leaseTtlS / ELECTION_BACKOFF_DIVISOR * Math.pow(2, consecutiveLostElections);
         consecutiveLostElections++;
-        return Math.min(leaseTtlS, pause);
+        return Math.min(leaseTtlS, backoffS);
     }
 
-    private void noCandidacyFor(double seconds) {
-        noCandidacyBefore = Math.max(noCandidacyBefore, loop.now() + seconds);
+    private void delayNextElection(double delayS) {
+        nextElectionNotBefore = Math.max(nextElectionNotBefore, loop.now() + delayS);
     }
 
     private void becomeLeader(FencingToken token) {
         fencingToken = token;
-        leadershipDoubted = false;
+        leadershipUnverified = false;
         LOG.info("elected leader: controller={} fencingToken={}", node, fencingToken);
         listener.elected(fencingToken);
     }
@@ -348,11 +367,12 @@
     // ---- lease and fencing token
 
     /**
-     * Counted from the sending, less clock drift and a margin: the service may have started its
-     * clock then.
+     * Returns when a lease requested at the given loop time must be treated as expired. The TTL
+     * counts from the sending of the request, since the service may have started it at any time
+     * after that; a margin covers clock drift.
      */
-    private double leaseEnd(double sentAt) {
-        return sentAt + leaseTtlS * RELIABLE_PART;
+    private double leaseExpiry(double sentAt) {
+        return sentAt + leaseTtlS * USABLE_LEASE_FRACTION;
     }
 
     private void renewLease() {
@@ -361,27 +381,28 @@
             return;
         }
         leaseRenewalInFlight = true;
-        nextLeaseRenewalAt = sentAt + leaseTtlS * RENEWAL_INTERVAL;
-        long renewed = grant;
-        store.renewGrant(renewed, outcome -> leaseRenewed(renewed, outcome, sentAt));
+        nextLeaseRenewalAt = sentAt + leaseTtlS * LEASE_RENEWAL_FRACTION;
+        long renewedGrant = grant;
+        store.renewGrant(
+                renewedGrant, outcome -> onLeaseRenewalOutcome(renewedGrant, outcome, sentAt));
     }
 
-    private void leaseRenewed(long renewed, GrantOutcome outcome, double sentAt) {
+    private void onLeaseRenewalOutcome(long renewedGrant, GrantOutcome outcome, double sentAt) {
         leaseRenewalInFlight = false;
-        if (grant != renewed) {
+        if (grant != renewedGrant) {
             return;
         }
         if (outcome instanceof GrantOutcome.Granted) {
-            leaseValidUntil = Math.max(leaseValidUntil, leaseEnd(sentAt));
-            leadershipDoubted &= sentAt < doubtedAt;
+            leaseValidUntil = Math.max(leaseValidUntil, leaseExpiry(sentAt));
+            leadershipUnverified &= sentAt < unverifiedSince;
         } else if (outcome instanceof GrantOutcome.Ended && fencingToken.exists()) {
-            endTerm("the grant has ended");
+            endTerm("leader grant expired or revoked");
         }
     }
 
     /**
-     * Writes the leader key again: workers that have seen the new fencing token refuse every order
-     * under the old one.
+     * Rewrites the leader key to obtain a new fencing token; workers that have seen the new token
+     * reject every order that carries the old one.
      */
     public void renewFencingToken() {
         if (!holdsValidLease() || tokenRenewalInFlight) {
@@ -410,18 +431,18 @@
     // ---- end of a term
 
     /**
-     * Gives the leadership away, for a controller that can reach the state service but not the
+     * Resigns the leadership; used when the controller can reach the state service but not the
      * workers.
      *
-     * @param reason for the log
-     * @param pauseS seconds for which it does not stand for election
+     * @param reason the reason, for the log
+     * @param pauseS seconds during which this controller starts no election
      */
     public void stepDown(String reason, double pauseS) {
         if (fencingToken.exists()) {
-            long revoked = grant;
+            long revokedGrant = grant;
             endTerm(reason);
-            store.revokeGrant(revoked);
-            noCandidacyBefore = loop.now() + pauseS;
+            store.revokeGrant(revokedGrant);
+            nextElectionNotBefore = loop.now() + pauseS;
         }
     }
 
@@ -437,8 +458,8 @@
         if (leaderNode.equals(node)) {
             leaderNode = "";
         }
-        // The replica still has to bring the end of the old key before this node may stand again.
-        noCandidacyFor(leaseTtlS / 4);
+        // The replica must receive the deletion of the old key before this node starts an election.
+        delayNextElection(leaseTtlS / 4);
         listener.leadershipLost(reason);
     }
 }
--- a/src/main/java/io/pepperfield/leadership/package-info.java
+++ b/src/main/java/io/pepperfield/leadership/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Leader election through a key of the state service that is tied to a grant. Holds this node's
- * view of who leads and the token of its own term. The controller feeds it changes of the leader
- * key and periodic ticks on the owner thread; the leader takes its guard for each write from here.
+ * Leader election through a key of the state service that is attached to a grant. Tracks the
+ * current leader and the fencing token of this node's own term. The controller passes in changes of
+ * the leader key and calls {@code tick} periodically on the event loop's thread; the leader's
+ * writes take their fencing precondition from here.
  */
 package io.pepperfield.leadership;
--- a/src/main/java/io/pepperfield/loop/Loop.java
+++ b/src/main/java/io/pepperfield/loop/Loop.java
@@ -1,17 +1,19 @@
 package io.pepperfield.loop;
 
-/** The event loop that owns all state, as its users see it: a clock and a queue. */
+/**
+ * Interface of the single-threaded event loop to which all state is confined: a clock and a queue.
+ */
 public interface Loop {
 
-    /** Steady time in seconds. */
+    /** Monotonic time in seconds. */
     double now();
 
-    /** Time of day in milliseconds, within the bound of the settings. */
+    /** Wall-clock time in epoch milliseconds, accurate to within the configured clock error. */
     long wallClockMs();
 
-    /** Runs the command on the event loop, after those already queued. */
+    /** Runs the command on the event loop after the commands that are already queued. */
     void post(Runnable command);
 
-    /** Runs the command on the event loop once that many seconds have passed. */
-    void schedule(double seconds, Runnable command);
+    /** Runs the command on the event loop after the given delay in seconds. */
+    void schedule(double delayS, Runnable command);
 }
--- a/src/main/java/io/pepperfield/loop/package-info.java
+++ b/src/main/java/io/pepperfield/loop/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The event loop as its users see it. Every slice depends on this package, and it depends on none.
+ * The interface of the event loop. Every other package may depend on this one; it depends on none.
  */
 package io.pepperfield.loop;
--- a/src/main/java/io/pepperfield/store/FencedWriter.java
+++ b/src/main/java/io/pepperfield/store/FencedWriter.java
@@ -15,55 +15,61 @@
 
 /**
  * Group commit of the leader's durable writes: many keys share one transaction, and one transaction
- * is in flight at a time. Every key has its expected modification revision as a precondition
- * besides the leader's fencing token, so that a transaction that was given up and is applied late
- * finds its keys changed and does nothing. Confined to the event loop's thread.
+ * is in flight at a time. Besides the leader's fencing token, a transaction has the expected
+ * modification revision of each of its keys as a precondition. A transaction that was abandoned and
+ * reaches the store late therefore finds its keys changed and has no effect. Confined to the event
+ * loop's thread.
  */
 public final class FencedWriter {
 
     private static final Logger LOG = LoggerFactory.getLogger(FencedWriter.class);
 
-    /** HTTP's status of a request that will never be carried out as it is. */
+    /** HTTP status of a request that the store will never accept unchanged. */
     private static final int STATUS_BAD_REQUEST = 400;
 
-    /** The leadership of this controller; without a valid lease a write is not even tried. */
+    /** The leadership of this controller; without a valid lease no write is sent. */
     public interface Fence {
-        /** Whether this controller leads and its lease cannot have expired. */
+        /** Whether this controller is the leader and its lease cannot have expired. */
         boolean holdsValidLease();
 
-        /** The precondition that proves the leadership when the write takes effect. */
+        /**
+         * The precondition that lets a write take effect only while this controller is the leader.
+         */
         Precondition fencingPrecondition();
     }
 
-    /** What goes first when mutations are short, in this order. */
+    /** The priority of a write when the mutation rate is limited, highest first. */
     public enum Priority {
-        /** A task waits to be started, or an instance to be rented. */
+        /** A write that must be durable before a task is started or an instance is rented. */
         INTENT,
-        /** A final state, which users wait for. */
+        /** A job's final state, which users wait for. */
         FINAL_STATE,
         /**
-         * An intent of the lowest priority: gathered for a moment, so that a swarm of small jobs
-         * costs one mutation and not one each.
+         * An intent of the lowest job priority. Such writes are batched for a short time, so that
+         * many small jobs cost one mutation instead of one each.
          */
         BATCHED,
         /**
-         * A completed or lost task: if the write is lost, a worker that still holds the task
-         * reports it again, or the task runs once more.
+         * A completed or lost task. If the write is lost, a worker that still holds the task
+         * reports it again, or the task is run again.
          */
         BACKGROUND
     }
 
-    /** What is to be written under one or several keys, in one transaction. */
+    /** The content of a write: one or several keys, written in one transaction. */
     public interface Content {
 
-        /** The keys and their values at the time of the write, in the order of the mutations. */
+        /**
+         * Returns the keys and their values at the time of the write, in the order of the
+         * mutations.
+         */
         Map<String, JsonNode> values();
 
         /**
-         * The store refuses the values for their size.
+         * Splits values that the store refuses for their size.
          *
-         * @return whether they are split among more keys from now on, so that another try makes
-         *     sense
+         * @return whether the values are spread over more keys from now on, so that a retry can
+         *     succeed
          */
         default boolean split() {
             return false;
@@ -80,25 +86,27 @@
     private final double backgroundDelayS;
     private final WriteQueue queue;
 
-    /** Of keys written here, the modification revision, which the replica may not have yet. */
+    /** Modification revisions of keys written here, which the replica may not have received yet. */
     private final Map<String, Long> knownRevisions = new HashMap<>();
 
     private boolean transactionInFlight;
 
-    /** No transaction is sent while the outcome of the last one is looked into. */
+    /** No transaction is sent while the outcome of the last one is being resolved. */
     private boolean paused;
 
-    /** Tells callbacks of a leadership that has ended from those of the present one. */
+    /** Number of the leader term; callbacks of earlier terms are ignored. */
     private int term;
 
-    /** How many writes are still tried one by one, after a transaction was refused whole. */
-    private int isolatedWritesLeft;
+    /**
+     * Number of writes still to be sent individually after a transaction was refused as a whole.
+     */
+    private int remainingIsolatedWrites;
 
     /**
-     * @param retryS seconds between a refusal and the next try, and how long batched writes are
-     *     gathered
-     * @param backgroundDelayS seconds for which background writes are gathered, so that the many of
-     *     one run record cost one mutation
+     * @param retryS seconds between a refusal and the next attempt, and for which batched writes
+     *     are collected
+     * @param backgroundDelayS seconds for which background writes are collected, so that many
+     *     changes of one run record cost one mutation
      */
     public FencedWriter(
             Loop loop,
@@ -120,35 +128,35 @@
         this.queue = new WriteQueue(retryS, backgroundDelayS);
     }
 
-    /** Drops what was waiting: it belongs to a leadership that has ended. */
+    /** Drops all pending writes at the end of a leader term. */
     public void reset() {
         queue.clear();
         knownRevisions.clear();
         transactionInFlight = false;
         paused = false;
-        isolatedWritesLeft = 0;
+        remainingIsolatedWrites = 0;
         term++;
     }
 
-    /** The number of keys waiting to be written. */
+    /** The number of pending writes. */
     public int pendingCount() {
         return queue.size();
     }
 
     /**
-     * Writes one key without telling anybody.
+     * Writes one key without a callback.
      *
      * @see #enqueue(String, Priority, Supplier, Runnable)
      */
     public void enqueue(String key, Priority priority, Supplier<JsonNode> value) {
-        pending(key, priority, () -> Map.of(key, value.get()), List::of);
+        enqueuePending(key, priority, () -> Map.of(key, value.get()), List::of);
     }
 
     /**
-     * Writes one key. Keys are never deleted here: a late first write would find its key missing,
-     * as it expects, and bring it back.
+     * Writes one key. Keys are never deleted here: the delayed first write of a deleted key would
+     * find it absent, as its precondition requires, and recreate it.
      *
-     * @param value gives the value at the time of the write
+     * @param value supplies the value at the time of the write
      * @param onDurable run once the value is durable
      */
     public void enqueue(
@@ -157,10 +165,10 @@
     }
 
     /**
-     * Writes one or several keys, which may only take effect while certain other keys do not exist.
+     * Writes one or several keys, on condition that certain other keys do not exist.
      *
-     * @param key the first key of the content, by which the write is known here
-     * @param requiredAbsent gives the keys that must not exist, at the time of the write
+     * @param key the first key of the content, which identifies the pending write
+     * @param requiredAbsent supplies, at the time of the write, the keys that must not exist
      * @param onDurable run once the values are durable
      */
     public void enqueue(
@@ -169,10 +177,10 @@
             Content content,
             Supplier<Collection<String>> requiredAbsent,
             Runnable onDurable) {
-        pending(key, priority, content, requiredAbsent).addCallback(onDurable);
+        enqueuePending(key, priority, content, requiredAbsent).addCallback(onDurable);
     }
 
-    private PendingWrite pending(
+    private PendingWrite enqueuePending(
             String key,
             Priority priority,
             Content content,
@@ -188,11 +196,11 @@
     }
 
     /**
-     * Writes a key that is written only once.
+     * Writes a key that may be written only once.
      *
-     * @param value gives the value at the time of the write
+     * @param value supplies the value at the time of the write
      * @param onDurable run once the value is durable
-     * @param onAlreadyWritten run instead where the key is found written
+     * @param onAlreadyWritten run instead if the key has already been written
      */
     public void enqueueOnce(
             String key,
@@ -215,8 +223,8 @@
     }
 
     /**
-     * What was to be written under the key is of no consequence any more; whoever waited for it
-     * goes on.
+     * Drops the pending write of a key that is no longer needed, and runs its callbacks as if it
+     * were durable.
      */
     public void discard(String key) {
         PendingWrite write = queue.remove(key);
@@ -225,7 +233,10 @@
         }
     }
 
-    /** Sends the next transaction if it may leave; to be called after each batch of commands. */
+    /**
+     * Sends the next transaction if none is in flight and writes are ready. Must be called after
+     * each batch of commands.
+     */
     public void flush() {
         if (transactionInFlight || paused || queue.isEmpty() || !fence.holdsValidLease()) {
             return;
@@ -234,24 +245,24 @@
         if (ready.isEmpty()) {
             return;
         }
-        WriteTransaction transaction = transaction(ready);
+        WriteTransaction transaction = buildTransaction(ready);
         transactionInFlight = true;
-        isolatedWritesLeft = Math.max(0, isolatedWritesLeft - 1);
-        int sentIn = term;
+        remainingIsolatedWrites = Math.max(0, remainingIsolatedWrites - 1);
+        int sentTerm = term;
         store.compareAndSwap(
                 RequestPriority.LEADER_WRITE,
                 transaction.preconditions(),
                 transaction.mutations(),
                 outcome -> {
-                    if (sentIn == term) {
+                    if (sentTerm == term) {
                         transactionInFlight = false;
                         handleOutcome(transaction, outcome);
                     }
                 });
     }
 
-    private WriteTransaction transaction(List<PendingWrite> ready) {
-        int maxWrites = isolatedWritesLeft > 0 ? 1 : Integer.MAX_VALUE;
+    private WriteTransaction buildTransaction(List<PendingWrite> ready) {
+        int maxWrites = remainingIsolatedWrites > 0 ? 1 : Integer.MAX_VALUE;
         WriteTransaction transaction =
                 new WriteTransaction(limits, maxWrites, fence.fencingPrecondition());
         for (PendingWrite write : ready) {
@@ -283,7 +294,7 @@
         queue.requeue(transaction.writes());
         paused = true;
         if (outcome instanceof CompareAndSwapOutcome.Refused) {
-            afterRetryPause(this::resume);
+            scheduleRetry(this::resume);
         } else {
             resolveUncertainOutcome(transaction);
         }
@@ -294,36 +305,38 @@
         flush();
     }
 
-    /** Runs the command after the retry pause, unless the leadership has ended by then. */
-    private void afterRetryPause(Runnable command) {
-        int scheduledIn = term;
+    /** Runs the command after the retry pause, unless the leader term has ended in the meantime. */
+    private void scheduleRetry(Runnable command) {
+        int scheduledTerm = term;
         loop.schedule(
                 retryS,
                 () -> {
-                    if (scheduledIn == term) {
+                    if (scheduledTerm == term) {
                         command.run();
                     }
                 });
     }
 
     /**
-     * The store will never take this transaction as it is. Of several writes one may be too large,
-     * as it was stored under a higher limit: each is tried by itself. One that is refused alone is
-     * split among more keys; where that is not possible, it waits until it has changed, without
-     * holding up the others.
+     * Handles a transaction that the store will never accept unchanged. One of several writes may
+     * be too large because its value was stored under a higher limit; each is then sent
+     * individually. A write that is refused on its own is split over more keys; if that is not
+     * possible, it is retried after a delay, when its value may have changed, without blocking the
+     * others.
      */
     private void handlePermanentRefusal(List<PendingWrite> refused) {
         if (refused.size() > 1) {
-            isolatedWritesLeft = refused.size();
+            remainingIsolatedWrites = refused.size();
             return;
         }
         PendingWrite write = refused.get(0);
         if (write.split()) {
             LOG.info(
-                    "stored value is too large by now, split among more keys: key={}", write.key());
+                    "stored value exceeds the size limit, split over more keys: key={}",
+                    write.key());
         } else {
             LOG.warn(
-                    "write refused by the key-value store, retried later: key={} retryAfterS={}",
+                    "key-value store refused the write, retrying later: key={} retryAfterS={}",
                     write.key(),
                     backgroundDelayS);
             write.retryNotBefore(loop.now() + backgroundDelayS);
@@ -331,27 +344,27 @@
     }
 
     /**
-     * After a conflict or without an answer: what the replica holds once it is current decides
-     * which revisions the next try expects.
+     * Resolves a conflict or an unknown outcome: waits until the replica is current, whose
+     * revisions are then the expected ones of the next attempt.
      */
     private void resolveUncertainOutcome(WriteTransaction transaction) {
-        int sentIn = term;
+        int sentTerm = term;
         synchronizer.awaitReadIndex(
                 current -> {
-                    if (sentIn != term) {
+                    if (sentTerm != term) {
                         return;
                     }
                     if (current) {
                         retryFromReplica(transaction);
                     } else {
-                        afterRetryPause(() -> resolveUncertainOutcome(transaction));
+                        scheduleRetry(() -> resolveUncertainOutcome(transaction));
                     }
                 });
     }
 
     private void retryFromReplica(WriteTransaction transaction) {
         paused = false;
-        // A key in a newer revision than expected was written by an earlier try of this very
+        // A key with a newer revision than expected was written by an earlier attempt of this
         // writer.
         transaction.mutations().forEach(mutation -> knownRevisions.remove(mutation.key()));
         for (PendingWrite write : transaction.writes()) {
@@ -360,8 +373,8 @@
                 write.notifyAlreadyWritten();
             }
         }
-        // Spaced, so that a precondition which keeps failing until the replica brings the reason
-        // does not spin.
+        // The delay prevents a busy loop while a precondition fails for a reason that the replica
+        // has not received yet.
         loop.schedule(retryS / 4, this::flush);
     }
 }
--- a/src/main/java/io/pepperfield/store/HttpKeyValueStore.java
+++ b/src/main/java/io/pepperfield/store/HttpKeyValueStore.java
@@ -8,23 +8,24 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The state service over its published HTTP protocol, within this controller's request rates. */
+/** HTTP client of the state service, limited to this controller's share of the service's rates. */
 public final class HttpKeyValueStore implements KeyValueStore {
 
     /**
-     * One for each kind of request that can be in flight at once: the open watch, a read index
-     * request, a reading in pages, submissions, cancellations, the leader's writes, a new fencing
-     * token, the end of a grant and its renewal. While the service is slow, a renewal that had to
-     * wait for one of the others would come too late and end a leadership.
+     * One connection for each kind of request that can be in flight at the same time: the long
+     * watch, a read index request, a paged read, submissions, cancellations, the leader's writes, a
+     * new fencing token, and the revocation and the renewal of a grant. While the service is slow,
+     * a renewal that waited for another request's connection would be too late, and the leadership
+     * would be lost.
      */
     private static final int MAX_CONNECTIONS = 9;
 
-    /** Keys in a page. */
+    /** Maximum number of keys per page. */
     private static final int PAGE_SIZE = 500;
 
     /**
-     * Longer than the service's slow answers of a few hundred milliseconds, shorter than the 2 s
-     * for which a user waits.
+     * Longer than slow responses of the service, which take a few hundred milliseconds, and shorter
+     * than the 2 s for which a user waits.
      */
     private static final double REQUEST_TIMEOUT_S = 1.2;
 
@@ -46,9 +47,9 @@
         this.rateLimiter = new RateLimiter(loop);
     }
 
-    /** Sets this controller's part of the service's rates, all per second. */
-    public void setRates(double requestRate, double leadersWriteRate, double usersWriteRate) {
-        rateLimiter.setRates(requestRate, leadersWriteRate, usersWriteRate);
+    /** Sets this controller's share of the service's rates, all per second. */
+    public void setRates(double requestRate, double leaderWriteRate, double userWriteRate) {
+        rateLimiter.setRates(requestRate, leaderWriteRate, userWriteRate);
     }
 
     @Override
@@ -75,8 +76,8 @@
 
     @Override
     public void readPage(String after, Consumer<ReadResult> done) {
-        String position = after.isEmpty() ? "" : "&since=" + after;
-        String path = "/kv?starts=" + Keys.ROOT + "&limit=" + PAGE_SIZE + position;
+        String startParameter = after.isEmpty() ? "" : "&since=" + after;
+        String path = "/kv?starts=" + Keys.ROOT + "&limit=" + PAGE_SIZE + startParameter;
         read(
                 new Request("GET", path, null, PAGE_TIMEOUT_S),
                 outcome -> done.accept(KeyValueStoreCodec.decodePage(outcome)),
@@ -105,7 +106,7 @@
     @Override
     public void createGrant(double ttlS, Consumer<GrantOutcome> done) {
         byte[] body = KeyValueStoreCodec.encodeGrantRequest(ttlS);
-        sendAtOnce(
+        sendUnthrottled(
                 new Request("POST", "/grants", body, REQUEST_TIMEOUT_S),
                 outcome -> done.accept(KeyValueStoreCodec.decodeCreatedGrant(outcome)));
     }
@@ -113,18 +114,19 @@
     @Override
     public void renewGrant(long id, Consumer<GrantOutcome> done) {
         String path = "/grants/" + id + "/touch";
-        sendAtOnce(
+        sendUnthrottled(
                 new Request("POST", path, EMPTY_BODY, REQUEST_TIMEOUT_S),
                 outcome -> done.accept(KeyValueStoreCodec.decodeRenewedGrant(id, outcome)));
     }
 
     @Override
     public void revokeGrant(long id) {
-        sendAtOnce(new Request("DELETE", "/grants/" + id, null, REQUEST_TIMEOUT_S), outcome -> {});
+        sendUnthrottled(
+                new Request("DELETE", "/grants/" + id, null, REQUEST_TIMEOUT_S), outcome -> {});
     }
 
-    /** Requests about grants are counted by the rate limiter but never held back. */
-    private void sendAtOnce(Request request, Consumer<HttpOutcome> done) {
+    /** Sends a grant request, which the rate limiter counts but never delays. */
+    private void sendUnthrottled(Request request, Consumer<HttpOutcome> done) {
         rateLimiter.submit(RequestPriority.GRANT, 0, 0, () -> send(request, done), NEVER_REJECTED);
     }
 
@@ -143,7 +145,7 @@
 
     /**
      * @param body null for a request without a body
-     * @param timeoutS seconds until the request counts as not answered
+     * @param timeoutS seconds after which the request counts as unanswered
      */
     private record Request(String method, String path, byte[] body, double timeoutS) {}
 }
--- a/src/main/java/io/pepperfield/store/KeyValueStore.java
+++ b/src/main/java/io/pepperfield/store/KeyValueStore.java
@@ -10,9 +10,9 @@
  */
 public interface KeyValueStore {
 
-    /** Which requests go first when the rates are short, in this order. */
+    /** The priority of a request when the rates are limited, highest first. */
     enum RequestPriority {
-        /** Grants, and the leader key that is tied to one. */
+        /** Grant requests, and writes of the leader key, which is attached to a grant. */
         GRANT,
         CANCELLATION,
         LEADER_WRITE,
@@ -23,8 +23,7 @@
     /**
      * A condition of a transaction.
      *
-     * @param modRevision the modification revision that the key must have; 0 says that it must not
-     *     exist
+     * @param modRevision the modification revision that the key must have; 0 if it must not exist
      */
     record Precondition(String key, long modRevision) {}
 
@@ -32,7 +31,7 @@
      * A change of one key.
      *
      * @param value the new value; null deletes the key
-     * @param grant the grant with which the key ends; 0 ties it to none
+     * @param grant the grant whose end deletes the key; 0 for none
      */
     record Mutation(String key, JsonNode value, long grant) {
         /** A mutation that deletes the key. */
@@ -40,56 +39,56 @@
             return new Mutation(key, null, 0);
         }
 
-        /** A mutation that ties the key to no grant. */
+        /** A mutation that sets the key without a grant. */
         public static Mutation set(String key, JsonNode value) {
             return new Mutation(key, value, 0);
         }
     }
 
     /**
-     * A key as read.
+     * An entry or a change, as read from the store.
      *
-     * @param value the value; null where a change deleted the key
-     * @param modRevision the store's revision that wrote it
+     * @param value the value; null if the change deleted the key
+     * @param modRevision the store revision of the key's last modification
      */
     record KeyValue(String key, JsonNode value, long modRevision) {}
 
-    /** How a transaction ended. */
+    /** The outcome of a transaction. */
     sealed interface CompareAndSwapOutcome {
-        /** Carried out; all its keys have this revision as their modification revision. */
+        /** Applied; this is the new modification revision of all its keys. */
         record Committed(long revision) implements CompareAndSwapOutcome {}
 
-        /** Certainly not carried out, since the preconditions of these keys did not hold. */
+        /** Not applied, because the preconditions on these keys did not hold. */
         record Conflict(List<String> failedKeys) implements CompareAndSwapOutcome {}
 
         /**
-         * Certainly not carried out.
+         * Not applied.
          *
-         * @param status the HTTP status of the answer; 0 where the request was not sent
+         * @param status the HTTP status of the response; 0 if the request was not sent
          */
         record Refused(int status) implements CompareAndSwapOutcome {}
 
-        /** May have been carried out, or may be later. */
+        /** May have been applied, or may still be applied later. */
         record Unknown() implements CompareAndSwapOutcome {}
     }
 
-    /** How a reading of keys ended. */
+    /** The outcome of a read or watch. */
     sealed interface ReadResult {
         /**
-         * The keys, or the changes, up to a revision.
+         * The entries, or the changes, up to a revision.
          *
          * @param hasMore whether further pages follow
          */
         record Read(List<KeyValue> entries, boolean hasMore, long revision) implements ReadResult {}
 
-        /** The changes asked for are no longer kept. */
+        /** The store no longer retains the requested changes. */
         record RevisionTooOld() implements ReadResult {}
 
-        /** No proper answer arrived in time. */
+        /** No valid response arrived in time. */
         record Failed() implements ReadResult {}
     }
 
-    /** How the creation or renewal of a grant ended. */
+    /** The outcome of creating or renewing a grant. */
     sealed interface GrantOutcome {
         /**
          * Created or renewed.
@@ -98,14 +97,14 @@
          */
         record Granted(long id) implements GrantOutcome {}
 
-        /** The service says that the grant has ended. */
+        /** The service reports that the grant has ended. */
         record Ended() implements GrantOutcome {}
 
-        /** No grant was to be had, or no proper answer arrived in time. */
+        /** No grant was available, or no valid response arrived in time. */
         record Unavailable() implements GrantOutcome {}
     }
 
-    /** Applies all mutations at once if every precondition holds. */
+    /** Applies all mutations atomically if every precondition holds. */
     void compareAndSwap(
             RequestPriority priority,
             List<Precondition> preconditions,
@@ -113,29 +112,29 @@
             Consumer<CompareAndSwapOutcome> done);
 
     /**
-     * Reads a page of keys in the order of their names.
+     * Reads a page of entries in key order.
      *
-     * @param after the last key of the page before; empty for the first page
+     * @param after the last key of the previous page; empty for the first page
      */
     void readPage(String after, Consumer<ReadResult> done);
 
     /**
-     * Reads the changes since a revision.
+     * Reads the changes after a revision.
      *
-     * @param holdS how many seconds the service holds the request while there are none
+     * @param holdS seconds for which the service holds the request open while there are no changes
      */
     void watch(long since, double holdS, Consumer<ReadResult> done);
 
     /**
      * Creates a grant.
      *
-     * @param ttlS seconds after its creation or last renewal at which it ends
+     * @param ttlS seconds after its creation or last renewal at which the grant ends
      */
     void createGrant(double ttlS, Consumer<GrantOutcome> done);
 
     /** Renews a grant. */
     void renewGrant(long id, Consumer<GrantOutcome> done);
 
-    /** Ends a grant, and with it the keys tied to it; the outcome is not reported. */
+    /** Revokes a grant, which deletes the keys attached to it; the outcome is not reported. */
     void revokeGrant(long id);
 }
--- a/src/main/java/io/pepperfield/store/KeyValueStoreCodec.java
+++ b/src/main/java/io/pepperfield/store/KeyValueStoreCodec.java
@@ -15,9 +15,9 @@
 import java.util.List;
 
 /**
- * The messages of the state service's protocol; the only place that knows their field names. On the
- * wire a modification revision is a {@code stamp}, the store's revision a {@code generation}, a
- * precondition a {@code guard} and a grant's id a {@code claim}.
+ * Encodes and decodes the messages of the state service's protocol; no other class uses their field
+ * names. On the wire, a modification revision is called {@code stamp}, the store's revision {@code
+ * generation}, a precondition {@code guard} and a grant id {@code claim}.
  */
 public final class KeyValueStoreCodec {
 
@@ -61,7 +61,7 @@
         return Json.write(Json.object().put("ttlMs", Math.round(ttlS * 1000)));
     }
 
-    // ---- answers
+    // ---- responses
 
     static CompareAndSwapOutcome decodeTransactionOutcome(HttpOutcome outcome) {
         if (outcome instanceof HttpOutcome.NotSent) {
@@ -71,23 +71,23 @@
             return new CompareAndSwapOutcome.Unknown();
         }
         return switch (answer.status()) {
-            case OK -> committed(answer.json());
-            case CONFLICT -> conflict(answer.json());
+            case OK -> decodeCommitted(answer.json());
+            case CONFLICT -> decodeConflict(answer.json());
             case BAD_REQUEST, TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE ->
                     new CompareAndSwapOutcome.Refused(answer.status());
-            // Any other status may come from a proxy, after the service had done its work.
+            // Any other status may come from a proxy after the service has applied the transaction.
             default -> new CompareAndSwapOutcome.Unknown();
         };
     }
 
-    private static CompareAndSwapOutcome committed(JsonNode body) {
+    private static CompareAndSwapOutcome decodeCommitted(JsonNode body) {
         JsonNode revision = body.path("generation");
         return revision.isIntegralNumber()
                 ? new CompareAndSwapOutcome.Committed(revision.longValue())
                 : new CompareAndSwapOutcome.Unknown();
     }
 
-    private static CompareAndSwapOutcome conflict(JsonNode body) {
+    private static CompareAndSwapOutcome decodeConflict(JsonNode body) {
         List<String> failedKeys = new ArrayList<>();
         body.path("failed").forEach(key -> failedKeys.add(key.asText()));
         return new CompareAndSwapOutcome.Conflict(failedKeys);
@@ -130,7 +130,7 @@
     }
 
     /**
-     * @param id the grant that was to be renewed
+     * @param id the grant whose renewal was requested
      */
     static GrantOutcome decodeRenewedGrant(long id, HttpOutcome outcome) {
         if (!(outcome instanceof HttpOutcome.Answered answer)) {
@@ -143,7 +143,7 @@
         };
     }
 
-    /** The keys in the answer to a reading of a range. */
+    /** Decodes the entries of a range read response. */
     public static List<KeyValue> decodePairs(JsonNode body) {
         List<KeyValue> pairs = new ArrayList<>();
         for (JsonNode pair : body.path("pairs")) {
@@ -153,7 +153,7 @@
         return pairs;
     }
 
-    /** The changes in the answer to a watch; deleted keys have a null value. */
+    /** Decodes the changes of a watch response; deleted keys have a null value. */
     public static List<KeyValue> decodeEvents(JsonNode body) {
         List<KeyValue> events = new ArrayList<>();
         for (JsonNode event : body.path("events")) {
--- a/src/main/java/io/pepperfield/store/Keys.java
+++ b/src/main/java/io/pepperfield/store/Keys.java
@@ -1,6 +1,6 @@
 package io.pepperfield.store;
 
-/** The names under which the service keeps its state. */
+/** The keys under which the scheduler stores its state in the state service. */
 public final class Keys {
 
     public static final String ROOT = "pepperfield/";
@@ -9,33 +9,33 @@
     public static final String JOB_PREFIX = ROOT + "job/";
     public static final String RUN_RECORD_PREFIX = ROOT + "run/";
 
-    /** After the jobs in the order of keys, so that a reading in pages knows them first. */
+    /** Sorts after the job keys, so that a paged read delivers the jobs first. */
     public static final String SHARED_RUN_RECORD_PREFIX = ROOT + "runs/";
 
     public static final String FINAL_STATE_PREFIX = ROOT + "end/";
     public static final String RENTAL_PREFIX = ROOT + "hire/";
 
-    /** What belongs to the rollout of a release that stores state differently. */
+    /** State of the rollout of a release that changes the stored format. */
     public static final String ROLLOUT_PREFIX = ROOT + "rollout/";
 
     /** The record of the stored-state version, a precondition of all writes. */
     public static final String ROLLOUT_VERSION = ROLLOUT_PREFIX + "version";
 
-    /** A controller's release, while its process lives. */
+    /** The release of each controller, for as long as its process is running. */
     public static final String ROLLOUT_MEMBER_PREFIX = ROLLOUT_PREFIX + "member/";
 
-    /** What is stored in the second form; after the jobs in the order of keys. */
+    /** Records in stored-state version 2; sorts after the job keys. */
     public static final String V2_PREFIX = ROOT + "v2/";
 
-    /** The leader key while records may exist in the second form. */
+    /** The leader key while records in stored-state version 2 may exist. */
     public static final String V2_LEADER = V2_PREFIX + "leader";
 
-    /** A job's run records in the second form. */
+    /** A job's run records in stored-state version 2. */
     public static final String V2_RUN_RECORD_PREFIX = V2_PREFIX + "run/";
 
     private Keys() {}
 
-    /** The key of one of a job's run records, by the record's number from 0. */
+    /** The key of a job's run record; records are numbered from 0. */
     public static String runRecord(String job, int record) {
         return RUN_RECORD_PREFIX + job + "/" + record;
     }
--- a/src/main/java/io/pepperfield/store/PendingWrite.java
+++ b/src/main/java/io/pepperfield/store/PendingWrite.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** A key waiting to be written: its content, its conditions, and whom to tell of the outcome. */
+/** A write that is not durable yet: its content, its preconditions and its callbacks. */
 final class PendingWrite {
 
     private final String key;
@@ -21,7 +21,7 @@
     private final List<Runnable> onDurable = new ArrayList<>();
     private Priority priority;
 
-    /** Loop time in seconds before which it is not tried again, after a refusal of it alone. */
+    /** Loop time in seconds before which it is not retried, set if it was refused on its own. */
     private double retryNotBefore = Double.NEGATIVE_INFINITY;
 
     private PendingWrite(
@@ -42,7 +42,7 @@
     }
 
     /**
-     * @param requiredAbsent gives the keys that must not exist when the write takes effect
+     * @param requiredAbsent supplies the keys that must not exist when the write takes effect
      */
     static PendingWrite repeatable(
             String key,
@@ -54,7 +54,7 @@
     }
 
     /**
-     * @param onAlreadyWritten run in place of the callbacks where the key is found written
+     * @param onAlreadyWritten run instead of the callbacks if the key has already been written
      */
     static PendingWrite once(
             String key, Priority priority, Content content, Runnable onAlreadyWritten, double now) {
@@ -69,7 +69,7 @@
         return priority;
     }
 
-    /** Loop time in seconds at which the key was enqueued first. */
+    /** Loop time in seconds at which the write was first enqueued. */
     double enqueuedAt() {
         return enqueuedAt;
     }
@@ -99,7 +99,7 @@
         return content.split();
     }
 
-    /** Takes the more urgent of both priorities. */
+    /** Raises the priority to the other one if that is more urgent. */
     void raisePriority(Priority other) {
         if (other.compareTo(priority) < 0) {
             priority = other;
@@ -110,7 +110,7 @@
         onDurable.add(callback);
     }
 
-    /** Joins what was enqueued for the same key while this write was under way. */
+    /** Merges a write that was enqueued for the same key while this one was in flight. */
     void merge(PendingWrite later) {
         onDurable.addAll(later.onDurable);
         raisePriority(later.priority);
--- a/src/main/java/io/pepperfield/store/RateLimiter.java
+++ b/src/main/java/io/pepperfield/store/RateLimiter.java
@@ -6,18 +6,19 @@
 import java.util.Map;
 
 /**
- * This controller's part of the state service's two rates, requests and mutations per second. What
- * exceeds it waits in order of priority; what has waited too long is rejected here, which is
- * certain, instead of by the service. The leader's writes and the users' have mutations of their
- * own: a leader that always has something to write must not keep its users waiting, nor they its
- * starts. Confined to the event loop's thread.
+ * Limits this controller to its share of the state service's two rates, requests and mutations per
+ * second. Requests above the rates are queued by priority. A request that is queued for too long is
+ * rejected locally instead of by the service, so that it has certainly not been sent. The leader's
+ * writes and users' writes have separate mutation budgets, so that a leader with a continuous
+ * stream of writes does not delay users, nor users the leader's task starts. Confined to the event
+ * loop's thread.
  */
 final class RateLimiter {
 
-    /** The least time between two looks at the queues. */
+    /** Minimum interval between two scheduled drains of the queues. */
     private static final double MIN_DRAIN_INTERVAL_S = 0.01;
 
-    /** A request that waits for its rate, until a loop time in seconds at which it is rejected. */
+    /** A queued request, which is rejected at the deadline, a loop time in seconds. */
     private record QueuedRequest(int mutations, double deadline, Runnable send, Runnable reject) {}
 
     /** A token bucket for mutations per second. */
@@ -35,8 +36,8 @@
         }
 
         /**
-         * A second's worth may be saved up; a larger request goes once as much is there, and is
-         * paid for afterwards.
+         * The bucket holds up to one second's worth of tokens. A larger request is allowed once the
+         * bucket is full, and leaves a negative balance that later refills cover.
          */
         boolean allows(int mutations) {
             return mutations == 0 || ratePerS > 0 && available >= Math.min(mutations, ratePerS);
@@ -65,25 +66,25 @@
     }
 
     /**
-     * Sets the parts of both rates, per second; a second's worth may be saved up, as the service
-     * allows in all.
+     * Sets this controller's share of both rates, per second. Up to one second's worth may
+     * accumulate, which matches the service's own limit.
      */
-    void setRates(double newRequestRate, double leadersWriteRate, double usersWriteRate) {
+    void setRates(double newRequestRate, double leaderWriteRate, double userWriteRate) {
         refill();
         requestRate = newRequestRate;
         availableRequests =
                 Math.min(
                         availableRequests == 0 ? newRequestRate : availableRequests,
                         newRequestRate);
-        leaderBucket.setRate(leadersWriteRate);
-        userBucket.setRate(usersWriteRate);
+        leaderBucket.setRate(leaderWriteRate);
+        userBucket.setRate(userWriteRate);
     }
 
     /**
-     * Sends a request at once or as soon as the rates allow it.
+     * Sends a request immediately, or as soon as the rates allow it.
      *
-     * @param mutations how many keys it writes
-     * @param timeoutS seconds after which it is rejected where it has not been sent
+     * @param mutations number of keys that it writes
+     * @param timeoutS seconds after which it is rejected if it has not been sent
      */
     void submit(
             KeyValueStore.RequestPriority priority,
@@ -91,8 +92,8 @@
             double timeoutS,
             Runnable send,
             Runnable reject) {
-        // A lease renewal that waits in a queue ends a leadership; it is charged but never held
-        // back.
+        // A lease renewal that waits in a queue can end the leadership, so grant requests are
+        // charged but never delayed.
         if (priority == KeyValueStore.RequestPriority.GRANT) {
             refill();
             availableRequests -= 1;
@@ -120,30 +121,30 @@
         refill();
         boolean blocked = false;
         for (KeyValueStore.RequestPriority priority : queues.keySet()) {
-            boolean leaders = priority == KeyValueStore.RequestPriority.LEADER_WRITE;
-            // What is behind a blocked queue may need no mutations: a leader that waits for its
-            // writes still answers queries.
-            blocked |= !drain(queues.get(priority), leaders ? leaderBucket : userBucket);
+            boolean leaderWrites = priority == KeyValueStore.RequestPriority.LEADER_WRITE;
+            // Requests of lower priority than a blocked queue may need no mutations: a leader whose
+            // writes are delayed still answers queries.
+            blocked |= !drain(queues.get(priority), leaderWrites ? leaderBucket : userBucket);
         }
-        // What was sent may have submitted more and set the timer already.
+        // Callbacks of the requests may have submitted more and scheduled the next drain already.
         if (blocked && !drainScheduled) {
             drainScheduled = true;
             loop.schedule(Math.max(1 / requestRate, MIN_DRAIN_INTERVAL_S), this::drainQueues);
         }
     }
 
-    /** Returns false where the rates hold back what is left in the queue. */
+    /** Returns false if the rates delay the remaining requests of the queue. */
     private boolean drain(ArrayDeque<QueuedRequest> queue, TokenBucket bucket) {
         while (!queue.isEmpty()) {
-            QueuedRequest first = queue.peek();
-            if (first.deadline < refilledAt) {
+            QueuedRequest head = queue.peek();
+            if (head.deadline < refilledAt) {
                 queue.poll();
-                first.reject.run();
-            } else if (availableRequests >= 1 && bucket.allows(first.mutations)) {
+                head.reject.run();
+            } else if (availableRequests >= 1 && bucket.allows(head.mutations)) {
                 queue.poll();
                 availableRequests -= 1;
-                bucket.take(first.mutations);
-                first.send.run();
+                bucket.take(head.mutations);
+                head.send.run();
             } else {
                 return false;
             }
--- a/src/main/java/io/pepperfield/store/Replica.java
+++ b/src/main/java/io/pepperfield/store/Replica.java
@@ -9,25 +9,25 @@
 import java.util.function.BiConsumer;
 
 /**
- * This controller's copy of the state service, as of one revision. Two streams feed it, the long
- * watch and the short read index requests; each answer holds all changes since some revision this
- * copy already had, so that applying only what is newer than the copy keeps it whole in whatever
- * order they come. Confined to the event loop's thread.
+ * This controller's in-memory copy of the state service's data at one revision. It is updated from
+ * two sources, the long watch and the short read index requests. Each response holds all changes
+ * after a revision that the copy already had; applying only changes newer than the copy therefore
+ * keeps it complete, in whatever order the responses arrive. Confined to the event loop's thread.
  */
 public final class Replica {
 
-    /** Told of every change in the order of revisions. */
+    /** Receives every change in revision order. */
     public interface Listener {
         /**
-         * Called after the copy has taken the change.
+         * Called after the change has been applied to the copy.
          *
-         * @param value the key's new value, or null where it was deleted
+         * @param value the key's new value, or null if it was deleted
          * @param modRevision the revision of the change
          */
         void changed(String key, JsonNode value, long modRevision);
     }
 
-    /** A key's value and the revision that wrote it. */
+    /** A key's value and its modification revision. */
     public record Entry(JsonNode value, long modRevision) {}
 
     private final Map<String, Entry> entries = new HashMap<>();
@@ -49,18 +49,18 @@
         return entries.containsKey(key);
     }
 
-    /** The key's entry, or empty where the key does not exist. */
+    /** The key's entry, or empty if the key does not exist. */
     public Optional<Entry> find(String key) {
         return Optional.ofNullable(entries.get(key));
     }
 
-    /** The revision that last wrote the key; 0 where the key does not exist. */
+    /** The key's modification revision; 0 if the key does not exist. */
     public long modRevision(String key) {
         Entry entry = entries.get(key);
         return entry == null ? 0 : entry.modRevision;
     }
 
-    /** Keeps only the key's revision, where its value is of no use to anybody any more. */
+    /** Discards the key's value, which is no longer needed, and keeps its modification revision. */
     public void discardValue(String key) {
         Entry entry = entries.get(key);
         if (entry != null) {
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Visits all keys with that prefix, in no particular order. */
+    /** Visits all keys with the prefix, in no particular order. */
     public void forEachWithPrefix(String prefix, BiConsumer<String, JsonNode> visit) {
         entries.forEach(
                 (key, entry) -> {
@@ -79,40 +79,41 @@
     }
 
     /**
-     * Applies a full reading, which may be older than what the watch has brought meanwhile. Its
-     * later pages may be newer than {@code asOf}; what is, is left to the watch since then, which
-     * brings it in its order: a run record, for one, after its job.
+     * Applies a full read of all keys, which may be older than changes that the watch has delivered
+     * in the meantime. Later pages may contain entries newer than {@code snapshotRevision}; these
+     * are skipped, since a watch from that revision delivers them in revision order, for example a
+     * run record after its job.
      *
-     * @param asOf the revision of the first page
+     * @param snapshotRevision the revision of the first page
      */
-    public void loadSnapshot(List<KeyValueStore.KeyValue> snapshot, long asOf) {
-        Map<String, Entry> missing = new HashMap<>(entries);
+    public void loadSnapshot(List<KeyValueStore.KeyValue> snapshot, long snapshotRevision) {
+        Map<String, Entry> absentFromSnapshot = new HashMap<>(entries);
         for (KeyValueStore.KeyValue read : snapshot) {
-            missing.remove(read.key());
-            // This copy has seen what is as old as itself; where it lacks it, the key was deleted
-            // since and must stay so.
-            if (read.modRevision() > revision && read.modRevision() <= asOf) {
+            absentFromSnapshot.remove(read.key());
+            // Entries up to the copy's revision have been applied before; if the copy lacks one,
+            // its key has been deleted since then and must not be restored.
+            if (read.modRevision() > revision && read.modRevision() <= snapshotRevision) {
                 put(read);
             }
         }
-        missing.forEach(
+        absentFromSnapshot.forEach(
                 (key, entry) -> {
-                    if (entry.modRevision <= asOf) {
+                    if (entry.modRevision <= snapshotRevision) {
                         entries.remove(key);
-                        listener.changed(key, null, asOf);
+                        listener.changed(key, null, snapshotRevision);
                     }
                 });
-        revision = Math.max(revision, asOf);
+        revision = Math.max(revision, snapshotRevision);
     }
 
-    /** Applies all changes up to a revision; those that are known already are skipped. */
-    public void applyChanges(List<KeyValueStore.KeyValue> changes, long upTo) {
+    /** Applies all changes up to a revision; changes already applied are skipped. */
+    public void applyChanges(List<KeyValueStore.KeyValue> changes, long upToRevision) {
         for (KeyValueStore.KeyValue change : changes) {
             if (change.modRevision() > revision) {
                 put(change);
             }
         }
-        revision = Math.max(revision, upTo);
+        revision = Math.max(revision, upToRevision);
     }
 
     private void put(KeyValueStore.KeyValue change) {
--- a/src/main/java/io/pepperfield/store/ReplicaSynchronizer.java
+++ b/src/main/java/io/pepperfield/store/ReplicaSynchronizer.java
@@ -8,22 +8,25 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps the replica up to date by a watch, and confirms on demand that it is, as a read index does:
- * an answer such as "not ended yet" or 404 holds only if the state service said so after the
- * question was asked. Confined to the event loop's thread.
+ * Keeps the replica up to date by a watch, and confirms on demand, like a read index, that it is
+ * current. An answer such as "not ended yet" or 404 is valid only if the state service confirmed it
+ * after the request had arrived. Confined to the event loop's thread.
  */
 public final class ReplicaSynchronizer {
 
-    /** Users wait 2 s for an answer. */
+    /** Maximum age of a confirmation; users wait 2 s for an answer. */
     private static final double MAX_ANSWER_AGE_S = 2;
 
-    /** After a failure the next try waits for this many of the usual intervals. */
-    private static final int RETRY_INTERVALS = 4;
+    /** Delay before a retry, as a multiple of the minimum request interval. */
+    private static final int RETRY_INTERVAL_MULTIPLE = 4;
 
-    /** After so many failed watches, and as many hold times without contact, all is read anew. */
+    /**
+     * Consecutive failed watches after which all keys are read again, if the time without a
+     * confirmation also exceeds {@link #MAX_HOLDS_WITHOUT_CONFIRMATION} hold times.
+     */
     private static final int MAX_WATCH_FAILURES = 3;
 
-    private static final int MAX_HOLDS_WITHOUT_CONTACT = 8;
+    private static final int MAX_HOLDS_WITHOUT_CONFIRMATION = 8;
 
     private final Loop loop;
     private final KeyValueStore store;
@@ -38,9 +41,9 @@
     private int consecutiveWatchFailures;
 
     /**
-     * @param watchHoldS seconds for which the service holds a watch without changes
-     * @param minIntervalS least time in seconds between two requests of one kind, which bounds
-     *     their number per second
+     * @param watchHoldS seconds for which the service holds a watch open while there are no changes
+     * @param minIntervalS minimum interval in seconds between two requests of one kind, which
+     *     limits their rate
      */
     public ReplicaSynchronizer(
             Loop loop,
@@ -55,20 +58,20 @@
         this.minIntervalS = minIntervalS;
     }
 
-    /** Loads the replica and begins to watch for changes. */
+    /** Loads the replica and starts to watch for changes. */
     public void start() {
         load();
         watch();
     }
 
-    /** Whether all keys have been read once. */
+    /** Whether a full read of all keys has completed. */
     public boolean isLoaded() {
         return loaded;
     }
 
     /**
-     * Loop time in seconds at which the last request was sent that was answered with all changes up
-     * to then.
+     * Loop time in seconds at which the latest request was sent whose response brought the replica
+     * up to date.
      */
     public double lastConfirmedAt() {
         return lastConfirmedAt;
@@ -77,8 +80,8 @@
     // ---- read index
 
     /**
-     * Calls back with true once the replica holds everything that was decided before this call,
-     * with false where the state service did not confirm that in time.
+     * Calls back with true once the replica holds all changes committed before this call, or with
+     * false if the state service did not confirm this in time.
      */
     public void awaitReadIndex(Consumer<Boolean> done) {
         if (!loaded) {
@@ -100,7 +103,7 @@
                 replica.revision(),
                 0,
                 result -> {
-                    // First of all: whatever throws below must not end all later requests.
+                    // Scheduled first, so that an exception below does not stop all later requests.
                     loop.schedule(minIntervalS, this::requestNextReadIndex);
                     completeReads(reads, result, sentAt);
                 });
@@ -116,8 +119,8 @@
     private void completeReads(List<Consumer<Boolean>> reads, ReadResult result, double sentAt) {
         boolean current = false;
         try {
-            // An answer that this process slept over says how things stood then, not when those
-            // asked who still wait.
+            // If this process was suspended meanwhile, the response is too old to be a valid answer
+            // for the callers that are still waiting.
             current = applyResult(result, sentAt) && loop.now() - sentAt <= MAX_ANSWER_AGE_S;
         } finally {
             completeAll(reads, current);
@@ -125,20 +128,20 @@
     }
 
     /**
-     * Each is told, even if another throws: a new leader that fails over its recovery must not cost
-     * users their answers.
+     * Completes every read, even if the callback of another one throws: a new leader whose recovery
+     * fails must not leave users without an answer.
      */
     private static void completeAll(List<Consumer<Boolean>> reads, boolean current) {
-        RuntimeException thrown = null;
+        RuntimeException failure = null;
         for (Consumer<Boolean> read : reads) {
             try {
                 read.accept(current);
             } catch (RuntimeException e) {
-                thrown = e;
+                failure = e;
             }
         }
-        if (thrown != null) {
-            throw thrown;
+        if (failure != null) {
+            throw failure;
         }
     }
 
@@ -146,36 +149,40 @@
 
     private void watch() {
         if (!loaded) {
-            loop.schedule(RETRY_INTERVALS * minIntervalS, this::watch);
+            loop.schedule(RETRY_INTERVAL_MULTIPLE * minIntervalS, this::watch);
             return;
         }
         double sentAt = loop.now();
-        store.watch(replica.revision(), watchHoldS, result -> watchEnded(result, sentAt));
+        store.watch(replica.revision(), watchHoldS, result -> onWatchResult(result, sentAt));
     }
 
-    private void watchEnded(ReadResult result, double sentAt) {
+    private void onWatchResult(ReadResult result, double sentAt) {
         boolean applied = false;
         try {
             applied = applyResult(result, sentAt);
         } finally {
-            loop.schedule(applied ? minIntervalS : RETRY_INTERVALS * minIntervalS, this::watch);
+            loop.schedule(
+                    applied ? minIntervalS : RETRY_INTERVAL_MULTIPLE * minIntervalS, this::watch);
         }
         consecutiveWatchFailures = applied ? 0 : consecutiveWatchFailures + 1;
         if (consecutiveWatchFailures > MAX_WATCH_FAILURES
                 && result instanceof ReadResult.Failed
-                && loop.now() - lastConfirmedAt > MAX_HOLDS_WITHOUT_CONTACT * watchHoldS) {
-            // An answer too large to read fails for ever; a reading in pages does not.
+                && loop.now() - lastConfirmedAt > MAX_HOLDS_WITHOUT_CONFIRMATION * watchHoldS) {
+            // A response that is too large fails every time; a paged read does not.
             consecutiveWatchFailures = 0;
             load();
         }
     }
 
-    /** Returns whether the replica holds all changes up to the time of sending now. */
+    /**
+     * Returns whether the replica now holds all changes up to the time at which the request was
+     * sent.
+     */
     private boolean applyResult(ReadResult result, double sentAt) {
         if (result instanceof ReadResult.Read read) {
             replica.applyChanges(read.entries(), read.revision());
-            // After the changes have been applied: of each it is known that it had not happened as
-            // of the confirmation before.
+            // Updated only after the changes have been applied, so that during their application
+            // lastConfirmedAt is a time at which none of them had happened.
             lastConfirmedAt = Math.max(lastConfirmedAt, sentAt);
             return true;
         }
@@ -185,7 +192,7 @@
         return false;
     }
 
-    // ---- full reading
+    // ---- full read
 
     private void load() {
         if (!loading) {
@@ -194,7 +201,7 @@
         }
     }
 
-    /** Reads all keys page by page, and then replaces the replica's contents. */
+    /** Reads all keys page by page and then loads them into the replica. */
     private final class SnapshotRead {
 
         private static final long UNKNOWN = -1;
@@ -203,18 +210,18 @@
         private final List<KeyValue> entries = new ArrayList<>();
 
         /**
-         * The revision of the first page: later pages may be newer, and the watch since the first
-         * brings what they have more.
+         * The revision of the first page. Later pages may be newer; the watch from this revision
+         * delivers their additional changes.
          */
         private long revision = UNKNOWN;
 
         void readPage(String after) {
-            store.readPage(after, result -> pageRead(after, result));
+            store.readPage(after, result -> onPageResult(after, result));
         }
 
-        private void pageRead(String after, ReadResult result) {
+        private void onPageResult(String after, ReadResult result) {
             if (!(result instanceof ReadResult.Read page)) {
-                loop.schedule(RETRY_INTERVALS * minIntervalS, () -> retry(after));
+                loop.schedule(RETRY_INTERVAL_MULTIPLE * minIntervalS, () -> retry(after));
                 return;
             }
             entries.addAll(page.entries());
@@ -230,9 +237,8 @@
 
         private void retry(String after) {
             if (loaded && lastConfirmedAt > startedAt) {
-                // A watch has been answered since: it was an outage, and a reading would only
-                // burden
-                // its end.
+                // A watch has succeeded since the read started, so the failure was an outage; a
+                // full read would only add load to the recovering service.
                 loading = false;
             } else {
                 readPage(after);
@@ -246,7 +252,8 @@
                 loaded = true;
             } finally {
                 if (!loaded) {
-                    loop.schedule(RETRY_INTERVALS * minIntervalS, ReplicaSynchronizer.this::load);
+                    loop.schedule(
+                            RETRY_INTERVAL_MULTIPLE * minIntervalS, ReplicaSynchronizer.this::load);
                 }
             }
         }
--- a/src/main/java/io/pepperfield/store/TransactionLimits.java
+++ b/src/main/java/io/pepperfield/store/TransactionLimits.java
@@ -1,18 +1,18 @@
 package io.pepperfield.store;
 
-/** How much a writer may put into one transaction. */
+/** Limits on the size of one transaction. */
 public interface TransactionLimits {
 
-    /** The state service takes so many times as many preconditions as mutations. */
+    /** Number of preconditions that the state service allows per allowed mutation. */
     int PRECONDITIONS_PER_MUTATION = 4;
 
-    /** The most keys written or deleted in a transaction. */
+    /** Maximum number of keys written or deleted in a transaction. */
     int maxMutations();
 
-    /** The most preconditions of a transaction. */
+    /** Maximum number of preconditions of a transaction. */
     int maxPreconditions();
 
-    /** All that the state service allows. */
+    /** Returns the full limits of the state service, with none of them reserved for other uses. */
     static TransactionLimits serviceMaximum(int maxMutations) {
         return new TransactionLimits() {
             @Override
--- a/src/main/java/io/pepperfield/store/WriteQueue.java
+++ b/src/main/java/io/pepperfield/store/WriteQueue.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** The writes that wait for a transaction, one for each key, in the order of their arrival. */
+/** The writes pending for a transaction, one per key, in insertion order. */
 final class WriteQueue {
 
     private final double batchDelayS;
@@ -15,9 +15,9 @@
     private Map<String, PendingWrite> writes = new LinkedHashMap<>();
 
     /**
-     * @param batchDelayS how long batched writes are gathered
-     * @param backgroundDelayS how long background writes are gathered; with each such time a write
-     *     moves up by one priority
+     * @param batchDelayS seconds for which batched writes are collected
+     * @param backgroundDelayS seconds for which background writes are collected; the effective
+     *     priority of a write rises by one each time this delay elapses
      */
     WriteQueue(double batchDelayS, double backgroundDelayS) {
         this.batchDelayS = batchDelayS;
@@ -36,32 +36,32 @@
         writes = new LinkedHashMap<>();
     }
 
-    /** The write that waits under the key, which is created where there is none. */
+    /** Returns the pending write of the key, which is created if absent. */
     PendingWrite computeIfAbsent(String key, Supplier<PendingWrite> create) {
         return writes.computeIfAbsent(key, k -> create.get());
     }
 
-    /** Takes out the write that waits under the key; null where there is none. */
+    /** Removes and returns the pending write of the key; null if absent. */
     PendingWrite remove(String key) {
         return writes.remove(key);
     }
 
     /**
-     * The writes to go next, the most urgent first and the oldest of them before the others. A
-     * write moves up with the time that it has waited, so that what keeps coming cannot hold it
-     * back for ever.
+     * Returns the writes to send next, by effective priority and then by insertion order. The
+     * effective priority of a write rises with its waiting time, so that a continuous stream of
+     * more urgent writes cannot starve it.
      *
      * @param now loop time in seconds
-     * @param most how many are wanted
+     * @param maxWrites maximum number of writes
      */
-    List<PendingWrite> selectReady(double now, int most) {
+    List<PendingWrite> selectReady(double now, int maxWrites) {
         List<PendingWrite> ready = new ArrayList<>();
         for (int rank = 0; rank < Priority.values().length; rank++) {
             for (PendingWrite write : writes.values()) {
-                if (ready.size() == most) {
+                if (ready.size() == maxWrites) {
                     return ready;
                 }
-                if (isReady(write, now) && effectiveRank(write, now) == rank) {
+                if (isReady(write, now) && effectivePriority(write, now) == rank) {
                     ready.add(write);
                 }
             }
@@ -74,19 +74,19 @@
                 && switch (write.priority()) {
                     case INTENT, FINAL_STATE -> true;
                     case BATCHED -> now - write.enqueuedAt() >= batchDelayS;
-                    case BACKGROUND -> delaysWaited(write, now) > 0;
+                    case BACKGROUND -> elapsedDelays(write, now) > 0;
                 };
     }
 
-    private int effectiveRank(PendingWrite write, double now) {
-        return Math.max(0, write.priority().ordinal() - delaysWaited(write, now));
+    private int effectivePriority(PendingWrite write, double now) {
+        return Math.max(0, write.priority().ordinal() - elapsedDelays(write, now));
     }
 
-    private int delaysWaited(PendingWrite write, double now) {
+    private int elapsedDelays(PendingWrite write, double now) {
         return (int) ((now - write.enqueuedAt()) / backgroundDelayS);
     }
 
-    /** Puts writes back in front, joined with what was enqueued for their keys meanwhile. */
+    /** Reinserts failed writes at the front, merged with later writes of the same keys. */
     void requeue(List<PendingWrite> failed) {
         Map<String, PendingWrite> later = writes;
         writes = new LinkedHashMap<>();
--- a/src/main/java/io/pepperfield/store/WriteTransaction.java
+++ b/src/main/java/io/pepperfield/store/WriteTransaction.java
@@ -10,14 +10,14 @@
 import java.util.Map;
 import java.util.function.ToLongFunction;
 
-/** One transaction of the leader: pending writes, gathered up to what the store takes at once. */
+/** One transaction of the leader: pending writes, collected up to the store's limits. */
 final class WriteTransaction {
 
-    /** 64 KiB are allowed in all; preconditions and names need their share. */
+    /** The store allows 64 KiB in total; the remainder is for preconditions and names. */
     private static final int MAX_BYTES = 40 * 1024;
 
-    /** What a precondition adds to the name of its key. */
-    private static final int PRECONDITION_BYTES = 20;
+    /** Encoded size of a precondition, without the name of its key. */
+    private static final int PRECONDITION_OVERHEAD_BYTES = 20;
 
     private final TransactionLimits limits;
     private final int maxWrites;
@@ -27,8 +27,8 @@
     private int bytes;
 
     /**
-     * @param maxWrites how many pending writes it may hold
-     * @param fence the precondition that proves the leadership
+     * @param maxWrites maximum number of pending writes
+     * @param fence the precondition that fences the transaction to the current leader
      */
     WriteTransaction(TransactionLimits limits, int maxWrites, Precondition fence) {
         this.limits = limits;
@@ -49,10 +49,10 @@
     }
 
     /**
-     * Adds a write whole or not at all; the first one is added whatever its size.
+     * Adds a write completely or not at all; the first one is added regardless of its size.
      *
-     * @param expectedRevision the modification revision that a key is expected to have
-     * @return false where there is no room for it
+     * @param expectedRevision returns the modification revision that a key is expected to have
+     * @return false if the write does not fit
      */
     boolean tryAdd(PendingWrite write, ToLongFunction<String> expectedRevision) {
         Map<String, JsonNode> values = write.values();
@@ -66,8 +66,8 @@
         values.forEach(
                 (key, value) -> {
                     mutations.add(Mutation.set(key, value));
-                    // A write-once key is expected to be absent whatever a retry has learned
-                    // meanwhile.
+                    // A write-once key must be absent, even if a retry has found a revision of it
+                    // in the meantime.
                     long revision = write.isWriteOnce() ? 0 : expectedRevision.applyAsLong(key);
                     preconditions.add(new Precondition(key, revision));
                 });
@@ -86,11 +86,11 @@
             Map<String, JsonNode> values, Collection<String> requiredAbsent) {
         int size = 0;
         for (Map.Entry<String, JsonNode> value : values.entrySet()) {
-            // The key is named by the mutation and by its precondition.
+            // The key occurs twice, in the mutation and in its precondition.
             size += Json.write(value.getValue()).length + 2 * value.getKey().length();
         }
         for (String key : requiredAbsent) {
-            size += key.length() + PRECONDITION_BYTES;
+            size += key.length() + PRECONDITION_OVERHEAD_BYTES;
         }
         return size;
     }
--- a/src/test/java/io/pepperfield/leadership/LeadershipElectionTest.java
+++ b/src/test/java/io/pepperfield/leadership/LeadershipElectionTest.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** How often a candidate stands while another has the leader key. */
+/** Checks how often elections are attempted while another controller holds the leader key. */
 class LeadershipElectionTest implements NoOpKeyValueStore, Leadership.Listener {
 
     private static final double TTL_S = 1;
@@ -27,9 +27,9 @@
 
     @Override
     public void compareAndSwap(
-            RequestPriority urgency,
-            List<Precondition> guards,
-            List<Mutation> changes,
+            RequestPriority priority,
+            List<Precondition> preconditions,
+            List<Mutation> mutations,
             Consumer<CompareAndSwapOutcome> done) {
         done.accept(new CompareAndSwapOutcome.Conflict(List.of("pepperfield/leader")));
     }
@@ -45,21 +45,23 @@
     void lostElectionsBackOffUntilALeaderIsObserved() {
         leadership.replicaLoaded();
         tickUntil(2 * TTL_S);
-        int before = elections;
+        int electionsBefore = elections;
         tickUntil(12 * TTL_S);
-        assertTrue(elections - before <= 10, elections - before + " elections in ten grants");
-        assertTrue(elections > before, "gave up");
+        assertTrue(
+                elections - electionsBefore <= 10,
+                elections - electionsBefore + " elections within ten lease TTLs");
+        assertTrue(elections > electionsBefore, "no further election");
     }
 
     @Test
     void anElectionStartsPromptlyAfterTheLeaderKeyIsDeleted() {
         leadership.replicaLoaded();
         tickUntil(2 * TICK_S);
-        int before = elections;
+        int electionsBefore = elections;
         leadership.leaderKeyChanged(Json.object().put("node", "node-2").put("grant", 7), 40);
         leadership.leaderKeyChanged(null, 41);
         tickUntil(loop.now() + TTL_S / 5);
-        assertTrue(elections > before, "does not stand");
+        assertTrue(elections > electionsBefore, "no election after the leader key was deleted");
     }
 
     @Override
@@ -69,5 +71,5 @@
     public void fencingTokenRenewed(FencingToken token) {}
 
     @Override
-    public void leadershipLost(String why) {}
+    public void leadershipLost(String reason) {}
 }
--- a/src/test/java/io/pepperfield/store/FencedWriterTest.java
+++ b/src/test/java/io/pepperfield/store/FencedWriterTest.java
@@ -13,19 +13,21 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** In which order the leader's changes go, two in a transaction here. */
+/**
+ * Checks the order and grouping of the leader's writes, with at most two mutations per transaction.
+ */
 class FencedWriterTest {
 
     private static final Runnable NO_CALLBACK = () -> {};
 
-    private final RecordingKeyValueStore state = new RecordingKeyValueStore();
-    private final Replica replica = new Replica((key, data, stamp) -> {});
+    private final RecordingKeyValueStore store = new RecordingKeyValueStore();
+    private final Replica replica = new Replica((key, value, modRevision) -> {});
     private final FencedWriter writer =
             new FencedWriter(
-                    state,
-                    state,
+                    store,
+                    store,
                     replica,
-                    new ReplicaSynchronizer(state, state, replica, 1, 1),
+                    new ReplicaSynchronizer(store, store, replica, 1, 1),
                     new FencedWriter.Fence() {
                         @Override
                         public boolean holdsValidLease() {
@@ -41,96 +43,96 @@
                     1,
                     2);
 
-    private void mark(String key, Priority priority) {
+    private void enqueue(String key, Priority priority) {
         writer.enqueue(key, priority, Json::object);
     }
 
-    private void answered() {
-        state.pendingCallback.accept(
-                new KeyValueStore.CompareAndSwapOutcome.Committed(state.writtenKeys.size()));
+    private void commitPending() {
+        store.pendingCallback.accept(
+                new KeyValueStore.CompareAndSwapOutcome.Committed(store.writtenKeys.size()));
     }
 
     @Test
     void writesAreSentByPriorityAndBackgroundWritesAfterTheirDelay() {
-        mark("completed", Priority.BACKGROUND);
-        mark("end", Priority.FINAL_STATE);
-        mark("start 1", Priority.INTENT);
-        mark("start 2", Priority.INTENT);
+        enqueue("completed", Priority.BACKGROUND);
+        enqueue("end", Priority.FINAL_STATE);
+        enqueue("start 1", Priority.INTENT);
+        enqueue("start 2", Priority.INTENT);
         writer.flush();
-        answered();
-        assertEquals(List.of(List.of("start 1", "start 2"), List.of("end")), state.writtenKeys);
-        answered();
-        state.now = 2;
-        mark("start 3", Priority.INTENT);
+        commitPending();
+        assertEquals(List.of(List.of("start 1", "start 2"), List.of("end")), store.writtenKeys);
+        commitPending();
+        store.now = 2;
+        enqueue("start 3", Priority.INTENT);
         writer.flush();
-        assertEquals(List.of("start 3", "completed"), state.writtenKeys.get(2));
+        assertEquals(List.of("start 3", "completed"), store.writtenKeys.get(2));
     }
 
     @Test
     void continuousIntentsDoNotStarveLowerPriorities() {
-        mark("end", Priority.FINAL_STATE);
-        mark("completed", Priority.BACKGROUND);
+        enqueue("end", Priority.FINAL_STATE);
+        enqueue("completed", Priority.BACKGROUND);
         for (int i = 0; i < 4; i++) {
-            mark("start " + i, Priority.INTENT);
+            enqueue("start " + i, Priority.INTENT);
         }
         writer.flush();
         for (int i = 4; i < 12; i++) {
-            state.now += 1;
-            mark("start " + i, Priority.INTENT);
-            mark("again " + i, Priority.INTENT);
-            answered();
+            store.now += 1;
+            enqueue("start " + i, Priority.INTENT);
+            enqueue("again " + i, Priority.INTENT);
+            commitPending();
         }
         assertEquals(
                 true,
-                state.writtenKeys.stream().anyMatch(keys -> keys.contains("end")),
-                state.writtenKeys.toString());
+                store.writtenKeys.stream().anyMatch(keys -> keys.contains("end")),
+                store.writtenKeys.toString());
         assertEquals(
                 true,
-                state.writtenKeys.stream().anyMatch(keys -> keys.contains("completed")),
-                state.writtenKeys.toString());
+                store.writtenKeys.stream().anyMatch(keys -> keys.contains("completed")),
+                store.writtenKeys.toString());
     }
 
     @Test
     void batchedIntentsAreMergedUntilTheBatchDelayHasPassed() {
-        mark("swarm", Priority.BATCHED);
-        mark("swarm", Priority.BATCHED);
+        enqueue("swarm", Priority.BATCHED);
+        enqueue("swarm", Priority.BATCHED);
         writer.flush();
-        assertEquals(List.of(), state.writtenKeys);
-        mark("start", Priority.INTENT);
+        assertEquals(List.of(), store.writtenKeys);
+        enqueue("start", Priority.INTENT);
         writer.flush();
-        mark("swarm", Priority.BATCHED);
-        state.now += 1;
-        answered();
-        assertEquals(List.of(List.of("start"), List.of("swarm")), state.writtenKeys);
+        enqueue("swarm", Priority.BATCHED);
+        store.now += 1;
+        commitPending();
+        assertEquals(List.of(List.of("start"), List.of("swarm")), store.writtenKeys);
     }
 
     @Test
     void anIntentSendsThePendingBackgroundWriteOfItsKeyAtOnce() {
-        mark("chunk", Priority.BACKGROUND);
+        enqueue("chunk", Priority.BACKGROUND);
         writer.flush();
-        assertEquals(List.of(), state.writtenKeys);
-        mark("chunk", Priority.INTENT);
+        assertEquals(List.of(), store.writtenKeys);
+        enqueue("chunk", Priority.INTENT);
         writer.flush();
-        assertEquals(List.of(List.of("chunk")), state.writtenKeys);
+        assertEquals(List.of(List.of("chunk")), store.writtenKeys);
     }
 
     @Test
     void anIntentRequiresThatItsJobHasNoFinalState() {
-        boolean[] known = new boolean[1];
+        boolean[] finalStateKnown = new boolean[1];
         writer.enqueue(
                 "run 1",
                 Priority.INTENT,
                 () -> Map.of("run 1", Json.object()),
-                () -> known[0] ? List.of() : List.of("end 1"),
+                () -> finalStateKnown[0] ? List.of() : List.of("end 1"),
                 NO_CALLBACK);
         writer.flush();
-        assertEquals(List.of("run 1", "end 1"), state.absentKeys.get(0));
-        // The cancellation that refused it is known by the next try, which makes durable that
-        // nothing was started.
-        known[0] = true;
+        assertEquals(List.of("run 1", "end 1"), store.absentKeys.get(0));
+        // The final state that failed the precondition is known at the next attempt, which records
+        // durably that nothing was started.
+        finalStateKnown[0] = true;
         writer.enqueue("run 1", Priority.INTENT, Json::object);
-        answered();
-        assertEquals(List.of(List.of("run 1"), List.of("run 1")), state.writtenKeys);
+        commitPending();
+        assertEquals(List.of(List.of("run 1"), List.of("run 1")), store.writtenKeys);
     }
 
     @Test
@@ -145,46 +147,47 @@
                     NO_CALLBACK);
         }
         writer.flush();
-        // The leader key, and a key and five final states for each: two changes allow eight guards.
-        assertEquals(List.of(List.of("run 1")), state.writtenKeys);
-        answered();
-        assertEquals(List.of(List.of("run 1"), List.of("run 2")), state.writtenKeys);
+        // Two mutations allow eight preconditions: the leader key's, and for each write one for its
+        // key and five for final states.
+        assertEquals(List.of(List.of("run 1")), store.writtenKeys);
+        commitPending();
+        assertEquals(List.of(List.of("run 1"), List.of("run 2")), store.writtenKeys);
     }
 
     @Test
     void aPermanentlyRefusedWriteDoesNotBlockOthers() {
-        mark("stored larger", Priority.INTENT);
-        mark("run 1", Priority.INTENT);
+        enqueue("stored larger", Priority.INTENT);
+        enqueue("run 1", Priority.INTENT);
         writer.flush();
-        // A limit has fallen without notice, and one of the two is beyond it: each is tried by
-        // itself.
-        refused();
-        refused();
-        assertEquals(List.of("stored larger", "run 1"), state.writtenKeys.get(0));
-        assertEquals(List.of("stored larger"), state.writtenKeys.get(1));
-        assertEquals(List.of("run 1"), state.writtenKeys.get(2));
-        answered();
+        // A limit was lowered without notice and one of the two writes exceeds it: each is sent
+        // individually.
+        refusePending();
+        refusePending();
+        assertEquals(List.of("stored larger", "run 1"), store.writtenKeys.get(0));
+        assertEquals(List.of("stored larger"), store.writtenKeys.get(1));
+        assertEquals(List.of("run 1"), store.writtenKeys.get(2));
+        commitPending();
         assertEquals(1, writer.pendingCount());
-        state.now += 2;
-        mark("run 2", Priority.INTENT);
+        store.now += 2;
+        enqueue("run 2", Priority.INTENT);
         writer.flush();
         assertEquals(
                 List.of("stored larger", "run 2"),
-                state.writtenKeys.get(3),
-                "tried again once it may have changed");
+                store.writtenKeys.get(3),
+                "retried after the delay, when it may have changed");
     }
 
     @Test
     void aPermanentlyRefusedWriteIsSplitAndSentInOneTransaction() {
-        boolean[] divided = new boolean[1];
-        List<String> effects = new ArrayList<>();
+        boolean[] split = new boolean[1];
+        List<String> callbacks = new ArrayList<>();
         FencedWriter.Content content =
                 new FencedWriter.Content() {
                     @Override
                     public Map<String, JsonNode> values() {
                         Map<String, JsonNode> values = new LinkedHashMap<>();
                         values.put("run 1", Json.object());
-                        if (divided[0]) {
+                        if (split[0]) {
                             values.put("run 1b", Json.object());
                         }
                         return values;
@@ -192,27 +195,27 @@
 
                     @Override
                     public boolean split() {
-                        boolean possible = !divided[0];
-                        divided[0] = true;
+                        boolean possible = !split[0];
+                        split[0] = true;
                         return possible;
                     }
                 };
-        writer.enqueue("run 1", Priority.INTENT, content, List::of, () -> effects.add("start"));
+        writer.enqueue("run 1", Priority.INTENT, content, List::of, () -> callbacks.add("start"));
         writer.flush();
-        mark("run 2", Priority.INTENT);
-        refused();
-        // Two changes are allowed: the parts of the one leave together, and nothing beside them.
-        assertEquals(List.of(List.of("run 1"), List.of("run 1", "run 1b")), state.writtenKeys);
+        enqueue("run 2", Priority.INTENT);
+        refusePending();
+        // Two mutations are allowed: the two parts of the split write fill one transaction.
+        assertEquals(List.of(List.of("run 1"), List.of("run 1", "run 1b")), store.writtenKeys);
         assertEquals(
-                List.of("run 1", "run 1b"), state.absentKeys.get(1), "guarded by their stamps");
-        assertEquals(List.of(), effects);
-        answered();
-        assertEquals(List.of("start"), effects);
-        assertEquals(List.of("run 2"), state.writtenKeys.get(2));
+                List.of("run 1", "run 1b"), store.absentKeys.get(1), "both keys must be absent");
+        assertEquals(List.of(), callbacks);
+        commitPending();
+        assertEquals(List.of("start"), callbacks);
+        assertEquals(List.of("run 2"), store.writtenKeys.get(2));
     }
 
-    private void refused() {
-        state.pendingCallback.accept(new KeyValueStore.CompareAndSwapOutcome.Refused(400));
-        state.pass();
+    private void refusePending() {
+        store.pendingCallback.accept(new KeyValueStore.CompareAndSwapOutcome.Refused(400));
+        store.pass();
     }
 }
--- a/src/test/java/io/pepperfield/store/HttpKeyValueStoreTest.java
+++ b/src/test/java/io/pepperfield/store/HttpKeyValueStoreTest.java
@@ -14,25 +14,25 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What leaves for the state service while it answers nothing. */
+/** Checks the requests that are sent while the state service does not respond. */
 class HttpKeyValueStoreTest {
 
-    private static final String TOUCH = "/grants/7/touch";
+    private static final String RENEWAL_PATH = "/grants/7/touch";
 
     private final SimulatedLoop loop = new SimulatedLoop();
-    private final List<String> underWay = new ArrayList<>();
+    private final List<String> sentPaths = new ArrayList<>();
     private int connections;
     private final HttpSender sender =
             (request, onOutcome) -> {
-                underWay.add(request.path());
+                sentPaths.add(request.path());
                 connections = request.maxConnections();
             };
-    private final HttpKeyValueStore state =
+    private final HttpKeyValueStore store =
             new HttpKeyValueStore(loop, sender, new Address("10.2.0.1", 2379));
 
-    private void write(RequestPriority urgency, String key) {
-        state.compareAndSwap(
-                urgency,
+    private void write(RequestPriority priority, String key) {
+        store.compareAndSwap(
+                priority,
                 List.of(new Precondition(key, 0)),
                 List.of(Mutation.set(key, Json.object())),
                 result -> {});
@@ -40,25 +40,25 @@
 
     @Test
     void aGrantRenewalFindsAFreeConnectionWhileAllOtherRequestsArePending() {
-        state.setRates(50, 20, 20);
+        store.setRates(50, 20, 20);
         loop.run(1);
-        // One of each kind is under way at most: the open watch, a confirmation, a reading in
-        // pages, submissions, cancellations, the leader's writes, a new token, the end of an
-        // earlier grant.
-        state.watch(1, 10, result -> {});
-        state.watch(1, 0, result -> {});
-        state.readPage("", result -> {});
+        // At most one request of each kind is in flight: the long watch, a read index request, a
+        // paged read, a submission, a cancellation, a leader write, a new fencing token, the
+        // revocation of an earlier grant.
+        store.watch(1, 10, result -> {});
+        store.watch(1, 0, result -> {});
+        store.readPage("", result -> {});
         write(RequestPriority.SUBMISSION, "pepperfield/job/run-000001");
         write(RequestPriority.CANCELLATION, "pepperfield/end/run-000001");
         write(RequestPriority.LEADER_WRITE, "pepperfield/run/run-000001/0");
         write(RequestPriority.GRANT, "pepperfield/leader");
-        state.revokeGrant(6);
-        state.renewGrant(7, result -> {});
+        store.revokeGrant(6);
+        store.renewGrant(7, result -> {});
         loop.run(2);
-        assertTrue(underWay.contains(TOUCH), underWay.toString());
-        assertEquals(9, underWay.size(), underWay.toString());
+        assertTrue(sentPaths.contains(RENEWAL_PATH), sentPaths.toString());
+        assertEquals(9, sentPaths.size(), sentPaths.toString());
         assertTrue(
-                underWay.size() <= connections,
-                "the renewal waits behind " + connections + " others");
+                sentPaths.size() <= connections,
+                "only " + connections + " connections, the renewal is queued");
     }
 }
--- a/src/test/java/io/pepperfield/store/ReplicaSynchronizerTest.java
+++ b/src/test/java/io/pepperfield/store/ReplicaSynchronizerTest.java
@@ -15,65 +15,71 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** How a copy stays whole, and its questions answered, through refusals and errors of its own. */
+/**
+ * Checks that the replica stays complete and that reads are answered during outages of the state
+ * service and after exceptions of listeners and callbacks.
+ */
 class ReplicaSynchronizerTest implements NoOpKeyValueStore {
 
     private final SimulatedLoop loop = new SimulatedLoop();
-    private final List<Boolean> told = new ArrayList<>();
+    private final List<Boolean> readResults = new ArrayList<>();
     private final Replica replica = new Replica(this::changed);
-    private final ReplicaSynchronizer sync = new ReplicaSynchronizer(loop, this, replica, 1, 0.1);
+    private final ReplicaSynchronizer synchronizer =
+            new ReplicaSynchronizer(loop, this, replica, 1, 0.1);
     private final List<String> readFrom = new ArrayList<>();
-    private boolean refuses;
+    private boolean failing;
     private boolean throwsOnChange;
-    private Consumer<ReadResult> held;
-    private int refused;
+    private Consumer<ReadResult> pendingWatch;
+    private int failedWatches;
 
-    private void changed(String key, JsonNode data, long stamp) {
+    private void changed(String key, JsonNode value, long modRevision) {
         if (throwsOnChange) {
             throwsOnChange = false;
-            throw new IllegalStateException("a fault in what follows from " + key);
+            throw new IllegalStateException("listener failed on " + key);
         }
     }
 
-    private static KeyValue item(String key, long stamp) {
-        return new KeyValue(key, Json.object(), stamp);
+    private static KeyValue entry(String key, long modRevision) {
+        return new KeyValue(key, Json.object(), modRevision);
     }
 
     @Test
     void aLongOutageCausesNoConcurrentOrNeedlessFullReads() {
-        sync.start();
+        synchronizer.start();
         loop.run(1);
-        refuses = true;
-        held.accept(new ReadResult.Failed());
+        failing = true;
+        pendingWatch.accept(new ReadResult.Failed());
         loop.run(120);
         readFrom.clear();
         loop.run(120.4);
         assertTrue(
-                readFrom.size() <= 2, "one reading at a time, however long it takes: " + readFrom);
-        refuses = false;
+                readFrom.size() <= 2,
+                "at most one full read at a time during the outage: " + readFrom);
+        failing = false;
         readFrom.clear();
         loop.run(125);
-        assertTrue(readFrom.size() <= 1, "the follow works again: " + readFrom);
+        assertTrue(readFrom.size() <= 1, "the watch has recovered: " + readFrom);
     }
 
     @Test
     void aListenerExceptionFailsItsReadsButNoLaterOnes() {
-        sync.start();
+        synchronizer.start();
         loop.run(1);
         throwsOnChange = true;
-        sync.awaitReadIndex(told::add);
+        synchronizer.awaitReadIndex(readResults::add);
         assertThrows(IllegalStateException.class, () -> loop.run(2));
-        assertEquals(List.of(false), told);
-        sync.awaitReadIndex(
+        assertEquals(List.of(false), readResults);
+        synchronizer.awaitReadIndex(
                 current -> {
-                    throw new IllegalStateException("a new leader's fault");
+                    throw new IllegalStateException("callback failed");
                 });
-        sync.awaitReadIndex(told::add);
+        synchronizer.awaitReadIndex(readResults::add);
         assertThrows(IllegalStateException.class, () -> loop.run(3));
-        sync.awaitReadIndex(told::add);
+        synchronizer.awaitReadIndex(readResults::add);
         loop.run(4);
-        assertEquals(List.of(false, true, true), told);
-        assertEquals(2, replica.modRevision("b"), "what came with the change that failed");
+        assertEquals(List.of(false, true, true), readResults);
+        assertEquals(
+                2, replica.modRevision("b"), "the change after the one that failed is applied");
     }
 
     @Override
@@ -83,30 +89,34 @@
                 0.005,
                 () ->
                         done.accept(
-                                refuses
+                                failing
                                         ? new ReadResult.Failed()
                                         : new ReadResult.Read(List.of(), false, 0)));
     }
 
-    /** The changes come with the questions, the long follow waits. */
+    /**
+     * Read index requests return the changes; the long watch returns none until its hold time ends.
+     */
     @Override
     public void watch(long since, double holdS, Consumer<ReadResult> done) {
-        if (refuses) {
-            // Not always as quick as the readings, which would hide how many there are.
-            loop.schedule(0.003 * (1 + refused++ % 11), () -> done.accept(new ReadResult.Failed()));
+        if (failing) {
+            // Varying delays, so that failures do not coincide with the page reads and hide their
+            // number.
+            loop.schedule(
+                    0.003 * (1 + failedWatches++ % 11), () -> done.accept(new ReadResult.Failed()));
         } else if (holdS == 0) {
             loop.schedule(
                     0.005,
                     () ->
                             done.accept(
                                     new ReadResult.Read(
-                                            List.of(item("a", 1), item("b", 2)), false, 2)));
+                                            List.of(entry("a", 1), entry("b", 2)), false, 2)));
         } else {
-            held = done;
+            pendingWatch = done;
             loop.schedule(
                     holdS,
                     () -> {
-                        if (held == done && !refuses) {
+                        if (pendingWatch == done && !failing) {
                             done.accept(new ReadResult.Read(List.of(), false, since));
                         }
                     });
