--- a/src/main/java/io/pepperfield/store/KeyValueMessages.java
+++ b/src/main/java/io/pepperfield/store/KeyValueStoreCodec.java
@@ -15,11 +15,11 @@
 import java.util.List;
 
 /**
- * The messages of the state service's protocol; the only place that knows their field names. On the
- * wire a modification revision is a {@code stamp}, the store's revision a {@code generation}, a
- * precondition a {@code guard} and a grant's id a {@code claim}.
+ * Encodes and decodes the messages of the state service's protocol; no other class uses their field
+ * names. On the wire, a modification revision is called {@code stamp}, the store's revision {@code
+ * generation}, a precondition {@code guard} and a grant id {@code claim}.
  */
-public final class KeyValueMessages {
+public final class KeyValueStoreCodec {
 
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
@@ -29,11 +29,11 @@
     private static final int TOO_MANY_REQUESTS = 429;
     private static final int SERVICE_UNAVAILABLE = 503;
 
-    private KeyValueMessages() {}
+    private KeyValueStoreCodec() {}
 
     // ---- requests
 
-    static byte[] transaction(List<Precondition> preconditions, List<Mutation> mutations) {
+    static byte[] encodeTransaction(List<Precondition> preconditions, List<Mutation> mutations) {
         ObjectNode body = Json.object();
         ArrayNode guards = body.putArray("guards");
         for (Precondition precondition : preconditions) {
@@ -57,13 +57,13 @@
         }
     }
 
-    static byte[] grantRequest(double ttlS) {
+    static byte[] encodeGrantRequest(double ttlS) {
         return Json.write(Json.object().put("ttlMs", Math.round(ttlS * 1000)));
     }
 
-    // ---- answers
+    // ---- responses
 
-    static CompareAndSwapOutcome compareAndSwapOutcome(HttpOutcome outcome) {
+    static CompareAndSwapOutcome decodeTransactionOutcome(HttpOutcome outcome) {
         if (outcome instanceof HttpOutcome.NotSent) {
             return new CompareAndSwapOutcome.Refused(0);
         }
@@ -71,40 +71,40 @@
             return new CompareAndSwapOutcome.Unknown();
         }
         return switch (answer.status()) {
-            case OK -> committed(answer.json());
-            case CONFLICT -> conflict(answer.json());
+            case OK -> decodeCommitted(answer.json());
+            case CONFLICT -> decodeConflict(answer.json());
             case BAD_REQUEST, TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE ->
                     new CompareAndSwapOutcome.Refused(answer.status());
-            // Any other status may come from a proxy, after the service had done its work.
+            // Any other status may come from a proxy after the service has applied the transaction.
             default -> new CompareAndSwapOutcome.Unknown();
         };
     }
 
-    private static CompareAndSwapOutcome committed(JsonNode body) {
+    private static CompareAndSwapOutcome decodeCommitted(JsonNode body) {
         JsonNode revision = body.path("generation");
         return revision.isIntegralNumber()
                 ? new CompareAndSwapOutcome.Committed(revision.longValue())
                 : new CompareAndSwapOutcome.Unknown();
     }
 
-    private static CompareAndSwapOutcome conflict(JsonNode body) {
+    private static CompareAndSwapOutcome decodeConflict(JsonNode body) {
         List<String> failedKeys = new ArrayList<>();
         body.path("failed").forEach(key -> failedKeys.add(key.asText()));
         return new CompareAndSwapOutcome.Conflict(failedKeys);
     }
 
-    static ReadResult page(HttpOutcome outcome) {
+    static ReadResult decodePage(HttpOutcome outcome) {
         if (!(outcome instanceof HttpOutcome.Answered answer) || answer.status() != OK) {
             return new ReadResult.Failed();
         }
         JsonNode body = answer.json();
         return new ReadResult.Read(
-                pairs(body),
+                decodePairs(body),
                 body.path("truncated").asBoolean(),
                 body.path("generation").longValue());
     }
 
-    static ReadResult changes(HttpOutcome outcome) {
+    static ReadResult decodeChanges(HttpOutcome outcome) {
         if (!(outcome instanceof HttpOutcome.Answered answer)) {
             return new ReadResult.Failed();
         }
@@ -117,11 +117,11 @@
         JsonNode body = answer.json();
         JsonNode revision = body.path("generation");
         return revision.isIntegralNumber()
-                ? new ReadResult.Read(events(body), false, revision.longValue())
+                ? new ReadResult.Read(decodeEvents(body), false, revision.longValue())
                 : new ReadResult.Failed();
     }
 
-    static GrantOutcome createdGrant(HttpOutcome outcome) {
+    static GrantOutcome decodeCreatedGrant(HttpOutcome outcome) {
         if (outcome instanceof HttpOutcome.Answered answer && answer.status() == OK) {
             long id = answer.json().path("claim").longValue();
             return id == 0 ? new GrantOutcome.Unavailable() : new GrantOutcome.Granted(id);
@@ -130,9 +130,9 @@
     }
 
     /**
-     * @param id the grant that was to be renewed
+     * @param id the grant whose renewal was requested
      */
-    static GrantOutcome renewedGrant(long id, HttpOutcome outcome) {
+    static GrantOutcome decodeRenewedGrant(long id, HttpOutcome outcome) {
         if (!(outcome instanceof HttpOutcome.Answered answer)) {
             return new GrantOutcome.Unavailable();
         }
@@ -143,8 +143,8 @@
         };
     }
 
-    /** The keys in the answer to a reading of a range. */
-    public static List<KeyValue> pairs(JsonNode body) {
+    /** Decodes the entries of a range read response. */
+    public static List<KeyValue> decodePairs(JsonNode body) {
         List<KeyValue> pairs = new ArrayList<>();
         for (JsonNode pair : body.path("pairs")) {
             long modRevision = pair.path("stamp").longValue();
@@ -153,8 +153,8 @@
         return pairs;
     }
 
-    /** The changes in the answer to a watch; deleted keys have a null value. */
-    public static List<KeyValue> events(JsonNode body) {
+    /** Decodes the changes of a watch response; deleted keys have a null value. */
+    public static List<KeyValue> decodeEvents(JsonNode body) {
         List<KeyValue> events = new ArrayList<>();
         for (JsonNode event : body.path("events")) {
             long modRevision = event.path("stamp").longValue();
