--- a/src/main/java/io/pepperfield/dispatch/CapacityReservations.java
+++ b/src/main/java/io/pepperfield/dispatch/CapacityReservations.java
@@ -30,13 +30,13 @@
     }
 
     /** Drops the reservations that have ended. */
-    void expire(double now) {
+    void removeExpired(double now) {
         jobsUntil.values().removeIf(until -> until < now);
         machinesUntil.values().removeIf(until -> until < now);
     }
 
     /** Whether other tasks are being stopped for the job. */
-    boolean isReservedFor(Job job) {
+    boolean hasReservation(Job job) {
         return jobsUntil.containsKey(job);
     }
 
--- a/src/main/java/io/pepperfield/dispatch/DispatchPlan.java
+++ b/src/main/java/io/pepperfield/dispatch/DispatchPlan.java
@@ -11,7 +11,7 @@
  * @param actions starts and preemptions, in the order in which they are carried out
  * @param reservations jobs for which the preemptions free capacity
  */
-record DispatchPlan(List<Action> actions, List<Job> reservations) {
+record DispatchPlan(List<Action> actions, List<Job> preemptingJobs) {
 
     /** One step of the plan. */
     sealed interface Action permits Start, Preempt {}
@@ -24,6 +24,6 @@
 
     DispatchPlan {
         actions = List.copyOf(actions);
-        reservations = List.copyOf(reservations);
+        preemptingJobs = List.copyOf(preemptingJobs);
     }
 }
--- a/src/main/java/io/pepperfield/dispatch/DispatchPlanner.java
+++ b/src/main/java/io/pepperfield/dispatch/DispatchPlanner.java
@@ -63,9 +63,9 @@
     private void planPreemptions(List<Placement> placements) {
         Map<String, QuotaUsage> quotaUsagesAfterStops = new HashMap<>();
         quotaUsages.forEach((team, usage) -> quotaUsagesAfterStops.put(team, usage.copy()));
-        PreemptionState afterStops = new PreemptionState(view, quotaUsagesAfterStops);
+        PostPreemptionState afterStops = new PostPreemptionState(view, quotaUsagesAfterStops);
         for (Placement placement : placements) {
-            afterStops.allocateOnMachine(request(placement), placement.machineName());
+            afterStops.allocateFromMachine(request(placement), placement.machineName());
         }
         cacheImages(placements);
         // To stop lower work on a machine that has the image beats a start on one that must fetch
@@ -79,7 +79,7 @@
         // Starts go by what the teams use as long as the stopped is not gone, or their limits would
         // be passed meanwhile.
         for (Placement placement : placePending()) {
-            afterStops.allocateOnMachine(request(placement), placement.machineName());
+            afterStops.allocateFromMachine(request(placement), placement.machineName());
             afterStops.allocateFromQuota(request(placement));
         }
         preempt(afterStops.selectVictims(requests));
@@ -144,7 +144,7 @@
      */
     private static boolean mayPreempt(
             PlacementRequest request, JobSpec.Priority lowest, boolean guaranteeExceeded) {
-        if (request.probe() || !request.unschedulable() && !blockedByQuota(request)) {
+        if (request.crashLooping() || !request.unschedulable() && !blockedByQuota(request)) {
             return false;
         }
         return request.withinGuarantee() && guaranteeExceeded
--- a/src/main/java/io/pepperfield/dispatch/Dispatcher.java
+++ b/src/main/java/io/pepperfield/dispatch/Dispatcher.java
@@ -97,7 +97,7 @@
         // For as long as a stop takes to show; else what was stopped would only have made way for
         // those in front.
         double reservedUntil = now + cluster.heartbeatIntervalS();
-        plan.reservations().forEach(job -> reservations.reserveForJob(job, reservedUntil));
+        plan.preemptingJobs().forEach(job -> reservations.reserveForJob(job, reservedUntil));
     }
 
     private void preempt(Attempt attempt) {
@@ -114,7 +114,7 @@
 
     /** What waits to be placed now, oldest job first. */
     public List<PlacementRequest> pendingRequests(double now) {
-        reservations.expire(now);
+        reservations.removeExpired(now);
         return new PendingRequests(cluster, reservations, now).build();
     }
 
--- a/src/main/java/io/pepperfield/dispatch/PendingRequests.java
+++ b/src/main/java/io/pepperfield/dispatch/PendingRequests.java
@@ -124,15 +124,15 @@
     private PlacementRequest request(Job job, int waitingTasks, boolean withinGuarantee) {
         Set<String> excludedMachines = excludedMachines(job);
         double waitedS = now - job.readyAt();
-        boolean reserved = reservations.isReservedFor(job);
+        boolean reserved = reservations.hasReservation(job);
         PlacementRequest.Builder builder =
                 PlacementRequest.builder(job.effectiveSpec(), waitingTasks)
                         .withinGuarantee(withinGuarantee)
                         .readyAt(job.readyAt())
                         .tasksPerZone(cluster.liveAttempts().countByZone(job))
                         .excludedMachines(excludedMachines)
-                        .probe(job.isCrashLooping())
-                        .reserved(reserved)
+                        .crashLooping(job.isCrashLooping())
+                        .hasReservation(reserved)
                         .imageLocalityRequired(
                                 !job.isCrashLooping() && requiresImageLocality(job, waitedS))
                         .waitedS(waitedS);
--- a/src/main/java/io/pepperfield/dispatch/PreemptionState.java
+++ b/src/main/java/io/pepperfield/dispatch/PostPreemptionState.java
@@ -17,7 +17,7 @@
  * The machines and quotas as they will be once all that is being stopped is gone, with what else
  * could be stopped. Used up by the plan that it is made for.
  */
-final class PreemptionState {
+final class PostPreemptionState {
 
     private final ClusterView view;
     private final Map<String, QuotaUsage> quotaUsages;
@@ -28,7 +28,7 @@
     /**
      * @param quotaUsages by team; what is being stopped is released from them
      */
-    PreemptionState(ClusterView view, Map<String, QuotaUsage> quotaUsages) {
+    PostPreemptionState(ClusterView view, Map<String, QuotaUsage> quotaUsages) {
         this.view = view;
         this.quotaUsages = quotaUsages;
         for (FreeCapacity capacity : view.schedulableMachines()) {
@@ -67,7 +67,7 @@
     }
 
     /** Takes what one task of the request needs off a machine, but not off its team's quota. */
-    void allocateOnMachine(PlacementRequest request, String machineName) {
+    void allocateFromMachine(PlacementRequest request, String machineName) {
         machinesByName.get(machineName).allocate(request);
     }
 
--- a/src/main/java/io/pepperfield/dispatch/ReplicaRelocation.java
+++ b/src/main/java/io/pepperfield/dispatch/ReplicaRelocation.java
@@ -61,9 +61,9 @@
         if (allPlaced(requests)) {
             return true;
         }
-        PreemptionState afterStops = new PreemptionState(view, quotaUsages);
+        PostPreemptionState afterStops = new PostPreemptionState(view, quotaUsages);
         for (Placement placement : placements) {
-            afterStops.allocateOnMachine(
+            afterStops.allocateFromMachine(
                     requestsByJob.get(placement.jobId()), placement.machineName());
         }
         afterStops.selectVictims(requests);
--- a/src/main/java/io/pepperfield/placement/BinPacker.java
+++ b/src/main/java/io/pepperfield/placement/BinPacker.java
@@ -18,7 +18,7 @@
 
     private static final Comparator<PlacementRequest> TEAM_QUEUE_ORDER =
             Comparator.comparing((PlacementRequest request) -> !request.overdue)
-                    .thenComparing(request -> !request.reserved)
+                    .thenComparing(request -> !request.hasReservation)
                     .thenComparing(request -> !request.withinGuarantee)
                     .thenComparing(request -> request.job.priority())
                     .thenComparing(request -> !request.job.isService())
@@ -41,7 +41,7 @@
                 if (quotaUsage.fitsLimit(cpus, gpus)) {
                     return request;
                 }
-                if (request.overdue && quotaUsage.fitsLimitBesideReplicas(cpus, gpus)) {
+                if (request.overdue && quotaUsage.fitsLimitWithOnlyReplicas(cpus, gpus)) {
                     // The rest of the team stands back until its limit leaves enough for this one;
                     // not where replicas keep it from ever doing so, or all would wait for ever.
                     return null;
@@ -135,8 +135,8 @@
         if (first.overdue != second.overdue) {
             return first.overdue;
         }
-        if (first.reserved != second.reserved) {
-            return first.reserved;
+        if (first.hasReservation != second.hasReservation) {
+            return first.hasReservation;
         }
         if (first.withinGuarantee != second.withinGuarantee) {
             return first.withinGuarantee;
--- a/src/main/java/io/pepperfield/placement/PlacementRequest.java
+++ b/src/main/java/io/pepperfield/placement/PlacementRequest.java
@@ -29,10 +29,10 @@
     final boolean overdue;
 
     /** Other tasks are being stopped for it: the capacity that this frees is reserved for it. */
-    final boolean reserved;
+    final boolean hasReservation;
 
     /** The job has only failed so far: nothing is stopped for it. */
-    final boolean probe;
+    final boolean crashLooping;
 
     /** Seconds that it has waited for each CPU that it still waits for; 0 for services. */
     final double waitPerCpu;
@@ -62,8 +62,8 @@
         this.excludedMachines = builder.excludedMachines;
         this.liveTasks = builder.tasksPerZone.values().stream().mapToInt(Integer::intValue).sum();
         this.overdue = builder.overdue;
-        this.reserved = builder.reserved;
-        this.probe = builder.probe;
+        this.hasReservation = builder.hasReservation;
+        this.crashLooping = builder.crashLooping;
         this.waitPerCpu =
                 job.isService() ? 0 : builder.waitedS / (builder.waitingTasks * job.cpus());
         this.tasksPerZone = builder.tasksPerZone;
@@ -86,8 +86,8 @@
         private Set<String> excludedMachines = Set.of();
         private boolean imageLocalityRequired;
         private boolean overdue;
-        private boolean reserved;
-        private boolean probe;
+        private boolean hasReservation;
+        private boolean crashLooping;
         private double waitedS;
 
         private Builder(JobSpec job, int waitingTasks) {
@@ -132,14 +132,14 @@
         }
 
         /** Whether other tasks are being stopped to free capacity for the job. */
-        public Builder reserved(boolean reservation) {
-            reserved = reservation;
+        public Builder hasReservation(boolean reservation) {
+            hasReservation = reservation;
             return this;
         }
 
         /** Whether the job has only failed so far, so that nothing is to be stopped for it. */
-        public Builder probe(boolean onlyFailed) {
-            probe = onlyFailed;
+        public Builder crashLooping(boolean onlyFailed) {
+            crashLooping = onlyFailed;
             return this;
         }
 
@@ -175,8 +175,8 @@
     }
 
     /** Whether the job has only failed so far, so that nothing is stopped for it. */
-    public boolean probe() {
-        return probe;
+    public boolean crashLooping() {
+        return crashLooping;
     }
 
     /** Whether only machines with the job's image in their cache will do. */
--- a/src/main/java/io/pepperfield/placement/PreemptionBounds.java
+++ b/src/main/java/io/pepperfield/placement/PreemptionBounds.java
@@ -23,7 +23,7 @@
 
     /** Includes a machine with what could be stopped on it. */
     void addMachine(FreeCapacity capacity, List<PreemptionPlanner.Victim> victims) {
-        includeCapacity(capacity);
+        updateMaxFreeCpus(capacity);
         for (PreemptionPlanner.Victim victim : victims) {
             if (victim.job().priority().compareTo(lowestPriority) > 0) {
                 lowestPriority = victim.job().priority();
@@ -32,7 +32,7 @@
     }
 
     /** The machine has more capacity than before. */
-    void includeCapacity(FreeCapacity capacity) {
+    void updateMaxFreeCpus(FreeCapacity capacity) {
         mostFreeCpus = Math.max(mostFreeCpus, capacity.freeCpus);
     }
 
--- a/src/main/java/io/pepperfield/placement/PreemptionPlanner.java
+++ b/src/main/java/io/pepperfield/placement/PreemptionPlanner.java
@@ -143,7 +143,7 @@
     private static boolean mayPreemptAtAll(PlacementRequest request) {
         return request.waitingTasks > 0
                 && !request.job.isGang()
-                && !request.probe
+                && !request.crashLooping
                 && (request.withinGuarantee
                         || request.job.priority() != JobSpec.Priority.BEST_EFFORT);
     }
@@ -207,7 +207,7 @@
         for (Victim victim : plan.victims) {
             plan.machine.victims.remove(victim);
             capacity.release(victim.job, 1);
-            bounds.includeCapacity(capacity);
+            bounds.updateMaxFreeCpus(capacity);
             quotaUsage(victim.job).release(victim.job, 1);
             victimIds.add(victim.id);
         }
--- a/src/main/java/io/pepperfield/placement/QuotaUsage.java
+++ b/src/main/java/io/pepperfield/placement/QuotaUsage.java
@@ -55,7 +55,7 @@
     }
 
     /** Whether the limit will leave so much once all that ends by itself has ended. */
-    boolean fitsLimitBesideReplicas(double moreCpus, double moreGpus) {
+    boolean fitsLimitWithOnlyReplicas(double moreCpus, double moreGpus) {
         return replicaCpus + moreCpus <= team.cpuLimit() + ROUNDING_TOLERANCE
                 && (moreGpus == 0
                         || replicaGpus + moreGpus <= team.gpuLimit() + ROUNDING_TOLERANCE);
--- a/src/test/java/io/pepperfield/dispatch/DispatcherTest.java
+++ b/src/test/java/io/pepperfield/dispatch/DispatcherTest.java
@@ -245,7 +245,7 @@
                         new DispatchPlan.Start(urgent, free),
                         new DispatchPlan.Preempt(liveAttempts.get(array, 0))),
                 plan.actions());
-        assertEquals(List.of(urgent), plan.reservations());
+        assertEquals(List.of(urgent), plan.preemptingJobs());
         assertEquals(List.of(), actions);
         assertEquals(2, liveAttempts.size());
         assertEquals(0, free.liveAttemptCount());
--- a/src/test/java/io/pepperfield/placement/BinPackerTest.java
+++ b/src/test/java/io/pepperfield/placement/BinPackerTest.java
@@ -91,7 +91,7 @@
                 .tasksPerZone(tasksPerZone)
                 .excludedMachines(excludedMachines)
                 .overdue(fields.containsKey("overdue"))
-                .reserved(fields.containsKey("promised"))
+                .hasReservation(fields.containsKey("promised"))
                 .waitedS(number(fields, "waited", 0))
                 .build();
     }
