--- a/src/main/java/io/pepperfield/dispatch/CapacityReservations.java
+++ b/src/main/java/io/pepperfield/dispatch/CapacityReservations.java
@@ -6,42 +6,42 @@
 import java.util.Set;
 
 /**
- * Capacity that tasks are being stopped to free: for which jobs, and on which machines. The tasks
- * of one machine end one after the other; a swarm of small ones of the lowest priority would take
- * each piece as it comes free, only to be stopped next, again and again. Confined to the event
- * loop.
+ * Reservations of capacity that is being freed by preemption, by job and by machine. Preempted
+ * tasks on a machine end one after the other. Without reservations, small tasks of the lowest
+ * priority would take the capacity as it is freed and be preempted in turn, repeatedly. Confined to
+ * the event loop.
  */
 final class CapacityReservations {
 
-    /** Loop time in seconds until which each job goes before others of its team. */
-    private final Map<Job, Double> jobsUntil = new HashMap<>();
+    /** Loop time in seconds until which each job precedes jobs without a reservation. */
+    private final Map<Job, Double> jobExpirations = new HashMap<>();
 
-    /** Loop time in seconds until which each machine is kept from the lowest priority. */
-    private final Map<String, Double> machinesUntil = new HashMap<>();
+    /** Loop time in seconds until which each machine excludes jobs of the lowest priority. */
+    private final Map<String, Double> machineExpirations = new HashMap<>();
 
-    /** Tasks are being stopped for the job; the job goes first until then. */
-    void reserveForJob(Job job, double until) {
-        jobsUntil.merge(job, until, Math::max);
+    /** Gives precedence to a job for which tasks are being preempted. */
+    void reserveForJob(Job job, double expiresAt) {
+        jobExpirations.merge(job, expiresAt, Math::max);
     }
 
-    /** A task is being stopped on the machine; its capacity is reserved until then. */
-    void reserveMachine(String machineName, double until) {
-        machinesUntil.merge(machineName, until, Math::max);
+    /** Reserves the capacity of a machine on which a task is being preempted. */
+    void reserveMachine(String machineName, double expiresAt) {
+        machineExpirations.merge(machineName, expiresAt, Math::max);
     }
 
-    /** Drops the reservations that have ended. */
+    /** Removes expired reservations. */
     void removeExpired(double now) {
-        jobsUntil.values().removeIf(until -> until < now);
-        machinesUntil.values().removeIf(until -> until < now);
+        jobExpirations.values().removeIf(expiresAt -> expiresAt < now);
+        machineExpirations.values().removeIf(expiresAt -> expiresAt < now);
     }
 
-    /** Whether other tasks are being stopped for the job. */
+    /** Returns whether capacity is being freed for the job by preemption. */
     boolean hasReservation(Job job) {
-        return jobsUntil.containsKey(job);
+        return jobExpirations.containsKey(job);
     }
 
-    /** The machines that jobs of the lowest priority must leave alone, as a view. */
+    /** Returns a view of the names of machines that exclude jobs of the lowest priority. */
     Set<String> reservedMachines() {
-        return machinesUntil.keySet();
+        return machineExpirations.keySet();
     }
 }
--- a/src/main/java/io/pepperfield/dispatch/ClusterView.java
+++ b/src/main/java/io/pepperfield/dispatch/ClusterView.java
@@ -13,33 +13,33 @@
 import java.util.Map;
 
 /**
- * The cluster as one pass sees it: nothing can be changed through it, and nothing changes behind it
- * until the pass's plan is carried out, since both happen in one step of the event loop. Its parts
- * are computed when asked for, as most passes need only some of them; accounts (capacities and
- * quotas) are copies for the caller to use up.
+ * Read-only view of the cluster for one scheduling pass. The underlying state does not change until
+ * the plan of the pass is executed, as planning and execution run in one step of the event loop.
+ * Values are computed on demand, since most passes need only some of them. Free capacities and
+ * quota usages are copies that the caller may modify.
  */
 final class ClusterView {
 
     private final ClusterState cluster;
     private final double now;
 
-    /** Looks at the cluster as it is at loop time {@code now}, in seconds. */
+    /** Creates a view at loop time {@code now}, in seconds. */
     ClusterView(ClusterState cluster, double now) {
         this.cluster = cluster;
         this.now = now;
     }
 
-    /** A new account of what each team uses of its guarantee and limit. */
+    /** Returns a new copy of the quota usage of each team, by team name. */
     Map<String, QuotaUsage> quotaUsages() {
         return cluster.quotaUsages();
     }
 
-    /** A new account of the schedulable machines that have capacity left. */
+    /** Returns a new copy of the free capacity of schedulable machines that have free CPUs. */
     List<FreeCapacity> machinesWithCapacity() {
         return cluster.machinesWithCapacity(now);
     }
 
-    /** A new account of all schedulable machines, also of those that are full. */
+    /** Returns a new copy of the free capacity of all schedulable machines, including full ones. */
     List<FreeCapacity> schedulableMachines() {
         return cluster.schedulableMachines(now);
     }
@@ -52,22 +52,24 @@
         return cluster.fleet().get(name);
     }
 
-    /** The attempts on a machine that are not proven gone. */
+    /** Returns the attempts on a machine that are not proven to have terminated. */
     Collection<Attempt> attemptsOn(String machineName) {
         return machine(machineName).attempts();
     }
 
-    /** How many of the job's tasks may be alive in each zone, as a copy. */
+    /** Returns a copy of the number of the job's possibly live tasks in each zone. */
     Map<String, Integer> liveTasksByZone(Job job) {
         return cluster.liveAttempts().countByZone(job);
     }
 
-    /** Seconds of work that would be lost if the attempt were stopped now. */
+    /** Returns the seconds of work lost if the attempt is stopped now. */
     double lostWorkS(Attempt attempt) {
         return ClusterState.lostWorkS(attempt, now);
     }
 
-    /** The lowest priority of which an attempt may be alive; the highest one where none is. */
+    /**
+     * Returns the lowest priority of all possibly live attempts, or the highest if there are none.
+     */
     JobSpec.Priority lowestLivePriority() {
         return cluster.liveAttempts().jobs().stream()
                 .map(job -> job.effectiveSpec().priority())
--- a/src/main/java/io/pepperfield/dispatch/DispatchPlan.java
+++ b/src/main/java/io/pepperfield/dispatch/DispatchPlan.java
@@ -6,20 +6,20 @@
 import java.util.List;
 
 /**
- * What one pass has decided.
+ * The decisions of one scheduling pass.
  *
- * @param actions starts and preemptions, in the order in which they are carried out
- * @param reservations jobs for which the preemptions free capacity
+ * @param actions starts and preemptions, in the order of their execution
+ * @param reservations jobs for which the preemptions free capacity, which is then reserved for them
  */
 record DispatchPlan(List<Action> actions, List<Job> preemptingJobs) {
 
-    /** One step of the plan. */
+    /** A step of the plan. */
     sealed interface Action permits Start, Preempt {}
 
-    /** The job's next pending task starts on the machine. */
+    /** Starts the job's next pending task on the machine. */
     record Start(Job job, Machine machine) implements Action {}
 
-    /** The attempt is stopped to free capacity. */
+    /** Stops the attempt to free capacity. */
     record Preempt(Attempt attempt) implements Action {}
 
     DispatchPlan {
--- a/src/main/java/io/pepperfield/dispatch/DispatchPlanner.java
+++ b/src/main/java/io/pepperfield/dispatch/DispatchPlanner.java
@@ -14,8 +14,8 @@
 import java.util.Map;
 
 /**
- * Decides one pass: from a view of the cluster and the requests to a plan, without any effect
- * besides the counts in the requests. Made anew for each pass.
+ * Computes the plan of one scheduling pass from a view of the cluster and the pending requests.
+ * Modifies only the requests. A new instance is created for each pass.
  */
 final class DispatchPlanner {
 
@@ -24,7 +24,7 @@
     private final Map<String, PlacementRequest> requestsByJob = new HashMap<>();
     private final List<DispatchPlan.Action> actions = new ArrayList<>();
 
-    /** What the starts of the plan leave; preemptions free nothing here. */
+    /** Usage including the planned starts; planned preemptions are not subtracted. */
     private final Map<String, QuotaUsage> quotaUsages;
 
     private final List<FreeCapacity> capacities;
@@ -37,7 +37,7 @@
         requests.forEach(request -> requestsByJob.put(request.job().id(), request));
     }
 
-    /** The plan for the requests, whose counts of waiting tasks are used up. */
+    /** Returns the plan for the requests; decrements their counts of pending tasks. */
     static DispatchPlan plan(ClusterView view, List<PlacementRequest> requests) {
         return new DispatchPlanner(view, requests).plan();
     }
@@ -47,7 +47,7 @@
         if (mayPreemptForAny(placements)) {
             planPreemptions(placements);
         }
-        return new DispatchPlan(actions, jobsWithReservations());
+        return new DispatchPlan(actions, preemptingJobs());
     }
 
     private List<Placement> placePending() {
@@ -61,35 +61,35 @@
     }
 
     private void planPreemptions(List<Placement> placements) {
-        Map<String, QuotaUsage> quotaUsagesAfterStops = new HashMap<>();
-        quotaUsages.forEach((team, usage) -> quotaUsagesAfterStops.put(team, usage.copy()));
-        PostPreemptionState afterStops = new PostPreemptionState(view, quotaUsagesAfterStops);
+        Map<String, QuotaUsage> postPreemptionUsages = new HashMap<>();
+        quotaUsages.forEach((team, usage) -> postPreemptionUsages.put(team, usage.copy()));
+        PostPreemptionState postPreemption = new PostPreemptionState(view, postPreemptionUsages);
         for (Placement placement : placements) {
-            afterStops.allocateFromMachine(request(placement), placement.machineName());
+            postPreemption.allocateFromMachine(request(placement), placement.machineName());
         }
         cacheImages(placements);
-        // To stop lower work on a machine that has the image beats a start on one that must fetch
-        // it first.
+        // Preempting lower-priority tasks on a machine that has the image is preferred to starting
+        // on a machine that has to fetch it.
         preempt(
-                afterStops.selectVictims(
+                postPreemption.selectVictims(
                         requests.stream()
                                 .filter(PlacementRequest::imageLocalityRequired)
                                 .toList()));
         requests.forEach(PlacementRequest::relaxImageLocality);
-        // Starts go by what the teams use as long as the stopped is not gone, or their limits would
-        // be passed meanwhile.
+        // Starts are checked against usage that includes tasks being stopped. Otherwise teams would
+        // exceed their limits until those tasks have terminated.
         for (Placement placement : placePending()) {
-            afterStops.allocateFromMachine(request(placement), placement.machineName());
-            afterStops.allocateFromQuota(request(placement));
+            postPreemption.allocateFromMachine(request(placement), placement.machineName());
+            postPreemption.allocateFromQuota(request(placement));
         }
-        preempt(afterStops.selectVictims(requests));
+        preempt(postPreemption.selectVictims(requests));
     }
 
     private PlacementRequest request(Placement placement) {
         return requestsByJob.get(placement.jobId());
     }
 
-    /** A machine on which a job starts will have its image. */
+    /** Records the images of placed jobs as cached on their machines. */
     private void cacheImages(List<Placement> placements) {
         Map<String, FreeCapacity> capacitiesByMachine = new HashMap<>();
         capacities.forEach(capacity -> capacitiesByMachine.put(capacity.machineName(), capacity));
@@ -104,7 +104,7 @@
         victims.forEach(victim -> actions.add(new DispatchPlan.Preempt(victim)));
     }
 
-    private List<Job> jobsWithReservations() {
+    private List<Job> preemptingJobs() {
         return requests.stream()
                 .filter(PlacementRequest::causedPreemption)
                 .map(request -> view.job(request.job().id()))
@@ -112,9 +112,9 @@
     }
 
     /**
-     * Whether any request may gain by preemption, or by a start without its image. When only the
-     * lowest wait, as in a long overload, a look at every task of the fleet would find nothing to
-     * stop.
+     * Returns whether any request may benefit from preemption or from relaxed image locality.
+     * During a long overload, when only requests of the lowest priority are pending, this avoids a
+     * scan of all tasks of the fleet that would find no victim.
      */
     private boolean mayPreemptForAny(List<Placement> placements) {
         JobSpec.Priority lowest = lowestPriorityAfter(placements);
@@ -139,12 +139,12 @@
     }
 
     /**
-     * Whether it waits for capacity, and either ranks above something that may be alive or has a
-     * guarantee to claim from a team that exceeds its own.
+     * Returns whether the request is blocked and either has a higher priority than the lowest live
+     * one, or is within its guarantee while another team exceeds its own.
      */
     private static boolean mayPreempt(
             PlacementRequest request, JobSpec.Priority lowest, boolean guaranteeExceeded) {
-        if (request.crashLooping() || !request.unschedulable() && !blockedByQuota(request)) {
+        if (request.crashLooping() || !request.unschedulable() && !mayBeBlockedByQuota(request)) {
             return false;
         }
         return request.withinGuarantee() && guaranteeExceeded
@@ -152,10 +152,10 @@
     }
 
     /**
-     * Whether it waits although machines may have capacity, and ranks above something: its team's
-     * limit may be taken up by lower work.
+     * Returns whether the team's limit may block the request although machines have capacity. Only
+     * for priorities above {@code STANDARD}: lower-priority tasks of the team may use up its limit.
      */
-    private static boolean blockedByQuota(PlacementRequest request) {
+    private static boolean mayBeBlockedByQuota(PlacementRequest request) {
         return request.waitingTasks() > 0
                 && !request.job().isGang()
                 && request.job().priority().compareTo(JobSpec.Priority.STANDARD) < 0;
--- a/src/main/java/io/pepperfield/dispatch/Dispatcher.java
+++ b/src/main/java/io/pepperfield/dispatch/Dispatcher.java
@@ -10,28 +10,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs the leader's scheduling passes: decides when one is due, has it planned and carries the plan
- * out. Confined to the event loop.
+ * Runs the leader's scheduling passes: decides when a pass is due, plans it and executes the plan.
+ * Confined to the event loop.
  */
 public final class Dispatcher {
 
     private static final Logger LOG = LoggerFactory.getLogger(Dispatcher.class);
 
     /**
-     * Part of this process's time that passes may take; what comes meanwhile waits for the next
-     * pass.
+     * Maximum fraction of the process's time spent in passes; changes that arrive before the next
+     * pass is due are batched into it.
      */
-    private static final double MAX_BUSY_FRACTION = 0.2;
+    private static final double MAX_PASS_TIME_FRACTION = 0.2;
 
-    /** Of a heartbeat interval: the shortest time between the beginnings of two passes. */
+    /** Minimum time between the starts of two passes, in heartbeat intervals. */
     private static final double MIN_PASS_INTERVALS = 1 / 50.0;
 
-    /** Carries out what a pass has decided. */
+    /** Executes the decisions of a pass. */
     public interface AttemptControl {
-        /** Writes the intent of an attempt and starts it once the intent is durable. */
+        /** Persists the intent of an attempt and starts the attempt once the intent is durable. */
         void start(Job job, int task, Machine machine);
 
-        /** Stops an attempt; it may take that many seconds to save a checkpoint. */
+        /** Stops an attempt; {@code gracePeriodS} is the time in seconds to save a checkpoint. */
         void stop(Attempt attempt, double gracePeriodS);
     }
 
@@ -43,23 +43,28 @@
     private double lastPassAt = Double.NEGATIVE_INFINITY;
     private double nextPassAt = Double.NEGATIVE_INFINITY;
 
-    /** Creates the dispatcher of one term. */
+    /** Creates the dispatcher for one leadership term. */
     public Dispatcher(ClusterState cluster, AttemptControl attemptControl) {
         this.cluster = cluster;
         this.attemptControl = attemptControl;
     }
 
-    /** Something has changed that may let a task start. */
+    /** Requests a pass, after a change that may allow a task to start. */
     public void requestPass() {
         passRequested = true;
     }
 
-    /** To be called several times in a heartbeat interval; {@code now} is loop time in seconds. */
+    /**
+     * Requests a pass if the last one is a heartbeat interval ago. Must be called several times per
+     * heartbeat interval.
+     *
+     * @param now loop time in seconds
+     */
     public void tick(double now) {
         passRequested |= now - lastPassAt >= cluster.heartbeatIntervalS();
     }
 
-    /** To be called at the end of each batch of commands. */
+    /** Runs a pass if one is due. Must be called at the end of each batch of commands. */
     public void runPassIfDue() {
         double now = cluster.loop().now();
         if (!passRequested || now < nextPassAt || !cluster.machineTypes().known()) {
@@ -68,25 +73,25 @@
         passRequested = false;
         lastPassAt = now;
         runPass(now);
-        // A pass over a large fleet must leave time for heartbeats and answers, whatever there is
-        // to place.
+        // Limits the share of passes over a large fleet, regardless of the number of requests, to
+        // leave time for heartbeats and replies.
         double passS = cluster.loop().now() - now;
         cluster.passDurations().record("placing", passS);
         nextPassAt =
                 now
                         + Math.max(
                                 MIN_PASS_INTERVALS * cluster.heartbeatIntervalS(),
-                                passS / MAX_BUSY_FRACTION);
+                                passS / MAX_PASS_TIME_FRACTION);
     }
 
     private void runPass(double now) {
         List<PlacementRequest> requests = pendingRequests(now);
         if (!requests.isEmpty()) {
-            carryOut(DispatchPlanner.plan(new ClusterView(cluster, now), requests), now);
+            execute(DispatchPlanner.plan(new ClusterView(cluster, now), requests), now);
         }
     }
 
-    private void carryOut(DispatchPlan plan, double now) {
+    private void execute(DispatchPlan plan, double now) {
         for (DispatchPlan.Action action : plan.actions()) {
             if (action instanceof DispatchPlan.Start start) {
                 attemptControl.start(start.job(), start.job().nextPendingTask(), start.machine());
@@ -94,8 +99,8 @@
                 preempt(preempt.attempt());
             }
         }
-        // For as long as a stop takes to show; else what was stopped would only have made way for
-        // those in front.
+        // Lasts until heartbeats report the stops. Without the reservation, jobs ahead in the queue
+        // would take the freed capacity.
         double reservedUntil = now + cluster.heartbeatIntervalS();
         plan.preemptingJobs().forEach(job -> reservations.reserveForJob(job, reservedUntil));
     }
@@ -108,19 +113,19 @@
                 attempt.machine.name);
         reservations.reserveMachine(
                 attempt.machine.name, cluster.loop().now() + cluster.heartbeatIntervalS());
-        // At once: to save first would hold up what it is stopped for.
+        // No grace period: saving a checkpoint would delay the job that needs the capacity.
         attemptControl.stop(attempt, 0);
     }
 
-    /** What waits to be placed now, oldest job first. */
+    /** Returns the pending placement requests, oldest job first. */
     public List<PlacementRequest> pendingRequests(double now) {
         reservations.removeExpired(now);
         return new PendingRequests(cluster, reservations, now).build();
     }
 
     /**
-     * Whether all replicas of services on a machine that is to be given up would find machines
-     * elsewhere now, if need be by preemption.
+     * Returns whether all replicas of services on a machine that is to be released can be placed on
+     * other machines now, with preemption if necessary.
      */
     public boolean canRelocateReplicas(Machine machine, double now) {
         return new ReplicaRelocation(new ClusterView(cluster, now), machine).isPossible();
--- a/src/main/java/io/pepperfield/dispatch/PendingRequests.java
+++ b/src/main/java/io/pepperfield/dispatch/PendingRequests.java
@@ -19,8 +19,8 @@
 import java.util.Set;
 
 /**
- * Builds the placement requests of one pass: one for each job that has tasks to start now, oldest
- * job first. Made anew for each pass and confined to the event loop.
+ * Builds the placement requests of one pass: one for each job with startable tasks, oldest job
+ * first. A new instance is created for each pass. Confined to the event loop.
  */
 final class PendingRequests {
 
@@ -29,8 +29,8 @@
                     .thenComparing(job -> job.spec.id());
 
     /**
-     * Users expect that the largest jobs, too, begin within four minutes. From a quarter of that on
-     * a job goes first.
+     * Seconds after which a job that has not started counts as overdue and takes precedence: a
+     * quarter of the four minutes within which users expect even the largest jobs to start.
      */
     private static final double OVERDUE_AFTER_S = 240.0 / 4;
 
@@ -39,13 +39,13 @@
     private final double now;
     private final double slowestFetchGbPerS;
 
-    /** CPUs that the jobs looked at so far want in all, by team. */
-    private final Map<String, Double> claimedCpus = new HashMap<>();
+    /** Total CPUs requested by the jobs processed so far, by team. */
+    private final Map<String, Double> requestedCpusByTeam = new HashMap<>();
 
-    /** Teams and workloads of which an overdue job has been found. */
-    private final Set<String> overdueClasses = new HashSet<>();
+    /** Combinations of team and workload with an overdue job among those processed so far. */
+    private final Set<String> overdueTeamWorkloads = new HashSet<>();
 
-    /** Computed when first needed, since both cost a look at the whole fleet. */
+    /** Computed lazily, as are {@link #schedulableMachines}: both scan the whole fleet. */
     private Map<Job, Set<String>> machinesHoldingEndedAttempts;
 
     private List<FreeCapacity> schedulableMachines;
@@ -62,17 +62,18 @@
                         .orElse(Double.POSITIVE_INFINITY);
     }
 
-    /** The requests, oldest job first. */
+    /** Returns the requests, oldest job first. */
     List<PlacementRequest> build() {
         List<Job> jobs = openJobsOldestFirst();
         jobs.forEach(this::endCrashLoopIfStable);
         List<PlacementRequest> requests = new ArrayList<>();
         for (Job job : jobs) {
-            double claimed = claimGuarantee(job);
+            double requestedCpus = addRequestedCpus(job);
             Settings.Team team = cluster.settings().deployment().teams().get(job.spec.team());
             int waitingTasks = job.startableTaskCount(cluster.liveAttempts().hasAny(job));
             if (waitingTasks > 0 && team != null && job.startNotBefore() <= now) {
-                boolean withinGuarantee = claimed <= team.guaranteedCpus() && !job.isCrashLooping();
+                boolean withinGuarantee =
+                        requestedCpus <= team.guaranteedCpus() && !job.isCrashLooping();
                 requests.add(request(job, waitingTasks, withinGuarantee));
             }
         }
@@ -91,8 +92,8 @@
     }
 
     /**
-     * A job of which a task runs for long is sound after all. Else its replicas that were lost to
-     * bad machines would wait for the others to end, which never do.
+     * Ends the crash-loop state of a job with a stable attempt. Otherwise replicas that were lost
+     * to faulty machines would wait for the job's other replicas to end, which they never do.
      */
     private void endCrashLoopIfStable(Job job) {
         if (job.isCrashLooping() && hasStableAttempt(job)) {
@@ -101,8 +102,8 @@
     }
 
     /**
-     * Whether one of its tasks has run for a billing unit: no mistake shows so late, and a replica
-     * is never completed.
+     * Returns whether a task of the job has run for at least one billing unit. An error in the job
+     * shows earlier than that. Completion cannot be the criterion, as replicas never complete.
      */
     private boolean hasStableAttempt(Job job) {
         double stableAfterS = cluster.settings().operators().billingUnitS();
@@ -113,12 +114,12 @@
     }
 
     /**
-     * CPUs that the job and the older ones of its team want. A job that fails everywhere must not
-     * use up the guarantee for those behind it.
+     * Adds the job's CPUs to those requested by older jobs of its team and returns the sum. Crash
+     * looping jobs count as 0, so that they do not use up the guarantee for later jobs.
      */
-    private double claimGuarantee(Job job) {
+    private double addRequestedCpus(Job job) {
         double cpus = job.isCrashLooping() ? 0 : job.spec.tasks() * job.spec.cpus();
-        return claimedCpus.merge(job.spec.team(), cpus, Double::sum);
+        return requestedCpusByTeam.merge(job.spec.team(), cpus, Double::sum);
     }
 
     private PlacementRequest request(Job job, int waitingTasks, boolean withinGuarantee) {
@@ -136,7 +137,7 @@
                         .imageLocalityRequired(
                                 !job.isCrashLooping() && requiresImageLocality(job, waitedS))
                         .waitedS(waitedS);
-        builder.overdue(claimOverdueTurn(job, builder));
+        builder.overdue(claimOverduePrecedence(job, builder));
         if (job.effectiveSpec().priority() == JobSpec.Priority.BEST_EFFORT
                 && !reserved
                 && !withinGuarantee) {
@@ -146,8 +147,8 @@
     }
 
     /**
-     * Machines on which the job failed of late, and those that still keep an ended attempt of a
-     * task which waits again: a worker refuses a task that it holds.
+     * Returns the machines on which the job failed recently, and those that still hold an ended
+     * attempt of a task that is not done: a worker refuses a task that it still holds.
      */
     private Set<String> excludedMachines(Job job) {
         if (machinesHoldingEndedAttempts == null) {
@@ -176,8 +177,9 @@
     }
 
     /**
-     * Whether some machine could have the job running within its class's objective, but only
-     * without fetching the image. Once the objective is missed any machine will do.
+     * Returns whether the wait objective of the job's workload can only be met on a machine that
+     * has the image: fetching it may take more than half the objective. Once the objective is
+     * missed, any machine is eligible.
      */
     private boolean requiresImageLocality(Job job, double waitedS) {
         double maxWaitS = cluster.objectives().maxWait(job.spec.workload());
@@ -185,25 +187,26 @@
     }
 
     /**
-     * Whether the job is the oldest overdue one of its class. Only one of each class goes first: a
-     * whole swarm would have the fleet to itself.
+     * Returns whether the job is the oldest overdue job of its team and workload that can ever
+     * start, and records it as such. Only one job of each combination takes precedence, so that
+     * many overdue jobs of the same kind do not occupy the whole fleet.
      */
-    private boolean claimOverdueTurn(Job job, PlacementRequest.Builder builder) {
+    private boolean claimOverduePrecedence(Job job, PlacementRequest.Builder builder) {
         if (job.isCrashLooping()
                 || job.doneTaskCount() > 0
                 || cluster.liveAttempts().hasAny(job)
                 || now - job.readyAt() <= OVERDUE_AFTER_S) {
             return false;
         }
-        String overdueClass = job.spec.team() + "/" + job.spec.workload();
-        return !overdueClasses.contains(overdueClass)
+        String teamWorkload = job.spec.team() + "/" + job.spec.workload();
+        return !overdueTeamWorkloads.contains(teamWorkload)
                 && canEverStart(builder.build())
-                && overdueClasses.add(overdueClass);
+                && overdueTeamWorkloads.add(teamWorkload);
     }
 
     /**
-     * Whether some machine may come to have capacity for the request: for a job that can begin
-     * nowhere its team would stand back for ever.
+     * Returns whether any machine can eventually have capacity for the request. An overdue job
+     * blocks the rest of its team; one that no machine can ever run would block it indefinitely.
      */
     private boolean canEverStart(PlacementRequest request) {
         if (schedulableMachines == null) {
--- a/src/main/java/io/pepperfield/dispatch/PostPreemptionState.java
+++ b/src/main/java/io/pepperfield/dispatch/PostPreemptionState.java
@@ -14,8 +14,8 @@
 import java.util.Map;
 
 /**
- * The machines and quotas as they will be once all that is being stopped is gone, with what else
- * could be stopped. Used up by the plan that it is made for.
+ * Projected machines and quota usages after all pending stops have completed, with the remaining
+ * attempts that can be preempted. Modified by the planning of one pass and then discarded.
  */
 final class PostPreemptionState {
 
@@ -26,33 +26,34 @@
     private final Map<String, Attempt> attemptsByVictimId = new HashMap<>();
 
     /**
-     * @param quotaUsages by team; what is being stopped is released from them
+     * @param quotaUsages by team; the usage of attempts that are being stopped is subtracted
      */
     PostPreemptionState(ClusterView view, Map<String, QuotaUsage> quotaUsages) {
         this.view = view;
         this.quotaUsages = quotaUsages;
         for (FreeCapacity capacity : view.schedulableMachines()) {
-            PreemptibleMachine machine = new PreemptibleMachine(capacity, releaseStopped(capacity));
+            PreemptibleMachine machine =
+                    new PreemptibleMachine(capacity, releaseStoppingAttempts(capacity));
             machines.add(machine);
             machinesByName.put(machine.machineName(), machine);
         }
     }
 
-    /** Releases what is being stopped on the machine, and finds what else could be stopped. */
-    private List<Victim> releaseStopped(FreeCapacity capacity) {
+    /** Releases attempts that are being stopped, and returns the others that can be preempted. */
+    private List<Victim> releaseStoppingAttempts(FreeCapacity capacity) {
         List<Victim> victims = new ArrayList<>();
         for (Attempt attempt : view.attemptsOn(capacity.machineName())) {
             JobSpec spec = attempt.job.spec;
             QuotaUsage quotaUsage = quotaUsages.get(spec.team());
             if (quotaUsage == null || !attempt.live()) {
-                // A team that the settings no longer name has no quota to count by: its tasks are
-                // left to end.
+                // A team that was removed from the settings has no quota: its tasks are never
+                // preempted and run to completion.
                 continue;
             }
             if (attempt.stopRequested()) {
                 capacity.release(spec, 1);
                 quotaUsage.release(spec, 1);
-            } else if (hasBegun(attempt)) {
+            } else if (hasStarted(attempt)) {
                 String id = attempt.taskRef.toString();
                 attemptsByVictimId.put(id, attempt);
                 victims.add(new Victim(id, attempt.job.effectiveSpec(), view.lostWorkS(attempt)));
@@ -61,22 +62,22 @@
         return victims;
     }
 
-    private static boolean hasBegun(Attempt attempt) {
+    private static boolean hasStarted(Attempt attempt) {
         return attempt.phase() != Attempt.Phase.INTENDED
                 && attempt.phase() != Attempt.Phase.ORDERED;
     }
 
-    /** Takes what one task of the request needs off a machine, but not off its team's quota. */
+    /** Allocates one task of the request on a machine, but not against its team's quota. */
     void allocateFromMachine(PlacementRequest request, String machineName) {
         machinesByName.get(machineName).allocate(request);
     }
 
-    /** Takes what one task of the request needs off its team's quota. */
+    /** Allocates one task of the request against its team's quota. */
     void allocateFromQuota(PlacementRequest request) {
         quotaUsages.get(request.job().team()).release(request.job(), -1);
     }
 
-    /** Chooses the attempts to stop for the requests, in the order in which they are stopped. */
+    /** Selects the attempts to preempt for the requests, in the order of preemption. */
     List<Attempt> selectVictims(List<PlacementRequest> requests) {
         return PreemptionPlanner.selectVictims(requests, machines, quotaUsages).stream()
                 .map(attemptsByVictimId::get)
--- a/src/main/java/io/pepperfield/dispatch/ReplicaRelocation.java
+++ b/src/main/java/io/pepperfield/dispatch/ReplicaRelocation.java
@@ -12,7 +12,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Whether the replicas of services on one machine could go on elsewhere. Has no effect. */
+/**
+ * Checks whether the replicas of services on one machine could be placed on other machines. Changes
+ * no cluster state.
+ */
 final class ReplicaRelocation {
 
     private final ClusterView view;
@@ -20,7 +23,7 @@
     private final Map<String, QuotaUsage> quotaUsages;
     private final Map<String, PlacementRequest> requestsByJob = new LinkedHashMap<>();
 
-    /** Looks at the replicas of a machine that is to be given up. */
+    /** Collects the replicas of a machine that is to be released. */
     ReplicaRelocation(ClusterView view, Machine machine) {
         this.view = view;
         this.machine = machine;
@@ -28,7 +31,7 @@
         releaseReplicas().forEach(this::addRequest);
     }
 
-    /** Takes the replicas off their teams' quotas, and counts them by job. */
+    /** Subtracts the replicas from their teams' quota usage and returns their count by job. */
     private Map<Job, Integer> releaseReplicas() {
         Map<Job, Integer> replicas = new LinkedHashMap<>();
         for (Attempt attempt : machine.attempts()) {
@@ -53,7 +56,7 @@
                         .build());
     }
 
-    /** Whether all replicas would find machines, if need be by preemption. */
+    /** Returns whether all replicas can be placed, with preemption if necessary. */
     boolean isPossible() {
         List<PlacementRequest> requests = new ArrayList<>(requestsByJob.values());
         List<Placement> placements =
@@ -61,12 +64,12 @@
         if (allPlaced(requests)) {
             return true;
         }
-        PostPreemptionState afterStops = new PostPreemptionState(view, quotaUsages);
+        PostPreemptionState postPreemption = new PostPreemptionState(view, quotaUsages);
         for (Placement placement : placements) {
-            afterStops.allocateFromMachine(
+            postPreemption.allocateFromMachine(
                     requestsByJob.get(placement.jobId()), placement.machineName());
         }
-        afterStops.selectVictims(requests);
+        postPreemption.selectVictims(requests);
         return allPlaced(requests);
     }
 
--- a/src/main/java/io/pepperfield/dispatch/package-info.java
+++ b/src/main/java/io/pepperfield/dispatch/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The scheduling pass of the leader: pending placement requests, placement, preemption and
- * reservations.
+ * The scheduling pass of the leader: collects pending placement requests, plans placements and
+ * preemptions, and reserves the capacity that preemption frees.
  */
 package io.pepperfield.dispatch;
--- a/src/main/java/io/pepperfield/placement/BinPacker.java
+++ b/src/main/java/io/pepperfield/placement/BinPacker.java
@@ -7,13 +7,14 @@
 import java.util.TreeMap;
 
 /**
- * Decides which waiting task goes to which machine. Each team has a queue, served in turn: work
- * within a guarantee first, then by priority, then the team that uses least of its guarantee. The
- * same input gives the same placements. Confined to the event loop.
+ * Assigns pending tasks to machines. Each team has a queue. Among the heads of the queues, overdue
+ * requests and those with reserved capacity are served first, then requests within their team's
+ * guarantee, then by priority, then the team with the lowest guarantee utilization. Deterministic:
+ * the same input gives the same placements. Confined to the event loop.
  */
 public final class BinPacker {
 
-    /** A machine for one task of a job. */
+    /** The assignment of one task of a job to a machine. */
     public record Placement(String jobId, String machineName) {}
 
     private static final Comparator<PlacementRequest> TEAM_QUEUE_ORDER =
@@ -26,10 +27,10 @@
                     .thenComparing(request -> request.readyAt)
                     .thenComparing(request -> request.job.id());
 
-    /** One team's requests in the order in which they are served. */
+    /** The requests of one team, in the order in which they are served. */
     private record TeamQueue(QuotaUsage quotaUsage, List<PlacementRequest> requests) {
 
-        /** The request of this team whose turn it is, or null where none can be served now. */
+        /** Returns the team's request to serve next, or null if none is eligible. */
         PlacementRequest firstEligible() {
             for (PlacementRequest request : requests) {
                 if (!canBeServed(request)) {
@@ -42,8 +43,8 @@
                     return request;
                 }
                 if (request.overdue && quotaUsage.fitsLimitWithOnlyReplicas(cpus, gpus)) {
-                    // The rest of the team stands back until its limit leaves enough for this one;
-                    // not where replicas keep it from ever doing so, or all would wait for ever.
+                    // Blocks the rest of the team until its limit has room for the overdue request.
+                    // Does not block if replicas keep that room for good: the team would starve.
                     return null;
                 }
             }
@@ -54,7 +55,7 @@
             if (request.waitingTasks == 0 || request.unschedulable) {
                 return false;
             }
-            // A gang begins again only when all of its earlier attempts are gone.
+            // A gang restarts only after all of its previous attempts have terminated.
             return !request.job.isGang() || request.liveTasks == 0;
         }
     }
@@ -62,7 +63,7 @@
     private final List<FreeCapacity> capacities;
     private final Map<String, QuotaUsage> quotaUsages;
 
-    /** In the order of the teams' names. */
+    /** Ordered by team name. */
     private final List<TeamQueue> queues;
 
     private final List<Placement> placements = new ArrayList<>();
@@ -78,8 +79,8 @@
     }
 
     /**
-     * Finds machines for waiting tasks. What the placed tasks take is taken off the capacities and
-     * quotas, and counted in the requests.
+     * Places pending tasks on machines. Allocates the resources of placed tasks from the capacities
+     * and quotas, and updates the task counts of the requests.
      */
     public static List<Placement> place(
             List<PlacementRequest> requests,
@@ -88,7 +89,7 @@
         return new BinPacker(requests, capacities, quotaUsages).place();
     }
 
-    /** Requests of teams that the settings do not name are left out. */
+    /** Groups the requests by team; omits requests of teams that are not in the settings. */
     private List<TeamQueue> teamQueues(List<PlacementRequest> requests) {
         Map<String, List<PlacementRequest>> requestsByTeam = new TreeMap<>();
         for (PlacementRequest request : requests) {
@@ -119,7 +120,7 @@
         return placements;
     }
 
-    /** The request whose turn it is, or null where none can be served any more. */
+    /** Returns the request to serve next, or null if none is eligible. */
     private PlacementRequest nextRequest() {
         PlacementRequest next = null;
         for (TeamQueue queue : queues) {
@@ -155,7 +156,7 @@
         return quotaUsages.get(request.job.team());
     }
 
-    /** Fills one machine with tasks of the request, or finds that no machine fits it now. */
+    /** Fills one machine with tasks of the request, or marks the request unschedulable. */
     private void placeTasks(PlacementRequest request) {
         boolean knownUnschedulable = unschedulableDemand.covers(request);
         FreeCapacity capacity = knownUnschedulable ? null : findBestFit(request);
@@ -166,7 +167,7 @@
         if (!knownUnschedulable) {
             unschedulableDemand.add(request);
         }
-        // What comes behind it may be smaller or allowed elsewhere.
+        // Later requests of the queue may be smaller or have other constraints.
         request.unschedulable = true;
         if (request.overdue) {
             reserveCapacity(request);
@@ -174,8 +175,8 @@
     }
 
     /**
-     * A turn fills a machine, so that a large array does not cost a look at the whole fleet for
-     * each task.
+     * Places tasks until the machine is full, so that a large array does not scan the whole fleet
+     * for each task.
      */
     private void fillMachine(PlacementRequest request, FreeCapacity capacity) {
         QuotaUsage quotaUsage = quotaUsage(request);
@@ -189,20 +190,20 @@
     }
 
     /**
-     * The machine that comes nearest to fitting takes nothing else: smaller tasks would take each
-     * piece of it for ever.
+     * Withholds the machine with the most free CPUs from other requests in this pass. Otherwise
+     * smaller tasks would take freed capacity as soon as it appears and starve the request.
      */
     private void reserveCapacity(PlacementRequest request) {
-        FreeCapacity nearest = null;
+        FreeCapacity emptiest = null;
         for (FreeCapacity capacity : capacities) {
-            // Any other would be kept empty for nothing and for ever.
+            // A machine that can never fit the request would stay idle indefinitely.
             if (MachineFit.canEverFit(request, capacity)
-                    && (nearest == null || isEmptier(capacity, nearest))) {
-                nearest = capacity;
+                    && (emptiest == null || isEmptier(capacity, emptiest))) {
+                emptiest = capacity;
             }
         }
-        if (nearest != null) {
-            nearest.freeCpus = 0;
+        if (emptiest != null) {
+            emptiest.freeCpus = 0;
         }
     }
 
@@ -212,7 +213,7 @@
                 : first.machineName.compareTo(second.machineName) < 0;
     }
 
-    /** Places all waiting tasks of the request or none. */
+    /** Places all pending tasks of the request or none. */
     private void placeGang(PlacementRequest request) {
         QuotaUsage quotaUsage = quotaUsage(request);
         List<FreeCapacity> allocated = new ArrayList<>();
@@ -223,7 +224,7 @@
             capacity = request.waitingTasks > 0 ? findBestFit(request) : null;
         }
         if (request.waitingTasks > 0) {
-            undoGang(request, allocated);
+            rollBackGang(request, allocated);
             return;
         }
         for (FreeCapacity machine : allocated) {
@@ -231,12 +232,12 @@
         }
     }
 
-    private void undoGang(PlacementRequest request, List<FreeCapacity> allocated) {
+    private void rollBackGang(PlacementRequest request, List<FreeCapacity> allocated) {
         for (FreeCapacity capacity : allocated) {
             allocate(request, capacity, quotaUsage(request), -1);
             if (request.overdue) {
-                // A gang that has waited too long keeps the capacity that it found: smaller work
-                // would take each piece of it for ever.
+                // An overdue gang keeps the capacity found so far. Otherwise smaller tasks would
+                // take it and starve the gang.
                 capacity.release(request.job, -1);
             }
         }
@@ -244,7 +245,7 @@
         unschedulableDemand.clear();
     }
 
-    /** Takes what that many tasks need; a negative number gives it back. */
+    /** Allocates the resources of {@code tasks} tasks; a negative count returns them. */
     static void allocate(
             PlacementRequest request, FreeCapacity capacity, QuotaUsage quotaUsage, int tasks) {
         request.waitingTasks -= tasks;
--- a/src/main/java/io/pepperfield/placement/Capacity.java
+++ b/src/main/java/io/pepperfield/placement/Capacity.java
@@ -1,7 +1,7 @@
 package io.pepperfield.placement;
 
 /**
- * What a machine has, or has left, of each resource that tasks take.
+ * Total or free resources of a machine.
  *
  * @param gpus accelerators
  * @param memGb memory in gigabytes
--- a/src/main/java/io/pepperfield/placement/FreeCapacity.java
+++ b/src/main/java/io/pepperfield/placement/FreeCapacity.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * What is left of a machine that may take tasks: an account that one pass uses up. Confined to the
- * event loop.
+ * The unallocated resources of a schedulable machine. Each scheduling pass works on its own copy
+ * and allocates from it. Confined to the event loop.
  */
 public final class FreeCapacity {
 
@@ -18,20 +18,20 @@
     double freeGpus;
     double freeMemGb;
 
-    /** What it will have at most, once all that ends by itself has ended. */
+    /** Upper bound of the free capacity: what is free once all batch tasks have ended. */
     final Capacity eventualCapacity;
 
     private Set<String> cachedImages;
 
-    /** Whether {@link #cachedImages} is this account's own and may be changed. */
+    /** Whether {@link #cachedImages} is a private copy that may be modified. */
     private boolean ownsCachedImages;
 
     /**
-     * Creates the account of a machine.
+     * Creates the free capacity of a machine.
      *
-     * @param cachedImages images in the machine's cache; not changed by the account
-     * @param free what no attempt takes that may be alive
-     * @param eventual what will be free once all batch tasks have ended
+     * @param cachedImages images in the machine's cache; the set is not modified
+     * @param free resources not held by any possibly live attempt
+     * @param eventual resources that are free once all batch tasks have ended
      */
     public FreeCapacity(
             String machineName,
@@ -52,14 +52,17 @@
         this.eventualCapacity = eventual;
     }
 
-    /** Counts what that many tasks of the job take as free; a negative number takes it. */
+    /**
+     * Returns the resources of {@code tasks} tasks of the job to the free capacity; a negative
+     * count allocates them.
+     */
     public void release(JobSpec job, int tasks) {
         freeCpus += tasks * job.cpus();
         freeGpus += tasks * job.gpus();
         freeMemGb += tasks * job.memGb();
     }
 
-    /** From now on the machine counts as one that has the image. */
+    /** Records that the machine has the image in its cache. */
     public void addCachedImage(String image) {
         if (cachedImages.contains(image)) {
             return;
@@ -75,7 +78,7 @@
         return cachedImages.contains(image);
     }
 
-    /** The name of the machine. */
+    /** Returns the name of the machine. */
     public String machineName() {
         return machineName;
     }
--- a/src/main/java/io/pepperfield/placement/MachineFit.java
+++ b/src/main/java/io/pepperfield/placement/MachineFit.java
@@ -2,23 +2,23 @@
 
 import java.util.Map;
 
-/** Whether a machine has what one task of a request needs, and which of two suits it better. */
+/** Filters and ranks machines for one task of a request. */
 public final class MachineFit {
 
-    /** Rounding in sums of decimal figures must not cost the last task. */
+    /** Absorbs floating-point errors in sums, which could otherwise reject the last task. */
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private MachineFit() {}
 
-    /** Whether the machine may take a task now. */
+    /** Returns whether the machine can take a task now. */
     static boolean fits(PlacementRequest request, FreeCapacity capacity) {
         return hasResources(request, capacity.freeCpus, capacity.freeGpus, capacity.freeMemGb)
                 && isAllowed(request, capacity);
     }
 
     /**
-     * Whether the machine may come to have capacity for a task: it is neither too small beside its
-     * replicas nor excluded.
+     * Returns whether the machine can take a task once its batch tasks have ended: the capacity not
+     * used by replicas of services suffices, and the request may use the machine.
      */
     public static boolean canEverFit(PlacementRequest request, FreeCapacity capacity) {
         Capacity eventual = capacity.eventualCapacity;
@@ -26,27 +26,27 @@
                 && isAllowed(request, capacity);
     }
 
-    /** Whether so much is enough for a task. */
+    /** Returns whether the given resources suffice for a task. */
     static boolean hasResources(PlacementRequest request, double cpus, double gpus, double memGb) {
         return hasCpus(request, cpus)
                 && memGb + ROUNDING_TOLERANCE >= request.job.memGb()
                 && gpus + ROUNDING_TOLERANCE >= request.job.gpus();
     }
 
-    /** Whether so many CPUs are enough for a task. */
+    /** Returns whether the given CPUs suffice for a task. */
     static boolean hasCpus(PlacementRequest request, double cpus) {
         return cpus + ROUNDING_TOLERANCE >= request.job.cpus();
     }
 
-    /** Whether the machine may take a task, however full it is. */
+    /** Returns whether the request may use the machine, regardless of free capacity. */
     static boolean isAllowed(PlacementRequest request, FreeCapacity capacity) {
         return meetsConstraints(request, capacity)
                 && !request.excludedMachines.contains(capacity.machineName);
     }
 
     /**
-     * Type, zone, spot and image, with regard to where the job's other tasks may be alive at this
-     * moment.
+     * Checks machine type, zone, spot and image, and the zone rules against the zones of the job's
+     * possibly live tasks.
      */
     private static boolean meetsConstraints(PlacementRequest request, FreeCapacity capacity) {
         if (!request.job.allowsMachine(capacity.machineType, capacity.zone, capacity.spot)) {
@@ -74,25 +74,24 @@
         return request.tasksPerZone.getOrDefault(zone, 0);
     }
 
-    /** Whether the first machine suits a task better than the second; both fit. */
+    /** Returns whether the first of two fitting machines ranks higher for a task. */
     static boolean isBetter(PlacementRequest request, FreeCapacity first, FreeCapacity second) {
         boolean firstHasImage = first.hasImage(request.job.image());
         if (firstHasImage != second.hasImage(request.job.image())) {
             return firstHasImage;
         }
         if (first.spot != second.spot) {
-            // Spot machines cost less and take nothing else away; where the job allows both they
-            // come first.
+            // Spot machines cost less, and using them leaves on-demand capacity to other jobs.
             return first.spot;
         }
         if (request.job.spreadOverZones()) {
-            int tasksBesideFirst = tasksIn(request, first.zone);
-            int tasksBesideSecond = tasksIn(request, second.zone);
-            if (tasksBesideFirst != tasksBesideSecond) {
-                return tasksBesideFirst < tasksBesideSecond;
+            int tasksInFirstZone = tasksIn(request, first.zone);
+            int tasksInSecondZone = tasksIn(request, second.zone);
+            if (tasksInFirstZone != tasksInSecondZone) {
+                return tasksInFirstZone < tasksInSecondZone;
             }
         }
-        // The fullest first, so that the emptiest can be returned.
+        // Prefers the fullest machine, so that the emptiest can be released.
         return first.freeCpus != second.freeCpus
                 ? first.freeCpus < second.freeCpus
                 : first.machineName.compareTo(second.machineName) < 0;
--- a/src/main/java/io/pepperfield/placement/PlacementRequest.java
+++ b/src/main/java/io/pepperfield/placement/PlacementRequest.java
@@ -5,54 +5,55 @@
 import java.util.Set;
 
 /**
- * The pending tasks of one job, as one pass places them. What describes the job is fixed; the pass
- * counts down {@link #waitingTasks()} and notes what it could not do. Confined to the event loop.
+ * The pending tasks of one job in one scheduling pass. The description of the job is immutable; the
+ * pass decrements {@link #waitingTasks()} and records its results, such as {@link
+ * #unschedulable()}. Confined to the event loop.
  */
 public final class PlacementRequest {
 
     final JobSpec job;
     final boolean withinGuarantee;
 
-    /** Loop time in seconds at which the job's tasks could first be started. */
+    /** Loop time in seconds at which the job became ready to start. */
     final double readyAt;
 
-    /** Machines that are not to be used for this job now. */
+    /** Names of machines that must not be used for this job in this pass. */
     final Set<String> excludedMachines;
 
-    /** Tasks of this job that may be alive when the pass begins. */
+    /** Possibly live tasks of this job at the start of the pass. */
     final int liveTasks;
 
     /**
-     * None of its tasks has begun for so long that it goes first: neither smaller nor higher jobs
-     * can starve it.
+     * Whether the job has waited so long for its first task that it precedes all other requests:
+     * neither smaller jobs nor those of higher priority can starve it.
      */
     final boolean overdue;
 
-    /** Other tasks are being stopped for it: the capacity that this frees is reserved for it. */
+    /** Whether other tasks are being stopped for the job; the freed capacity is reserved for it. */
     final boolean hasReservation;
 
-    /** The job has only failed so far: nothing is stopped for it. */
+    /** Whether the job is crash looping; no other task is preempted for it. */
     final boolean crashLooping;
 
-    /** Seconds that it has waited for each CPU that it still waits for; 0 for services. */
+    /** Seconds waited, divided by the CPUs of the pending tasks; 0 for services. */
     final double waitPerCpu;
 
-    /** Tasks of this job that may be alive, by zone; counted up as the pass places tasks. */
+    /** Possibly live tasks of this job by zone; incremented as the pass places tasks. */
     final Map<String, Integer> tasksPerZone;
 
-    /** Tasks without a machine; counted down as the pass places tasks. */
+    /** Tasks without a machine; decremented as the pass places tasks. */
     int waitingTasks;
 
     /**
-     * Only machines that have its image will do for now: to fetch it would take longer than its
-     * class may wait.
+     * Whether only machines with the job's image in their cache are eligible, because fetching it
+     * would take too long for the wait objective of the job's workload.
      */
     boolean imageLocalityRequired;
 
-    /** No machine had capacity for it. */
+    /** Whether no machine had capacity for the request. */
     boolean unschedulable;
 
-    /** At least one task was chosen to be stopped for it. */
+    /** Whether at least one task was selected to be preempted for the request. */
     boolean causedPreemption;
 
     private PlacementRequest(Builder builder) {
@@ -71,12 +72,12 @@
         this.imageLocalityRequired = builder.imageLocalityRequired;
     }
 
-    /** Starts the description of a request for {@code waitingTasks} machines. */
+    /** Returns a builder of a request that has {@code waitingTasks} pending tasks. */
     public static Builder builder(JobSpec job, int waitingTasks) {
         return new Builder(job, waitingTasks);
     }
 
-    /** What a request says of its job; whatever is not set does not hold. */
+    /** Builds a request; flags default to false and collections to empty. */
     public static final class Builder {
         private final JobSpec job;
         private final int waitingTasks;
@@ -95,98 +96,98 @@
             this.waitingTasks = waitingTasks;
         }
 
-        /** Whether the job's team is within its guarantee with it. */
+        /** Sets whether the job's team stays within its guarantee with this job. */
         public Builder withinGuarantee(boolean within) {
             withinGuarantee = within;
             return this;
         }
 
-        /** Loop time in seconds at which the job's tasks could first be started. */
+        /** Sets the loop time in seconds at which the job became ready to start. */
         public Builder readyAt(double time) {
             readyAt = time;
             return this;
         }
 
-        /** Tasks of the job that may be alive, by zone; the pass counts what it places in it. */
+        /** Sets the job's possibly live tasks by zone; the pass adds its placements to the map. */
         public Builder tasksPerZone(Map<String, Integer> tasks) {
             tasksPerZone = tasks;
             return this;
         }
 
-        /** Names of machines that are not to be used for the job now. */
+        /** Sets the names of machines that must not be used for the job in this pass. */
         public Builder excludedMachines(Set<String> machines) {
             excludedMachines = machines;
             return this;
         }
 
-        /** Whether only machines that have the job's image will do. */
+        /** Sets whether only machines with the job's image in their cache are eligible. */
         public Builder imageLocalityRequired(boolean required) {
             imageLocalityRequired = required;
             return this;
         }
 
-        /** Whether the job has waited so long that it goes first. */
-        public Builder overdue(boolean late) {
-            overdue = late;
+        /** Sets whether the job has waited so long that it precedes all others. */
+        public Builder overdue(boolean overdueJob) {
+            overdue = overdueJob;
             return this;
         }
 
-        /** Whether other tasks are being stopped to free capacity for the job. */
+        /** Sets whether other tasks are being stopped to free capacity for the job. */
         public Builder hasReservation(boolean reservation) {
             hasReservation = reservation;
             return this;
         }
 
-        /** Whether the job has only failed so far, so that nothing is to be stopped for it. */
-        public Builder crashLooping(boolean onlyFailed) {
-            crashLooping = onlyFailed;
+        /** Sets whether the job is crash looping, so that no other task is preempted for it. */
+        public Builder crashLooping(boolean looping) {
+            crashLooping = looping;
             return this;
         }
 
         /**
-         * Seconds that the job has waited. In a team's queue what has waited longest for its size
-         * goes first: under overload whole jobs are done in time instead of parts of all of them,
-         * and a large one's turn comes all the same.
+         * Sets the seconds that the job has waited. At equal priority, a team's queue serves the
+         * job with the longest wait per pending CPU first. Under overload, whole jobs then finish
+         * in time rather than parts of all jobs, and large jobs do not starve.
          */
         public Builder waitedS(double seconds) {
             waitedS = seconds;
             return this;
         }
 
-        /** Creates the request; several from one builder share their maps and sets. */
+        /** Creates the request; requests of the same builder share its maps and sets. */
         public PlacementRequest build() {
             return new PlacementRequest(this);
         }
     }
 
-    /** The job whose tasks wait, with its effective priority. */
+    /** Returns the job of the pending tasks, with its effective priority. */
     public JobSpec job() {
         return job;
     }
 
-    /** Tasks still without a machine. */
+    /** Returns the number of tasks that have no machine yet. */
     public int waitingTasks() {
         return waitingTasks;
     }
 
-    /** Whether the job's team is within its guarantee with it. */
+    /** Returns whether the job's team stays within its guarantee with this job. */
     public boolean withinGuarantee() {
         return withinGuarantee;
     }
 
-    /** Whether the job has only failed so far, so that nothing is stopped for it. */
+    /** Returns whether the job is crash looping, so that no other task is preempted for it. */
     public boolean crashLooping() {
         return crashLooping;
     }
 
-    /** Whether only machines with the job's image in their cache will do. */
+    /** Returns whether only machines with the job's image in their cache are eligible. */
     public boolean imageLocalityRequired() {
         return imageLocalityRequired;
     }
 
     /**
-     * From now on machines without the image will do as well; what was unschedulable for want of it
-     * is tried again.
+     * Makes machines without the job's image eligible; a request that was unschedulable under the
+     * requirement is tried again.
      */
     public void relaxImageLocality() {
         if (imageLocalityRequired) {
@@ -196,14 +197,14 @@
     }
 
     /**
-     * No machine had capacity for it; where tasks wait and this is false, its team's limit holds
-     * them up.
+     * Returns whether no machine had capacity for the request. If this is false while tasks are
+     * pending, the team's limit blocks them.
      */
     public boolean unschedulable() {
         return unschedulable;
     }
 
-    /** Whether at least one task was chosen to be stopped for it. */
+    /** Returns whether at least one task was selected to be preempted for the request. */
     public boolean causedPreemption() {
         return causedPreemption;
     }
--- a/src/main/java/io/pepperfield/placement/PreemptionBounds.java
+++ b/src/main/java/io/pepperfield/placement/PreemptionBounds.java
@@ -5,23 +5,23 @@
 import java.util.List;
 
 /**
- * Bounds that hold for all plans of a pass, so that a job that can neither stop anything nor find
- * capacity is not weighed against every machine and every task on it.
+ * Bounds over all machines of a pass. They exclude requests that can neither preempt a task nor
+ * find free capacity, without checking every machine and every task on it.
  */
 final class PreemptionBounds {
 
     private final Collection<QuotaUsage> quotaUsages;
     private JobSpec.Priority lowestPriority = JobSpec.Priority.PRODUCTION;
-    private double mostFreeCpus = Double.NEGATIVE_INFINITY;
+    private double maxFreeCpus = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param quotaUsages as they will be once all that is being stopped is gone
+     * @param quotaUsages the quota usages after all pending stops have completed
      */
     PreemptionBounds(Collection<QuotaUsage> quotaUsages) {
         this.quotaUsages = quotaUsages;
     }
 
-    /** Includes a machine with what could be stopped on it. */
+    /** Includes a machine and the tasks that could be preempted on it. */
     void addMachine(FreeCapacity capacity, List<PreemptionPlanner.Victim> victims) {
         updateMaxFreeCpus(capacity);
         for (PreemptionPlanner.Victim victim : victims) {
@@ -31,19 +31,19 @@
         }
     }
 
-    /** The machine has more capacity than before. */
+    /** Raises the maximum after the free capacity of a machine has grown. */
     void updateMaxFreeCpus(FreeCapacity capacity) {
-        mostFreeCpus = Math.max(mostFreeCpus, capacity.freeCpus);
+        maxFreeCpus = Math.max(maxFreeCpus, capacity.freeCpus);
     }
 
-    /** Whether a plan for the request may exist on any machine. */
+    /** Returns whether any machine may have a preemption plan for the request. */
     boolean mayHavePlan(PlacementRequest request) {
         return request.job.priority().compareTo(lowestPriority) < 0
                 || request.withinGuarantee && anyTeamExceedsGuarantee()
-                || MachineFit.hasCpus(request, mostFreeCpus);
+                || MachineFit.hasCpus(request, maxFreeCpus);
     }
 
-    /** Asked anew each time: a team may exceed it by what is placed in the same pass. */
+    /** Not cached: a placement in the same pass may take a team beyond its guarantee. */
     private boolean anyTeamExceedsGuarantee() {
         return quotaUsages.stream().anyMatch(QuotaUsage::exceedsGuarantee);
     }
--- a/src/main/java/io/pepperfield/placement/PreemptionPlanner.java
+++ b/src/main/java/io/pepperfield/placement/PreemptionPlanner.java
@@ -9,58 +9,61 @@
 import java.util.PriorityQueue;
 
 /**
- * Decides which tasks to stop for waiting ones that found no machine, exactly as far as the
- * protocol allows: for a job of higher priority, or, to give a team its guarantee, work that
- * another team runs beyond its own. Confined to the event loop.
+ * Selects the tasks to preempt for pending tasks that found no machine. The protocol allows two
+ * cases: a job may preempt tasks of lower priority, and a job within its team's guarantee may
+ * preempt tasks that another team runs beyond its own guarantee. Confined to the event loop.
  */
 public final class PreemptionPlanner {
 
     /**
-     * A task that could be stopped.
+     * A task that can be preempted.
      *
-     * @param lostWorkS seconds of its work that would be lost
+     * @param lostWorkS seconds of work lost by stopping the task
      */
     public record Victim(String id, JobSpec job, double lostWorkS) {}
 
-    /** The lowest priority first, then what loses least. */
+    /** Lowest priority first, then least lost work. */
     private static final Comparator<Victim> CHEAPEST_FIRST =
             Comparator.comparing((Victim victim) -> victim.job.priority())
                     .reversed()
                     .thenComparingDouble(victim -> victim.lostWorkS * victim.job.cpus());
 
-    private static final Comparator<PlacementRequest> SERVICE_ORDER =
+    private static final Comparator<PlacementRequest> REQUEST_ORDER =
             Comparator.comparing((PlacementRequest request) -> !request.withinGuarantee)
                     .thenComparing(request -> request.job.priority())
                     .thenComparing(request -> request.readyAt);
 
-    /** A machine with what can be stopped on it; its capacity is what is free or about to be. */
+    /**
+     * A machine and the tasks that can be preempted on it. Its capacity includes that of tasks
+     * which are already being stopped.
+     */
     public static final class PreemptibleMachine {
         private final FreeCapacity capacity;
         private final List<Victim> victims;
 
-        /** Creates a machine; its victims are tried in the order of what their loss costs. */
+        /** Creates a machine; its victims are tried in the order of {@link #CHEAPEST_FIRST}. */
         public PreemptibleMachine(FreeCapacity capacity, List<Victim> victims) {
             this.capacity = capacity;
             this.victims = new ArrayList<>(victims);
             this.victims.sort(CHEAPEST_FIRST);
         }
 
-        /** The name of the machine. */
+        /** Returns the name of the machine. */
         public String machineName() {
             return capacity.machineName;
         }
 
-        /** Takes what one task of the request needs; the machine will have its image. */
+        /** Allocates the resources of one task and records its image as cached. */
         public void allocate(PlacementRequest request) {
             capacity.release(request.job, -1);
             capacity.addCachedImage(request.job.image());
         }
     }
 
-    /** What to stop on one machine, and what the lost work costs in CPU seconds. */
+    /** The tasks to preempt on one machine, and the cost of the lost work in CPU seconds. */
     private record MachinePlan(PreemptibleMachine machine, List<Victim> victims, double cost) {}
 
-    /** Adds up victims on one machine until they free enough for one task of a request. */
+    /** Collects victims on one machine until they free enough capacity for one task. */
     private static final class MachinePlanBuilder {
         private final PlacementRequest request;
         private final PreemptibleMachine machine;
@@ -69,10 +72,10 @@
         private double freeGpus;
         private double freeMemGb;
 
-        /** What the victims of the request's own team free under its limit. */
-        private double ownCpus;
+        /** CPUs that victims of the request's team free under the team's limit. */
+        private double sameTeamCpus;
 
-        private double ownGpus;
+        private double sameTeamGpus;
         private double cost;
 
         MachinePlanBuilder(PlacementRequest request, PreemptibleMachine machine) {
@@ -88,17 +91,17 @@
             freeGpus += victim.job.gpus();
             freeMemGb += victim.job.memGb();
             if (isSameTeam(request, victim)) {
-                ownCpus += victim.job.cpus();
-                ownGpus += victim.job.gpus();
+                sameTeamCpus += victim.job.cpus();
+                sameTeamGpus += victim.job.gpus();
             }
             cost += (victim.lostWorkS + 1) * victim.job.cpus();
             victims.add(victim);
         }
 
-        boolean isEnough(QuotaUsage quotaUsage) {
+        boolean isSufficient(QuotaUsage quotaUsage) {
             return MachineFit.hasResources(request, freeCpus, freeGpus, freeMemGb)
                     && quotaUsage.fitsLimit(
-                            request.job.cpus() - ownCpus, request.job.gpus() - ownGpus);
+                            request.job.cpus() - sameTeamCpus, request.job.gpus() - sameTeamGpus);
         }
 
         MachinePlan build() {
@@ -120,9 +123,9 @@
     }
 
     /**
-     * The ids of the tasks to stop. Machines and quotas must count what is already being stopped as
-     * free, so that nothing is stopped twice for the same need; they are therefore not those that
-     * tasks are started by.
+     * Returns the ids of the tasks to stop. Machines and quotas must count tasks that are already
+     * being stopped as free, so that no further task is stopped for the same demand. They therefore
+     * differ from those used to start tasks.
      */
     public static List<String> selectVictims(
             List<PlacementRequest> requests,
@@ -130,17 +133,17 @@
             Map<String, QuotaUsage> quotaUsages) {
         PreemptionPlanner planner = new PreemptionPlanner(machines, quotaUsages);
         requests.stream()
-                .filter(PreemptionPlanner::mayPreemptAtAll)
-                .sorted(SERVICE_ORDER)
+                .filter(PreemptionPlanner::mayPreemptAny)
+                .sorted(REQUEST_ORDER)
                 .forEach(planner::place);
         return planner.victimIds;
     }
 
     /**
-     * What is lowest and claims no guarantee may stop nothing; a swarm of it would cost a look at
-     * all tasks for each.
+     * Returns whether the request may preempt any task. Requests of the lowest priority outside
+     * their guarantee never may; skipping them saves a scan of all tasks for each of many requests.
      */
-    private static boolean mayPreemptAtAll(PlacementRequest request) {
+    private static boolean mayPreemptAny(PlacementRequest request) {
         return request.waitingTasks > 0
                 && !request.job.isGang()
                 && !request.crashLooping
@@ -149,8 +152,8 @@
     }
 
     /**
-     * Finds machines for as many tasks of the request as possible. Every machine is weighed once
-     * for the request and again only when its turn comes, not once more for each task.
+     * Places as many tasks of the request as possible. The plan of a machine is computed once per
+     * request and again only when it is the cheapest, rather than for each task.
      */
     private void place(PlacementRequest request) {
         if (!bounds.mayHavePlan(request)) {
@@ -158,23 +161,23 @@
         }
         PriorityQueue<MachinePlan> plans =
                 new PriorityQueue<>(Comparator.comparingDouble(MachinePlan::cost));
-        boolean limited = isLimited(request);
-        if (limited || request.unschedulable) {
+        boolean atLimit = wouldExceedLimit(request);
+        if (atLimit || request.unschedulable) {
             addPlans(request, plans);
         }
         while (request.waitingTasks > 0 && !plans.isEmpty()) {
-            if (limited == isLimited(request)) {
+            if (atLimit == wouldExceedLimit(request)) {
                 placeOneTask(request, plans);
             } else {
-                limited = !limited;
+                atLimit = !atLimit;
                 plans.clear();
                 addPlans(request, plans);
             }
         }
     }
 
-    /** Whether the limit of the request's team has no place for another task of it. */
-    private boolean isLimited(PlacementRequest request) {
+    /** Returns whether another task of the request would exceed its team's limit. */
+    private boolean wouldExceedLimit(PlacementRequest request) {
         return !quotaUsage(request.job).fitsLimit(request.job.cpus(), request.job.gpus());
     }
 
@@ -186,7 +189,7 @@
         machines.forEach(machine -> cheapestPlan(request, machine).ifPresent(plans::add));
     }
 
-    /** Carries out the cheapest plan, unless it has become dearer since it was made. */
+    /** Applies the cheapest plan, unless its cost has risen since it was computed. */
     private void placeOneTask(PlacementRequest request, PriorityQueue<MachinePlan> plans) {
         MachinePlan earlier = plans.poll();
         Optional<MachinePlan> current = cheapestPlan(request, earlier.machine);
@@ -197,11 +200,11 @@
             plans.add(current.get());
             return;
         }
-        carryOut(request, current.get());
+        apply(request, current.get());
         cheapestPlan(request, earlier.machine).ifPresent(plans::add);
     }
 
-    private void carryOut(PlacementRequest request, MachinePlan plan) {
+    private void apply(PlacementRequest request, MachinePlan plan) {
         FreeCapacity capacity = plan.machine.capacity;
         request.causedPreemption |= !plan.victims.isEmpty();
         for (Victim victim : plan.victims) {
@@ -215,8 +218,8 @@
     }
 
     /**
-     * The cheapest way to free enough for one task of the request on that machine; without victims
-     * where there is enough already, empty where there is no way.
+     * Returns the cheapest plan that frees enough capacity for one task of the request on the
+     * machine. The plan has no victims if the free capacity suffices; empty if no plan exists.
      */
     private Optional<MachinePlan> cheapestPlan(
             PlacementRequest request, PreemptibleMachine machine) {
@@ -224,8 +227,8 @@
         if (!MachineFit.isAllowed(request, capacity)) {
             return Optional.empty();
         }
-        boolean limited = isLimited(request);
-        if (!limited
+        boolean atLimit = wouldExceedLimit(request);
+        if (!atLimit
                 && MachineFit.hasResources(
                         request, capacity.freeCpus, capacity.freeGpus, capacity.freeMemGb)) {
             return Optional.of(new MachinePlan(machine, List.of(), 0));
@@ -233,12 +236,12 @@
         QuotaUsage quotaUsage = quotaUsage(request.job);
         MachinePlanBuilder plan = new MachinePlanBuilder(request, machine);
         for (Victim victim : machine.victims) {
-            // A team at its limit makes room for its higher work by stopping its lower.
-            if (!mayPreempt(request, victim) || limited && !isSameTeam(request, victim)) {
+            // At the team's limit, only stopping the team's own tasks makes room.
+            if (!mayPreempt(request, victim) || atLimit && !isSameTeam(request, victim)) {
                 continue;
             }
             plan.add(victim);
-            if (plan.isEnough(quotaUsage)) {
+            if (plan.isSufficient(quotaUsage)) {
                 return Optional.of(plan.build());
             }
         }
@@ -253,8 +256,8 @@
         if (request.job.priority().compareTo(victim.job.priority()) < 0) {
             return true;
         }
-        // Of any priority by the protocol; but what ranks higher than the guarantee's own work is
-        // left alone here.
+        // The protocol allows victims of any priority for a guarantee. This is stricter: tasks of
+        // a higher priority than the request are never preempted.
         return request.withinGuarantee
                 && request.job.priority() == victim.job.priority()
                 && !isSameTeam(request, victim)
--- a/src/main/java/io/pepperfield/placement/QuotaUsage.java
+++ b/src/main/java/io/pepperfield/placement/QuotaUsage.java
@@ -4,28 +4,30 @@
 import io.pepperfield.jobs.JobSpec;
 
 /**
- * A team's limit and guarantee, and what its tasks that may be alive take of them: an account that
- * one pass uses up. Confined to the event loop.
+ * A team's quota (limit and guarantee) and its usage by possibly live tasks. Each scheduling pass
+ * works on its own copy and allocates from it. Confined to the event loop.
  */
 public final class QuotaUsage {
 
-    /** Rounding in sums of decimal figures must neither break a limit nor waste its last task. */
+    /**
+     * Absorbs floating-point errors in sums; too small to let a team exceed its limit by a task.
+     */
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
     final Settings.Team team;
     double usedCpus;
     double usedGpus;
 
-    /** What replicas of its services take of that: no waiting frees it. */
+    /** CPUs used by replicas of services, which do not end by themselves. */
     private final double replicaCpus;
 
     private final double replicaGpus;
 
     /**
-     * Creates a team's account from its limits and what its tasks take now.
+     * Creates the quota usage of a team.
      *
-     * @param replicaCpus the part of {@code usedCpus} that replicas of services take
-     * @param replicaGpus the part of {@code usedGpus} that replicas of services take
+     * @param replicaCpus the part of {@code usedCpus} used by replicas of services
+     * @param replicaGpus the part of {@code usedGpus} used by replicas of services
      */
     public QuotaUsage(
             Settings.Team team,
@@ -41,43 +43,47 @@
     }
 
     /**
-     * An account with the same figures, to be changed apart: what is being stopped still counts
-     * against a limit until it is gone.
+     * Returns an independent copy. Preemption planning subtracts tasks that are being stopped from
+     * the copy, while they count against the original's limit until they have terminated.
      */
     public QuotaUsage copy() {
         return new QuotaUsage(team, usedCpus, usedGpus, replicaCpus, replicaGpus);
     }
 
-    /** Whether so much more stays within the limit. */
-    boolean fitsLimit(double moreCpus, double moreGpus) {
-        return usedCpus + moreCpus <= team.cpuLimit() + ROUNDING_TOLERANCE
-                && (moreGpus == 0 || usedGpus + moreGpus <= team.gpuLimit() + ROUNDING_TOLERANCE);
+    /** Returns whether the additional resources stay within the limit. */
+    boolean fitsLimit(double additionalCpus, double additionalGpus) {
+        return usedCpus + additionalCpus <= team.cpuLimit() + ROUNDING_TOLERANCE
+                && (additionalGpus == 0
+                        || usedGpus + additionalGpus <= team.gpuLimit() + ROUNDING_TOLERANCE);
     }
 
-    /** Whether the limit will leave so much once all that ends by itself has ended. */
-    boolean fitsLimitWithOnlyReplicas(double moreCpus, double moreGpus) {
-        return replicaCpus + moreCpus <= team.cpuLimit() + ROUNDING_TOLERANCE
-                && (moreGpus == 0
-                        || replicaGpus + moreGpus <= team.gpuLimit() + ROUNDING_TOLERANCE);
+    /** Returns whether the additional resources fit the limit once all batch tasks have ended. */
+    boolean fitsLimitWithOnlyReplicas(double additionalCpus, double additionalGpus) {
+        return replicaCpus + additionalCpus <= team.cpuLimit() + ROUNDING_TOLERANCE
+                && (additionalGpus == 0
+                        || replicaGpus + additionalGpus <= team.gpuLimit() + ROUNDING_TOLERANCE);
     }
 
-    /** Takes off what that many tasks of the job use; a negative number adds it. */
+    /** Subtracts the usage of {@code tasks} tasks of the job; a negative count adds it. */
     public void release(JobSpec job, int tasks) {
         usedCpus -= tasks * job.cpus();
         usedGpus -= tasks * job.gpus();
     }
 
-    /** The fraction of its guarantee that the team uses; a team with none comes last. */
+    /**
+     * Returns the used fraction of the team's guarantee; a team without a guarantee ranks last with
+     * {@link Double#MAX_VALUE}.
+     */
     double guaranteeUtilization() {
         return team.guaranteedCpus() > 0 ? usedCpus / team.guaranteedCpus() : Double.MAX_VALUE;
     }
 
-    /** CPUs that its tasks take. */
+    /** Returns the CPUs used by the team's tasks. */
     public double usedCpus() {
         return usedCpus;
     }
 
-    /** Whether it uses more than its guarantee. */
+    /** Returns whether the team uses more CPUs than its guarantee. */
     public boolean exceedsGuarantee() {
         return usedCpus > team.guaranteedCpus();
     }
--- a/src/main/java/io/pepperfield/placement/UnschedulableDemand.java
+++ b/src/main/java/io/pepperfield/placement/UnschedulableDemand.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 
 /**
- * What has found no machine in a pass. Capacities only shrink while tasks are placed, so nothing
- * that needs as much or more of the same machines can find one either; a swarm of waiting jobs then
- * costs a look at the whole fleet for each set of constraints and not for each job.
+ * Cache of task sizes that found no machine in a pass. Free capacity only shrinks while tasks are
+ * placed, so a request with the same constraints and the same or larger size finds no machine
+ * either. With many pending jobs, the fleet is scanned once per set of constraints, not per job.
  */
 final class UnschedulableDemand {
 
-    /** Which machines come into question, where the job's other tasks have no say in it. */
+    /** Machine constraints that do not depend on the job's other tasks. */
     private record MachineConstraints(List<String> types, String zone, boolean spot, String image) {
         static MachineConstraints of(PlacementRequest request) {
             JobSpec job = request.job;
@@ -23,7 +23,7 @@
         }
     }
 
-    /** What a task takes of its machine. */
+    /** The resources that one task needs. */
     private record TaskSize(double cpus, double gpus, double memGb) {
         static TaskSize of(JobSpec job) {
             return new TaskSize(job.cpus(), job.gpus(), job.memGb());
@@ -34,10 +34,10 @@
         }
     }
 
-    /** For each set of constraints the smallest sizes, none of which fits within another. */
+    /** The minimal unschedulable sizes by constraints; none fits within another. */
     private final Map<MachineConstraints, List<TaskSize>> minimalSizes = new HashMap<>();
 
-    /** Whether the request cannot find a machine, by what has found none before. */
+    /** Returns whether an earlier unschedulable request implies that this one is too. */
     boolean covers(PlacementRequest request) {
         TaskSize size = TaskSize.of(request.job);
         for (TaskSize unschedulable :
@@ -49,11 +49,12 @@
         return false;
     }
 
-    /** The request has found no machine among all that its constraints allow. */
+    /** Records that no machine allowed by the constraints has capacity for the request. */
     void add(PlacementRequest request) {
         JobSpec job = request.job;
         if (job.sameZone() || job.spreadOverZones() || !request.excludedMachines.isEmpty()) {
-            // Zones or excluded machines make it a case of its own, which says nothing of others.
+            // Zone rules and excluded machines are not part of the key: the result does not apply
+            // to other requests.
             return;
         }
         TaskSize size = TaskSize.of(job);
@@ -64,7 +65,7 @@
         sizes.add(size);
     }
 
-    /** Capacity has been given back. */
+    /** Clears the cache, as capacity was returned. */
     void clear() {
         minimalSizes.clear();
     }
--- a/src/main/java/io/pepperfield/placement/package-info.java
+++ b/src/main/java/io/pepperfield/placement/package-info.java
@@ -1,7 +1,6 @@
 /**
- * Bin packing and preemption: which waiting task goes to which machine, and which running tasks are
- * stopped to free capacity. Pure functions over accounts of capacities and quotas and over requests
- * that the caller makes anew for each pass; nothing is kept between calls. Called by the leader's
- * dispatcher.
+ * Bin packing and preemption: assigns pending tasks to machines and selects running tasks to
+ * preempt. Stateless between calls: all capacities, quota usages and requests are created by the
+ * caller for each pass, and are modified only during that pass. Called by the leader's dispatcher.
  */
 package io.pepperfield.placement;
--- a/src/test/java/io/pepperfield/dispatch/DispatcherTest.java
+++ b/src/test/java/io/pepperfield/dispatch/DispatcherTest.java
@@ -33,7 +33,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Starting and stopping in one pass over a real fleet and its live attempts. */
+/** Starts and preemptions of single passes over a real fleet and its live attempts. */
 class DispatcherTest implements Loop, NoOpFleetListener, Dispatcher.AttemptControl {
 
     private final Settings settings = settings();
@@ -117,11 +117,11 @@
     }
 
     /**
-     * What is stopped for another team still counts against its own team's limit: it may be alive
-     * for a while.
+     * A preempted task may still be running and counts against its team's limit until it has
+     * terminated. A start in its place would exceed the limit.
      */
     @Test
-    void aStoppedTaskLeavesNoRoomUnderTheLimitUntilItIsGone() {
+    void preemptedTaskCountsAgainstItsTeamsLimitUntilItHasTerminated() {
         types.update(List.of(new MachineType("box", 8, 0, 32, 20, 1, 1, 0.4, 5, List.of("east"))));
         heartbeat("m1", 1);
         Job array = job("run-000001", "batch", "red", Priority.STANDARD, "img", 3);
@@ -141,8 +141,8 @@
                         Heartbeat.State.RUNNING,
                         Heartbeat.Cause.NONE));
         heartbeat("m2", 1);
-        // Wants its image at once, which only the full machine has; the array's last task would
-        // have room elsewhere.
+        // Requires image locality, and only the full machine has the image. The array's last task
+        // would fit on m2.
         job("run-000002", "gate", "blue", Priority.PRODUCTION, "img", 1);
         actions.clear();
         dispatcher.runPassIfDue();
@@ -150,16 +150,16 @@
     }
 
     /**
-     * The tasks of a machine that are stopped for a larger one go one after the other; what is
-     * small must not take the room of the first while the second is still there.
+     * Tasks preempted for a larger task end one after the other. Without a reservation, small tasks
+     * would take the capacity of the first while the second is still running.
      */
     @Test
-    void roomThatIsBeingFreedForALargerTaskIsNotTakenBySmallOnesPieceByPiece() {
+    void capacityBeingFreedForALargeTaskIsReservedFromSmallTasks() {
         types.update(List.of(new MachineType("box", 8, 0, 32, 20, 1, 1, 0.4, 5, List.of("east"))));
         heartbeat("m1", 1);
-        Job swarm = job("run-000001", "swarm", "red", Priority.BEST_EFFORT, "img", 4);
-        start(swarm, 0, fleet.get("m1"));
-        start(swarm, 1, fleet.get("m1"));
+        Job smallTasks = job("run-000001", "swarm", "red", Priority.BEST_EFFORT, "img", 4);
+        start(smallTasks, 0, fleet.get("m1"));
+        start(smallTasks, 1, fleet.get("m1"));
         heartbeat("m1", 2, running(0), running(1));
         Job large =
                 new Job(
@@ -177,17 +177,17 @@
         assertEquals(
                 List.of("stop run-000001/0", "stop run-000001/1"),
                 actions.stream().sorted().toList());
-        liveAttempts.remove(liveAttempts.get(swarm, 0));
+        liveAttempts.remove(liveAttempts.get(smallTasks, 0));
         heartbeat("m1", 3, stopped(0), running(1));
-        swarm.requeue(0);
+        smallTasks.requeue(0);
         actions.clear();
         now += 0.2;
         dispatcher.requestPass();
         dispatcher.runPassIfDue();
         assertEquals(List.of(), actions);
-        liveAttempts.remove(liveAttempts.get(swarm, 1));
+        liveAttempts.remove(liveAttempts.get(smallTasks, 1));
         heartbeat("m1", 4, stopped(1));
-        swarm.requeue(1);
+        smallTasks.requeue(1);
         now += 0.2;
         dispatcher.requestPass();
         dispatcher.runPassIfDue();
@@ -205,11 +205,11 @@
     }
 
     /**
-     * A swarm that waits too long must not have the fleet to itself: one of it comes first, then
-     * what is guaranteed.
+     * Many overdue jobs of one team and workload must not occupy the whole fleet: only the oldest
+     * precedes jobs within a guarantee.
      */
     @Test
-    void ofAClassThatHasWaitedTooLongOneJobComesFirst() {
+    void onlyOneOverdueJobPerTeamAndWorkloadTakesPrecedence() {
         types.update(List.of(new MachineType("box", 8, 0, 32, 20, 1, 1, 0.4, 5, List.of("east"))));
         heartbeat("m1", 1);
         for (int i = 1; i <= 5; i++) {
@@ -223,9 +223,9 @@
         assertEquals(List.of("start run-000001/0 on m1", "start run-000009/0 on m1"), actions);
     }
 
-    /** A plan is made without any effect; only carrying it out starts and stops attempts. */
+    /** Planning has no side effects; only the execution of the plan starts and stops attempts. */
     @Test
-    void planningChangesNothingInTheCluster() {
+    void planningDoesNotModifyTheCluster() {
         types.update(List.of(new MachineType("box", 8, 0, 32, 20, 1, 1, 0.4, 5, List.of("east"))));
         heartbeat("m1", 1);
         heartbeat("m2", 1);
@@ -260,11 +260,11 @@
     }
 
     /**
-     * What a job does that fails everywhere says nothing of its machines; what fails here and
-     * succeeds elsewhere does.
+     * A job that fails on every machine is no evidence against a machine; one that fails here and
+     * succeeds elsewhere is.
      */
     @Test
-    void onlyFailuresOfJobsThatSucceedElsewhereMakeAMachineFaulty() {
+    void onlyFailuresOfJobsThatSucceedElsewhereMarkAMachineFaulty() {
         for (int i = 1; i <= 2; i++) {
             Job job = job("run-00000" + i, "batch", "blue", Priority.STANDARD, "img", 3);
             heartbeat("m1", 10 * i);
@@ -286,11 +286,11 @@
     }
 
     /**
-     * Its zone may be closed for long: the rest of its team must not stand back under the limit for
-     * what can begin nowhere.
+     * The only allowed zone of an overdue job may be unavailable for long. If the job blocked its
+     * team's limit meanwhile, the team's other jobs would starve.
      */
     @Test
-    void aJobThatCanBeginNowhereDoesNotHoldItsTeamBack() {
+    void overdueJobThatNoMachineCanRunDoesNotBlockItsTeam() {
         types.update(
                 List.of(
                         new MachineType(
@@ -298,7 +298,7 @@
         heartbeat("m1", 1);
         Job first = job("run-000001", "batch", "red", Priority.STANDARD, "img", 1);
         start(first, 0, fleet.get("m1"));
-        JobSpec elsewhere =
+        JobSpec unplaceable =
                 new JobSpecBuilder()
                         .id("run-000002")
                         .workload("far")
@@ -309,7 +309,7 @@
                         .zone("west")
                         .expectedS(9)
                         .build();
-        jobs.put(elsewhere.id(), new Job(elsewhere, 0));
+        jobs.put(unplaceable.id(), new Job(unplaceable, 0));
         job("run-000003", "batch", "red", Priority.STANDARD, "img", 1);
         jobs.put("run-000003", new Job(jobs.get("run-000003").spec, 95));
         actions.clear();
@@ -320,11 +320,11 @@
     }
 
     /**
-     * The only machine must be tried again, though not at once: the job would wait beside it for
-     * ever.
+     * A machine is excluded for a limited time after a failure of the job. If the exclusion did not
+     * expire, a job with only one suitable machine would never start.
      */
     @Test
-    void aMachineOnWhichAJobFailedIsAvoidedForAUnitAndNotForEver() {
+    void machineWithAFailedAttemptIsExcludedForOneBillingUnit() {
         types.update(List.of(new MachineType("box", 8, 0, 32, 20, 1, 1, 0.4, 5, List.of("east"))));
         Job job = job("run-000001", "batch", "blue", Priority.STANDARD, "img", 1);
         job.recordFailure("m1", now, 1, 60);
@@ -340,11 +340,11 @@
     }
 
     /**
-     * A replica is never completed, so that nothing else would ever clear its job: what was lost to
-     * bad machines would wait for ever.
+     * Replicas never complete, so only a long-running replica can end the crash-loop state of a
+     * service. Otherwise replicas lost to faulty machines would never be restarted.
      */
     @Test
-    void replicasLostToTwoBadMachinesAreStartedAgainBesideThoseThatLast() {
+    void replicasLostToFaultyMachinesRestartOnceAnotherReplicaIsStable() {
         types.update(List.of(new MachineType("box", 8, 0, 32, 20, 1, 1, 0.4, 5, List.of("east"))));
         JobSpec spec =
                 new JobSpecBuilder()
@@ -401,15 +401,16 @@
     public void after(double seconds, Runnable command) {}
 
     /**
-     * An older and higher job takes neither the guarantee nor the turn while it waits for others.
+     * A job that awaits dependencies uses neither its team's guarantee nor precedence in the queue,
+     * even if it is older and has a higher priority.
      */
     @Test
-    void aJobThatWaitsForOthersHoldsNothing() {
+    void jobAwaitingDependenciesDoesNotUseGuaranteeOrQueuePosition() {
         types.update(List.of(new MachineType("box", 8, 0, 32, 20, 1, 1, 0.4, 5, List.of("east"))));
         heartbeat("m1", 1);
-        // As much as is guaranteed to the team, and as its limit leaves.
-        Job waits = job("run-000001", "batch", "blue", Priority.PRODUCTION, "img", 16);
-        waits.awaitDependencies();
+        // Needs all of the team's limit, which is more than its guarantee.
+        Job dependent = job("run-000001", "batch", "blue", Priority.PRODUCTION, "img", 16);
+        dependent.awaitDependencies();
         job("run-000002", "batch", "blue", Priority.STANDARD, "img", 2);
         now = 100;
         heartbeat("m1", 2);
@@ -418,8 +419,8 @@
                 List.of("run-000002"),
                 requests.stream().map(request -> request.job().id()).toList());
         assertTrue(requests.get(0).withinGuarantee());
-        // Not before its time: the wait of its class begins when the last of them is done.
-        waits.dependenciesDone(now);
+        // Its waiting time starts when the last dependency is done, so the other job stays first.
+        dependent.dependenciesDone(now);
         assertEquals(2, dispatcher.pendingRequests(now).size());
         assertEquals("run-000002", dispatcher.pendingRequests(now).get(0).job().id());
         dispatcher.runPassIfDue();
--- a/src/test/java/io/pepperfield/placement/BinPackerTest.java
+++ b/src/test/java/io/pepperfield/placement/BinPackerTest.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Plays kept traces of placement and compares the choices. */
+/** Replays a recorded placement trace and compares the placements with the recorded ones. */
 class BinPackerTest {
 
     private final List<PlacementRequest> requests = new ArrayList<>();
@@ -25,11 +25,11 @@
     private final Map<String, QuotaUsage> quotaUsages = new HashMap<>();
 
     @Test
-    void choices() throws IOException {
-        ReplayTrace.check("placement.txt", this::play);
+    void placementsMatchTheRecordedTrace() throws IOException {
+        ReplayTrace.check("placement.txt", this::replay);
     }
 
-    private List<String> play(String[] words) {
+    private List<String> replay(String[] words) {
         Map<String, String> fields = fields(words);
         switch (words[0]) {
             case "new" -> {
@@ -123,11 +123,11 @@
                 .toList();
     }
 
-    private static String upperCase(Map<String, String> fields, String name, String otherwise) {
-        return fields.getOrDefault(name, otherwise).toUpperCase(Locale.ROOT);
+    private static String upperCase(Map<String, String> fields, String name, String defaultValue) {
+        return fields.getOrDefault(name, defaultValue).toUpperCase(Locale.ROOT);
     }
 
-    private static double number(Map<String, String> fields, String name, double otherwise) {
-        return fields.containsKey(name) ? Double.parseDouble(fields.get(name)) : otherwise;
+    private static double number(Map<String, String> fields, String name, double defaultValue) {
+        return fields.containsKey(name) ? Double.parseDouble(fields.get(name)) : defaultValue;
     }
 }
--- a/src/test/java/io/pepperfield/placement/PreemptionPlannerTest.java
+++ b/src/test/java/io/pepperfield/placement/PreemptionPlannerTest.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What may be stopped for what: the protocol's two cases and nothing else. */
+/** Preemption happens for a higher priority or for a guarantee, and in no other case. */
 class PreemptionPlannerTest {
 
     private final Map<String, QuotaUsage> quotaUsages =
@@ -24,14 +24,15 @@
                             "blue",
                             new QuotaUsage(new Settings.Team("blue", 8, 64, 0, 0), 12, 0, 0, 0)));
 
-    private static JobSpec job(String team, Priority rank, double cpus) {
-        return new JobSpecBuilder().team(team).rank(rank).cpus(cpus).image("img").build();
+    private static JobSpec job(String team, Priority priority, double cpus) {
+        return new JobSpecBuilder().team(team).rank(priority).cpus(cpus).image("img").build();
     }
 
-    private static PlacementRequest request(Priority rank, double cpus, boolean guaranteed) {
+    private static PlacementRequest request(
+            Priority priority, double cpus, boolean withinGuarantee) {
         PlacementRequest request =
-                PlacementRequest.builder(job("red", rank, cpus), 1)
-                        .withinGuarantee(guaranteed)
+                PlacementRequest.builder(job("red", priority, cpus), 1)
+                        .withinGuarantee(withinGuarantee)
                         .tasksPerZone(new HashMap<>())
                         .build();
         request.unschedulable = true;
@@ -39,32 +40,32 @@
     }
 
     private static PreemptionPlanner.Victim victim(
-            String id, String team, Priority rank, double cpus, double lostS) {
-        return new PreemptionPlanner.Victim(id, job(team, rank, cpus), lostS);
+            String id, String team, Priority priority, double cpus, double lostWorkS) {
+        return new PreemptionPlanner.Victim(id, job(team, priority, cpus), lostWorkS);
     }
 
-    private List<String> stopped(
-            PlacementRequest request, double free, PreemptionPlanner.Victim... victims) {
-        FreeCapacity room =
+    private List<String> selectVictims(
+            PlacementRequest request, double freeCpus, PreemptionPlanner.Victim... victims) {
+        FreeCapacity capacity =
                 new FreeCapacity(
                         "m1",
                         "box",
                         "east",
                         false,
                         Set.of(),
-                        new Capacity(free, 0, 64),
+                        new Capacity(freeCpus, 0, 64),
                         new Capacity(64, 0, 64));
         return PreemptionPlanner.selectVictims(
                 new ArrayList<>(List.of(request)),
-                List.of(new PreemptionPlanner.PreemptibleMachine(room, List.of(victims))),
+                List.of(new PreemptionPlanner.PreemptibleMachine(capacity, List.of(victims))),
                 quotaUsages);
     }
 
     @Test
-    void higherRankStopsTheLowestThatLosesLeast() {
+    void higherPriorityPreemptsTheLowestPriorityWithTheLeastLostWork() {
         assertEquals(
                 List.of("c"),
-                stopped(
+                selectVictims(
                         request(Priority.URGENT, 4, false),
                         0,
                         victim("a", "red", Priority.STANDARD, 4, 1),
@@ -73,53 +74,53 @@
     }
 
     @Test
-    void equalRankStopsNothingWithoutAGuarantee() {
+    void equalPriorityWithoutGuaranteePreemptsNothing() {
         assertEquals(
                 List.of(),
-                stopped(
+                selectVictims(
                         request(Priority.STANDARD, 4, false),
                         0,
                         victim("a", "blue", Priority.STANDARD, 4, 1)));
     }
 
     @Test
-    void aGuaranteeStopsWhatAnotherTeamHasBeyondItsOwn() {
-        // Blue uses 12 of its 8: one task of 4 is borrowed, the next is its own.
+    void requestWithinGuaranteePreemptsTasksBeyondAnotherTeamsGuarantee() {
+        // Team blue uses 12 CPUs and is guaranteed 8: only one task of 4 CPUs is beyond that.
         assertEquals(
                 List.of("b"),
-                stopped(
+                selectVictims(
                         request(Priority.STANDARD, 4, true),
                         0,
                         victim("a", "blue", Priority.STANDARD, 4, 9),
                         victim("b", "blue", Priority.STANDARD, 4, 1)));
         assertEquals(
                 List.of(),
-                stopped(
+                selectVictims(
                         request(Priority.STANDARD, 8, true),
                         0,
                         victim("a", "blue", Priority.STANDARD, 8, 9)));
         assertEquals(
                 List.of(),
-                stopped(
+                selectVictims(
                         request(Priority.STANDARD, 4, true),
                         0,
                         victim("a", "blue", Priority.PRODUCTION, 4, 9)));
         assertEquals(
                 List.of(),
-                stopped(
+                selectVictims(
                         request(Priority.STANDARD, 4, true),
                         0,
                         victim("a", "red", Priority.STANDARD, 4, 9)));
     }
 
     @Test
-    void aTeamAtItsLimitMakesRoomByItsOwnLowerWork() {
+    void teamAtItsLimitPreemptsItsOwnTasksOfLowerPriority() {
         quotaUsages.put("red", new QuotaUsage(new Settings.Team("red", 8, 8, 0, 0), 8, 0, 0, 0));
         PlacementRequest urgent = request(Priority.URGENT, 1, false);
         urgent.unschedulable = false;
         assertEquals(
                 List.of("b"),
-                stopped(
+                selectVictims(
                         urgent,
                         64,
                         victim("a", "blue", Priority.BEST_EFFORT, 4, 1),
@@ -127,14 +128,16 @@
                         victim("c", "red", Priority.URGENT, 4, 1)));
         PlacementRequest standard = request(Priority.STANDARD, 1, true);
         standard.unschedulable = false;
-        assertEquals(List.of(), stopped(standard, 64, victim("b", "red", Priority.STANDARD, 4, 5)));
+        assertEquals(
+                List.of(),
+                selectVictims(standard, 64, victim("b", "red", Priority.STANDARD, 4, 5)));
     }
 
     @Test
-    void whatIsBeingFreedIsNotFreedTwice() {
+    void capacityBeingFreedCausesNoFurtherPreemption() {
         assertEquals(
                 List.of(),
-                stopped(
+                selectVictims(
                         request(Priority.PRODUCTION, 4, false),
                         4,
                         victim("a", "blue", Priority.STANDARD, 4, 1)));
--- a/src/test/java/io/pepperfield/placement/UnschedulableDemandTest.java
+++ b/src/test/java/io/pepperfield/placement/UnschedulableDemandTest.java
@@ -8,13 +8,13 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What need not be looked for once more in a pass. */
+/** Which requests are known to be unschedulable without another scan of the fleet. */
 class UnschedulableDemandTest {
 
     private final UnschedulableDemand demand = new UnschedulableDemand();
 
-    private static PlacementRequest request(JobSpec job, String... avoid) {
-        return PlacementRequest.builder(job, 1).excludedMachines(Set.of(avoid)).build();
+    private static PlacementRequest request(JobSpec job, String... excludedMachines) {
+        return PlacementRequest.builder(job, 1).excludedMachines(Set.of(excludedMachines)).build();
     }
 
     private static JobSpec job(double cpus) {
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void asMuchOrMoreOfTheSameKindIsCovered() {
+    void sameOrLargerSizeWithEqualConstraintsIsCovered() {
         demand.add(request(job(4)));
         assertTrue(demand.covers(request(job(4))));
         assertTrue(demand.covers(request(job(5))));
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void whatAvoidsMachinesIsCoveredButCoversNothing() {
+    void requestWithExcludedMachinesIsCoveredButCoversNoOther() {
         demand.add(request(job(1), "host-1"));
         assertFalse(demand.covers(request(job(4))));
         demand.add(request(job(4)));
@@ -41,12 +41,12 @@
     }
 
     @Test
-    void anotherKindOfMachineIsNot() {
+    void requestWithOtherConstraintsIsNotCovered() {
         demand.add(request(job(4)));
         assertFalse(demand.covers(request(new JobSpecBuilder().cpus(4).zone("east").build())));
-        PlacementRequest warm =
+        PlacementRequest localityRequired =
                 PlacementRequest.builder(job(4), 1).imageLocalityRequired(true).build();
-        assertFalse(demand.covers(warm));
+        assertFalse(demand.covers(localityRequired));
         demand.clear();
         assertFalse(demand.covers(request(job(4))));
     }
