--- a/src/main/java/io/pepperfield/dispatch/DispatchPlan.java
+++ b/src/main/java/io/pepperfield/dispatch/DispatchPlan.java
@@ -9,7 +9,7 @@
  * The decisions of one scheduling pass.
  *
  * @param actions starts and preemptions, in the order of their execution
- * @param reservations jobs for which the preemptions free capacity, which is then reserved for them
+ * @param preemptingJobs jobs for which the preemptions free capacity, which is then reserved
  */
 record DispatchPlan(List<Action> actions, List<Job> preemptingJobs) {
 
