--- a/src/main/java/io/pepperfield/dispatch/DispatchPlanner.java
+++ b/src/main/java/io/pepperfield/dispatch/DispatchPlanner.java
@@ -156,7 +156,7 @@
      * for priorities above {@code STANDARD}: lower-priority tasks of the team may use up its limit.
      */
     private static boolean mayBeBlockedByQuota(PlacementRequest request) {
-        return request.waitingTasks() > 0
+        return request.pendingTasks() > 0
                 && !request.job().isGang()
                 && request.job().priority().compareTo(JobSpec.Priority.STANDARD) < 0;
     }
--- a/src/main/java/io/pepperfield/dispatch/ReplicaRelocation.java
+++ b/src/main/java/io/pepperfield/dispatch/ReplicaRelocation.java
@@ -74,6 +74,6 @@
     }
 
     private static boolean allPlaced(List<PlacementRequest> requests) {
-        return requests.stream().allMatch(request -> request.waitingTasks() == 0);
+        return requests.stream().allMatch(request -> request.pendingTasks() == 0);
     }
 }
--- a/src/main/java/io/pepperfield/overview/QueueOverview.java
+++ b/src/main/java/io/pepperfield/overview/QueueOverview.java
@@ -44,7 +44,7 @@
         for (PlacementRequest request : dispatcher.pendingRequests(now)) {
             Job job = cluster.jobs().get(request.job().id());
             if (!job.isCrashLooping()) {
-                describePending(queue, job, request.waitingTasks(), quotaUsages, now);
+                describePending(queue, job, request.pendingTasks(), quotaUsages, now);
             }
         }
     }
--- a/src/main/java/io/pepperfield/placement/BinPacker.java
+++ b/src/main/java/io/pepperfield/placement/BinPacker.java
@@ -36,7 +36,7 @@
                 if (!canBeServed(request)) {
                     continue;
                 }
-                int tasks = request.job.isGang() ? request.waitingTasks : 1;
+                int tasks = request.job.isGang() ? request.pendingTasks : 1;
                 double cpus = tasks * request.job.cpus();
                 double gpus = tasks * request.job.gpus();
                 if (quotaUsage.fitsLimit(cpus, gpus)) {
@@ -52,7 +52,7 @@
         }
 
         private static boolean canBeServed(PlacementRequest request) {
-            if (request.waitingTasks == 0 || request.unschedulable) {
+            if (request.pendingTasks == 0 || request.unschedulable) {
                 return false;
             }
             // A gang restarts only after all of its previous attempts have terminated.
@@ -183,7 +183,7 @@
         do {
             allocate(request, capacity, quotaUsage, 1);
             placements.add(new Placement(request.job.id(), capacity.machineName));
-        } while (request.waitingTasks > 0
+        } while (request.pendingTasks > 0
                 && !request.job.spreadOverZones()
                 && MachineFit.fits(request, capacity)
                 && quotaUsage.fitsLimit(request.job.cpus(), request.job.gpus()));
@@ -221,9 +221,9 @@
         while (capacity != null) {
             allocate(request, capacity, quotaUsage, 1);
             allocated.add(capacity);
-            capacity = request.waitingTasks > 0 ? findBestFit(request) : null;
+            capacity = request.pendingTasks > 0 ? findBestFit(request) : null;
         }
-        if (request.waitingTasks > 0) {
+        if (request.pendingTasks > 0) {
             rollBackGang(request, allocated);
             return;
         }
@@ -248,7 +248,7 @@
     /** Allocates the resources of {@code tasks} tasks; a negative count returns them. */
     static void allocate(
             PlacementRequest request, FreeCapacity capacity, QuotaUsage quotaUsage, int tasks) {
-        request.waitingTasks -= tasks;
+        request.pendingTasks -= tasks;
         request.tasksPerZone.merge(capacity.zone, tasks, Integer::sum);
         capacity.release(request.job, -tasks);
         quotaUsage.release(request.job, -tasks);
--- a/src/main/java/io/pepperfield/placement/PlacementRequest.java
+++ b/src/main/java/io/pepperfield/placement/PlacementRequest.java
@@ -6,7 +6,7 @@
 
 /**
  * The pending tasks of one job in one scheduling pass. The description of the job is immutable; the
- * pass decrements {@link #waitingTasks()} and records its results, such as {@link
+ * pass decrements {@link #pendingTasks()} and records its results, such as {@link
  * #unschedulable()}. Confined to the event loop.
  */
 public final class PlacementRequest {
@@ -42,7 +42,7 @@
     final Map<String, Integer> tasksPerZone;
 
     /** Tasks without a machine; decremented as the pass places tasks. */
-    int waitingTasks;
+    int pendingTasks;
 
     /**
      * Whether only machines with the job's image in their cache are eligible, because fetching it
@@ -66,13 +66,13 @@
         this.hasReservation = builder.hasReservation;
         this.crashLooping = builder.crashLooping;
         this.waitPerCpu =
-                job.isService() ? 0 : builder.waitedS / (builder.waitingTasks * job.cpus());
+                job.isService() ? 0 : builder.waitedS / (builder.pendingTasks * job.cpus());
         this.tasksPerZone = builder.tasksPerZone;
-        this.waitingTasks = builder.waitingTasks;
+        this.pendingTasks = builder.pendingTasks;
         this.imageLocalityRequired = builder.imageLocalityRequired;
     }
 
-    /** Returns a builder of a request that has {@code waitingTasks} pending tasks. */
+    /** Returns a builder of a request that has {@code pendingTasks} pending tasks. */
     public static Builder builder(JobSpec job, int waitingTasks) {
         return new Builder(job, waitingTasks);
     }
@@ -80,7 +80,7 @@
     /** Builds a request; flags default to false and collections to empty. */
     public static final class Builder {
         private final JobSpec job;
-        private final int waitingTasks;
+        private final int pendingTasks;
         private boolean withinGuarantee;
         private double readyAt;
         private Map<String, Integer> tasksPerZone = Map.of();
@@ -93,7 +93,7 @@
 
         private Builder(JobSpec job, int waitingTasks) {
             this.job = job;
-            this.waitingTasks = waitingTasks;
+            this.pendingTasks = waitingTasks;
         }
 
         /** Sets whether the job's team stays within its guarantee with this job. */
@@ -166,8 +166,8 @@
     }
 
     /** Returns the number of tasks that have no machine yet. */
-    public int waitingTasks() {
-        return waitingTasks;
+    public int pendingTasks() {
+        return pendingTasks;
     }
 
     /** Returns whether the job's team stays within its guarantee with this job. */
--- a/src/main/java/io/pepperfield/placement/PreemptionPlanner.java
+++ b/src/main/java/io/pepperfield/placement/PreemptionPlanner.java
@@ -144,7 +144,7 @@
      * their guarantee never may; skipping them saves a scan of all tasks for each of many requests.
      */
     private static boolean mayPreemptAny(PlacementRequest request) {
-        return request.waitingTasks > 0
+        return request.pendingTasks > 0
                 && !request.job.isGang()
                 && !request.crashLooping
                 && (request.withinGuarantee
@@ -165,7 +165,7 @@
         if (atLimit || request.unschedulable) {
             addPlans(request, plans);
         }
-        while (request.waitingTasks > 0 && !plans.isEmpty()) {
+        while (request.pendingTasks > 0 && !plans.isEmpty()) {
             if (atLimit == wouldExceedLimit(request)) {
                 placeOneTask(request, plans);
             } else {
