--- a/src/main/java/io/pepperfield/dispatch/PendingRequests.java
+++ b/src/main/java/io/pepperfield/dispatch/PendingRequests.java
@@ -70,11 +70,11 @@
         for (Job job : jobs) {
             double requestedCpus = addRequestedCpus(job);
             Settings.Team team = cluster.settings().deployment().teams().get(job.spec.team());
-            int waitingTasks = job.startableTaskCount(cluster.liveAttempts().hasAny(job));
-            if (waitingTasks > 0 && team != null && job.startNotBefore() <= now) {
+            int startableTasks = job.startableTaskCount(cluster.liveAttempts().hasAny(job));
+            if (startableTasks > 0 && team != null && job.startNotBefore() <= now) {
                 boolean withinGuarantee =
                         requestedCpus <= team.guaranteedCpus() && !job.isCrashLooping();
-                requests.add(request(job, waitingTasks, withinGuarantee));
+                requests.add(request(job, startableTasks, withinGuarantee));
             }
         }
         return requests;
@@ -122,12 +122,12 @@
         return requestedCpusByTeam.merge(job.spec.team(), cpus, Double::sum);
     }
 
-    private PlacementRequest request(Job job, int waitingTasks, boolean withinGuarantee) {
+    private PlacementRequest request(Job job, int startableTasks, boolean withinGuarantee) {
         Set<String> excludedMachines = excludedMachines(job);
         double waitedS = now - job.readyAt();
         boolean reserved = reservations.hasReservation(job);
         PlacementRequest.Builder builder =
-                PlacementRequest.builder(job.effectiveSpec(), waitingTasks)
+                PlacementRequest.builder(job.effectiveSpec(), startableTasks)
                         .withinGuarantee(withinGuarantee)
                         .readyAt(job.readyAt())
                         .tasksPerZone(cluster.liveAttempts().countByZone(job))
--- a/src/main/java/io/pepperfield/placement/PlacementRequest.java
+++ b/src/main/java/io/pepperfield/placement/PlacementRequest.java
@@ -73,8 +73,8 @@
     }
 
     /** Returns a builder of a request that has {@code pendingTasks} pending tasks. */
-    public static Builder builder(JobSpec job, int waitingTasks) {
-        return new Builder(job, waitingTasks);
+    public static Builder builder(JobSpec job, int pendingTasks) {
+        return new Builder(job, pendingTasks);
     }
 
     /** Builds a request; flags default to false and collections to empty. */
@@ -91,9 +91,9 @@
         private boolean crashLooping;
         private double waitedS;
 
-        private Builder(JobSpec job, int waitingTasks) {
+        private Builder(JobSpec job, int pendingTasks) {
             this.job = job;
-            this.pendingTasks = waitingTasks;
+            this.pendingTasks = pendingTasks;
         }
 
         /** Sets whether the job's team stays within its guarantee with this job. */
--- a/src/test/java/io/pepperfield/placement/BinPackerTest.java
+++ b/src/test/java/io/pepperfield/placement/BinPackerTest.java
@@ -78,14 +78,14 @@
     }
 
     private PlacementRequest request(String id, Map<String, String> fields) {
-        int waitingTasks = (int) number(fields, "waiting", 1);
+        int pendingTasks = (int) number(fields, "waiting", 1);
         Map<String, Integer> tasksPerZone = new HashMap<>();
         if (fields.containsKey("live")) {
             tasksPerZone.put(fields.get("live"), 1);
         }
         Set<String> excludedMachines =
                 fields.containsKey("avoid") ? Set.of(fields.get("avoid")) : Set.of();
-        return PlacementRequest.builder(job(id, waitingTasks, fields), waitingTasks)
+        return PlacementRequest.builder(job(id, pendingTasks, fields), pendingTasks)
                 .withinGuarantee(fields.containsKey("within"))
                 .readyAt(requests.size())
                 .tasksPerZone(tasksPerZone)
@@ -96,13 +96,13 @@
                 .build();
     }
 
-    private static JobSpec job(String id, int waitingTasks, Map<String, String> fields) {
+    private static JobSpec job(String id, int pendingTasks, Map<String, String> fields) {
         return new JobSpecBuilder()
                 .id(id)
                 .team(fields.getOrDefault("team", "red"))
                 .shape(Shape.valueOf(upperCase(fields, "shape", "array")))
                 .rank(Priority.valueOf(upperCase(fields, "rank", "standard")))
-                .tasks((int) number(fields, "tasks", waitingTasks))
+                .tasks((int) number(fields, "tasks", pendingTasks))
                 .cpus(number(fields, "cpus", 4))
                 .image(fields.getOrDefault("image", "img"))
                 .zone(fields.get("zone"))
