--- a/src/test/java/io/pepperfield/placement/BinPackerTest.java
+++ b/src/test/java/io/pepperfield/placement/BinPackerTest.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Plays kept traces of placement and compares the choices. */
+/** Replays a recorded placement trace and compares the placements with the recorded ones. */
 class BinPackerTest {
 
     private final List<PlacementRequest> requests = new ArrayList<>();
@@ -25,11 +25,11 @@
     private final Map<String, QuotaUsage> quotaUsages = new HashMap<>();
 
     @Test
-    void choices() throws IOException {
-        ReplayTrace.check("placement.txt", this::play);
+    void placementsMatchTheRecordedTrace() throws IOException {
+        ReplayTrace.check("placement.txt", this::replay);
     }
 
-    private List<String> play(String[] words) {
+    private List<String> replay(String[] words) {
         Map<String, String> fields = fields(words);
         switch (words[0]) {
             case "new" -> {
@@ -78,31 +78,31 @@
     }
 
     private PlacementRequest request(String id, Map<String, String> fields) {
-        int waitingTasks = (int) number(fields, "waiting", 1);
+        int pendingTasks = (int) number(fields, "waiting", 1);
         Map<String, Integer> tasksPerZone = new HashMap<>();
         if (fields.containsKey("live")) {
             tasksPerZone.put(fields.get("live"), 1);
         }
         Set<String> excludedMachines =
                 fields.containsKey("avoid") ? Set.of(fields.get("avoid")) : Set.of();
-        return PlacementRequest.builder(job(id, waitingTasks, fields), waitingTasks)
+        return PlacementRequest.builder(job(id, pendingTasks, fields), pendingTasks)
                 .withinGuarantee(fields.containsKey("within"))
                 .readyAt(requests.size())
                 .tasksPerZone(tasksPerZone)
                 .excludedMachines(excludedMachines)
                 .overdue(fields.containsKey("overdue"))
-                .reserved(fields.containsKey("promised"))
+                .hasReservation(fields.containsKey("promised"))
                 .waitedS(number(fields, "waited", 0))
                 .build();
     }
 
-    private static JobSpec job(String id, int waitingTasks, Map<String, String> fields) {
+    private static JobSpec job(String id, int pendingTasks, Map<String, String> fields) {
         return new JobSpecBuilder()
                 .id(id)
                 .team(fields.getOrDefault("team", "red"))
                 .shape(Shape.valueOf(upperCase(fields, "shape", "array")))
                 .rank(Priority.valueOf(upperCase(fields, "rank", "standard")))
-                .tasks((int) number(fields, "tasks", waitingTasks))
+                .tasks((int) number(fields, "tasks", pendingTasks))
                 .cpus(number(fields, "cpus", 4))
                 .image(fields.getOrDefault("image", "img"))
                 .zone(fields.get("zone"))
@@ -123,11 +123,11 @@
                 .toList();
     }
 
-    private static String upperCase(Map<String, String> fields, String name, String otherwise) {
-        return fields.getOrDefault(name, otherwise).toUpperCase(Locale.ROOT);
+    private static String upperCase(Map<String, String> fields, String name, String defaultValue) {
+        return fields.getOrDefault(name, defaultValue).toUpperCase(Locale.ROOT);
     }
 
-    private static double number(Map<String, String> fields, String name, double otherwise) {
-        return fields.containsKey(name) ? Double.parseDouble(fields.get(name)) : otherwise;
+    private static double number(Map<String, String> fields, String name, double defaultValue) {
+        return fields.containsKey(name) ? Double.parseDouble(fields.get(name)) : defaultValue;
     }
 }
