--- a/src/main/java/io/pepperfield/autoscaling/Autoscaler.java
+++ b/src/main/java/io/pepperfield/autoscaling/Autoscaler.java
@@ -53,7 +53,7 @@
 
     /** Learns from a task that has completed after so many seconds of running. */
     public void taskFinished(Job job, double ranS) {
-        predictions.taskFinished(job, ranS);
+        predictions.recordRunTime(job, ranS);
     }
 
     /** To be called several times in a heartbeat interval. */
--- a/src/main/java/io/pepperfield/autoscaling/CapacitySupply.java
+++ b/src/main/java/io/pepperfield/autoscaling/CapacitySupply.java
@@ -24,7 +24,7 @@
 final class CapacitySupply {
 
     /** On-demand and spot, in the order in which pools are offered. */
-    private static final boolean[] INSTANCE_CLASSES = {false, true};
+    private static final boolean[] SPOT_OPTIONS = {false, true};
 
     private final ClusterState cluster;
 
@@ -36,13 +36,13 @@
     List<CapacityPlanner.PoolOffer> offers(double now) {
         Map<InstancePool, Integer> machineCounts = new HashMap<>();
         for (Machine machine : cluster.fleet().machines()) {
-            if (isCountedOn(machine, now)) {
+            if (isReadyOrBooting(machine, now)) {
                 machineCounts.merge(machine.pool(), 1, Integer::sum);
             }
         }
         List<CapacityPlanner.PoolOffer> offers = new ArrayList<>();
         for (MachineType type : cluster.machineTypes().all()) {
-            for (boolean spot : INSTANCE_CLASSES) {
+            for (boolean spot : SPOT_OPTIONS) {
                 InstancePool pool = new InstancePool(type.name(), spot);
                 offers.add(offer(type, pool, machineCounts.getOrDefault(pool, 0)));
             }
@@ -95,7 +95,7 @@
         List<ZoneShortage.AvailableMachine> available = new ArrayList<>();
         for (Machine machine : cluster.fleet().machines()) {
             MachineType type = cluster.machineTypes().get(machine.type());
-            if (type != null && isCountedOn(machine, now)) {
+            if (type != null && isReadyOrBooting(machine, now)) {
                 available.add(availableMachine(machine, type, runTimes, intervalS, now));
             }
         }
@@ -127,7 +127,7 @@
 
     private void addRequestedMachines(List<ZoneShortage.AvailableMachine> available) {
         for (MachineType type : cluster.machineTypes().all()) {
-            for (boolean spot : INSTANCE_CLASSES) {
+            for (boolean spot : SPOT_OPTIONS) {
                 InstancePool pool = new InstancePool(type.name(), spot);
                 for (String zone : type.zones()) {
                     int requested = cluster.instanceLifecycle().requestedCount(pool, zone);
@@ -167,7 +167,7 @@
      * Whether the machine is reachable or expected to boot in time. A silent one is not counted on,
      * so that its replacement boots meanwhile.
      */
-    private boolean isCountedOn(Machine machine, double now) {
+    private boolean isReadyOrBooting(Machine machine, double now) {
         boolean present =
                 machine.ready()
                         ? machine.unreachableFor(now) <= cluster.heartbeatTimeoutS()
--- a/src/main/java/io/pepperfield/autoscaling/JobPredictions.java
+++ b/src/main/java/io/pepperfield/autoscaling/JobPredictions.java
@@ -24,7 +24,7 @@
     }
 
     /** Records the run time of a completed task. */
-    void taskFinished(Job job, double ranS) {
+    void recordRunTime(Job job, double ranS) {
         job.runTimes.record(ranS, OptionalDouble.empty());
         workloadRunTimes.record(job.spec.workload(), ranS);
     }
@@ -55,7 +55,9 @@
     /** The time until the job's last task ends, if there is capacity for all that wait. */
     double remainingTime(Job job, double now) {
         double runTime =
-                job.runTimes.count() == 0 ? expectedRunTime(job) : predictRunTime(job, now);
+                job.runTimes.finishedTaskCount() == 0
+                        ? expectedRunTime(job)
+                        : predictRunTime(job, now);
         if (job.isAwaitingDependencies() || job.pendingTaskCount() > 0) {
             return runTime;
         }
@@ -72,7 +74,7 @@
             return Double.POSITIVE_INFINITY;
         }
         DoubleArrayList running = new DoubleArrayList();
-        if (job.runTimes.count() == 0) {
+        if (job.runTimes.finishedTaskCount() == 0) {
             for (Attempt attempt : cluster.liveAttempts().attemptsOf(job)) {
                 if (attempt.running()) {
                     running.add(attempt.ranFor(now));
--- a/src/main/java/io/pepperfield/autoscaling/WorkloadProjection.java
+++ b/src/main/java/io/pepperfield/autoscaling/WorkloadProjection.java
@@ -131,7 +131,7 @@
             double runTime =
                     runTimes.computeIfAbsent(
                             job, waitingJob -> predictions.predictRunTime(waitingJob, now));
-            int counted = takeWithinQuota(job, waiting);
+            int counted = allocateTeamQuota(job, waiting);
             if (counted == 0) {
                 continue;
             }
@@ -158,10 +158,10 @@
                         id -> predictions.unfinishedDependencies(cluster.jobs().get(id)),
                         id -> predictions.remainingTime(cluster.jobs().get(id), now));
         for (Job job : awaiting) {
-            if (readiness.readyIn(job.spec.id()) > intervalS) {
+            if (readiness.secondsUntilReady(job.spec.id()) > intervalS) {
                 continue;
             }
-            int counted = takeWithinQuota(job, job.spec.tasks());
+            int counted = allocateTeamQuota(job, job.spec.tasks());
             if (counted > 0) {
                 addWork(job, predictions.expectedRunTime(job), null, counted);
             }
@@ -172,7 +172,7 @@
      * How many of the tasks the team's limit allows; they use it up. Tasks beyond it cannot run
      * next, and machines for them would stand idle.
      */
-    private int takeWithinQuota(Job job, int taskCount) {
+    private int allocateTeamQuota(Job job, int taskCount) {
         String team = job.spec.team();
         double allowed = remainingTeamCpus.getOrDefault(team, 0.0) / job.spec.cpus();
         int counted = (int) Math.min(taskCount, Math.max(0, allowed));
--- a/src/main/java/io/pepperfield/capacity/CapacityPlanner.java
+++ b/src/main/java/io/pepperfield/capacity/CapacityPlanner.java
@@ -43,7 +43,7 @@
             if (offered > 0) {
                 return needed / offered;
             }
-            return needed > 0 ? NEVER_FITS : 0;
+            return needed > 0 ? UNSATISFIABLE_SHARE : 0;
         }
 
         /** Whether a task of the job may run on such a machine and fits. */
@@ -72,7 +72,7 @@
      * CPUs that are expected to be asked for: by work that needs on-demand machines, and by work
      * that may run on spot machines too.
      */
-    public record ExpectedDemand(double onDemandCpus, double anyCpus) {}
+    public record ExpectedDemand(double onDemandCpus, double spotTolerantCpus) {}
 
     private static final double PRICE_TOLERANCE = 1.1;
 
@@ -80,7 +80,7 @@
     private static final double NEGLIGIBLE_MACHINE_SHARE = 0.05;
 
     /** Stands for a task that cannot fit. */
-    private static final double NEVER_FITS = 2;
+    private static final double UNSATISFIABLE_SHARE = 2;
 
     private CapacityPlanner() {}
 
@@ -101,7 +101,7 @@
         work.stream().filter(ProjectedWork::isRunning).forEach(loads::addRunning);
         work.stream().filter(task -> !task.isRunning()).forEach(loads::addWaiting);
         Map<InstancePool, Integer> targets = new TreeMap<>();
-        loads.tasks.forEach(
+        loads.tasksByPool.forEach(
                 (pool, tasks) ->
                         targets.put(
                                 pool,
@@ -114,13 +114,13 @@
 
     /** The projected tasks of each pool, with the machines that they fill. */
     private static final class PoolLoads {
-        final Map<InstancePool, List<UpcomingTasks>> tasks = new TreeMap<>();
-        private final Map<InstancePool, Double> filledMachines = new HashMap<>();
+        final Map<InstancePool, List<UpcomingTasks>> tasksByPool = new TreeMap<>();
+        private final Map<InstancePool, Double> occupiedMachinesByPool = new HashMap<>();
         private final List<PoolOffer> offers;
 
         PoolLoads(List<PoolOffer> offers) {
             this.offers = offers;
-            offers.forEach(offer -> tasks.put(offer.pool(), new ArrayList<>()));
+            offers.forEach(offer -> tasksByPool.put(offer.pool(), new ArrayList<>()));
         }
 
         /** Adds work to the pool that it runs on, if that is still on offer. */
@@ -139,7 +139,7 @@
                 if (offer == null) {
                     return;
                 }
-                int taskCount = tasksForExistingMachines(offer, work.job(), left);
+                int taskCount = assignableTaskCount(offer, work.job(), left);
                 add(offer, work, taskCount);
                 left -= taskCount;
             }
@@ -149,22 +149,24 @@
          * As many tasks as the existing machines still hold; all of them where these are full,
          * since what is beyond their capacity goes to one pool.
          */
-        private int tasksForExistingMachines(PoolOffer offer, JobSpec job, int taskCount) {
+        private int assignableTaskCount(PoolOffer offer, JobSpec job, int taskCount) {
             double share = Math.min(1, offer.machineShare(job));
-            double free = offer.machineCount() - filled(offer);
+            double free = offer.machineCount() - occupiedMachines(offer);
             return share > 0 && free >= share
                     ? (int) Math.max(1, Math.min(taskCount, free / share))
                     : taskCount;
         }
 
-        private double filled(PoolOffer offer) {
-            return filledMachines.getOrDefault(offer.pool(), 0.0);
+        private double occupiedMachines(PoolOffer offer) {
+            return occupiedMachinesByPool.getOrDefault(offer.pool(), 0.0);
         }
 
         private void add(PoolOffer offer, ProjectedWork work, int taskCount) {
             double share = Math.min(1, offer.machineShare(work.job()));
-            tasks.get(offer.pool()).add(new UpcomingTasks(work.remainingS(), share, taskCount));
-            filledMachines.merge(offer.pool(), taskCount * share, Double::sum);
+            tasksByPool
+                    .get(offer.pool())
+                    .add(new UpcomingTasks(work.remainingS(), share, taskCount));
+            occupiedMachinesByPool.merge(offer.pool(), taskCount * share, Double::sum);
         }
 
         /**
@@ -190,7 +192,7 @@
 
         /** Less is better. */
         private int preference(PoolOffer offer, JobSpec job) {
-            if (filled(offer) + offer.machineShare(job) <= offer.machineCount()) {
+            if (occupiedMachines(offer) + offer.machineShare(job) <= offer.machineCount()) {
                 return 0;
             }
             return offer.mayHaveCapacity() ? 1 : 2;
@@ -217,11 +219,11 @@
     public static Map<InstancePool, Integer> machinesForDemand(
             List<PoolOffer> offers, ExpectedDemand expected) {
         DemandAssignment assignment = new DemandAssignment(offers);
-        double anyLeft = assignment.useExisting(true, expected.anyCpus());
-        double onDemandLeft = assignment.useExisting(false, expected.onDemandCpus());
-        anyLeft = assignment.useExisting(false, anyLeft);
-        anyLeft = assignment.extend(true, anyLeft);
-        assignment.extend(false, onDemandLeft + anyLeft);
+        double anyLeft = assignment.assignToExistingMachines(true, expected.spotTolerantCpus());
+        double onDemandLeft = assignment.assignToExistingMachines(false, expected.onDemandCpus());
+        anyLeft = assignment.assignToExistingMachines(false, anyLeft);
+        anyLeft = assignment.assignToNewMachines(true, anyLeft);
+        assignment.assignToNewMachines(false, onDemandLeft + anyLeft);
         Map<InstancePool, Integer> machines = new HashMap<>();
         for (PoolOffer offer : offers) {
             double cpus = assignment.assignedCpus.getOrDefault(offer.pool(), 0.0);
@@ -250,7 +252,7 @@
         }
 
         /** Uses what is free on existing machines; gives back the CPUs that find no place. */
-        double useExisting(boolean spot, double cpus) {
+        double assignToExistingMachines(boolean spot, double cpus) {
             double left = cpus;
             for (PoolOffer offer : offers) {
                 if (offer.pool().spot() == spot) {
@@ -264,7 +266,7 @@
         }
 
         /** Uses new machines of the cheapest pool with capacity; gives back the CPUs left. */
-        double extend(boolean spot, double cpus) {
+        double assignToNewMachines(boolean spot, double cpus) {
             double left = cpus;
             for (PoolOffer offer : offers) {
                 if (offer.pool().spot() == spot && offer.mayHaveCapacity()) {
--- a/src/main/java/io/pepperfield/capacity/DemandWindow.java
+++ b/src/main/java/io/pepperfield/capacity/DemandWindow.java
@@ -10,20 +10,20 @@
 public final class DemandWindow {
 
     /** The CPUs asked for at a loop time. */
-    private record Sample(double at, double cpus) {}
+    private record Sample(double sampledAt, double cpus) {}
 
     private final ArrayDeque<Sample> samples = new ArrayDeque<>();
-    private final double lengthS;
+    private final double retentionS;
 
-    /** Creates an empty window that keeps samples for {@code lengthS} seconds. */
+    /** Creates an empty window that keeps samples for {@code retentionS} seconds. */
     public DemandWindow(double lengthS) {
-        this.lengthS = lengthS;
+        this.retentionS = lengthS;
     }
 
     /** Records CPUs that were asked for at loop time {@code now}, and drops the oldest samples. */
     public void add(double now, double cpus) {
         samples.addLast(new Sample(now, cpus));
-        while (samples.peekFirst().at < now - lengthS) {
+        while (samples.peekFirst().sampledAt < now - retentionS) {
             samples.pollFirst();
         }
     }
--- a/src/main/java/io/pepperfield/capacity/MachineCountEstimator.java
+++ b/src/main/java/io/pepperfield/capacity/MachineCountEstimator.java
@@ -60,9 +60,9 @@
         private int machines;
 
         /** The time for which the machine that is being filled has been full. */
-        private double busyS;
+        private double fullyOccupiedS;
 
-        private double takenShare;
+        private double occupiedShare;
 
         Simulation(List<UpcomingTasks> tasks, double billingUnitS) {
             this.billingUnitS = billingUnitS;
@@ -74,37 +74,37 @@
         void run() {
             do {
                 fillMachine();
-                if (queue.isEmpty() && takenShare < 1 - ROUNDING_TOLERANCE) {
+                if (queue.isEmpty() && occupiedShare < 1 - ROUNDING_TOLERANCE) {
                     return;
                 }
-                advanceToNextEnd();
-                takenShare = slots.stream().mapToDouble(UpcomingTasks::machineShare).sum();
+                advanceToNextCompletion();
+                occupiedShare = slots.stream().mapToDouble(UpcomingTasks::machineShare).sum();
             } while (!slots.isEmpty() || !queue.isEmpty());
         }
 
         private void fillMachine() {
-            if (slots.isEmpty() && busyS == 0 && !queue.isEmpty()) {
-                machines += takeWholeMachines(queue, billingUnitS);
+            if (slots.isEmpty() && fullyOccupiedS == 0 && !queue.isEmpty()) {
+                machines += dequeueFullMachines(queue, billingUnitS);
             }
             while (!queue.isEmpty() && (slots.isEmpty() || nextFits())) {
-                UpcomingTasks task = takeNextTask(queue);
+                UpcomingTasks task = dequeueTask(queue);
                 slots.add(task);
-                takenShare += task.machineShare();
+                occupiedShare += task.machineShare();
             }
         }
 
         private boolean nextFits() {
-            return takenShare + queue.peek().machineShare() <= 1 + ROUNDING_TOLERANCE;
+            return occupiedShare + queue.peek().machineShare() <= 1 + ROUNDING_TOLERANCE;
         }
 
         /** The shortest task ends; the machine counts once it was full for a billing unit. */
-        private void advanceToNextEnd() {
+        private void advanceToNextCompletion() {
             double shortestS =
                     slots.stream().mapToDouble(UpcomingTasks::remainingS).min().orElse(0);
-            busyS += shortestS;
-            if (busyS >= billingUnitS) {
+            fullyOccupiedS += shortestS;
+            if (fullyOccupiedS >= billingUnitS) {
                 machines++;
-                busyS = 0;
+                fullyOccupiedS = 0;
                 slots.clear();
                 return;
             }
@@ -120,7 +120,7 @@
     }
 
     /** Takes one task of the first group. */
-    private static UpcomingTasks takeNextTask(ArrayDeque<UpcomingTasks> queue) {
+    private static UpcomingTasks dequeueTask(ArrayDeque<UpcomingTasks> queue) {
         UpcomingTasks group = queue.poll();
         if (group.taskCount > 1) {
             queue.addFirst(
@@ -133,7 +133,7 @@
      * The machines that the first group fills by itself, computed at once: the same that task after
      * task would come to.
      */
-    private static int takeWholeMachines(ArrayDeque<UpcomingTasks> queue, double billingUnitS) {
+    private static int dequeueFullMachines(ArrayDeque<UpcomingTasks> queue, double billingUnitS) {
         UpcomingTasks group = queue.peek();
         double share = Math.max(ROUNDING_TOLERANCE, group.machineShare);
         int slotsPerMachine = Math.max(1, (int) Math.floor((1 + ROUNDING_TOLERANCE) / share));
--- a/src/main/java/io/pepperfield/capacity/ZoneShortage.java
+++ b/src/main/java/io/pepperfield/capacity/ZoneShortage.java
@@ -183,7 +183,7 @@
             String zone =
                     bound.zone() != null
                             ? bound.zone()
-                            : zoneLackingLeast(bound, capacities, zoneOffers);
+                            : zoneWithSmallestShortage(bound, capacities, zoneOffers);
             int unplaced = allocate(bound, zone, capacities, billingUnitS);
             ZoneOffer offer = unplaced > 0 ? chooseOffer(zoneOffers, bound.job(), zone) : null;
             if (offer != null) {
@@ -232,7 +232,7 @@
      * The zone that lacks least for a gang, among those that have capacity or may get it; null
      * where there is none.
      */
-    private static String zoneLackingLeast(
+    private static String zoneWithSmallestShortage(
             ZoneBoundWork gang, List<RemainingCapacity> capacities, List<ZoneOffer> zoneOffers) {
         Map<String, Integer> fittingTasks = new TreeMap<>();
         for (ZoneOffer offer : zoneOffers) {
--- a/src/main/java/io/pepperfield/cluster/BootTracker.java
+++ b/src/main/java/io/pepperfield/cluster/BootTracker.java
@@ -60,7 +60,7 @@
 
     /** Records the first heartbeat of a machine that this leader has rented. */
     public void machineBooted(Machine machine, double now) {
-        predictor.record(typeInZone(machine.type(), machine.zone()), machine.rentedAt(), now);
+        predictor.recordBoot(typeInZone(machine.type(), machine.zone()), machine.rentedAt(), now);
         observedBoots.add(machine.name);
     }
 
--- a/src/main/java/io/pepperfield/controller/FleetEventRouter.java
+++ b/src/main/java/io/pepperfield/controller/FleetEventRouter.java
@@ -75,7 +75,7 @@
 
     @Override
     public void attemptGone(Attempt attempt, Heartbeat.Cause cause) {
-        jobs.attemptGone(attempt, cause);
+        jobs.attemptTerminated(attempt, cause);
     }
 
     @Override
--- a/src/main/java/io/pepperfield/controller/Leader.java
+++ b/src/main/java/io/pepperfield/controller/Leader.java
@@ -20,7 +20,7 @@
 import io.pepperfield.health.LeaseRenewal;
 import io.pepperfield.heartbeat.LeaderHeartbeats;
 import io.pepperfield.leadership.Leadership;
-import io.pepperfield.lifecycle.DirectOrders;
+import io.pepperfield.lifecycle.DirectOrderSender;
 import io.pepperfield.lifecycle.DurableState;
 import io.pepperfield.lifecycle.JobTracker;
 import io.pepperfield.loop.Loop;
@@ -48,7 +48,7 @@
     private final Fleet fleet;
     private final InstanceLifecycle instanceLifecycle;
     private final JobTracker jobs;
-    private final DirectOrders directOrders;
+    private final DirectOrderSender directOrders;
     private final LeaderOverview overview;
     private final ClusterState cluster;
     private final InventoryReconciler inventory;
@@ -93,7 +93,7 @@
         StoreFreshness storeFreshness =
                 new StoreFreshness(loop, durable.lastConfirmedAt(), heartbeatIntervalS);
         this.directOrders =
-                new DirectOrders(loop, fleet, leadership, workers, storeFreshness::isFresh);
+                new DirectOrderSender(loop, fleet, leadership, workers, storeFreshness::isFresh);
         this.jobs = createJobTracker();
         this.cluster = createClusterState();
         this.dispatcher = new Dispatcher(cluster, jobs);
--- a/src/main/java/io/pepperfield/lifecycle/AttemptOutcomes.java
+++ b/src/main/java/io/pepperfield/lifecycle/AttemptOutcomes.java
@@ -50,7 +50,7 @@
     }
 
     /** A worker reports the attempt completed; true where its job was still open. */
-    boolean completed(Attempt attempt) {
+    boolean handleCompletion(Attempt attempt) {
         Job job = attempt.job;
         liveAttempts.remove(attempt);
         onWorkChanged.run();
@@ -83,7 +83,7 @@
     }
 
     /** The attempt is proven gone without being completed; its task waits again. */
-    void gone(Attempt attempt, Heartbeat.Cause cause) {
+    void handleTermination(Attempt attempt, Heartbeat.Cause cause) {
         Job job = attempt.job;
         liveAttempts.remove(attempt);
         onWorkChanged.run();
@@ -91,7 +91,7 @@
         if (failed) {
             recordFailure(attempt, cause);
         }
-        if (blamesMachine(job, cause, failed)) {
+        if (indicatesMachineFault(job, cause, failed)) {
             attempt.machine.quarantine(loop.now() + QUARANTINE_INTERVALS * heartbeatIntervalS);
         }
         if (failed) {
@@ -124,7 +124,7 @@
      * Whether the end of an attempt speaks against its machine. What fails of a job that nowhere
      * succeeded says nothing about the machine: several broken jobs would idle the fleet.
      */
-    private static boolean blamesMachine(Job job, Heartbeat.Cause cause, boolean failed) {
+    private static boolean indicatesMachineFault(Job job, Heartbeat.Cause cause, boolean failed) {
         if (failed) {
             return job.doneTaskCount() > 0;
         }
--- a/src/main/java/io/pepperfield/lifecycle/AttemptStarter.java
+++ b/src/main/java/io/pepperfield/lifecycle/AttemptStarter.java
@@ -20,7 +20,7 @@
     private final Fleet fleet;
     private final LiveAttempts liveAttempts;
     private final RunRecordStore runRecords;
-    private final DirectOrders directOrders;
+    private final DirectOrderSender directOrders;
     private boolean termEnded;
 
     AttemptStarter(
@@ -28,7 +28,7 @@
             Fleet fleet,
             LiveAttempts liveAttempts,
             RunRecordStore runRecords,
-            DirectOrders directOrders) {
+            DirectOrderSender directOrders) {
         this.loop = loop;
         this.fleet = fleet;
         this.liveAttempts = liveAttempts;
--- a/src/main/java/io/pepperfield/lifecycle/DirectOrders.java
+++ b/src/main/java/io/pepperfield/lifecycle/DirectOrderSender.java
@@ -18,7 +18,7 @@
  * Sends orders that need not wait for a machine's next heartbeat: what came together for one
  * machine goes in one message. Confined to the event loop.
  */
-public final class DirectOrders {
+public final class DirectOrderSender {
 
     private final Loop loop;
     private final Fleet fleet;
@@ -33,7 +33,7 @@
      *
      * @param storeIsFresh whether the state service has answered of late; if not, starts wait
      */
-    public DirectOrders(
+    public DirectOrderSender(
             Loop loop,
             Fleet fleet,
             Leadership leadership,
@@ -95,10 +95,10 @@
                 leadership.fencingToken(),
                 machine.incarnation(),
                 orders,
-                this::answered);
+                this::handleResponse);
     }
 
-    private void answered(WorkerClient.Result result) {
+    private void handleResponse(WorkerClient.Result result) {
         if (!termEnded && result instanceof WorkerClient.Result.Responded responded) {
             fleet.handleDirectResponse(responded.heartbeat(), loop.now());
         }
--- a/src/main/java/io/pepperfield/lifecycle/JobTracker.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobTracker.java
@@ -53,7 +53,7 @@
             DurableState durable,
             FencingToken fencingToken,
             Fleet fleet,
-            DirectOrders directOrders,
+            DirectOrderSender directOrders,
             Runnable onWorkChanged) {
         this.loop = loop;
         this.jobIndex = durable.jobIndex();
@@ -126,14 +126,14 @@
                 completion.jobEnded(job, record.finalStatus());
             }
         } else if (job == null) {
-            accept(record);
+            addNewJob(record);
         } else if (job.isAwaitingDependencies() && record.ready()) {
             job.dependenciesDone(readyAt(record));
             onWorkChanged.run();
         }
     }
 
-    private void accept(JobRecord record) {
+    private void addNewJob(JobRecord record) {
         Job job = new Job(record.spec(), loop.now());
         jobs.put(record.spec().id(), job);
         trackDependencies(job, record);
@@ -170,11 +170,11 @@
 
     /** A worker reports the attempt completed; true where its job was still open. */
     public boolean attemptCompleted(Attempt attempt) {
-        return attemptOutcomes.completed(attempt);
+        return attemptOutcomes.handleCompletion(attempt);
     }
 
     /** The attempt is proven gone without being completed; its task waits again. */
-    public void attemptGone(Attempt attempt, Heartbeat.Cause cause) {
-        attemptOutcomes.gone(attempt, cause);
+    public void attemptTerminated(Attempt attempt, Heartbeat.Cause cause) {
+        attemptOutcomes.handleTermination(attempt, cause);
     }
 }
--- a/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
+++ b/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
@@ -116,7 +116,7 @@
 
             @Override
             public boolean split() {
-                return maySplit() && sharedRecords.split(key);
+                return canSplit() && sharedRecords.split(key);
             }
         };
     }
@@ -132,13 +132,13 @@
 
             @Override
             public boolean split() {
-                return maySplit() && !isSplit(job, recordIndex) && splitRecordKeys.add(key);
+                return canSplit() && !isSplit(job, recordIndex) && splitRecordKeys.add(key);
             }
         };
     }
 
     /** A record is only split if all its parts fit into one transaction. */
-    private boolean maySplit() {
+    private boolean canSplit() {
         return TaskState.SPLIT_PARTS <= limits.maxMutations();
     }
 
--- a/src/main/java/io/pepperfield/predict/BootTimePredictor.java
+++ b/src/main/java/io/pepperfield/predict/BootTimePredictor.java
@@ -49,7 +49,7 @@
      * @param rentedAt loop time of the rental in seconds
      * @param readyAt loop time of the first heartbeat in seconds
      */
-    public void record(String location, double rentedAt, double readyAt) {
+    public void recordBoot(String location, double rentedAt, double readyAt) {
         ArrayDeque<Boot> boots =
                 bootsByLocation.computeIfAbsent(location, added -> new ArrayDeque<>());
         boots.addLast(new Boot(rentedAt, readyAt));
--- a/src/main/java/io/pepperfield/predict/PeerRunTimes.java
+++ b/src/main/java/io/pepperfield/predict/PeerRunTimes.java
@@ -41,7 +41,7 @@
     }
 
     /** The number of finished tasks. */
-    public int count() {
+    public int finishedTaskCount() {
         return count;
     }
 
@@ -53,7 +53,7 @@
         return median;
     }
 
-    OptionalDouble medianOfSize(double size) {
+    OptionalDouble medianForSize(double size) {
         DoubleArrayList group = bySize.get(size);
         return group == null ? OptionalDouble.empty() : OptionalDouble.of(Medians.of(group));
     }
@@ -65,7 +65,7 @@
         }
     }
 
-    double modelPrediction(double size) {
+    double predictFromModel(double size) {
         return regression.predict(size);
     }
 }
--- a/src/main/java/io/pepperfield/predict/ReadinessPredictor.java
+++ b/src/main/java/io/pepperfield/predict/ReadinessPredictor.java
@@ -16,8 +16,8 @@
 
     private final Function<String, Collection<String>> dependencies;
     private final ToDoubleFunction<String> remainingTime;
-    private final Map<String, Double> readyIn = new HashMap<>();
-    private final Map<String, Double> doneIn = new HashMap<>();
+    private final Map<String, Double> secondsUntilReady = new HashMap<>();
+    private final Map<String, Double> secondsUntilDone = new HashMap<>();
 
     /**
      * @param dependencies the unfinished dependencies of a job, without cycles
@@ -35,12 +35,12 @@
      * since chains may be long; each edge is visited a fixed number of times, however often this is
      * called.
      */
-    public double readyIn(String job) {
+    public double secondsUntilReady(String job) {
         ArrayDeque<String> open = new ArrayDeque<>();
         open.push(job);
         while (!open.isEmpty()) {
             String top = open.peek();
-            if (readyIn.containsKey(top)) {
+            if (secondsUntilReady.containsKey(top)) {
                 // A dependency of several jobs, reached through another of them meanwhile.
                 open.pop();
                 continue;
@@ -48,8 +48,8 @@
             double latest = 0;
             boolean complete = true;
             for (String dependency : dependencies.apply(top)) {
-                if (readyIn.containsKey(dependency)) {
-                    latest = Math.max(latest, doneIn(dependency));
+                if (secondsUntilReady.containsKey(dependency)) {
+                    latest = Math.max(latest, secondsUntilDone(dependency));
                 } else {
                     open.push(dependency);
                     complete = false;
@@ -57,17 +57,18 @@
             }
             if (complete) {
                 open.pop();
-                readyIn.put(top, latest);
+                secondsUntilReady.put(top, latest);
             }
         }
-        return readyIn.get(job);
+        return secondsUntilReady.get(job);
     }
 
     /**
      * Seconds until a job is predicted to be done whose readiness is known. Kept, since a fan of
      * jobs asks for the same one thousands of times.
      */
-    private double doneIn(String job) {
-        return doneIn.computeIfAbsent(job, id -> readyIn.get(id) + remainingTime.applyAsDouble(id));
+    private double secondsUntilDone(String job) {
+        return secondsUntilDone.computeIfAbsent(
+                job, id -> secondsUntilReady.get(id) + remainingTime.applyAsDouble(id));
     }
 }
--- a/src/main/java/io/pepperfield/predict/RunTimePredictor.java
+++ b/src/main/java/io/pepperfield/predict/RunTimePredictor.java
@@ -21,7 +21,7 @@
      */
     public static double predictRunTime(
             PeerRunTimes times, DoubleArrayList running, boolean ready, OptionalDouble size) {
-        if (times.count() == 0) {
+        if (times.finishedTaskCount() == 0) {
             // Policies 1 and 2: nothing is known, or the running ones are presumed about to
             // complete.
             return Medians.of(running);
@@ -29,8 +29,8 @@
         if (!ready || size.isEmpty()) {
             return times.median();
         }
-        OptionalDouble same = times.medianOfSize(size.getAsDouble());
-        return same.isPresent() ? same.getAsDouble() : times.modelPrediction(size.getAsDouble());
+        OptionalDouble same = times.medianForSize(size.getAsDouble());
+        return same.isPresent() ? same.getAsDouble() : times.predictFromModel(size.getAsDouble());
     }
 
     /** What is left of it for a task that has run so long already; never below zero. */
--- a/src/test/java/io/pepperfield/autoscaling/AutoscalerTest.java
+++ b/src/test/java/io/pepperfield/autoscaling/AutoscalerTest.java
@@ -48,24 +48,24 @@
                     List.of("east", "west"),
                     Map.of("red", new Settings.Team("red", 8, 24, 0, 0)),
                     List.of());
-    private final RecordingKeyValueStore state = new RecordingKeyValueStore();
+    private final RecordingKeyValueStore keyValueStore = new RecordingKeyValueStore();
     private final Replica replica = new Replica((key, data, stamp) -> {});
     private final FencedWriter writer =
             new FencedWriter(
-                    state,
-                    state,
+                    keyValueStore,
+                    keyValueStore,
                     replica,
-                    new ReplicaSynchronizer(state, state, replica, 1, 1),
+                    new ReplicaSynchronizer(keyValueStore, keyValueStore, replica, 1, 1),
                     this,
                     TransactionLimits.all(32),
                     1,
                     2);
     private final Fleet fleet = new Fleet(this, new FencingToken(10), 3);
-    private final InstanceLifecycle renting =
+    private final InstanceLifecycle instanceLifecycle =
             new InstanceLifecycle(
                     this, this, writer, fleet, new FencingToken(10), 1, 60, () -> true);
-    private final MachineTypes types = new MachineTypes(settings);
-    private final LiveAttempts ledger = new LiveAttempts();
+    private final MachineTypes machineTypes = new MachineTypes(settings);
+    private final LiveAttempts liveAttempts = new LiveAttempts();
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Autoscaler autoscaler =
             new Autoscaler(
@@ -73,26 +73,26 @@
                             this,
                             settings,
                             new Objectives(List.of()),
-                            types,
+                            machineTypes,
                             fleet,
-                            ledger,
+                            liveAttempts,
                             jobs,
-                            renting,
-                            new BootTracker(types, 60),
+                            instanceLifecycle,
+                            new BootTracker(machineTypes, 60),
                             new LatencyHistograms()));
-    private final List<String> rented = new ArrayList<>();
-    private final Map<String, Integer> serials = new HashMap<>();
+    private final List<String> rentalRequests = new ArrayList<>();
+    private final Map<String, Integer> heartbeatSerials = new HashMap<>();
     private double now = 1;
-    private Consumer<RentalOutcome> answer;
+    private Consumer<RentalOutcome> rentalCallback;
 
     AutoscalerTest() {
-        types.update(
+        machineTypes.update(
                 List.of(
                         new MachineType(
                                 "box", 8, 0, 32, 20, 1, 1, 0.4, 5, List.of("east", "west"))));
     }
 
-    private Job job(Shape shape, int tasks, String zone, boolean together, boolean spread) {
+    private Job addJob(Shape shape, int tasks, String zone, boolean together, boolean spread) {
         Job job =
                 new Job(
                         new JobSpecBuilder()
@@ -113,7 +113,7 @@
         return job;
     }
 
-    private Machine up(String name, String zone, Heartbeat.AttemptStatus... lines) {
+    private Machine reportHeartbeat(String name, String zone, Heartbeat.AttemptStatus... lines) {
         fleet.expectMachine(name, "box", zone, false, 0, 0);
         fleet.handleHeartbeat(
                 new Heartbeat(
@@ -123,7 +123,7 @@
                         zone,
                         false,
                         1,
-                        serials.merge(name, 1, Integer::sum),
+                        heartbeatSerials.merge(name, 1, Integer::sum),
                         new FencingToken(10),
                         null,
                         List.of(lines)),
@@ -131,12 +131,13 @@
         return fleet.get(name);
     }
 
-    private void runs(Job job, int task, String machine, String zone) {
+    private void startAttempt(Job job, int task, String machine, String zone) {
         Attempt attempt =
-                fleet.intendAttempt(job, task, job.startAttempt(task), up(machine, zone), now);
-        ledger.add(attempt);
+                fleet.intendAttempt(
+                        job, task, job.startAttempt(task), reportHeartbeat(machine, zone), now);
+        liveAttempts.add(attempt);
         fleet.intentIsDurable(attempt);
-        up(
+        reportHeartbeat(
                 machine,
                 zone,
                 new Heartbeat.AttemptStatus(
@@ -147,26 +148,31 @@
     }
 
     /** Some steps in half a unit, in which all machines report; what was asked for in them. */
-    private List<String> steer() {
-        List<String> before = List.copyOf(rented);
+    private List<String> rentalsInHalfABillingUnit() {
+        List<String> before = List.copyOf(rentalRequests);
         for (double until = now + 30; now < until; now += 0.5) {
             fleet.machines().stream()
                     .filter(Machine::ready)
-                    .forEach(machine -> up(machine.name, machine.zone(), lines(machine)));
+                    .forEach(
+                            machine ->
+                                    reportHeartbeat(
+                                            machine.name,
+                                            machine.zone(),
+                                            runningStatuses(machine)));
             autoscaler.tick(now);
             writer.flush();
             for (Consumer<KeyValueStore.CompareAndSwapOutcome> done;
-                    (done = state.pendingCallback) != null; ) {
-                state.pendingCallback = null;
+                    (done = keyValueStore.pendingCallback) != null; ) {
+                keyValueStore.pendingCallback = null;
                 done.accept(
                         new KeyValueStore.CompareAndSwapOutcome.Committed(
-                                state.writtenKeys.size()));
+                                keyValueStore.writtenKeys.size()));
             }
         }
-        return rented.subList(before.size(), rented.size());
+        return rentalRequests.subList(before.size(), rentalRequests.size());
     }
 
-    private static Heartbeat.AttemptStatus[] lines(Machine machine) {
+    private static Heartbeat.AttemptStatus[] runningStatuses(Machine machine) {
         return machine.attempts().stream()
                 .map(
                         a ->
@@ -179,77 +185,77 @@
     }
 
     @Test
-    void aJobBoundToAZoneIsNotLeftToIdleMachinesOfAnother() {
-        up("m1", "west");
-        up("m2", "west");
-        job(Shape.ARRAY, 1, "east", false, false);
-        assertEquals(List.of("1 in east"), steer(), "once, as it is under way");
+    void zoneBoundJobRentsInItsZoneDespiteIdleMachinesElsewhere() {
+        reportHeartbeat("m1", "west");
+        reportHeartbeat("m2", "west");
+        addJob(Shape.ARRAY, 1, "east", false, false);
+        assertEquals(List.of("1 in east"), rentalsInHalfABillingUnit(), "once, as it is under way");
     }
 
     @Test
-    void whatIsComingThereCountsAndWhatNeverComesIsReplaced() {
-        up("m1", "west");
-        job(Shape.ARRAY, 1, "east", false, false);
+    void bootingMachineCountsAsCapacityAndIsReplacedWhenOverdue() {
+        reportHeartbeat("m1", "west");
+        addJob(Shape.ARRAY, 1, "east", false, false);
         fleet.expectMachine("m2", "box", "east", false, now, now);
         now += 5;
         autoscaler.tick(now);
-        assertEquals(List.of(), rented);
-        assertEquals(List.of("1 in east"), steer());
+        assertEquals(List.of(), rentalRequests);
+        assertEquals(List.of("1 in east"), rentalsInHalfABillingUnit());
     }
 
     @Test
-    void anArrayThatMustStayTogetherIsFollowedToItsZone() {
-        Job array = job(Shape.ARRAY, 2, null, true, false);
-        runs(array, 0, "m1", "east");
-        up("m2", "west");
-        assertEquals(List.of("1 in east"), steer());
+    void sameZoneArrayRentsInTheZoneOfItsRunningTask() {
+        Job array = addJob(Shape.ARRAY, 2, null, true, false);
+        startAttempt(array, 0, "m1", "east");
+        reportHeartbeat("m2", "west");
+        assertEquals(List.of("1 in east"), rentalsInHalfABillingUnit());
     }
 
     @Test
-    void aGangThatMustStayTogetherIsCompletedInTheZoneThatLacksLeast() {
-        job(Shape.GANG, 3, null, true, false);
-        up("m1", "east");
-        up("m2", "west");
-        up("m3", "west");
-        assertEquals(List.of("1 in west"), steer());
+    void sameZoneGangRentsInTheZoneWithTheSmallestShortage() {
+        addJob(Shape.GANG, 3, null, true, false);
+        reportHeartbeat("m1", "east");
+        reportHeartbeat("m2", "west");
+        reportHeartbeat("m3", "west");
+        assertEquals(List.of("1 in west"), rentalsInHalfABillingUnit());
     }
 
     @Test
-    void replicasThatMayOnlyGoToTheOtherZoneGetAMachineThere() {
-        Job service = job(Shape.SERVICE, 2, null, false, true);
-        runs(service, 0, "m1", "east");
-        up("m2", "east");
-        assertEquals(List.of("1 in west"), steer());
+    void spreadReplicasRentInTheOnlyZoneStillAllowed() {
+        Job service = addJob(Shape.SERVICE, 2, null, false, true);
+        startAttempt(service, 0, "m1", "east");
+        reportHeartbeat("m2", "east");
+        assertEquals(List.of("1 in west"), rentalsInHalfABillingUnit());
     }
 
     @Test
-    void replicasThatMayStillGoToEitherZoneRentNothingBesideTheCount() {
-        job(Shape.SERVICE, 2, null, false, true);
-        up("m1", "east");
-        up("m2", "east");
-        assertEquals(List.of(), steer());
+    void spreadReplicasAllowedInBothZonesRentNoExtraMachines() {
+        addJob(Shape.SERVICE, 2, null, false, true);
+        reportHeartbeat("m1", "east");
+        reportHeartbeat("m2", "east");
+        assertEquals(List.of(), rentalsInHalfABillingUnit());
     }
 
     @Test
-    void aZoneThatHasRefusedIsNotAskedAgainForAUnit() {
-        up("m1", "west");
-        job(Shape.ARRAY, 1, "east", false, false);
-        assertEquals(List.of("1 in east"), steer());
-        answer.accept(new RentalOutcome.NoCapacity());
-        assertEquals(List.of(), steer());
-        assertEquals(List.of(), steer());
-        assertEquals(List.of("1 in east"), steer());
+    void zoneWithoutCapacityIsNotRetriedForABillingUnit() {
+        reportHeartbeat("m1", "west");
+        addJob(Shape.ARRAY, 1, "east", false, false);
+        assertEquals(List.of("1 in east"), rentalsInHalfABillingUnit());
+        rentalCallback.accept(new RentalOutcome.NoCapacity());
+        assertEquals(List.of(), rentalsInHalfABillingUnit());
+        assertEquals(List.of(), rentalsInHalfABillingUnit());
+        assertEquals(List.of("1 in east"), rentalsInHalfABillingUnit());
     }
 
     @Test
-    void aTeamAtItsLimitGetsNoMachineThatItCouldNotUse() {
-        Job first = job(Shape.ARRAY, 3, null, false, false);
-        runs(first, 0, "m1", "west");
-        runs(first, 1, "m2", "west");
-        runs(first, 2, "m3", "west");
-        up("m4", "west");
-        job(Shape.ARRAY, 1, "east", false, false);
-        assertEquals(List.of(), steer());
+    void teamAtItsCpuLimitRentsNoMachines() {
+        Job first = addJob(Shape.ARRAY, 3, null, false, false);
+        startAttempt(first, 0, "m1", "west");
+        startAttempt(first, 1, "m2", "west");
+        startAttempt(first, 2, "m3", "west");
+        reportHeartbeat("m4", "west");
+        addJob(Shape.ARRAY, 1, "east", false, false);
+        assertEquals(List.of(), rentalsInHalfABillingUnit());
     }
 
     @Override
@@ -288,7 +294,7 @@
             boolean spot,
             int count,
             Consumer<RentalOutcome> done) {
-        rented.add(count + " in " + zone);
-        answer = done;
+        rentalRequests.add(count + " in " + zone);
+        rentalCallback = done;
     }
 }
--- a/src/test/java/io/pepperfield/capacity/MachineCountEstimatorTest.java
+++ b/src/test/java/io/pepperfield/capacity/MachineCountEstimatorTest.java
@@ -12,12 +12,12 @@
 class MachineCountEstimatorTest {
 
     @Test
-    void machines() throws IOException {
-        ReplayTrace.check("resize.txt", MachineCountEstimatorTest::play);
+    void requiredMachinesMatchTheTrace() throws IOException {
+        ReplayTrace.check("resize.txt", MachineCountEstimatorTest::runTraceCommand);
     }
 
     @Test
-    void workThatHasOverrunIsStillANumber() {
+    void demandWeightOfOverdueWorkIsOne() {
         assertEquals(0.5, CapacityPlanner.demandWeight(10, 20));
         assertEquals(1, CapacityPlanner.demandWeight(30, 20));
         assertEquals(1, CapacityPlanner.demandWeight(0, -5));
@@ -26,7 +26,7 @@
     }
 
     /** machines COUNTxREMAINING/SLOTS ... with u = 60 and a fifth of it for the last machine. */
-    private static List<String> play(String[] words) {
+    private static List<String> runTraceCommand(String[] words) {
         List<MachineCountEstimator.UpcomingTasks> tasks = new ArrayList<>();
         List<MachineCountEstimator.UpcomingTasks> grouped = new ArrayList<>();
         for (int i = 1; i < words.length; i++) {
--- a/src/test/java/io/pepperfield/capacity/ZoneShortageTest.java
+++ b/src/test/java/io/pepperfield/capacity/ZoneShortageTest.java
@@ -18,9 +18,10 @@
 class ZoneShortageTest {
 
     private static final InstancePool BOX = new InstancePool("box", false);
-    private static final List<ZoneOffer> SOURCES = List.of(source("east"), source("west"));
+    private static final List<ZoneOffer> ZONE_OFFERS =
+            List.of(zoneOffer("east"), zoneOffer("west"));
 
-    private static ZoneOffer source(String zone) {
+    private static ZoneOffer zoneOffer(String zone) {
         return new ZoneOffer(new CapacityPlanner.PoolOffer(BOX, 8, 0, 32, 1, 5, 0, true), zone);
     }
 
@@ -43,58 +44,78 @@
         return ZoneShortage.missingMachines(List.of(bound), List.of(standing), sources, 60, 0.2);
     }
 
-    private static AvailableMachine standing(String zone, double cpus) {
+    private static AvailableMachine availableMachine(String zone, double cpus) {
         return new AvailableMachine(BOX, zone, cpus, 0, 32);
     }
 
     @Test
-    void roomInPiecesThatAreTooSmallIsNone() {
+    void capacitySplitOverMachinesTooSmallForATaskDoesNotCount() {
         ZoneBoundWork whole =
                 new ZoneBoundWork(job(Shape.ARRAY, 2, 8, "east", false), "east", 90, 2);
         assertEquals(
                 Map.of(BOX, Map.of("east", 2)),
                 shortage(
                         whole,
-                        SOURCES,
-                        standing("east", 4),
-                        standing("east", 4),
-                        standing("west", 8)));
+                        ZONE_OFFERS,
+                        availableMachine("east", 4),
+                        availableMachine("east", 4),
+                        availableMachine("west", 8)));
         assertEquals(
                 Map.of(BOX, Map.of("east", 1)),
-                shortage(whole, SOURCES, standing("east", 8), standing("west", 8)));
-        assertEquals(Map.of(), shortage(whole, SOURCES, standing("east", 8), standing("east", 8)));
+                shortage(
+                        whole,
+                        ZONE_OFFERS,
+                        availableMachine("east", 8),
+                        availableMachine("west", 8)));
+        assertEquals(
+                Map.of(),
+                shortage(
+                        whole,
+                        ZONE_OFFERS,
+                        availableMachine("east", 8),
+                        availableMachine("east", 8)));
     }
 
     @Test
-    void shortTasksFollowEachOtherInASlotAndSoFillFewerMachines() {
+    void shortTasksRunInSequenceAndNeedFewerMachines() {
         JobSpec array = job(Shape.ARRAY, 40, 4, "east", false);
         // Six of 10 s in a slot, two slots in a machine.
         assertEquals(
                 Map.of(BOX, Map.of("east", 2)),
-                shortage(new ZoneBoundWork(array, "east", 10, 36), SOURCES, standing("east", 8)));
+                shortage(
+                        new ZoneBoundWork(array, "east", 10, 36),
+                        ZONE_OFFERS,
+                        availableMachine("east", 8)));
         // Of tasks of which nothing is known yet one slot will do until the first has run.
         assertEquals(
                 Map.of(BOX, Map.of("east", 1)),
-                shortage(new ZoneBoundWork(array, "east", 0, 40), SOURCES, standing("east", 2)));
+                shortage(
+                        new ZoneBoundWork(array, "east", 0, 40),
+                        ZONE_OFFERS,
+                        availableMachine("east", 2)));
         assertEquals(
                 Map.of(),
-                shortage(new ZoneBoundWork(array, "east", 0, 40), SOURCES, standing("east", 4)));
+                shortage(
+                        new ZoneBoundWork(array, "east", 0, 40),
+                        ZONE_OFFERS,
+                        availableMachine("east", 4)));
     }
 
     @Test
-    void whereNothingCanBeHadNothingIsShort() {
+    void noShortageIsReportedWithoutAFittingOffer() {
         ZoneBoundWork bound =
                 new ZoneBoundWork(job(Shape.ARRAY, 1, 8, "east", false), "east", 90, 1);
-        assertEquals(Map.of(), shortage(bound, List.of(source("west")), standing("west", 8)));
+        assertEquals(
+                Map.of(), shortage(bound, List.of(zoneOffer("west")), availableMachine("west", 8)));
         assertEquals(
                 Map.of(),
                 shortage(
                         new ZoneBoundWork(job(Shape.ARRAY, 1, 9, "east", false), "east", 90, 1),
-                        SOURCES));
+                        ZONE_OFFERS));
     }
 
     @Test
-    void replicasAreBoundOnlyOnceTheOtherZoneMayTakeNoMore() {
+    void spreadReplicasAreZoneBoundOnlyWhenOneZoneIsLeft() {
         Set<String> zones = Set.of("east", "west");
         JobSpec service = job(Shape.SERVICE, 5, 2, null, true);
         assertEquals(Optional.empty(), ZoneShortage.zoneBoundWork(service, 90, 5, Map.of(), zones));
--- a/src/test/java/io/pepperfield/predict/ReadinessPredictorTest.java
+++ b/src/test/java/io/pepperfield/predict/ReadinessPredictorTest.java
@@ -13,7 +13,7 @@
 class ReadinessPredictorTest {
 
     @Test
-    void theLongestWayCounts() {
+    void longestDependencyPathDeterminesReadiness() {
         Map<String, List<String>> needs =
                 Map.of(
                         "first",
@@ -27,24 +27,24 @@
         Map<String, Double> remaining =
                 Map.of("first", 5.0, "short", 1.0, "long", 8.0, "last", 2.0);
         ReadinessPredictor times = new ReadinessPredictor(needs::get, remaining::get);
-        assertEquals(0, times.readyIn("first"));
-        assertEquals(5, times.readyIn("short"));
-        assertEquals(13, times.readyIn("last"));
+        assertEquals(0, times.secondsUntilReady("first"));
+        assertEquals(5, times.secondsUntilReady("short"));
+        assertEquals(13, times.secondsUntilReady("last"));
     }
 
     @Test
-    void longChainsAndWideFansCostLittle() {
+    void longChainWithWideFanInIsPredicted() {
         Map<String, List<String>> needs = new HashMap<>(Map.of("0", List.of()));
         for (int i = 1; i <= 20_000; i++) {
             needs.put("" + i, List.of("" + (i - 1)));
         }
         List<String> all = new ArrayList<>(needs.keySet());
         needs.put("fan", all);
-        assertEquals(20_001, new ReadinessPredictor(needs::get, job -> 1).readyIn("fan"));
+        assertEquals(20_001, new ReadinessPredictor(needs::get, job -> 1).secondsUntilReady("fan"));
     }
 
     @Test
-    void workGrowsWithTheEdgesAndEachJobsTimeIsPredictedOnce() {
+    void eachJobIsPredictedOnceAndVisitedAtMostTwice() {
         Map<String, List<String>> needs = new HashMap<>();
         int layers = 20;
         int width = 100;
@@ -70,9 +70,9 @@
                             return 1;
                         });
         for (String job : needs.keySet()) {
-            times.readyIn(job);
+            times.secondsUntilReady(job);
         }
-        assertEquals(layers - 1, times.readyIn((layers - 1) + "/0"));
+        assertEquals(layers - 1, times.secondsUntilReady((layers - 1) + "/0"));
         int jobs = layers * width;
         assertTrue(predicted[0] <= jobs, "predicted " + predicted[0]);
         assertTrue(lookedUp[0] <= 2 * jobs, "looked up " + lookedUp[0]);
--- a/src/test/java/io/pepperfield/predict/RunTimePredictorTest.java
+++ b/src/test/java/io/pepperfield/predict/RunTimePredictorTest.java
@@ -15,11 +15,11 @@
     private final DoubleArrayList running = new DoubleArrayList();
 
     @Test
-    void policies() throws IOException {
-        ReplayTrace.check("predictor.txt", this::play);
+    void predictionsMatchTheTrace() throws IOException {
+        ReplayTrace.check("predictor.txt", this::runTraceCommand);
     }
 
-    private List<String> play(String[] words) {
+    private List<String> runTraceCommand(String[] words) {
         switch (words[0]) {
             case "job" -> {
                 times = new PeerRunTimes();
