--- a/src/main/java/io/pepperfield/autoscaling/Autoscaler.java
+++ b/src/main/java/io/pepperfield/autoscaling/Autoscaler.java
@@ -18,8 +18,8 @@
 
 /**
  * The control loop of WIRE (Xie et al., "WIRE: Resource-efficient Scaling with Online Prediction
- * for DAG-based Workflows"): projects the load of the next interval, rents what is short and
- * releases what is surplus. Belongs to one term; used on the owner thread only.
+ * for DAG-based Workflows"): projects the load of the next interval, rents missing machines and
+ * releases surplus ones. Created for one term; confined to the event loop.
  */
 public final class Autoscaler {
 
@@ -51,12 +51,12 @@
         this.deferrableWindow = new DemandWindow(billingUnitS);
     }
 
-    /** Learns from a task that has completed after so many seconds of running. */
-    public void taskFinished(Job job, double ranS) {
-        predictions.recordRunTime(job, ranS);
+    /** Records the run time in seconds of a completed task. */
+    public void taskFinished(Job job, double runTimeS) {
+        predictions.recordRunTime(job, runTimeS);
     }
 
-    /** To be called several times in a heartbeat interval. */
+    /** Runs the control loop if it is due. Must be called several times per heartbeat interval. */
     public void tick(double now) {
         if (now - lastRunAt >= cluster.heartbeatIntervalS() / 2 && cluster.machineTypes().known()) {
             lastRunAt = now;
@@ -66,7 +66,8 @@
     }
 
     private void adjustCapacity(double now) {
-        // WIRE's interval: what is rented now is ready when the next one begins.
+        // WIRE's interval is the longest boot time, so that machines rented now are ready when the
+        // next interval begins.
         intervalS = cluster.bootTracker().longestBootTime();
         CurrentDemand demand =
                 new CurrentDemand(cluster, predictions, intervalS, billingUnitS, now);
@@ -75,9 +76,9 @@
         recordDemand(demand, now);
         List<PoolOffer> offers = capacitySupply.offers(now);
         Map<InstancePool, Integer> targets = targetMachineCounts(projection, demand, offers);
-        // What is asked for at this moment is no surplus, whatever was asked for of late; and a new
-        // leader has not seen what came and went in the time that a boot takes.
-        Map<InstancePool, Integer> needed =
+        // Capacity for the current demand is never surplus, even if recent demand was lower. A new
+        // leader also lacks the demand history of the last boot time.
+        Map<InstancePool, Integer> currentlyRequired =
                 CapacityPlanner.machinesForDemand(
                         offers,
                         new ExpectedDemand(demand.onDemandCpus(), demand.spotTolerantCpus()));
@@ -88,7 +89,7 @@
             int target = targets.getOrDefault(pool, 0);
             Map<String, Integer> shortage = shortages.getOrDefault(pool, Map.of());
             scaleOut(offer, target, shortage);
-            scaleIn(offer, Math.max(target, needed.get(pool)), shortage.keySet(), now);
+            scaleIn(offer, Math.max(target, currentlyRequired.get(pool)), shortage.keySet(), now);
         }
     }
 
@@ -110,12 +111,15 @@
                 offers);
     }
 
-    /** WIRE's counts, together with those for work that recent demand lets expect. */
+    /**
+     * Returns WIRE's machine counts, raised to the counts for the demand expected from recent
+     * samples.
+     */
     private Map<InstancePool, Integer> targetMachineCounts(
             WorkloadProjection projection, CurrentDemand demand, List<PoolOffer> offers) {
         OperatorSettings operators = cluster.settings().operators();
-        // The median of a rising demand lags half a unit behind, and a boot comes on top: what
-        // waits now counts as it is.
+        // The median of rising demand lags by half a billing unit, and booting adds a further
+        // delay. The current deferrable demand is therefore the minimum.
         double deferrableCpus =
                 Math.max(
                         demand.deferrableCpus(),
@@ -130,7 +134,7 @@
                 operators.partialMachineShare());
     }
 
-    /** The machines that single zones lack for work that may go nowhere else. */
+    /** Returns the machines missing in each zone for work that is bound to that zone. */
     private Map<InstancePool, Map<String, Integer>> zoneShortages(
             WorkloadProjection projection, List<PoolOffer> offers, double now) {
         if (projection.zoneBoundWork().isEmpty()) {
@@ -153,19 +157,19 @@
     }
 
     /**
-     * Releases a surplus that has lasted for the time of a boot: to rent again costs one, so that
-     * an earlier release would not pay.
+     * Releases a surplus that has lasted for one boot time. Renting a replacement costs a boot, so
+     * an earlier release would not pay off.
      */
-    private void scaleIn(PoolOffer offer, int wantedNow, Set<String> shortZones, double now) {
-        DemandWindow wanted =
+    private void scaleIn(PoolOffer offer, int requiredCount, Set<String> shortZones, double now) {
+        DemandWindow requiredCounts =
                 targetWindows.computeIfAbsent(
                         offer.pool(),
                         pool -> new DemandWindow(cluster.machineTypes().get(pool.type()).bootS()));
-        wanted.add(now, wantedNow);
-        int mostWanted = (int) wanted.quantile(1);
+        requiredCounts.add(now, requiredCount);
+        int maxRequiredCount = (int) requiredCounts.quantile(1);
         boolean observedForInterval = now - startedAt >= intervalS;
-        if (observedForInterval && mostWanted < offer.machineCount()) {
-            int surplus = offer.machineCount() - mostWanted;
+        if (observedForInterval && maxRequiredCount < offer.machineCount()) {
+            int surplus = offer.machineCount() - maxRequiredCount;
             poolScaler.scaleIn(offer.pool(), surplus, shortZones, intervalS, now);
         }
     }
--- a/src/main/java/io/pepperfield/autoscaling/CapacitySupply.java
+++ b/src/main/java/io/pepperfield/autoscaling/CapacitySupply.java
@@ -20,7 +20,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** The machines that are ready, booting or on offer, as the capacity planner counts them. */
+/** Provides the capacity planner's view of ready, booting and rentable machines. */
 final class CapacitySupply {
 
     /** On-demand and spot, in the order in which pools are offered. */
@@ -32,7 +32,9 @@
         this.cluster = cluster;
     }
 
-    /** What can be rented of each pool, and how many machines it has or is getting. */
+    /**
+     * Returns an offer for each pool, with the number of its ready, booting and requested machines.
+     */
     List<CapacityPlanner.PoolOffer> offers(double now) {
         Map<InstancePool, Integer> machineCounts = new HashMap<>();
         for (Machine machine : cluster.fleet().machines()) {
@@ -68,7 +70,7 @@
                 type.zones().stream().anyMatch(zone -> instances.mayHaveCapacity(pool, zone)));
     }
 
-    /** The part of a job's waiting tasks that may go to one zone only. */
+    /** Returns the part of a job's waiting tasks that may run in one zone only. */
     Optional<ZoneShortage.ZoneBoundWork> zoneBoundWork(Job job, double runTime, int waiting) {
         JobSpec spec = job.spec;
         if (spec.zone() == null && !spec.sameZone() && !spec.spreadOverZones()) {
@@ -87,8 +89,9 @@
     }
 
     /**
-     * The machines that are ready or booting, with what will be free there: what live attempts take
-     * counts unless they are being stopped or are predicted to end within the interval.
+     * Returns the ready, booting and requested machines, with the capacity that is expected to be
+     * free on them. A live attempt occupies its capacity unless it is being stopped or is predicted
+     * to end within the interval.
      */
     List<ZoneShortage.AvailableMachine> availableMachines(
             Map<Job, Double> runTimes, double intervalS, double now) {
@@ -142,15 +145,15 @@
     }
 
     /**
-     * Whether the attempt is predicted to end within the interval. One that has run for longer than
-     * predicted may go on for ever, and keeps its place.
+     * Whether the attempt is predicted to end within the interval. An attempt that has exceeded its
+     * predicted run time may run indefinitely, so it keeps its capacity.
      */
     private static boolean endsSoon(Attempt attempt, double runTime, double intervalS, double now) {
         double remaining = RunTimePredictor.remainingTime(runTime, attempt.ranFor(now));
         return remaining > 0 && remaining <= intervalS;
     }
 
-    /** The offers in each zone that may have capacity. */
+    /** Returns the offers in each zone that may have capacity. */
     List<ZoneShortage.ZoneOffer> zoneOffers(List<CapacityPlanner.PoolOffer> offers) {
         List<ZoneShortage.ZoneOffer> zoneOffers = new ArrayList<>();
         for (CapacityPlanner.PoolOffer offer : offers) {
@@ -164,8 +167,8 @@
     }
 
     /**
-     * Whether the machine is reachable or expected to boot in time. A silent one is not counted on,
-     * so that its replacement boots meanwhile.
+     * Whether the machine is reachable or still expected to boot in time. An unreachable machine is
+     * excluded, so that its replacement boots in the meantime.
      */
     private boolean isReadyOrBooting(Machine machine, double now) {
         boolean present =
--- a/src/main/java/io/pepperfield/autoscaling/CurrentDemand.java
+++ b/src/main/java/io/pepperfield/autoscaling/CurrentDemand.java
@@ -6,12 +6,12 @@
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.predict.RunTimePredictor;
 
-/** CPUs asked for at one moment, by how long the work can wait. */
+/** CPU demand at one moment, classified by how long the work can wait. */
 final class CurrentDemand {
 
     /**
-     * Part of the time that an objective allows which is planned with; the rest is a reserve for
-     * boots and failures.
+     * Fraction of the time allowed by an objective that is planned for; the remainder is a reserve
+     * for boots and failures.
      */
     private static final double PLANNED_SHARE_OF_OBJECTIVE = 0.5;
 
@@ -40,11 +40,11 @@
     }
 
     /**
-     * Adds tasks of a job that run or wait.
+     * Adds running or waiting tasks of a job.
      *
-     * @param ranS seconds that each of them has run
+     * @param elapsedS seconds for which each task has run
      */
-    void add(Job job, double ranS, int taskCount) {
+    void add(Job job, double elapsedS, int taskCount) {
         JobSpec spec = job.spec;
         double cpus = taskCount * spec.cpus();
         if (!spec.spotAllowed()) {
@@ -52,45 +52,52 @@
             return;
         }
         spotTolerantCpus += cpus;
-        // A wait longer than any boot is met by renting when the work comes, and is no reason to
-        // keep machines for it.
+        // If the work may wait longer than any boot takes, machines can be rented when it arrives
+        // and need not be kept for it.
         if (cluster.objectives().maxWait(spec.workload()) > intervalS) {
-            deferrableCpus += cpus * deferrableWeight(job, ranS);
+            deferrableCpus += cpus * deferrableWeight(job, elapsedS);
         } else {
             urgentCpus += cpus;
         }
     }
 
     /**
-     * Work that can wait counts by the part that it fills of the time left for it: until its class
-     * should be complete, with a reserve, and no longer than a billing unit, by which WIRE counts
-     * machines.
+     * Returns the weight of deferrable work: the fraction of the available time that its remaining
+     * run time fills. The available time ends when its workload class should be complete, minus the
+     * reserve, and is at most a billing unit, the period for which WIRE counts machines.
      */
-    private double deferrableWeight(Job job, double ranS) {
-        double remainingS = RunTimePredictor.remainingTime(predictions.expectedRunTime(job), ranS);
+    private double deferrableWeight(Job job, double elapsedS) {
+        double remainingS =
+                RunTimePredictor.remainingTime(predictions.expectedRunTime(job), elapsedS);
         double ageS = now - job.readyAt();
-        double finishS =
+        double finishLimitS =
                 cluster.objectives().nextFinishTime(job.spec.workload(), ageS + remainingS);
-        double availableS = Math.min(billingUnitS, PLANNED_SHARE_OF_OBJECTIVE * finishS - ageS);
+        double availableS =
+                Math.min(billingUnitS, PLANNED_SHARE_OF_OBJECTIVE * finishLimitS - ageS);
         return CapacityPlanner.demandWeight(remainingS, availableS);
     }
 
-    /** Work that must not run on spot instances. */
+    /** CPUs of work that must not run on spot instances. */
     double onDemandCpus() {
         return onDemandCpus;
     }
 
-    /** Work that may run on spot instances and should start before a machine could boot for it. */
+    /**
+     * CPUs of work that may run on spot instances and should start before a machine could boot for
+     * it.
+     */
     double urgentCpus() {
         return urgentCpus;
     }
 
-    /** Work that may run on spot instances and can wait, weighted by the time left for it. */
+    /**
+     * CPUs of work that may run on spot instances and can wait, weighted by the time left for it.
+     */
     double deferrableCpus() {
         return deferrableCpus;
     }
 
-    /** All work that may run on spot instances, unweighted. */
+    /** CPUs of all work that may run on spot instances, unweighted. */
     double spotTolerantCpus() {
         return spotTolerantCpus;
     }
--- a/src/main/java/io/pepperfield/autoscaling/JobPredictions.java
+++ b/src/main/java/io/pepperfield/autoscaling/JobPredictions.java
@@ -11,8 +11,8 @@
 import java.util.OptionalDouble;
 
 /**
- * How long tasks run and jobs take, by WIRE's predictor and by what is known of their workload
- * classes. All times are in seconds.
+ * Predicts run times of tasks and remaining times of jobs, from WIRE's predictor and from recent
+ * run times of workload classes. All times are in seconds.
  */
 final class JobPredictions {
 
@@ -24,19 +24,22 @@
     }
 
     /** Records the run time of a completed task. */
-    void recordRunTime(Job job, double ranS) {
-        job.runTimes.record(ranS, OptionalDouble.empty());
-        workloadRunTimes.record(job.spec.workload(), ranS);
+    void recordRunTime(Job job, double runTimeS) {
+        job.runTimes.record(runTimeS, OptionalDouble.empty());
+        workloadRunTimes.record(job.spec.workload(), runTimeS);
     }
 
-    /** How long a task of the class runs, by recent ones or else by its owner's estimate. */
+    /**
+     * Returns the expected run time of a task of the class: the median of recent tasks, or the
+     * owner's estimate if there are none.
+     */
     double expectedRunTime(JobSpec spec) {
         return workloadRunTimes.expectedRunTime(spec.workload(), spec.expectedRunTimeS());
     }
 
     /**
-     * The job's dependencies that have not ended: one that this leader does not have is done, or
-     * its end is about to be known.
+     * Returns the job's dependencies that have not ended. A dependency that this leader does not
+     * track is done, or its final state will be received shortly.
      */
     List<String> unfinishedDependencies(Job job) {
         return job.spec.dependencies().stream()
@@ -47,12 +50,15 @@
                 .toList();
     }
 
-    /** How long a task of a job runs of which none has started. */
+    /** Returns the expected run time of a task of a job none of whose tasks has started. */
     double expectedRunTime(Job job) {
         return job.spec.isService() ? Double.POSITIVE_INFINITY : expectedRunTime(job.spec);
     }
 
-    /** The time until the job's last task ends, if there is capacity for all that wait. */
+    /**
+     * Returns the time until the job's last task ends, if there is capacity for all its pending
+     * tasks.
+     */
     double remainingTime(Job job, double now) {
         double runTime =
                 job.runTimes.finishedTaskCount() == 0
@@ -68,7 +74,7 @@
                 .orElse(0);
     }
 
-    /** WIRE's prediction for a task of the job; infinite for a replica. */
+    /** Returns WIRE's prediction for a task of the job; infinite for a service replica. */
     double predictRunTime(Job job, double now) {
         if (job.spec.isService()) {
             return Double.POSITIVE_INFINITY;
--- a/src/main/java/io/pepperfield/autoscaling/PoolScaler.java
+++ b/src/main/java/io/pepperfield/autoscaling/PoolScaler.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Rents the machines that a pool lacks, and releases those that it has too many. */
+/** Rents the missing machines of a pool and releases its surplus ones. */
 final class PoolScaler {
 
     private final ClusterState cluster;
@@ -24,11 +24,11 @@
     }
 
     /**
-     * Rents machines with one call for each zone, so that the zones with capacity come to about the
-     * same number.
+     * Rents machines with one request per zone, balancing the number of machines across the zones
+     * that may have capacity.
      *
-     * @param count machines to rent in all
-     * @param shortages how many of them single zones lack
+     * @param count total number of machines to rent
+     * @param shortages machines missing in individual zones, included in {@code count}
      */
     void scaleOut(InstancePool pool, int count, Map<String, Integer> shortages) {
         List<String> zones = preferredZones(pool);
@@ -63,28 +63,31 @@
     }
 
     /**
-     * The zones that may have capacity, by name. Zones where machines boot late or not at all are
-     * left out as long as there are others, or what waits would have nowhere to go.
+     * Returns the zones that may have capacity, sorted by name. Zones where machines boot late or
+     * not at all are excluded, unless there are no others: pending work must not be left without
+     * machines.
      */
     private List<String> preferredZones(InstancePool pool) {
         MachineType type = cluster.machineTypes().get(pool.type());
-        List<String> open =
+        List<String> zonesWithCapacity =
                 type.zones().stream()
                         .filter(zone -> cluster.instanceLifecycle().mayHaveCapacity(pool, zone))
                         .sorted()
                         .toList();
-        List<String> prompt =
-                open.stream().filter(zone -> !cluster.bootTracker().isLate(type, zone)).toList();
-        return prompt.isEmpty() ? open : prompt;
+        List<String> zonesWithoutDelay =
+                zonesWithCapacity.stream()
+                        .filter(zone -> !cluster.bootTracker().isLate(type, zone))
+                        .toList();
+        return zonesWithoutDelay.isEmpty() ? zonesWithCapacity : zonesWithoutDelay;
     }
 
     /** A machine that could be released, and the seconds of work that its release would lose. */
     private record Candidate(Machine machine, double restartCostS) {}
 
     /**
-     * WIRE's algorithm 2: of a surplus those machines go whose billing unit ends within the
-     * interval and whose tasks are cheap to restart. Zones that are short at the same time are left
-     * out: what is rented there would be released and rented for ever.
+     * WIRE's algorithm 2: releases those surplus machines whose billing unit ends within the
+     * interval and whose tasks are cheap to restart. Zones with a shortage are excluded, since
+     * their machines would be released and rented again repeatedly.
      */
     void scaleIn(
             InstancePool pool, int surplus, Set<String> shortZones, double intervalS, double now) {
--- a/src/main/java/io/pepperfield/autoscaling/WorkloadProjection.java
+++ b/src/main/java/io/pepperfield/autoscaling/WorkloadProjection.java
@@ -14,8 +14,8 @@
 import java.util.Map;
 
 /**
- * What is predicted to need machines at the beginning of the next interval: WIRE's projection of
- * the upcoming load.
+ * WIRE's projection of the upcoming load: the work that is predicted to need machines when the next
+ * interval begins.
  */
 final class WorkloadProjection {
 
@@ -59,7 +59,7 @@
     /**
      * Projects the load of all jobs.
      *
-     * @param demand is filled with what is asked for at this moment
+     * @param demand updated with the current demand
      * @param intervalS seconds until the next interval begins
      */
     static WorkloadProjection of(
@@ -82,17 +82,23 @@
         return projectedWork;
     }
 
-    /** The part of the waiting work that may go to one zone only. */
+    /** Returns the waiting work that may run in one zone only. */
     List<ZoneShortage.ZoneBoundWork> zoneBoundWork() {
         return zoneBoundWork;
     }
 
-    /** The predicted run time in seconds of a task of each job that has live or waiting tasks. */
+    /**
+     * Returns the predicted run time in seconds of a task of each job that has live or waiting
+     * tasks.
+     */
     Map<Job, Double> runTimes() {
         return runTimes;
     }
 
-    /** Tasks that may be alive, as far as they go on beyond the interval. */
+    /**
+     * Adds the attempts that may be live to the current demand, and to the projected work if they
+     * are predicted to run beyond the interval.
+     */
     private void addLiveAttempts() {
         for (Job job : cluster.liveAttempts().jobs()) {
             if (job.finalStatus() != null || job.isCrashLooping()) {
@@ -107,12 +113,12 @@
     }
 
     private void addLiveAttempt(Attempt attempt, double runTime) {
-        double ranS = attempt.ranFor(now);
-        double remainingS = RunTimePredictor.remainingTime(runTime, ranS) - intervalS;
+        double elapsedS = attempt.ranFor(now);
+        double remainingS = RunTimePredictor.remainingTime(runTime, elapsedS) - intervalS;
         if (remainingS > 0) {
             addWork(attempt.job, remainingS, attempt.machine.pool(), 1);
         }
-        demand.add(attempt.job, ranS, 1);
+        demand.add(attempt.job, elapsedS, 1);
     }
 
     private void addWork(Job job, double remainingS, InstancePool runningOn, int taskCount) {
@@ -120,7 +126,7 @@
                 new CapacityPlanner.ProjectedWork(job.spec, remainingS, runningOn, taskCount));
     }
 
-    /** Tasks that could start now. */
+    /** Adds the tasks that could start now. */
     private void addWaitingTasks() {
         for (Job job : cluster.jobs().values()) {
             job.runTimes.updateModel();
@@ -131,19 +137,19 @@
             double runTime =
                     runTimes.computeIfAbsent(
                             job, waitingJob -> predictions.predictRunTime(waitingJob, now));
-            int counted = allocateTeamQuota(job, waiting);
-            if (counted == 0) {
+            int allowedTasks = allocateTeamQuota(job, waiting);
+            if (allowedTasks == 0) {
                 continue;
             }
-            addWork(job, runTime, null, counted);
-            capacitySupply.zoneBoundWork(job, runTime, counted).ifPresent(zoneBoundWork::add);
-            demand.add(job, 0, counted);
+            addWork(job, runTime, null, allowedTasks);
+            capacitySupply.zoneBoundWork(job, runTime, allowedTasks).ifPresent(zoneBoundWork::add);
+            demand.add(job, 0, allowedTasks);
         }
     }
 
     /**
-     * Jobs that wait for dependencies count if these are predicted to end within the interval, as
-     * far as the team's limit allows.
+     * Adds the jobs whose dependencies are predicted to end within the interval, up to the team's
+     * limit.
      */
     private void addJobsReadySoon() {
         List<Job> awaiting =
@@ -161,24 +167,24 @@
             if (readiness.secondsUntilReady(job.spec.id()) > intervalS) {
                 continue;
             }
-            int counted = allocateTeamQuota(job, job.spec.tasks());
-            if (counted > 0) {
-                addWork(job, predictions.expectedRunTime(job), null, counted);
+            int allowedTasks = allocateTeamQuota(job, job.spec.tasks());
+            if (allowedTasks > 0) {
+                addWork(job, predictions.expectedRunTime(job), null, allowedTasks);
             }
         }
     }
 
     /**
-     * How many of the tasks the team's limit allows; they use it up. Tasks beyond it cannot run
-     * next, and machines for them would stand idle.
+     * Deducts the tasks from the team's remaining quota and returns how many of them it allows.
+     * Tasks beyond the limit cannot run next, so machines for them would be idle.
      */
     private int allocateTeamQuota(Job job, int taskCount) {
         String team = job.spec.team();
-        double allowed = remainingTeamCpus.getOrDefault(team, 0.0) / job.spec.cpus();
-        int counted = (int) Math.min(taskCount, Math.max(0, allowed));
-        if (counted > 0) {
-            remainingTeamCpus.merge(team, -counted * job.spec.cpus(), Double::sum);
+        double quotaTasks = remainingTeamCpus.getOrDefault(team, 0.0) / job.spec.cpus();
+        int allowedTasks = (int) Math.min(taskCount, Math.max(0, quotaTasks));
+        if (allowedTasks > 0) {
+            remainingTeamCpus.merge(team, -allowedTasks * job.spec.cpus(), Double::sum);
         }
-        return counted;
+        return allowedTasks;
     }
 }
--- a/src/main/java/io/pepperfield/capacity/CapacityPlanner.java
+++ b/src/main/java/io/pepperfield/capacity/CapacityPlanner.java
@@ -10,17 +10,18 @@
 import java.util.TreeMap;
 
 /**
- * How many machines of each type and instance class there should be: WIRE's count for the projected
- * work, and machines for the demand that recent samples let expect. Stateless.
+ * Computes how many machines of each type and instance class there should be: WIRE's count for the
+ * projected work, or the count for the demand expected from recent samples if that is higher.
+ * Stateless.
  */
 public final class CapacityPlanner {
 
     /**
-     * What can be rented of a pool; prices are per hour.
+     * An offer of machines of one pool; prices are per hour.
      *
-     * @param machineCount machines there are, booting ones included
-     * @param mayHaveCapacity whether a request for more is worth making, as far as refusals have
-     *     shown
+     * @param machineCount existing machines, including booting and requested ones
+     * @param mayHaveCapacity whether a request for more machines is worthwhile, judging by earlier
+     *     refusals
      */
     public record PoolOffer(
             InstancePool pool,
@@ -32,7 +33,7 @@
             int machineCount,
             boolean mayHaveCapacity) {
 
-        /** The part of one such machine that a task takes; more than 1 where it does not fit. */
+        /** Returns the fraction of one machine that a task uses; more than 1 if it does not fit. */
         double machineShare(JobSpec job) {
             double share = job.cpus() / cpus;
             share = Math.max(share, resourceShare(job.memGb(), memGb));
@@ -46,7 +47,7 @@
             return needed > 0 ? UNSATISFIABLE_SHARE : 0;
         }
 
-        /** Whether a task of the job may run on such a machine and fits. */
+        /** Whether a task of the job may run on a machine of this pool and fits on it. */
         private boolean allows(JobSpec job) {
             return (job.spotAllowed() || !pool.spot())
                     && (job.machineTypes() == null || job.machineTypes().contains(pool.type()))
@@ -55,10 +56,10 @@
     }
 
     /**
-     * Tasks, so many alike, that are expected to be active at the next interval.
+     * A group of identical tasks that are expected to be active when the next interval begins.
      *
-     * @param remainingS seconds that each is predicted to run from then on
-     * @param runningOn the pool that they run on, or null while they wait
+     * @param remainingS predicted remaining run time of each task at that time, in seconds
+     * @param runningOn the pool on which the tasks run, or null while they wait
      */
     public record ProjectedWork(
             JobSpec job, double remainingS, InstancePool runningOn, int taskCount) {
@@ -69,24 +70,24 @@
     }
 
     /**
-     * CPUs that are expected to be asked for: by work that needs on-demand machines, and by work
-     * that may run on spot machines too.
+     * Expected demand in CPUs, split into work that requires on-demand machines and work that may
+     * also run on spot machines.
      */
     public record ExpectedDemand(double onDemandCpus, double spotTolerantCpus) {}
 
     private static final double PRICE_TOLERANCE = 1.1;
 
-    /** Part of a machine for which none more is rented. */
+    /** Fraction of a machine up to which no additional machine is rented. */
     private static final double NEGLIGIBLE_MACHINE_SHARE = 0.05;
 
-    /** Stands for a task that cannot fit. */
+    /** Machine share of a task that cannot fit; any value above 1 has this meaning. */
     private static final double UNSATISFIABLE_SHARE = 2;
 
     private CapacityPlanner() {}
 
     /**
-     * The number of machines to have in each pool for the projected work and the expected demand,
-     * whichever is more.
+     * Returns the number of machines to have in each pool: the count for the projected work or for
+     * the expected demand, whichever is higher.
      *
      * @param billingUnitS the billing unit in seconds
      * @param partialMachineShare see {@link MachineCountEstimator#requiredMachines}
@@ -112,7 +113,7 @@
         return targets;
     }
 
-    /** The projected tasks of each pool, with the machines that they fill. */
+    /** The projected tasks of each pool, with the number of machines that they occupy. */
     private static final class PoolLoads {
         final Map<InstancePool, List<UpcomingTasks>> tasksByPool = new TreeMap<>();
         private final Map<InstancePool, Double> occupiedMachinesByPool = new HashMap<>();
@@ -123,7 +124,7 @@
             offers.forEach(offer -> tasksByPool.put(offer.pool(), new ArrayList<>()));
         }
 
-        /** Adds work to the pool that it runs on, if that is still on offer. */
+        /** Adds work to the pool on which it runs, if that pool is still offered. */
         void addRunning(ProjectedWork work) {
             offers.stream()
                     .filter(offer -> offer.pool().equals(work.runningOn()))
@@ -131,7 +132,7 @@
                     .ifPresent(offer -> add(offer, work, work.taskCount()));
         }
 
-        /** Divides waiting work among the pools on which its tasks are expected to start. */
+        /** Distributes waiting work among the pools on which its tasks are expected to start. */
         void addWaiting(ProjectedWork work) {
             int left = work.taskCount();
             while (left > 0) {
@@ -146,8 +147,8 @@
         }
 
         /**
-         * As many tasks as the existing machines still hold; all of them where these are full,
-         * since what is beyond their capacity goes to one pool.
+         * Returns how many tasks still fit on the existing machines. If these are full, returns all
+         * tasks, since all work beyond the existing capacity is assigned to one pool.
          */
         private int assignableTaskCount(PoolOffer offer, JobSpec job, int taskCount) {
             double share = Math.min(1, offer.machineShare(job));
@@ -170,28 +171,28 @@
         }
 
         /**
-         * Where a waiting task is expected to go: to existing machines, else to a pool that may
-         * have capacity, else to any; the cheapest of these. Null where no machine fits.
+         * Returns the offer on which a waiting task is expected to start, or null if it fits on no
+         * machine. Prefers existing machines, then pools that may have capacity, then any other
+         * pool, and the cheapest among these.
          */
         private PoolOffer chooseOffer(JobSpec job) {
             PoolOffer best = null;
-            int bestPreference = Integer.MAX_VALUE;
+            int bestRank = Integer.MAX_VALUE;
             for (PoolOffer offer : offers) {
                 if (!offer.allows(job)) {
                     continue;
                 }
-                int preference = preference(offer, job);
-                if (preference < bestPreference
-                        || preference == bestPreference && isCheaper(offer, best, job)) {
+                int rank = rank(offer, job);
+                if (rank < bestRank || rank == bestRank && isCheaper(offer, best, job)) {
                     best = offer;
-                    bestPreference = preference;
+                    bestRank = rank;
                 }
             }
             return best;
         }
 
-        /** Less is better. */
-        private int preference(PoolOffer offer, JobSpec job) {
+        /** Returns the rank of an offer for the job; a lower rank is preferred. */
+        private int rank(PoolOffer offer, JobSpec job) {
             if (occupiedMachines(offer) + offer.machineShare(job) <= offer.machineCount()) {
                 return 0;
             }
@@ -200,30 +201,31 @@
     }
 
     /**
-     * The part of a machine's time that work counts for: what it fills of the time available for
-     * it. Where no time is available it counts whole, also when nothing seems left to do: zero
-     * divided by zero is not a number, and would spoil every sum that it is part of.
+     * Returns the weight of work in the demand: the fraction of the available time that it fills.
+     * If no time is available the weight is 1, even if the work has no time remaining: zero divided
+     * by zero is NaN and would invalidate every sum that includes it.
      *
-     * @param remainingS seconds that the work is predicted to run
-     * @param availableS seconds until it should be complete
+     * @param remainingS predicted remaining run time of the work in seconds
+     * @param availableS seconds until the work should be complete
      */
     public static double demandWeight(double remainingS, double availableS) {
         return remainingS >= availableS ? 1 : Math.max(0, remainingS) / availableS;
     }
 
     /**
-     * The number of machines in each pool for the expected CPUs. Existing machines come first, spot
-     * before on-demand: a pool that may have capacity again after a refusal must not draw the
-     * demand away from machines that exist, or all of those would be released at once.
+     * Returns the number of machines in each pool for the expected CPUs. Existing machines are used
+     * first, spot before on-demand. Otherwise a pool that may have capacity again after a refusal
+     * would attract the demand, and all existing machines would be released at once.
      */
     public static Map<InstancePool, Integer> machinesForDemand(
             List<PoolOffer> offers, ExpectedDemand expected) {
         DemandAssignment assignment = new DemandAssignment(offers);
-        double anyLeft = assignment.assignToExistingMachines(true, expected.spotTolerantCpus());
+        double spotTolerantLeft =
+                assignment.assignToExistingMachines(true, expected.spotTolerantCpus());
         double onDemandLeft = assignment.assignToExistingMachines(false, expected.onDemandCpus());
-        anyLeft = assignment.assignToExistingMachines(false, anyLeft);
-        anyLeft = assignment.assignToNewMachines(true, anyLeft);
-        assignment.assignToNewMachines(false, onDemandLeft + anyLeft);
+        spotTolerantLeft = assignment.assignToExistingMachines(false, spotTolerantLeft);
+        spotTolerantLeft = assignment.assignToNewMachines(true, spotTolerantLeft);
+        assignment.assignToNewMachines(false, onDemandLeft + spotTolerantLeft);
         Map<InstancePool, Integer> machines = new HashMap<>();
         for (PoolOffer offer : offers) {
             double cpus = assignment.assignedCpus.getOrDefault(offer.pool(), 0.0);
@@ -233,10 +235,13 @@
         return machines;
     }
 
-    /** Puts expected CPUs on the pools of one instance class after the other, cheapest first. */
+    /** Assigns expected CPUs to the pools of one instance class at a time, cheapest first. */
     private static final class DemandAssignment {
 
-        /** By the logarithm of the price for a CPU in tenths, since prices within one are alike. */
+        /**
+         * Compares the logarithm of the price per CPU, rounded to tenths, so that similar prices
+         * count as equal.
+         */
         private static final Comparator<PoolOffer> CHEAPEST_FIRST =
                 Comparator.comparingDouble(
                                 (PoolOffer offer) ->
@@ -251,7 +256,7 @@
             this.offers = offers.stream().sorted(CHEAPEST_FIRST).toList();
         }
 
-        /** Uses what is free on existing machines; gives back the CPUs that find no place. */
+        /** Assigns CPUs to free capacity of existing machines; returns the CPUs that do not fit. */
         double assignToExistingMachines(boolean spot, double cpus) {
             double left = cpus;
             for (PoolOffer offer : offers) {
@@ -265,7 +270,9 @@
             return left;
         }
 
-        /** Uses new machines of the cheapest pool with capacity; gives back the CPUs left. */
+        /**
+         * Assigns CPUs to new machines of the cheapest pool with capacity; returns the CPUs left.
+         */
         double assignToNewMachines(boolean spot, double cpus) {
             double left = cpus;
             for (PoolOffer offer : offers) {
@@ -286,7 +293,10 @@
         return isCheaper(first, second, first.machineShare(job), second.machineShare(job));
     }
 
-    /** Prices within a tenth are alike, since they move; of these the faster to boot is better. */
+    /**
+     * Whether the first offer is preferable. Prices within 10% count as equal, since they
+     * fluctuate; among these the offer with the shorter boot time is preferable.
+     */
     static boolean isCheaper(
             PoolOffer first, PoolOffer second, double firstShare, double secondShare) {
         double firstCost = first.price() * firstShare;
--- a/src/main/java/io/pepperfield/capacity/DemandWindow.java
+++ b/src/main/java/io/pepperfield/capacity/DemandWindow.java
@@ -4,23 +4,23 @@
 import java.util.Arrays;
 
 /**
- * What was asked for of late, in CPUs: the expected work that WIRE's projection of submitted tasks
- * cannot see.
+ * Sliding window over recent CPU demand. Represents expected work that WIRE's projection of
+ * submitted tasks cannot see.
  */
 public final class DemandWindow {
 
-    /** The CPUs asked for at a loop time. */
+    /** CPU demand at a loop time in seconds. */
     private record Sample(double sampledAt, double cpus) {}
 
     private final ArrayDeque<Sample> samples = new ArrayDeque<>();
     private final double retentionS;
 
     /** Creates an empty window that keeps samples for {@code retentionS} seconds. */
-    public DemandWindow(double lengthS) {
-        this.retentionS = lengthS;
+    public DemandWindow(double retentionS) {
+        this.retentionS = retentionS;
     }
 
-    /** Records CPUs that were asked for at loop time {@code now}, and drops the oldest samples. */
+    /** Records the CPU demand at loop time {@code now} and evicts samples older than the window. */
     public void add(double now, double cpus) {
         samples.addLast(new Sample(now, cpus));
         while (samples.peekFirst().sampledAt < now - retentionS) {
@@ -28,13 +28,13 @@
         }
     }
 
-    /** The demand that this share of the samples does not exceed. */
-    public double quantile(double share) {
+    /** Returns the demand at the given quantile of the samples, or 0 without samples. */
+    public double quantile(double fraction) {
         if (samples.isEmpty()) {
             return 0;
         }
         double[] sorted = samples.stream().mapToDouble(Sample::cpus).toArray();
         Arrays.sort(sorted);
-        return sorted[(int) Math.min(sorted.length - 1, Math.floor(share * sorted.length))];
+        return sorted[(int) Math.min(sorted.length - 1, Math.floor(fraction * sorted.length))];
     }
 }
--- a/src/main/java/io/pepperfield/capacity/InstancePool.java
+++ b/src/main/java/io/pepperfield/capacity/InstancePool.java
@@ -1,6 +1,6 @@
 package io.pepperfield.capacity;
 
-/** Machines of one type and kind; the count of WIRE runs for each. */
+/** Machines of one type and instance class (on-demand or spot); WIRE counts machines per pool. */
 public record InstancePool(String type, boolean spot) implements Comparable<InstancePool> {
 
     @Override
--- a/src/main/java/io/pepperfield/capacity/MachineCountEstimator.java
+++ b/src/main/java/io/pepperfield/capacity/MachineCountEstimator.java
@@ -6,21 +6,22 @@
 
 /**
  * WIRE's algorithm 3 (Xie et al., "WIRE: Resource-efficient Scaling with Online Prediction for
- * DAG-based Workflows"): how many machines the upcoming tasks keep busy for a billing unit.
- * Stateless.
+ * DAG-based Workflows"): computes how many machines the upcoming tasks keep busy for a billing
+ * unit. Stateless.
  */
 public final class MachineCountEstimator {
 
     /**
-     * Tasks, so many alike, expected to be active when the next interval begins.
+     * A group of identical tasks that are expected to be active when the next interval begins.
      *
-     * @param remainingS the predicted least remaining time in seconds; infinite for a replica
-     * @param machineShare the part of a machine it takes, where the paper has one of l equal slots
-     * @param taskCount how many: an array of 100,000 tasks is one entry
+     * @param remainingS predicted minimum remaining time in seconds; infinite for a replica
+     * @param machineShare fraction of a machine that each task uses; the paper has l equal slots
+     *     per machine instead
+     * @param taskCount number of tasks; an array of 100,000 tasks is one group
      */
     public record UpcomingTasks(double remainingS, double machineShare, int taskCount) {
 
-        /** Creates the entry of a single task. */
+        /** Creates a group of a single task. */
         public UpcomingTasks(double remainingS, double machineShare) {
             this(remainingS, machineShare, 1);
         }
@@ -31,11 +32,11 @@
     private MachineCountEstimator() {}
 
     /**
-     * The number of machines that the tasks keep busy for a billing unit each.
+     * Returns the number of machines that the tasks keep busy for a billing unit each.
      *
      * @param billingUnitS the billing unit u in seconds
-     * @param partialMachineShare the part of u that a task must have left for a partly filled last
-     *     machine to count
+     * @param partialMachineShare fraction of u that a task must have remaining for a partially
+     *     filled last machine to count
      */
     public static int requiredMachines(
             List<UpcomingTasks> tasks, double billingUnitS, double partialMachineShare) {
@@ -44,12 +45,12 @@
         double minRemainingS = partialMachineShare * billingUnitS;
         boolean partlyFilled =
                 simulation.slots.stream().anyMatch(slot -> slot.remainingS() > minRemainingS);
-        // At least one stays while tasks wait, also when nothing is known of their length yet.
+        // Keep at least one machine while there are tasks, even if their run time is not known yet.
         boolean oneMore = partlyFilled || simulation.machines == 0 && !tasks.isEmpty();
         return oneMore ? simulation.machines + 1 : simulation.machines;
     }
 
-    /** Fills one machine after the other with tasks, each for a billing unit. */
+    /** Fills one machine after another with tasks, each for a billing unit. */
     private static final class Simulation {
         private final double billingUnitS;
         private final ArrayDeque<UpcomingTasks> queue;
@@ -59,14 +60,14 @@
 
         private int machines;
 
-        /** The time for which the machine that is being filled has been full. */
+        /** Seconds for which the machine that is being filled has been full. */
         private double fullyOccupiedS;
 
         private double occupiedShare;
 
         Simulation(List<UpcomingTasks> tasks, double billingUnitS) {
             this.billingUnitS = billingUnitS;
-            // What has nothing left, as far as is known, fills no slot for any time.
+            // Tasks with no predicted time remaining occupy no slot.
             this.queue =
                     new ArrayDeque<>(tasks.stream().filter(task -> task.remainingS > 0).toList());
         }
@@ -97,7 +98,10 @@
             return occupiedShare + queue.peek().machineShare() <= 1 + ROUNDING_TOLERANCE;
         }
 
-        /** The shortest task ends; the machine counts once it was full for a billing unit. */
+        /**
+         * Advances to the end of the shortest task. The machine counts once it has been full for a
+         * billing unit.
+         */
         private void advanceToNextCompletion() {
             double shortestS =
                     slots.stream().mapToDouble(UpcomingTasks::remainingS).min().orElse(0);
@@ -119,7 +123,7 @@
         }
     }
 
-    /** Takes one task of the first group. */
+    /** Removes one task from the first group. */
     private static UpcomingTasks dequeueTask(ArrayDeque<UpcomingTasks> queue) {
         UpcomingTasks group = queue.poll();
         if (group.taskCount > 1) {
@@ -130,15 +134,15 @@
     }
 
     /**
-     * The machines that the first group fills by itself, computed at once: the same that task after
-     * task would come to.
+     * Returns the number of machines that the first group fills by itself, and removes their tasks
+     * from the queue. Computed at once, with the same result as filling the machines task by task.
      */
     private static int dequeueFullMachines(ArrayDeque<UpcomingTasks> queue, double billingUnitS) {
         UpcomingTasks group = queue.peek();
         double share = Math.max(ROUNDING_TOLERANCE, group.machineShare);
         int slotsPerMachine = Math.max(1, (int) Math.floor((1 + ROUNDING_TOLERANCE) / share));
-        // A task that is longer than the unit fills its slot alone; of shorter ones several follow
-        // each other.
+        // A task that is longer than the billing unit occupies its slot alone; shorter tasks run in
+        // sequence.
         double tasksPerSlot =
                 Math.max(1, Math.ceil(billingUnitS / group.remainingS - ROUNDING_TOLERANCE));
         double tasksPerMachine = slotsPerMachine * tasksPerSlot;
--- a/src/main/java/io/pepperfield/capacity/ZoneShortage.java
+++ b/src/main/java/io/pepperfield/capacity/ZoneShortage.java
@@ -11,27 +11,29 @@
 import java.util.TreeMap;
 
 /**
- * Machines that are short in one zone. WIRE's count for each pool does not see it: idle machines of
- * another zone satisfy it, while work that may not go there waits for ever. Stateless.
+ * Computes the machines that are missing in individual zones. WIRE's count for each pool does not
+ * show these shortages: idle machines in another zone satisfy the count, while work that may not
+ * run there waits forever. Stateless.
  */
 public final class ZoneShortage {
 
     /**
-     * A machine that is ready or booting, with what nothing alive is expected to hold when the next
-     * interval begins.
+     * A ready, booting or requested machine, with the capacity that no live attempt is expected to
+     * use when the next interval begins.
      */
     public record AvailableMachine(
             InstancePool pool, String zone, double cpus, double gpus, double memGb) {}
 
     /**
-     * Waiting tasks that may go to no other zone; null for a gang that has still to find the one
-     * zone for all of it.
+     * Waiting tasks that may run in one zone only.
+     *
+     * @param zone the zone, or null for a gang whose single zone has not been chosen yet
      */
     public record ZoneBoundWork(JobSpec job, String zone, double remainingS, int taskCount) {
 
         /**
-         * How many tasks follow each other in a slot within a billing unit; those of a gang run
-         * side by side.
+         * Returns how many tasks run in sequence in one slot within a billing unit; the tasks of a
+         * gang run concurrently.
          */
         private int tasksPerSlot(double billingUnitS) {
             if (job.isGang() || remainingS >= billingUnitS) {
@@ -49,7 +51,7 @@
         }
     }
 
-    /** What can be rented of a pool in one zone. */
+    /** An offer of a pool in one zone. */
     public record ZoneOffer(CapacityPlanner.PoolOffer offer, String zone) {
 
         private boolean allows(JobSpec job) {
@@ -64,7 +66,7 @@
         }
     }
 
-    /** What is left of a machine as bound work is put on it. */
+    /** The remaining capacity of a machine while zone-bound work is assigned to it. */
     private static final class RemainingCapacity {
         final AvailableMachine machine;
         double cpus;
@@ -78,7 +80,7 @@
             this.memGb = machine.memGb();
         }
 
-        /** How many tasks of the job fit side by side, up to {@code maxTasks}. */
+        /** Returns how many tasks of the job fit concurrently, up to {@code maxTasks}. */
         int fittingTasks(JobSpec job, String zone, int maxTasks) {
             if (!machine.zone().equals(zone)
                     || !job.allowsMachine(machine.pool().type(), zone, machine.pool().spot())) {
@@ -107,13 +109,13 @@
     private ZoneShortage() {}
 
     /**
-     * The part of a job's waiting tasks that may go to one zone only, by what the job asks for or
-     * by where its other tasks may be alive. Empty while more than one zone will do, as for
-     * replicas whose first half is not placed yet.
+     * Returns the part of a job's waiting tasks that may run in one zone only, because of the job's
+     * constraints or the zones of its live tasks. Empty while several zones are possible, as for
+     * replicas of which the first half is not placed yet.
      *
-     * @param remainingS seconds that each task is predicted to run
-     * @param liveByZone the job's tasks that may be alive, by zone
-     * @param zones where machines that the job allows are on offer
+     * @param remainingS predicted run time of each task in seconds
+     * @param liveByZone number of the job's possibly live tasks, by zone
+     * @param zones zones with offers of machines that the job allows
      */
     public static Optional<ZoneBoundWork> zoneBoundWork(
             JobSpec job,
@@ -143,7 +145,7 @@
                 .map(zone -> new ZoneBoundWork(job, zone.getKey(), remainingS, waiting));
     }
 
-    /** Replicas are bound once only one zone may take more of them. */
+    /** Returns the spread replicas if only one zone may take more of them. */
     private static Optional<ZoneBoundWork> spreadWork(
             JobSpec job,
             double remainingS,
@@ -163,10 +165,10 @@
     }
 
     /**
-     * The machines that each zone lacks, by pool and zone: WIRE's count for the work that does not
-     * fit on the machines that are ready or booting there.
+     * Returns the missing machines by pool and zone: WIRE's count for the work that does not fit on
+     * the ready or booting machines of its zone.
      *
-     * @param zoneOffers what can be rented; a pool's zone that has refused is not among them
+     * @param zoneOffers offers in zones; excludes zones that have refused a request for the pool
      * @param billingUnitS the billing unit in seconds
      * @param partialMachineShare see {@link MachineCountEstimator#requiredMachines}
      */
@@ -179,34 +181,34 @@
         List<RemainingCapacity> capacities =
                 available.stream().map(RemainingCapacity::new).toList();
         Map<ZoneOffer, List<UpcomingTasks>> loads = new LinkedHashMap<>();
-        for (ZoneBoundWork bound : work) {
+        for (ZoneBoundWork zoneBound : work) {
             String zone =
-                    bound.zone() != null
-                            ? bound.zone()
-                            : zoneWithSmallestShortage(bound, capacities, zoneOffers);
-            int unplaced = allocate(bound, zone, capacities, billingUnitS);
-            ZoneOffer offer = unplaced > 0 ? chooseOffer(zoneOffers, bound.job(), zone) : null;
+                    zoneBound.zone() != null
+                            ? zoneBound.zone()
+                            : zoneWithSmallestShortage(zoneBound, capacities, zoneOffers);
+            int unplaced = allocate(zoneBound, zone, capacities, billingUnitS);
+            ZoneOffer offer = unplaced > 0 ? chooseOffer(zoneOffers, zoneBound.job(), zone) : null;
             if (offer != null) {
-                double machineShare = offer.offer().machineShare(bound.job());
+                double machineShare = offer.offer().machineShare(zoneBound.job());
                 loads.computeIfAbsent(offer, added -> new ArrayList<>())
-                        .add(bound.toUpcomingTasks(machineShare, unplaced, billingUnitS));
+                        .add(zoneBound.toUpcomingTasks(machineShare, unplaced, billingUnitS));
             }
         }
         return machinesForLoads(loads, billingUnitS, partialMachineShare);
     }
 
-    /** Puts work on the machines of a zone; gives back how many tasks find no place there. */
+    /** Assigns work to the machines in a zone; returns the number of tasks that do not fit. */
     private static int allocate(
-            ZoneBoundWork bound,
+            ZoneBoundWork zoneBound,
             String zone,
             List<RemainingCapacity> capacities,
             double billingUnitS) {
-        int tasksPerSlot = bound.tasksPerSlot(billingUnitS);
-        int unplaced = bound.taskCount();
+        int tasksPerSlot = zoneBound.tasksPerSlot(billingUnitS);
+        int unplaced = zoneBound.taskCount();
         for (RemainingCapacity capacity : capacities) {
             int neededSlots = (unplaced + tasksPerSlot - 1) / tasksPerSlot;
-            int slots = capacity.fittingTasks(bound.job(), zone, neededSlots);
-            capacity.allocate(bound.job(), slots);
+            int slots = capacity.fittingTasks(zoneBound.job(), zone, neededSlots);
+            capacity.allocate(zoneBound.job(), slots);
             unplaced -= (int) Math.min(unplaced, (long) tasksPerSlot * slots);
         }
         return unplaced;
@@ -229,37 +231,38 @@
     }
 
     /**
-     * The zone that lacks least for a gang, among those that have capacity or may get it; null
-     * where there is none.
+     * Returns the zone with the smallest shortage for a gang, among the zones that have capacity or
+     * may get it; null if there is none.
      */
     private static String zoneWithSmallestShortage(
             ZoneBoundWork gang, List<RemainingCapacity> capacities, List<ZoneOffer> zoneOffers) {
-        Map<String, Integer> fittingTasks = new TreeMap<>();
+        Map<String, Integer> fittingTasksByZone = new TreeMap<>();
         for (ZoneOffer offer : zoneOffers) {
             if (chooseOffer(zoneOffers, gang.job(), offer.zone()) != null) {
-                fittingTasks.put(offer.zone(), 0);
+                fittingTasksByZone.put(offer.zone(), 0);
             }
         }
-        Map<String, Integer> fittingNow = new TreeMap<>();
+        Map<String, Integer> fittingNowByZone = new TreeMap<>();
         for (RemainingCapacity capacity : capacities) {
             String zone = capacity.machine.zone();
             int tasks = capacity.fittingTasks(gang.job(), zone, gang.taskCount());
-            fittingNow.merge(zone, tasks, Integer::sum);
+            fittingNowByZone.merge(zone, tasks, Integer::sum);
         }
-        fittingNow.forEach(
+        fittingNowByZone.forEach(
                 (zone, tasks) -> {
-                    if (tasks >= gang.taskCount() || fittingTasks.containsKey(zone)) {
-                        fittingTasks.put(zone, tasks);
+                    if (tasks >= gang.taskCount() || fittingTasksByZone.containsKey(zone)) {
+                        fittingTasksByZone.put(zone, tasks);
                     }
                 });
-        return fittingTasks.entrySet().stream()
+        return fittingTasksByZone.entrySet().stream()
                 .max(Map.Entry.comparingByValue())
                 .map(Map.Entry::getKey)
                 .orElse(null);
     }
 
     /**
-     * The cheapest offer of that zone on which a task of the job fits; null where there is none.
+     * Returns the cheapest offer in the zone on which a task of the job fits, or null if there is
+     * none.
      */
     private static ZoneOffer chooseOffer(List<ZoneOffer> zoneOffers, JobSpec job, String zone) {
         ZoneOffer best = null;
--- a/src/main/java/io/pepperfield/lifecycle/AttemptOutcomes.java
+++ b/src/main/java/io/pepperfield/lifecycle/AttemptOutcomes.java
@@ -11,15 +11,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the end of an attempt means for its task, its job and its machine. A completion is durable
- * before the attempt's machine may forget it. Confined to the event loop.
+ * Applies the end of an attempt to its task, its job and its machine. A completion is made durable
+ * before the machine is allowed to clear the attempt. Confined to the event loop.
  */
 final class AttemptOutcomes {
 
     private static final Logger LOG = LoggerFactory.getLogger(AttemptOutcomes.class);
     private static final Runnable NO_EFFECT = () -> {};
 
-    /** Heartbeat intervals for which a machine takes no tasks after a failure of its own. */
+    /**
+     * Heartbeat intervals for which a machine is assigned no tasks after a failure that it caused.
+     */
     private static final double QUARANTINE_INTERVALS = 2;
 
     private final Loop loop;
@@ -31,7 +33,7 @@
     private final double billingUnitS;
 
     /**
-     * @param onWorkChanged to be run when what waits or what may be alive has changed
+     * @param onWorkChanged run when the pending tasks or the live attempts have changed
      */
     AttemptOutcomes(
             Loop loop,
@@ -49,7 +51,11 @@
         this.billingUnitS = settings.operators().billingUnitS();
     }
 
-    /** A worker reports the attempt completed; true where its job was still open. */
+    /**
+     * Handles a completion reported by a worker.
+     *
+     * @return whether the job had not ended yet
+     */
     boolean handleCompletion(Attempt attempt) {
         Job job = attempt.job;
         liveAttempts.remove(attempt);
@@ -66,14 +72,14 @@
     }
 
     /**
-     * Done must be durable before the machine may forget it, or a later leader would run the task
-     * again.
+     * Acknowledges the attempt only once the completion is durable. If the machine cleared it
+     * earlier, a later leader would run the task again.
      */
     private void recordCompletion(Attempt attempt) {
         Job job = attempt.job;
         if (JobCompletion.isAllDone(job) && runRecords.sharesRecord(job)) {
-            // The final state says it as well, and spares the record that others share a change for
-            // each of them.
+            // The final state also implies that this task is done, so the shared record is not
+            // rewritten for each of its jobs.
             completion.finishIfAllDone(job, attempt::acknowledge);
             return;
         }
@@ -82,7 +88,10 @@
         completion.finishIfAllDone(job, NO_EFFECT);
     }
 
-    /** The attempt is proven gone without being completed; its task waits again. */
+    /**
+     * Handles an attempt that is proven to have ended without completing; its task becomes pending
+     * again.
+     */
     void handleTermination(Attempt attempt, Heartbeat.Cause cause) {
         Job job = attempt.job;
         liveAttempts.remove(attempt);
@@ -103,7 +112,7 @@
     }
 
     private void recordFailure(Attempt attempt, Heartbeat.Cause cause) {
-        // At debug level only: the tasks of a broken array fail by the hundred.
+        // Debug level only: the tasks of a broken array job fail by the hundred.
         LOG.debug(
                 "attempt failed task={} attempt={} instance={} cause={}",
                 attempt.taskRef,
@@ -113,7 +122,7 @@
         Job job = attempt.job;
         if (job.recordFailure(attempt.machine.name, loop.now(), heartbeatIntervalS, billingUnitS)) {
             LOG.info(
-                    "job is crash looping and is tried one task at a time until one is completed:"
+                    "job is crash looping, running one task at a time until one completes:"
                             + " job={} failedInstances={}",
                     job.spec.id(),
                     job.failedMachines());
@@ -121,8 +130,9 @@
     }
 
     /**
-     * Whether the end of an attempt speaks against its machine. What fails of a job that nowhere
-     * succeeded says nothing about the machine: several broken jobs would idle the fleet.
+     * Whether the end of an attempt indicates a fault of its machine. Failures of a job that has
+     * not completed a single task do not count: otherwise several broken jobs would quarantine the
+     * whole fleet.
      */
     private static boolean indicatesMachineFault(Job job, Heartbeat.Cause cause, boolean failed) {
         if (failed) {
--- a/src/main/java/io/pepperfield/lifecycle/AttemptStarter.java
+++ b/src/main/java/io/pepperfield/lifecycle/AttemptStarter.java
@@ -11,7 +11,7 @@
 import io.pepperfield.store.FencedWriter;
 
 /**
- * Starts and stops attempts. An intent is durable before its run order may leave. Confined to the
+ * Starts and stops attempts. A run order is sent only after its intent is durable. Confined to the
  * event loop.
  */
 final class AttemptStarter implements Dispatcher.AttemptControl {
@@ -36,7 +36,7 @@
         this.directOrders = directOrders;
     }
 
-    /** The term has ended: what becomes durable from now on starts nothing. */
+    /** Ends the term: intents that become durable after this call start nothing. */
     void endTerm() {
         termEnded = true;
     }
--- a/src/main/java/io/pepperfield/lifecycle/DeferredIntents.java
+++ b/src/main/java/io/pepperfield/lifecycle/DeferredIntents.java
@@ -12,12 +12,13 @@
 import java.util.Set;
 
 /**
- * Which jobs of shared run records have intents that the last write has left to the next one: each
- * needs a precondition on its job's final state, and a transaction takes only so many of them.
+ * Tracks the jobs in shared run records whose intents were deferred from the last write to the next
+ * one. Each job with an intent requires a precondition on its final state, and the number of
+ * preconditions in a transaction is limited.
  */
 final class DeferredIntents {
 
-    /** Each transaction has one on the leader's key. */
+    /** Preconditions that each transaction uses for the leader key. */
     private static final int LEADER_PRECONDITIONS = 1;
 
     private final LiveAttempts liveAttempts;
@@ -29,34 +30,37 @@
         this.limits = limits;
     }
 
-    /** Chooses anew which jobs of one record are left to the next write. */
+    /**
+     * Selects the jobs of one record whose intents exceed the precondition limit and are deferred
+     * to the next write. Replaces the previous selection.
+     */
     void deferExcess(Collection<Job> jobs) {
-        int available =
+        int availablePreconditions =
                 Math.max(
                         1,
                         limits.maxPreconditions() - TaskState.SPLIT_PARTS - LEADER_PRECONDITIONS);
         for (Job job : jobs) {
             deferredJobs.remove(job.spec.id());
-            if (hasIntent(job) && available-- <= 0) {
+            if (hasIntent(job) && availablePreconditions-- <= 0) {
                 deferredJobs.add(job.spec.id());
             }
         }
     }
 
-    /** Whether the job's intents are left to the next write. */
+    /** Whether the job's intents are deferred to the next write. */
     boolean isDeferred(Job job) {
         return deferredJobs.contains(job.spec.id());
     }
 
-    /** Whether the attempt is an intent that is left to the next write. */
+    /** Whether the attempt is an intent that is deferred to the next write. */
     boolean isDeferred(Attempt attempt) {
         return isIntent(attempt) && isDeferred(attempt.job);
     }
 
     /**
-     * Keys of the final states that must not exist when intents of these jobs become durable: once
-     * a cancellation has taken effect, no start is intended any more, although this leader may not
-     * have heard of it yet.
+     * Returns the keys of the final states that must not exist when the intents of these jobs
+     * become durable. This prevents an intent after a cancellation that has taken effect but is not
+     * yet in this leader's replica.
      */
     List<String> requiredAbsentKeys(Collection<Job> jobs) {
         return jobs.stream()
--- a/src/main/java/io/pepperfield/lifecycle/DirectOrderSender.java
+++ b/src/main/java/io/pepperfield/lifecycle/DirectOrderSender.java
@@ -15,8 +15,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Sends orders that need not wait for a machine's next heartbeat: what came together for one
- * machine goes in one message. Confined to the event loop.
+ * Sends orders to machines without waiting for their next heartbeat. Orders for the same machine
+ * that are enqueued between two flushes are sent in one message. Confined to the event loop.
  */
 public final class DirectOrderSender {
 
@@ -31,7 +31,8 @@
     /**
      * Creates the sender of one term.
      *
-     * @param storeIsFresh whether the state service has answered of late; if not, starts wait
+     * @param storeIsFresh whether the state service has answered recently; if not, no run orders
+     *     are sent
      */
     public DirectOrderSender(
             Loop loop,
@@ -46,12 +47,15 @@
         this.storeIsFresh = storeIsFresh;
     }
 
-    /** The term has ended: what is still answered changes nothing. */
+    /** Ends the term: responses that arrive after this call are ignored. */
     public void stop() {
         termEnded = true;
     }
 
-    /** The attempt's order is to leave with the next {@link #flush()}, if there is one to give. */
+    /**
+     * Schedules the attempt's order for the next {@link #flush()}; ignored if its intent is not
+     * durable yet or it has ended.
+     */
     void enqueue(Attempt attempt) {
         if (attempt.phase() != Attempt.Phase.INTENDED && attempt.live()) {
             pendingByMachine
@@ -60,9 +64,10 @@
         }
     }
 
-    /** To be called at the end of each batch of commands. */
+    /** Sends the enqueued orders. Must be called at the end of each batch of commands. */
     public void flush() {
-        // What does not go directly goes with the answer to the machine's next heartbeat.
+        // Orders that are not sent here are delivered with the response to the machine's next
+        // heartbeat.
         if (!pendingByMachine.isEmpty() && leadership.holdsValidLease()) {
             boolean mayStart = storeIsFresh.getAsBoolean();
             pendingByMachine.forEach((machine, attempts) -> send(machine, attempts, mayStart));
--- a/src/main/java/io/pepperfield/lifecycle/DurableState.java
+++ b/src/main/java/io/pepperfield/lifecycle/DurableState.java
@@ -7,10 +7,10 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * What one controller shares with the state service: its replica of the keys, the index of jobs
- * made from it, and its fenced writes. Confined to the event loop.
+ * One controller's access to the state service: its replica of the keys, the job index built from
+ * the replica, and the fenced writer. Confined to the event loop.
  *
- * @param transactionLimits of one transaction with the state service
+ * @param transactionLimits limits of one transaction with the state service
  * @param lastConfirmedAt loop time in seconds up to which the replica is known to hold all changes
  */
 public record DurableState(
--- a/src/main/java/io/pepperfield/lifecycle/JobCompletion.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobCompletion.java
@@ -13,8 +13,9 @@
 import java.util.Map;
 
 /**
- * Ends jobs: writes the final state of a job whose tasks are all done, stops what is left of a job
- * that has ended, and drops it once nothing of it may be alive. Confined to the event loop.
+ * Ends jobs: writes the final state of a job whose tasks are all done, stops the remaining attempts
+ * of a job that has ended, and removes the job once none of its attempts may be live. Confined to
+ * the event loop.
  */
 final class JobCompletion {
 
@@ -28,8 +29,8 @@
     private final Runnable onWorkChanged;
 
     /**
-     * @param jobs by id; those that are over are removed from it
-     * @param onWorkChanged to be run when what waits or what may be alive has changed
+     * @param jobs jobs by id; finished jobs are removed from it
+     * @param onWorkChanged run when the pending tasks or the live attempts have changed
      */
     JobCompletion(
             Loop loop,
@@ -50,15 +51,15 @@
         this.onWorkChanged = onWorkChanged;
     }
 
-    /** Whether the job is still open and all its tasks are done; services never are. */
+    /** Whether the job has not ended and all its tasks are done; always false for services. */
     static boolean isAllDone(Job job) {
         return job.finalStatus() == null && !job.spec.isService() && job.allDone();
     }
 
     /**
-     * Writes the final state of a job whose tasks are all done, and does nothing for any other.
+     * Writes the final state of a job whose tasks are all done; does nothing for other jobs.
      *
-     * @param onDurable run once a final state is durable, this one or an earlier one
+     * @param onDurable run once a final state is durable, written by this call or earlier
      */
     void finishIfAllDone(Job job, Runnable onDurable) {
         if (!isAllDone(job)) {
@@ -85,7 +86,7 @@
         return JobCodec.decodeFinalStatus(durable.replica().find(key).orElseThrow().value());
     }
 
-    /** The job has a durable final state: whatever is left of it is stopped. */
+    /** Handles a job whose final state is durable: stops its remaining attempts. */
     void jobEnded(Job job, Status status) {
         job.finish(status, durable.jobIndex().get(job.spec.id()).lastKnownOpenAt());
         priorityInheritance.removed(job.spec);
@@ -99,7 +100,7 @@
         onWorkChanged.run();
     }
 
-    /** Drops a job that has ended and of which nothing may be alive. */
+    /** Removes a job that has ended and has no attempts that may be live. */
     void removeIfFinished(Job job) {
         if (job.finalStatus() != null && !liveAttempts.hasAny(job)) {
             jobs.remove(job.spec.id());
--- a/src/main/java/io/pepperfield/lifecycle/JobRecovery.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobRecovery.java
@@ -10,8 +10,8 @@
 import java.util.Optional;
 
 /**
- * Rebuilds jobs and their attempts at failover from the run records of earlier leaders. Whatever a
- * record calls live counts as possibly alive. Confined to the event loop.
+ * Rebuilds jobs and their attempts at failover from the run records of earlier leaders. Every
+ * attempt that is recorded as live is treated as possibly live. Confined to the event loop.
  */
 final class JobRecovery {
 
@@ -27,7 +27,7 @@
         this.wallClockMs = loop.wallMs();
     }
 
-    /** The job as its records say; empty where it has ended and nothing of it may be alive. */
+    /** Returns the job as recorded; empty if it has ended and none of its attempts may be live. */
     Optional<Job> restore(JobRecord record) {
         double ageS = Math.max(0, (wallClockMs - record.spec().acceptedMs()) / 1000.0);
         Job job = new Job(record.spec(), now - ageS);
@@ -53,11 +53,12 @@
         job.restoreAttempt(state.task(), state.attempt(), live);
         switch (state.phase()) {
             case DONE -> job.markDone(state.task());
-            // Or every failover would let a job that fails everywhere loose on the fleet once more.
+            // Restores the failure: otherwise, after every failover, a job that fails on every
+            // machine would again start many tasks at once.
             case FAILED -> job.recordEarlierFailure();
             case LIVE -> restoreLiveAttempt(job, state);
             case GONE -> {
-                // The task waits again, as does one without a record.
+                // The task is pending again, like a task without a record.
             }
         }
     }
--- a/src/main/java/io/pepperfield/lifecycle/JobTracker.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobTracker.java
@@ -19,10 +19,10 @@
 import java.util.Map;
 
 /**
- * The leader's jobs with the attempts at their tasks, from the first intent to the final state, and
- * the durable records of both: which jobs there are and what they wait for is decided here, starts
- * and stops by {@link AttemptStarter}, ends of attempts by {@link AttemptOutcomes}, final states by
- * {@link JobCompletion}. Confined to the event loop.
+ * The leader's jobs and attempts, from the first intent to the final state, with their durable
+ * records. This class tracks the set of jobs and their dependencies; {@link AttemptStarter} starts
+ * and stops attempts, {@link AttemptOutcomes} handles their ends, and {@link JobCompletion} writes
+ * final states. Confined to the event loop.
  */
 public final class JobTracker implements Dispatcher.AttemptControl {
 
@@ -44,8 +44,8 @@
     /**
      * Creates the tracker of one term, without jobs.
      *
-     * @param fencingToken of the term
-     * @param onWorkChanged to be run when what waits or what may be alive has changed
+     * @param fencingToken fencing token of the term
+     * @param onWorkChanged run when the pending tasks or the live attempts have changed
      */
     public JobTracker(
             Loop loop,
@@ -80,22 +80,24 @@
                         loop, settings, liveAttempts, runRecords, completion, onWorkChanged);
     }
 
-    /** The jobs that have not ended or may still have an attempt alive, by id; a live view. */
+    /**
+     * Returns a live view, by id, of the jobs that have not ended or may still have live attempts.
+     */
     public Map<String, Job> jobs() {
         return jobs;
     }
 
-    /** The attempts that may be alive, by job and by team. */
+    /** Returns the attempts that may be live, by job and by team. */
     public LiveAttempts liveAttempts() {
         return liveAttempts;
     }
 
-    /** The term has ended: what becomes durable from now on starts nothing. */
+    /** Ends the term: intents that become durable after this call start nothing. */
     public void stop() {
         attemptStarter.endTerm();
     }
 
-    /** Reads all jobs from the replica, which must hold what earlier leaders have written. */
+    /** Restores all jobs from the replica, which must hold all writes of earlier leaders. */
     public void restoreAll() {
         JobRecovery recovery = new JobRecovery(fleet, liveAttempts, loop);
         for (JobRecord record : jobIndex.all()) {
@@ -114,7 +116,7 @@
         completion.finishIfAllDone(job, NO_EFFECT);
     }
 
-    /** The replica brought a new job or a final state. */
+    /** Handles a new job or a final state received by the replica. */
     public void jobChanged(String id) {
         JobRecord record = jobIndex.get(id);
         if (record == null || record.unreadable()) {
@@ -140,7 +142,9 @@
         onWorkChanged.run();
     }
 
-    /** An open job waits for its dependencies, and lends them its priority. */
+    /**
+     * Tracks whether the job awaits its dependencies, and registers it for priority inheritance.
+     */
     private void trackDependencies(Job job, JobRecord record) {
         if (!record.ready()) {
             job.awaitDependencies();
@@ -150,14 +154,17 @@
         priorityInheritance.added(job.spec);
     }
 
-    /** By this leader's clock; now where the final states, by an older version, do not say. */
+    /**
+     * Returns the loop time at which the dependencies were done; the current time if the final
+     * states, written by an older version, do not record it.
+     */
     private double readyAt(JobRecord record) {
         long sinceMs =
                 record.readyMs().isPresent() ? loop.wallMs() - record.readyMs().getAsLong() : 0;
         return loop.now() - Math.max(0, sinceMs / 1000.0);
     }
 
-    /** Intends the attempt; its run order leaves once the intent is durable. */
+    /** Records the intent of an attempt; its run order is sent once the intent is durable. */
     @Override
     public void start(Job job, int task, Machine machine) {
         attemptStarter.start(job, task, machine);
@@ -168,12 +175,19 @@
         attemptStarter.stop(attempt, gracePeriodS);
     }
 
-    /** A worker reports the attempt completed; true where its job was still open. */
+    /**
+     * Handles a completion reported by a worker.
+     *
+     * @return whether the job had not ended yet
+     */
     public boolean attemptCompleted(Attempt attempt) {
         return attemptOutcomes.handleCompletion(attempt);
     }
 
-    /** The attempt is proven gone without being completed; its task waits again. */
+    /**
+     * Handles an attempt that is proven to have ended without completing; its task becomes pending
+     * again.
+     */
     public void attemptTerminated(Attempt attempt, Heartbeat.Cause cause) {
         attemptOutcomes.handleTermination(attempt, cause);
     }
--- a/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
+++ b/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
@@ -19,8 +19,9 @@
 import java.util.Set;
 
 /**
- * The leader's durable run records: which key holds a task's state, and what is written under it.
- * Small jobs share a record; a large one has several of its own. Confined to the event loop.
+ * The leader's durable run records: maps each task to the key that holds its state, and writes the
+ * records. Small jobs share a record; a large job has several of its own. Confined to the event
+ * loop.
  */
 final class RunRecordStore {
 
@@ -33,7 +34,7 @@
     private final TransactionLimits limits;
     private final DeferredIntents deferredIntents;
 
-    /** First keys of the records that this leader has split. */
+    /** First key of each record that this leader has split. */
     private final Set<String> splitRecordKeys = new HashSet<>();
 
     RunRecordStore(
@@ -46,17 +47,17 @@
         this.deferredIntents = new DeferredIntents(liveAttempts, limits);
     }
 
-    /** Takes over an earlier leader's shared records. */
+    /** Restores the shared records of earlier leaders. */
     void restore(Map<String, List<String>> jobsBySharedRecord, Map<String, Job> jobs) {
         jobsBySharedRecord.forEach((key, ids) -> sharedRecords.restore(key, ids, jobs));
     }
 
-    /** The task's state has changed and is to be written; nothing depends on when. */
+    /** Enqueues a write of the task's changed state, without a callback. */
     void markChanged(Job job, int task, FencedWriter.Priority priority) {
         enqueue(job, task, priority, Optional.empty());
     }
 
-    /** The task's state has changed and is to be written; {@code onDurable} runs once it is. */
+    /** Enqueues a write of the task's changed state; {@code onDurable} runs once it is durable. */
     void markChanged(Job job, int task, FencedWriter.Priority priority, Runnable onDurable) {
         enqueue(job, task, priority, Optional.of(onDurable));
     }
@@ -65,11 +66,13 @@
             Job job, int task, FencedWriter.Priority priority, Optional<Runnable> onDurable) {
         Optional<String> sharedKey = sharedRecordKey(job);
         if (sharedKey.isPresent()) {
-            Runnable unlessDeferred =
+            Runnable callbackUnlessDeferred =
                     onDurable
-                            .<Runnable>map(run -> () -> runUnlessDeferred(job, task, priority, run))
+                            .<Runnable>map(
+                                    callback ->
+                                            () -> runUnlessDeferred(job, task, priority, callback))
                             .orElse(NO_EFFECT);
-            enqueueShared(sharedKey.get(), priority, unlessDeferred);
+            enqueueShared(sharedKey.get(), priority, callbackUnlessDeferred);
         } else {
             int recordIndex = task / job.spec.tasksPerRunRecord();
             enqueueOwn(job, recordIndex, priority, onDurable.orElse(NO_EFFECT));
@@ -96,7 +99,9 @@
                 onDurable);
     }
 
-    /** What was left out of this write is not durable yet: it goes into the next one. */
+    /**
+     * Runs the callback, unless the intent was deferred from this write: then it is enqueued again.
+     */
     private void runUnlessDeferred(
             Job job, int task, FencedWriter.Priority priority, Runnable onDurable) {
         if (deferredIntents.isDeferred(job)) {
@@ -137,7 +142,7 @@
         };
     }
 
-    /** A record is only split if all its parts fit into one transaction. */
+    /** A record is split only if all its parts fit into one transaction. */
     private boolean canSplit() {
         return TaskState.SPLIT_PARTS <= limits.maxMutations();
     }
@@ -156,8 +161,9 @@
     }
 
     /**
-     * The parts of a split record by key. All parts are written together, so that no task is ever
-     * missing and none is found in two of them. A part without a task is not written yet.
+     * Returns the parts of a split record by key. All parts are written in one transaction, so that
+     * no task is ever missing or present in two parts. Parts other than the first are omitted while
+     * they hold no tasks.
      */
     private Map<String, JsonNode> splitValues(Job job, int recordIndex) {
         List<List<TaskState>> parts =
@@ -186,8 +192,8 @@
     }
 
     /**
-     * The job is done: what waits to be written of its own records says less than its final state,
-     * and is spared.
+     * Discards pending writes of the job's own records. The job is done, and its final state
+     * supersedes them.
      */
     void discardPending(Job job) {
         for (int index = 0; index < job.spec.runRecordCount() && !sharesRecord(job); index++) {
@@ -195,18 +201,24 @@
         }
     }
 
-    /** The job is over and nothing of it may be alive. */
+    /**
+     * Removes the job from its shared record; called once it has ended and has no attempts that may
+     * be live.
+     */
     void jobFinished(Job job) {
         sharedRecords.remove(job.spec.id());
     }
 
-    /** The run record that the job shares with other small ones, or null. */
+    /**
+     * Returns the key of the run record that the job shares with other small jobs; empty if it has
+     * its own.
+     */
     private Optional<String> sharedRecordKey(Job job) {
         boolean hasOwnRecord = replica.contains(Keys.runRecord(job.spec.id(), 0));
         return sharedRecords.recordKeyFor(job, hasOwnRecord);
     }
 
-    /** The states of the record's tasks, except of those that were never started. */
+    /** Returns the states of the record's tasks, except for tasks that were never started. */
     private List<TaskState> taskStates(Job job, int recordIndex) {
         List<TaskState> states = new ArrayList<>();
         int end = Math.min(job.spec.tasks(), firstTask(job, recordIndex + 1));
@@ -220,7 +232,7 @@
         int number = job.lastAttempt(task);
         Attempt attempt = liveAttempts.get(job, task);
         if (attempt != null && deferredIntents.isDeferred(attempt)) {
-            // As it was before: no order for this attempt has left.
+            // Encode the state before this attempt: no order for it has been sent.
             attempt = null;
             number--;
         }
--- a/src/main/java/io/pepperfield/lifecycle/package-info.java
+++ b/src/main/java/io/pepperfield/lifecycle/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The lifecycle of jobs and attempts on the leader: intents, starts, run records, final states, and
- * their recovery at failover.
+ * Lifecycle of jobs and attempts on the leader: intents, starts, run records, final states, and
+ * recovery at failover.
  */
 package io.pepperfield.lifecycle;
--- a/src/main/java/io/pepperfield/predict/BootTimePredictor.java
+++ b/src/main/java/io/pepperfield/predict/BootTimePredictor.java
@@ -7,25 +7,33 @@
 import java.util.Map;
 
 /**
- * How long machines of a type take to boot in a zone: a median among peers, as WIRE has for tasks.
- * Those that are late count with the time that they have taken so far, among all that were rented
- * since the first of them: so a zone that has become slow is known before its first machine is
- * ready, and a few stragglers among many ready machines make no zone slow.
+ * Predicts how long machines of a type take to boot in a zone: the median of recent boots, as WIRE
+ * predicts run times from peers.
+ *
+ * <p>Once boots are late, they count with the time elapsed so far, and only machines rented since
+ * the first late one are considered. A zone that has become slow is thus detected before its first
+ * machine is ready, while a few stragglers among many ready machines do not make a zone slow.
  */
 public final class BootTimePredictor {
 
     private static final int MAX_SAMPLES = 256;
 
     /**
-     * The nominal time counts like so many boots: where hardly any machines were rented, a few that
-     * failed make no slow zone.
+     * Number of samples that the nominal time counts for. Where few machines were rented, a few
+     * failed boots therefore do not make a zone slow.
      */
     private static final int NOMINAL_SAMPLES = 5;
 
-    /** Multiple of the nominal time, the platform's usual spread, beyond which a boot is late. */
+    /**
+     * Multiple of the nominal time beyond which a boot is late; smaller deviations are the
+     * platform's usual variation.
+     */
     private static final double LATE_FACTOR = 1.5;
 
-    /** A zone that is slower than this multiple cannot be told from one where nothing boots. */
+    /**
+     * Upper limit of the expected time, as a multiple of the nominal time. A slower zone cannot be
+     * distinguished from one where no machine boots.
+     */
     private static final double MAX_FACTOR = 4;
 
     /** Loop times in seconds of a machine's rental and of its first heartbeat. */
@@ -35,8 +43,8 @@
     private final double retentionS;
 
     /**
-     * @param retentionS seconds for which a boot says something about the next, so that what an
-     *     outage has shown is forgotten after it
+     * @param retentionS seconds for which a boot is used in predictions, so that slow boots during
+     *     an outage stop counting after it
      */
     public BootTimePredictor(double retentionS) {
         this.retentionS = retentionS;
@@ -45,7 +53,7 @@
     /**
      * Records a completed boot.
      *
-     * @param location names a machine type in a zone
+     * @param location identifies a machine type in a zone
      * @param rentedAt loop time of the rental in seconds
      * @param readyAt loop time of the first heartbeat in seconds
      */
@@ -59,13 +67,13 @@
     }
 
     /**
-     * The seconds that a boot is expected to take, at least the nominal time: machines that were
-     * ready at once for a while must not lead to releases that the next boots, which take their
-     * time again, make expensive.
+     * Returns the expected boot time in seconds, at least the nominal time. A lower value after a
+     * series of fast boots would lead to releases that become costly once boots take the nominal
+     * time again.
      *
      * @param awaited loop times of the rentals of machines that are not ready yet
-     * @param unobserved loop times of the rentals of machines that are ready and whose boots were
-     *     not observed, as after a change of leader
+     * @param unobserved loop times of the rentals of ready machines whose boots were not observed,
+     *     for example after a change of leader
      */
     public double expectedBootTime(
             String location,
@@ -104,7 +112,7 @@
         }
     }
 
-    /** Whether boots take so much longer than usual that other zones are worth a try. */
+    /** Whether boots take so much longer than the nominal time that other zones are preferable. */
     public static boolean isLate(double expectedS, double nominalS) {
         return expectedS > LATE_FACTOR * nominalS;
     }
--- a/src/main/java/io/pepperfield/predict/Medians.java
+++ b/src/main/java/io/pepperfield/predict/Medians.java
@@ -3,12 +3,12 @@
 import it.unimi.dsi.fastutil.doubles.DoubleArrayList;
 import java.util.Arrays;
 
-/** The middle of a list of run times; 0 where there is none. */
+/** Computes medians of lists of times. */
 public final class Medians {
 
     private Medians() {}
 
-    /** The median of the values; 0 where there is none. */
+    /** Returns the median of the values, or 0 if there are none. */
     public static double of(DoubleArrayList values) {
         if (values.isEmpty()) {
             return 0;
--- a/src/main/java/io/pepperfield/predict/OnlineLinearRegression.java
+++ b/src/main/java/io/pepperfield/predict/OnlineLinearRegression.java
@@ -4,8 +4,8 @@
 import it.unimi.dsi.fastutil.doubles.DoubleArrayList;
 
 /**
- * WIRE's algorithm 1: run time as intercept + slope x size, by online gradient descent from zero at
- * rate 0.1.
+ * WIRE's algorithm 1: models the run time as intercept + slope x size, by online gradient descent
+ * from zero with learning rate 0.1.
  */
 final class OnlineLinearRegression {
 
@@ -19,9 +19,9 @@
         double slopeGradient = 0;
         for (Double2ObjectMap.Entry<DoubleArrayList> group : groups.double2ObjectEntrySet()) {
             double size = group.getDoubleKey();
-            double missed = Medians.of(group.getValue()) - (slope * size + intercept);
-            interceptGradient += -2.0 / groups.size() * missed;
-            slopeGradient += -2.0 / groups.size() * size * missed;
+            double residual = Medians.of(group.getValue()) - (slope * size + intercept);
+            interceptGradient += -2.0 / groups.size() * residual;
+            slopeGradient += -2.0 / groups.size() * size * residual;
         }
         intercept -= LEARNING_RATE * interceptGradient;
         slope -= LEARNING_RATE * slopeGradient;
--- a/src/main/java/io/pepperfield/predict/PeerRunTimes.java
+++ b/src/main/java/io/pepperfield/predict/PeerRunTimes.java
@@ -6,8 +6,8 @@
 import java.util.OptionalDouble;
 
 /**
- * Run times of a job's finished tasks (the peers of its others), and by input size where sizes are
- * known. Used on the owner thread only.
+ * Run times of a job's finished tasks, which are the peers of its other tasks; also by input size
+ * where sizes are known. Confined to the event loop.
  */
 public final class PeerRunTimes {
 
@@ -19,18 +19,18 @@
     private final OnlineLinearRegression regression = new OnlineLinearRegression();
 
     /**
-     * Read for each task in each pass, so computed again only after a new run time; NaN while it is
-     * not known.
+     * Cached, since it is read for each task in each pass; NaN after a new run time until it is
+     * computed again.
      */
     private double median = Double.NaN;
 
-    /** Records the run time of a finished task in seconds, and its input size where it has one. */
+    /** Records the run time in seconds of a finished task, and its input size if known. */
     public void record(double seconds, OptionalDouble size) {
         if (recentRunTimes.size() < MAX_SAMPLES) {
             recentRunTimes.add(seconds);
         } else {
-            // The median of the last few hundred is as good, and an array of 100,000 tasks is not
-            // sorted again for each.
+            // The median of the last few hundred run times is as good, and avoids sorting all run
+            // times of an array of 100,000 tasks again for each task.
             recentRunTimes.set(count % MAX_SAMPLES, seconds);
         }
         count++;
@@ -40,12 +40,12 @@
         }
     }
 
-    /** The number of finished tasks. */
+    /** Returns the number of finished tasks. */
     public int finishedTaskCount() {
         return count;
     }
 
-    /** The median run time in seconds; 0 before the first finished task. */
+    /** Returns the median run time in seconds, or 0 before the first task has finished. */
     public double median() {
         if (Double.isNaN(median)) {
             median = Medians.of(recentRunTimes);
@@ -58,7 +58,10 @@
         return group == null ? OptionalDouble.empty() : OptionalDouble.of(Medians.of(group));
     }
 
-    /** One step of the online fit over the groups of equal size; once in each interval. */
+    /**
+     * Runs one step of the online regression over the groups of equal size. Must be called once per
+     * interval.
+     */
     public void updateModel() {
         if (!bySize.isEmpty()) {
             regression.step(bySize);
--- a/src/main/java/io/pepperfield/predict/ReadinessPredictor.java
+++ b/src/main/java/io/pepperfield/predict/ReadinessPredictor.java
@@ -8,9 +8,9 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * When jobs with dependencies are predicted to become ready: WIRE looks ahead along the workflow's
- * graph in the same way, and counts what will be ready at the start of the next interval. Times are
- * in seconds from now.
+ * Predicts when jobs with dependencies become ready. WIRE looks ahead along the workflow graph in
+ * the same way, and counts the tasks that will be ready when the next interval begins. Times are in
+ * seconds from now.
  */
 public final class ReadinessPredictor {
 
@@ -20,8 +20,9 @@
     private final Map<String, Double> secondsUntilDone = new HashMap<>();
 
     /**
-     * @param dependencies the unfinished dependencies of a job, without cycles
-     * @param remainingTime seconds that a job still takes, from now or from when it is ready
+     * @param dependencies returns the unfinished dependencies of a job; must be free of cycles
+     * @param remainingTime returns the seconds that a job still takes, from now or from when it is
+     *     ready
      */
     public ReadinessPredictor(
             Function<String, Collection<String>> dependencies,
@@ -31,41 +32,41 @@
     }
 
     /**
-     * Seconds until the last dependency of the job is predicted to be done. Without recursion,
-     * since chains may be long; each edge is visited a fixed number of times, however often this is
-     * called.
+     * Returns the seconds until the last dependency of the job is predicted to be done. Iterative,
+     * since dependency chains may be long. Each edge is visited a fixed number of times over all
+     * calls.
      */
     public double secondsUntilReady(String job) {
-        ArrayDeque<String> open = new ArrayDeque<>();
-        open.push(job);
-        while (!open.isEmpty()) {
-            String top = open.peek();
-            if (secondsUntilReady.containsKey(top)) {
-                // A dependency of several jobs, reached through another of them meanwhile.
-                open.pop();
+        ArrayDeque<String> stack = new ArrayDeque<>();
+        stack.push(job);
+        while (!stack.isEmpty()) {
+            String current = stack.peek();
+            if (secondsUntilReady.containsKey(current)) {
+                // Already computed: a shared dependency that was reached through another job.
+                stack.pop();
                 continue;
             }
             double latest = 0;
             boolean complete = true;
-            for (String dependency : dependencies.apply(top)) {
+            for (String dependency : dependencies.apply(current)) {
                 if (secondsUntilReady.containsKey(dependency)) {
                     latest = Math.max(latest, secondsUntilDone(dependency));
                 } else {
-                    open.push(dependency);
+                    stack.push(dependency);
                     complete = false;
                 }
             }
             if (complete) {
-                open.pop();
-                secondsUntilReady.put(top, latest);
+                stack.pop();
+                secondsUntilReady.put(current, latest);
             }
         }
         return secondsUntilReady.get(job);
     }
 
     /**
-     * Seconds until a job is predicted to be done whose readiness is known. Kept, since a fan of
-     * jobs asks for the same one thousands of times.
+     * Returns the seconds until a job whose readiness is known is predicted to be done. Cached,
+     * since thousands of jobs may depend on the same one.
      */
     private double secondsUntilDone(String job) {
         return secondsUntilDone.computeIfAbsent(
--- a/src/main/java/io/pepperfield/predict/WorkloadRunTimes.java
+++ b/src/main/java/io/pepperfield/predict/WorkloadRunTimes.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Recent run times of each workload class: what is expected of tasks none of whose peers has
- * finished. Used on the owner thread only.
+ * Recent run times of each workload class, used to predict tasks without finished peers. Confined
+ * to the event loop.
  */
 public final class WorkloadRunTimes {
 
@@ -14,10 +14,10 @@
 
     private final Map<String, DoubleArrayList> runTimes = new HashMap<>();
 
-    /** Read for each attempt in each pass, so computed again only after a new run time. */
+    /** Cached, since they are read for each attempt in each pass; removed after a new run time. */
     private final Map<String, Double> medians = new HashMap<>();
 
-    /** Records the run time of a finished task of that class in seconds. */
+    /** Records the run time in seconds of a finished task of the class. */
     public void record(String workload, double seconds) {
         DoubleArrayList list = runTimes.computeIfAbsent(workload, added -> new DoubleArrayList());
         if (list.size() == MAX_SAMPLES) {
@@ -27,11 +27,14 @@
         medians.remove(workload);
     }
 
-    /** The median of the class, or the owner's estimate while none of it has finished. */
+    /**
+     * Returns the median run time of the class, or the owner's estimate if no task of the class has
+     * finished.
+     */
     public double expectedRunTime(String workload, double estimateS) {
         DoubleArrayList list = runTimes.get(workload);
         return list == null
                 ? estimateS
-                : medians.computeIfAbsent(workload, unknown -> Medians.of(list));
+                : medians.computeIfAbsent(workload, missing -> Medians.of(list));
     }
 }
--- a/src/test/java/io/pepperfield/autoscaling/AutoscalerTest.java
+++ b/src/test/java/io/pepperfield/autoscaling/AutoscalerTest.java
@@ -39,7 +39,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What is rented where: boxes of 8 CPUs in the east and the west, a team with a limit of 24 CPUs.
+ * Tests in which zones the autoscaler rents machines. Machines of type "box" have 8 CPUs and are
+ * offered in the zones east and west; the team may use up to 24 CPUs.
  */
 class AutoscalerTest implements Loop, NoOpFleetListener, FencedWriter.Fence, NoOpCloud {
 
@@ -92,7 +93,7 @@
                                 "box", 8, 0, 32, 20, 1, 1, 0.4, 5, List.of("east", "west"))));
     }
 
-    private Job addJob(Shape shape, int tasks, String zone, boolean together, boolean spread) {
+    private Job addJob(Shape shape, int tasks, String zone, boolean sameZone, boolean spread) {
         Job job =
                 new Job(
                         new JobSpecBuilder()
@@ -104,7 +105,7 @@
                                 .cpus(8)
                                 .image("img")
                                 .zone(zone)
-                                .oneZone(together)
+                                .oneZone(sameZone)
                                 .spread(spread)
                                 .expectedS(90)
                                 .build(),
@@ -113,7 +114,7 @@
         return job;
     }
 
-    private Machine reportHeartbeat(String name, String zone, Heartbeat.AttemptStatus... lines) {
+    private Machine reportHeartbeat(String name, String zone, Heartbeat.AttemptStatus... statuses) {
         fleet.expectMachine(name, "box", zone, false, 0, 0);
         fleet.handleHeartbeat(
                 new Heartbeat(
@@ -126,7 +127,7 @@
                         heartbeatSerials.merge(name, 1, Integer::sum),
                         new FencingToken(10),
                         null,
-                        List.of(lines)),
+                        List.of(statuses)),
                 now);
         return fleet.get(name);
     }
@@ -147,10 +148,13 @@
                         Heartbeat.Cause.NONE));
     }
 
-    /** Some steps in half a unit, in which all machines report; what was asked for in them. */
+    /**
+     * Runs the autoscaler for half a billing unit while all ready machines send heartbeats; returns
+     * the rental requests made during it.
+     */
     private List<String> rentalsInHalfABillingUnit() {
-        List<String> before = List.copyOf(rentalRequests);
-        for (double until = now + 30; now < until; now += 0.5) {
+        List<String> earlierRequests = List.copyOf(rentalRequests);
+        for (double endAt = now + 30; now < endAt; now += 0.5) {
             fleet.machines().stream()
                     .filter(Machine::ready)
                     .forEach(
@@ -161,24 +165,24 @@
                                             runningStatuses(machine)));
             autoscaler.tick(now);
             writer.flush();
-            for (Consumer<KeyValueStore.CompareAndSwapOutcome> done;
-                    (done = keyValueStore.pendingCallback) != null; ) {
+            for (Consumer<KeyValueStore.CompareAndSwapOutcome> callback;
+                    (callback = keyValueStore.pendingCallback) != null; ) {
                 keyValueStore.pendingCallback = null;
-                done.accept(
+                callback.accept(
                         new KeyValueStore.CompareAndSwapOutcome.Committed(
                                 keyValueStore.writtenKeys.size()));
             }
         }
-        return rentalRequests.subList(before.size(), rentalRequests.size());
+        return rentalRequests.subList(earlierRequests.size(), rentalRequests.size());
     }
 
     private static Heartbeat.AttemptStatus[] runningStatuses(Machine machine) {
         return machine.attempts().stream()
                 .map(
-                        a ->
+                        attempt ->
                                 new Heartbeat.AttemptStatus(
-                                        a.taskRef,
-                                        a.number,
+                                        attempt.taskRef,
+                                        attempt.number,
                                         Heartbeat.State.RUNNING,
                                         Heartbeat.Cause.NONE))
                 .toArray(Heartbeat.AttemptStatus[]::new);
@@ -189,7 +193,10 @@
         reportHeartbeat("m1", "west");
         reportHeartbeat("m2", "west");
         addJob(Shape.ARRAY, 1, "east", false, false);
-        assertEquals(List.of("1 in east"), rentalsInHalfABillingUnit(), "once, as it is under way");
+        assertEquals(
+                List.of("1 in east"),
+                rentalsInHalfABillingUnit(),
+                "requested once while the rental is pending");
     }
 
     @Test
--- a/src/test/java/io/pepperfield/capacity/MachineCountEstimatorTest.java
+++ b/src/test/java/io/pepperfield/capacity/MachineCountEstimatorTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Tests of WIRE's algorithm 3: the machines that upcoming tasks need. */
+/** Tests WIRE's algorithm 3: the number of machines that upcoming tasks need. */
 class MachineCountEstimatorTest {
 
     @Test
@@ -25,28 +25,35 @@
         assertEquals(0, CapacityPlanner.demandWeight(0, 20));
     }
 
-    /** machines COUNTxREMAINING/SLOTS ... with u = 60 and a fifth of it for the last machine. */
+    /**
+     * Runs {@code machines COUNTxREMAINING/SLOTS ...} with a billing unit of 60 s and a partial
+     * machine share of 0.2.
+     */
     private static List<String> runTraceCommand(String[] words) {
-        List<MachineCountEstimator.UpcomingTasks> tasks = new ArrayList<>();
-        List<MachineCountEstimator.UpcomingTasks> grouped = new ArrayList<>();
+        List<MachineCountEstimator.UpcomingTasks> singleTasks = new ArrayList<>();
+        List<MachineCountEstimator.UpcomingTasks> groupedTasks = new ArrayList<>();
         for (int i = 1; i < words.length; i++) {
-            String[] part = words[i].split("[x/]");
+            String[] fields = words[i].split("[x/]");
             double remaining =
-                    part[1].equals("ever") ? Double.POSITIVE_INFINITY : Double.parseDouble(part[1]);
-            grouped.add(
+                    fields[1].equals("ever")
+                            ? Double.POSITIVE_INFINITY
+                            : Double.parseDouble(fields[1]);
+            groupedTasks.add(
                     new MachineCountEstimator.UpcomingTasks(
-                            remaining, 1 / Double.parseDouble(part[2]), Integer.parseInt(part[0])));
-            for (int n = 0; n < Integer.parseInt(part[0]); n++) {
-                tasks.add(
+                            remaining,
+                            1 / Double.parseDouble(fields[2]),
+                            Integer.parseInt(fields[0])));
+            for (int n = 0; n < Integer.parseInt(fields[0]); n++) {
+                singleTasks.add(
                         new MachineCountEstimator.UpcomingTasks(
-                                remaining, 1 / Double.parseDouble(part[2])));
+                                remaining, 1 / Double.parseDouble(fields[2])));
             }
         }
-        int machines = MachineCountEstimator.requiredMachines(tasks, 60, 0.2);
+        int machines = MachineCountEstimator.requiredMachines(singleTasks, 60, 0.2);
         assertEquals(
                 machines,
-                MachineCountEstimator.requiredMachines(grouped, 60, 0.2),
-                "alike tasks in one entry count as they do one by one");
+                MachineCountEstimator.requiredMachines(groupedTasks, 60, 0.2),
+                "identical tasks need as many machines grouped as listed one by one");
         return List.of(String.valueOf(machines));
     }
 }
--- a/src/test/java/io/pepperfield/capacity/ZoneShortageTest.java
+++ b/src/test/java/io/pepperfield/capacity/ZoneShortageTest.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Boxes of 8 CPUs, a unit of 60 s. */
+/** Tests zone shortages with machines of 8 CPUs and a billing unit of 60 s. */
 class ZoneShortageTest {
 
     private static final InstancePool BOX = new InstancePool("box", false);
@@ -40,8 +40,11 @@
     }
 
     private static Map<InstancePool, Map<String, Integer>> shortage(
-            ZoneBoundWork bound, List<ZoneOffer> sources, AvailableMachine... standing) {
-        return ZoneShortage.missingMachines(List.of(bound), List.of(standing), sources, 60, 0.2);
+            ZoneBoundWork zoneBoundWork,
+            List<ZoneOffer> zoneOffers,
+            AvailableMachine... available) {
+        return ZoneShortage.missingMachines(
+                List.of(zoneBoundWork), List.of(available), zoneOffers, 60, 0.2);
     }
 
     private static AvailableMachine availableMachine(String zone, double cpus) {
@@ -50,12 +53,12 @@
 
     @Test
     void capacitySplitOverMachinesTooSmallForATaskDoesNotCount() {
-        ZoneBoundWork whole =
+        ZoneBoundWork wholeMachineTasks =
                 new ZoneBoundWork(job(Shape.ARRAY, 2, 8, "east", false), "east", 90, 2);
         assertEquals(
                 Map.of(BOX, Map.of("east", 2)),
                 shortage(
-                        whole,
+                        wholeMachineTasks,
                         ZONE_OFFERS,
                         availableMachine("east", 4),
                         availableMachine("east", 4),
@@ -63,14 +66,14 @@
         assertEquals(
                 Map.of(BOX, Map.of("east", 1)),
                 shortage(
-                        whole,
+                        wholeMachineTasks,
                         ZONE_OFFERS,
                         availableMachine("east", 8),
                         availableMachine("west", 8)));
         assertEquals(
                 Map.of(),
                 shortage(
-                        whole,
+                        wholeMachineTasks,
                         ZONE_OFFERS,
                         availableMachine("east", 8),
                         availableMachine("east", 8)));
@@ -79,14 +82,14 @@
     @Test
     void shortTasksRunInSequenceAndNeedFewerMachines() {
         JobSpec array = job(Shape.ARRAY, 40, 4, "east", false);
-        // Six of 10 s in a slot, two slots in a machine.
+        // Six tasks of 10 s run in sequence in a slot, with two slots per machine.
         assertEquals(
                 Map.of(BOX, Map.of("east", 2)),
                 shortage(
                         new ZoneBoundWork(array, "east", 10, 36),
                         ZONE_OFFERS,
                         availableMachine("east", 8)));
-        // Of tasks of which nothing is known yet one slot will do until the first has run.
+        // One slot is enough for tasks of unknown run time until the first has finished.
         assertEquals(
                 Map.of(BOX, Map.of("east", 1)),
                 shortage(
@@ -103,10 +106,11 @@
 
     @Test
     void noShortageIsReportedWithoutAFittingOffer() {
-        ZoneBoundWork bound =
+        ZoneBoundWork zoneBoundWork =
                 new ZoneBoundWork(job(Shape.ARRAY, 1, 8, "east", false), "east", 90, 1);
         assertEquals(
-                Map.of(), shortage(bound, List.of(zoneOffer("west")), availableMachine("west", 8)));
+                Map.of(),
+                shortage(zoneBoundWork, List.of(zoneOffer("west")), availableMachine("west", 8)));
         assertEquals(
                 Map.of(),
                 shortage(
@@ -122,9 +126,9 @@
         assertEquals(
                 Optional.empty(),
                 ZoneShortage.zoneBoundWork(service, 90, 3, Map.of("east", 2), zones));
-        Optional<ZoneBoundWork> rest =
+        Optional<ZoneBoundWork> remaining =
                 ZoneShortage.zoneBoundWork(service, 90, 2, Map.of("east", 3), zones);
-        assertEquals(Optional.of(new ZoneBoundWork(service, "west", 90, 2)), rest);
+        assertEquals(Optional.of(new ZoneBoundWork(service, "west", 90, 2)), remaining);
         assertEquals(
                 Optional.empty(),
                 ZoneShortage.zoneBoundWork(
--- a/src/test/java/io/pepperfield/predict/ReadinessPredictorTest.java
+++ b/src/test/java/io/pepperfield/predict/ReadinessPredictorTest.java
@@ -9,12 +9,15 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** When the jobs of a workflow become ready, from how long each still takes. */
+/**
+ * Tests when the jobs of a workflow are predicted to become ready, including long dependency chains
+ * that must not overflow the stack and dense graphs that must not multiply the work.
+ */
 class ReadinessPredictorTest {
 
     @Test
     void longestDependencyPathDeterminesReadiness() {
-        Map<String, List<String>> needs =
+        Map<String, List<String>> dependencies =
                 Map.of(
                         "first",
                         List.of(),
@@ -26,55 +29,57 @@
                         List.of("short", "long"));
         Map<String, Double> remaining =
                 Map.of("first", 5.0, "short", 1.0, "long", 8.0, "last", 2.0);
-        ReadinessPredictor times = new ReadinessPredictor(needs::get, remaining::get);
-        assertEquals(0, times.secondsUntilReady("first"));
-        assertEquals(5, times.secondsUntilReady("short"));
-        assertEquals(13, times.secondsUntilReady("last"));
+        ReadinessPredictor predictor = new ReadinessPredictor(dependencies::get, remaining::get);
+        assertEquals(0, predictor.secondsUntilReady("first"));
+        assertEquals(5, predictor.secondsUntilReady("short"));
+        assertEquals(13, predictor.secondsUntilReady("last"));
     }
 
     @Test
     void longChainWithWideFanInIsPredicted() {
-        Map<String, List<String>> needs = new HashMap<>(Map.of("0", List.of()));
+        Map<String, List<String>> dependencies = new HashMap<>(Map.of("0", List.of()));
         for (int i = 1; i <= 20_000; i++) {
-            needs.put("" + i, List.of("" + (i - 1)));
+            dependencies.put("" + i, List.of("" + (i - 1)));
         }
-        List<String> all = new ArrayList<>(needs.keySet());
-        needs.put("fan", all);
-        assertEquals(20_001, new ReadinessPredictor(needs::get, job -> 1).secondsUntilReady("fan"));
+        List<String> all = new ArrayList<>(dependencies.keySet());
+        dependencies.put("fan", all);
+        assertEquals(
+                20_001,
+                new ReadinessPredictor(dependencies::get, job -> 1).secondsUntilReady("fan"));
     }
 
     @Test
     void eachJobIsPredictedOnceAndVisitedAtMostTwice() {
-        Map<String, List<String>> needs = new HashMap<>();
+        Map<String, List<String>> dependencies = new HashMap<>();
         int layers = 20;
         int width = 100;
         for (int layer = 0; layer < layers; layer++) {
             for (int i = 0; i < width; i++) {
-                List<String> before = new ArrayList<>();
+                List<String> previousLayer = new ArrayList<>();
                 for (int n = 0; layer > 0 && n < width; n++) {
-                    before.add((layer - 1) + "/" + n);
+                    previousLayer.add((layer - 1) + "/" + n);
                 }
-                needs.put(layer + "/" + i, before);
+                dependencies.put(layer + "/" + i, previousLayer);
             }
         }
-        int[] predicted = new int[1];
-        int[] lookedUp = new int[1];
-        ReadinessPredictor times =
+        int[] predictionCount = new int[1];
+        int[] lookupCount = new int[1];
+        ReadinessPredictor predictor =
                 new ReadinessPredictor(
                         job -> {
-                            lookedUp[0]++;
-                            return needs.get(job);
+                            lookupCount[0]++;
+                            return dependencies.get(job);
                         },
                         job -> {
-                            predicted[0]++;
+                            predictionCount[0]++;
                             return 1;
                         });
-        for (String job : needs.keySet()) {
-            times.secondsUntilReady(job);
+        for (String job : dependencies.keySet()) {
+            predictor.secondsUntilReady(job);
         }
-        assertEquals(layers - 1, times.secondsUntilReady((layers - 1) + "/0"));
+        assertEquals(layers - 1, predictor.secondsUntilReady((layers - 1) + "/0"));
         int jobs = layers * width;
-        assertTrue(predicted[0] <= jobs, "predicted " + predicted[0]);
-        assertTrue(lookedUp[0] <= 2 * jobs, "looked up " + lookedUp[0]);
+        assertTrue(predictionCount[0] <= jobs, "remaining time predictions: " + predictionCount[0]);
+        assertTrue(lookupCount[0] <= 2 * jobs, "dependency lookups: " + lookupCount[0]);
     }
 }
--- a/src/test/java/io/pepperfield/predict/RunTimePredictorTest.java
+++ b/src/test/java/io/pepperfield/predict/RunTimePredictorTest.java
@@ -8,7 +8,7 @@
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
 
-/** Tests of the run time prediction by WIRE's policies. */
+/** Tests run time predictions by WIRE's policies. */
 class RunTimePredictorTest {
 
     private PeerRunTimes times = new PeerRunTimes();
@@ -43,9 +43,9 @@
         return List.of();
     }
 
-    private static OptionalDouble size(String[] words, int at) {
-        return words.length > at
-                ? OptionalDouble.of(Double.parseDouble(words[at]))
+    private static OptionalDouble size(String[] words, int index) {
+        return words.length > index
+                ? OptionalDouble.of(Double.parseDouble(words[index]))
                 : OptionalDouble.empty();
     }
 }
