--- a/src/main/java/io/pepperfield/capacity/CapacityPlanner.java
+++ b/src/main/java/io/pepperfield/capacity/CapacityPlanner.java
@@ -70,10 +70,12 @@
     }
 
     /**
-     * Expected demand in CPUs, split into work that requires on-demand machines and work that may
-     * also run on spot machines.
+     * Expected demand in CPUs.
+     *
+     * @param onDemandCpus CPUs of work that requires on-demand machines
+     * @param anyCpus CPUs of work that may run on machines of any instance class
      */
-    public record ExpectedDemand(double onDemandCpus, double spotTolerantCpus) {}
+    public record ExpectedDemand(double onDemandCpus, double anyCpus) {}
 
     private static final double PRICE_TOLERANCE = 1.1;
 
@@ -220,12 +222,11 @@
     public static Map<InstancePool, Integer> machinesForDemand(
             List<PoolOffer> offers, ExpectedDemand expected) {
         DemandAssignment assignment = new DemandAssignment(offers);
-        double spotTolerantLeft =
-                assignment.assignToExistingMachines(true, expected.spotTolerantCpus());
+        double anyLeft = assignment.assignToExistingMachines(true, expected.anyCpus());
         double onDemandLeft = assignment.assignToExistingMachines(false, expected.onDemandCpus());
-        spotTolerantLeft = assignment.assignToExistingMachines(false, spotTolerantLeft);
-        spotTolerantLeft = assignment.assignToNewMachines(true, spotTolerantLeft);
-        assignment.assignToNewMachines(false, onDemandLeft + spotTolerantLeft);
+        anyLeft = assignment.assignToExistingMachines(false, anyLeft);
+        anyLeft = assignment.assignToNewMachines(true, anyLeft);
+        assignment.assignToNewMachines(false, onDemandLeft + anyLeft);
         Map<InstancePool, Integer> machines = new HashMap<>();
         for (PoolOffer offer : offers) {
             double cpus = assignment.assignedCpus.getOrDefault(offer.pool(), 0.0);
--- a/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
+++ b/src/main/java/io/pepperfield/lifecycle/RunRecordStore.java
@@ -186,7 +186,7 @@
         return recordIndex * job.spec.tasksPerRunRecord();
     }
 
-    /** Whether the job shares its record with other small ones. */
+    /** Whether the job shares its record with other small jobs. */
     boolean sharesRecord(Job job) {
         return sharedRecordKey(job).isPresent();
     }
