--- a/src/main/java/io/pepperfield/cluster/BootTracker.java
+++ b/src/main/java/io/pepperfield/cluster/BootTracker.java
@@ -66,7 +66,7 @@
 
     /** Records the first heartbeat of a machine rented by this leader. */
     public void recordBoot(Machine machine, double now) {
-        predictor.record(locationKey(machine.type(), machine.zone()), machine.rentedAt(), now);
+        predictor.recordBoot(locationKey(machine.type(), machine.zone()), machine.rentedAt(), now);
         observedBoots.add(machine.name);
     }
 
--- a/src/main/java/io/pepperfield/lifecycle/AttemptStarter.java
+++ b/src/main/java/io/pepperfield/lifecycle/AttemptStarter.java
@@ -11,7 +11,7 @@
 import io.pepperfield.store.FencedWriter;
 
 /**
- * Starts and stops attempts. An intent is durable before its run order may leave. Confined to the
+ * Starts and stops attempts. A run order is sent only after its intent is durable. Confined to the
  * event loop.
  */
 final class AttemptStarter implements Dispatcher.AttemptControl {
@@ -20,7 +20,7 @@
     private final Fleet fleet;
     private final LiveAttempts liveAttempts;
     private final RunRecordStore runRecords;
-    private final DirectOrders directOrders;
+    private final DirectOrderSender directOrders;
     private boolean termEnded;
 
     AttemptStarter(
@@ -28,7 +28,7 @@
             Fleet fleet,
             LiveAttempts liveAttempts,
             RunRecordStore runRecords,
-            DirectOrders directOrders) {
+            DirectOrderSender directOrders) {
         this.loop = loop;
         this.fleet = fleet;
         this.liveAttempts = liveAttempts;
@@ -36,7 +36,7 @@
         this.directOrders = directOrders;
     }
 
-    /** The term has ended: what becomes durable from now on starts nothing. */
+    /** Ends the term: intents that become durable after this call start nothing. */
     void endTerm() {
         termEnded = true;
     }
--- a/src/test/java/io/pepperfield/capacity/ZoneShortageTest.java
+++ b/src/test/java/io/pepperfield/capacity/ZoneShortageTest.java
@@ -14,13 +14,14 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Boxes of 8 CPUs, a unit of 60 s. */
+/** Tests zone shortages with machines of 8 CPUs and a billing unit of 60 s. */
 class ZoneShortageTest {
 
     private static final InstancePool BOX = new InstancePool("box", false);
-    private static final List<ZoneOffer> SOURCES = List.of(source("east"), source("west"));
+    private static final List<ZoneOffer> ZONE_OFFERS =
+            List.of(zoneOffer("east"), zoneOffer("west"));
 
-    private static ZoneOffer source(String zone) {
+    private static ZoneOffer zoneOffer(String zone) {
         return new ZoneOffer(new CapacityPlanner.PoolOffer(BOX, 8, 0, 32, 1, 5, 0, true), zone);
     }
 
@@ -39,71 +40,95 @@
     }
 
     private static Map<InstancePool, Map<String, Integer>> shortage(
-            ZoneBoundWork bound, List<ZoneOffer> sources, AvailableMachine... standing) {
-        return ZoneShortage.missingMachines(List.of(bound), List.of(standing), sources, 60, 0.2);
+            ZoneBoundWork zoneBoundWork,
+            List<ZoneOffer> zoneOffers,
+            AvailableMachine... available) {
+        return ZoneShortage.missingMachines(
+                List.of(zoneBoundWork), List.of(available), zoneOffers, 60, 0.2);
     }
 
-    private static AvailableMachine standing(String zone, double cpus) {
+    private static AvailableMachine availableMachine(String zone, double cpus) {
         return new AvailableMachine(BOX, zone, cpus, 0, 32);
     }
 
     @Test
-    void roomInPiecesThatAreTooSmallIsNone() {
-        ZoneBoundWork whole =
+    void capacitySplitOverMachinesTooSmallForATaskDoesNotCount() {
+        ZoneBoundWork wholeMachineTasks =
                 new ZoneBoundWork(job(Shape.ARRAY, 2, 8, "east", false), "east", 90, 2);
         assertEquals(
                 Map.of(BOX, Map.of("east", 2)),
                 shortage(
-                        whole,
-                        SOURCES,
-                        standing("east", 4),
-                        standing("east", 4),
-                        standing("west", 8)));
+                        wholeMachineTasks,
+                        ZONE_OFFERS,
+                        availableMachine("east", 4),
+                        availableMachine("east", 4),
+                        availableMachine("west", 8)));
         assertEquals(
                 Map.of(BOX, Map.of("east", 1)),
-                shortage(whole, SOURCES, standing("east", 8), standing("west", 8)));
-        assertEquals(Map.of(), shortage(whole, SOURCES, standing("east", 8), standing("east", 8)));
+                shortage(
+                        wholeMachineTasks,
+                        ZONE_OFFERS,
+                        availableMachine("east", 8),
+                        availableMachine("west", 8)));
+        assertEquals(
+                Map.of(),
+                shortage(
+                        wholeMachineTasks,
+                        ZONE_OFFERS,
+                        availableMachine("east", 8),
+                        availableMachine("east", 8)));
     }
 
     @Test
-    void shortTasksFollowEachOtherInASlotAndSoFillFewerMachines() {
+    void shortTasksRunInSequenceAndNeedFewerMachines() {
         JobSpec array = job(Shape.ARRAY, 40, 4, "east", false);
-        // Six of 10 s in a slot, two slots in a machine.
+        // Six tasks of 10 s run in sequence in a slot, with two slots per machine.
         assertEquals(
                 Map.of(BOX, Map.of("east", 2)),
-                shortage(new ZoneBoundWork(array, "east", 10, 36), SOURCES, standing("east", 8)));
-        // Of tasks of which nothing is known yet one slot will do until the first has run.
+                shortage(
+                        new ZoneBoundWork(array, "east", 10, 36),
+                        ZONE_OFFERS,
+                        availableMachine("east", 8)));
+        // One slot is enough for tasks of unknown run time until the first has finished.
         assertEquals(
                 Map.of(BOX, Map.of("east", 1)),
-                shortage(new ZoneBoundWork(array, "east", 0, 40), SOURCES, standing("east", 2)));
+                shortage(
+                        new ZoneBoundWork(array, "east", 0, 40),
+                        ZONE_OFFERS,
+                        availableMachine("east", 2)));
         assertEquals(
                 Map.of(),
-                shortage(new ZoneBoundWork(array, "east", 0, 40), SOURCES, standing("east", 4)));
+                shortage(
+                        new ZoneBoundWork(array, "east", 0, 40),
+                        ZONE_OFFERS,
+                        availableMachine("east", 4)));
     }
 
     @Test
-    void whereNothingCanBeHadNothingIsShort() {
-        ZoneBoundWork bound =
+    void noShortageIsReportedWithoutAFittingOffer() {
+        ZoneBoundWork zoneBoundWork =
                 new ZoneBoundWork(job(Shape.ARRAY, 1, 8, "east", false), "east", 90, 1);
-        assertEquals(Map.of(), shortage(bound, List.of(source("west")), standing("west", 8)));
+        assertEquals(
+                Map.of(),
+                shortage(zoneBoundWork, List.of(zoneOffer("west")), availableMachine("west", 8)));
         assertEquals(
                 Map.of(),
                 shortage(
                         new ZoneBoundWork(job(Shape.ARRAY, 1, 9, "east", false), "east", 90, 1),
-                        SOURCES));
+                        ZONE_OFFERS));
     }
 
     @Test
-    void replicasAreBoundOnlyOnceTheOtherZoneMayTakeNoMore() {
+    void spreadReplicasAreZoneBoundOnlyWhenOneZoneIsLeft() {
         Set<String> zones = Set.of("east", "west");
         JobSpec service = job(Shape.SERVICE, 5, 2, null, true);
         assertEquals(Optional.empty(), ZoneShortage.zoneBoundWork(service, 90, 5, Map.of(), zones));
         assertEquals(
                 Optional.empty(),
                 ZoneShortage.zoneBoundWork(service, 90, 3, Map.of("east", 2), zones));
-        Optional<ZoneBoundWork> rest =
+        Optional<ZoneBoundWork> remaining =
                 ZoneShortage.zoneBoundWork(service, 90, 2, Map.of("east", 3), zones);
-        assertEquals(Optional.of(new ZoneBoundWork(service, "west", 90, 2)), rest);
+        assertEquals(Optional.of(new ZoneBoundWork(service, "west", 90, 2)), remaining);
         assertEquals(
                 Optional.empty(),
                 ZoneShortage.zoneBoundWork(
