--- a/src/main/java/io/pepperfield/cli/ControllerClient.java
+++ b/src/main/java/io/pepperfield/cli/ControllerClient.java
@@ -38,7 +38,7 @@
 
     /** Asks about one job; what is no job's id is a mistake on the command line. */
     int requestForJob(String method, String job, String action, byte[] body) {
-        if (!JobMessages.validId(job)) {
+        if (!JobMessages.isValidId(job)) {
             throw new ParameterException(
                     command.commandLine(), job + ": want an id such as run-000412");
         }
--- a/src/main/java/io/pepperfield/controller/LeaderHeartbeatProcessor.java
+++ b/src/main/java/io/pepperfield/controller/LeaderHeartbeatProcessor.java
@@ -59,7 +59,7 @@
      */
     private double cancellationWatermark(Machine machine) {
         return fleet.cancelledAttemptsThatMayStart(machine).stream()
-                .mapToDouble(attempt -> attempt.job.lastKnownOpenAt())
+                .mapToDouble(attempt -> attempt.job.lastKnownActiveAt())
                 .min()
                 .orElse(Double.POSITIVE_INFINITY);
     }
--- a/src/main/java/io/pepperfield/controller/ReplicaChangeRouter.java
+++ b/src/main/java/io/pepperfield/controller/ReplicaChangeRouter.java
@@ -65,7 +65,7 @@
         if (key.equals(Keys.MACHINE_TYPES) && value != null && !machineTypes.known()) {
             machineTypes.update(MachineTypesRecord.decode(value));
         }
-        jobIndex.changed(key, value);
+        jobIndex.applyChange(key, value);
         compactReplica(key);
         if (key.startsWith(Keys.JOB_PREFIX) || key.startsWith(Keys.FINAL_STATE_PREFIX)) {
             notifyLeader(key.substring(key.lastIndexOf('/') + 1));
@@ -89,7 +89,7 @@
      * acted on before the store can be asked.
      */
     void cancelledByPeer(String jobId) {
-        jobIndex.changed(
+        jobIndex.applyChange(
                 Keys.FINAL_STATE_PREFIX + jobId, JobCodec.encodeFinalStatus(Status.CANCELLED));
         notifyLeader(jobId);
     }
--- a/src/main/java/io/pepperfield/controller/RequestRouter.java
+++ b/src/main/java/io/pepperfield/controller/RequestRouter.java
@@ -85,7 +85,7 @@
                 cancellation
                         ? jobPath.substring(0, jobPath.length() - CANCEL_SUFFIX.length())
                         : jobPath;
-        if (!JobMessages.validId(jobId)) {
+        if (!JobMessages.isValidId(jobId)) {
             // No job of such a name can ever have been accepted.
             answer.accept(HttpReply.error(404, "no such job"));
         } else if (cancellation) {
--- a/src/main/java/io/pepperfield/health/FailureDetector.java
+++ b/src/main/java/io/pepperfield/health/FailureDetector.java
@@ -246,7 +246,7 @@
                         attempt ->
                                 attempt.live()
                                         && attempt.job.finalStatus() == Status.CANCELLED
-                                        && now - attempt.job.lastKnownOpenAt() > overdueS);
+                                        && now - attempt.job.lastKnownActiveAt() > overdueS);
     }
 
     /**
--- a/src/main/java/io/pepperfield/health/LeaseRenewal.java
+++ b/src/main/java/io/pepperfield/health/LeaseRenewal.java
@@ -62,9 +62,9 @@
     public double localCancellationWatermark(Heartbeat heartbeat) {
         return Math.min(
                 lastConfirmedAt.getAsDouble(),
-                jobIndex.noneCancelledAsOf(
+                jobIndex.noCancellationsBefore(
                         heartbeat.machine(),
-                        attempt -> shows(heartbeat, attempt.task(), attempt.number())));
+                        attempt -> shows(heartbeat, attempt.taskId(), attempt.attemptNumber())));
     }
 
     private static boolean shows(Heartbeat heartbeat, String task, int attemptNumber) {
--- a/src/main/java/io/pepperfield/jobs/CancelledAttempt.java
+++ b/src/main/java/io/pepperfield/jobs/CancelledAttempt.java
@@ -7,4 +7,4 @@
  * @param number the attempt's number, from 1
  * @param jobOpenAt loop time in seconds at which the job was not cancelled yet
  */
-public record CancelledAttempt(String task, int number, double jobOpenAt) {}
+public record CancelledAttempt(String taskId, int attemptNumber, double jobActiveAt) {}
--- a/src/main/java/io/pepperfield/jobs/CancelledAttempts.java
+++ b/src/main/java/io/pepperfield/jobs/CancelledAttempts.java
@@ -39,14 +39,14 @@
      *
      * @param settled attempts that need not be considered
      */
-    double noneCancelledAsOf(String machine, Predicate<CancelledAttempt> settled) {
+    double noCancellationsBefore(String machine, Predicate<CancelledAttempt> settled) {
         if (attemptsByMachine == null) {
             attemptsByMachine = new HashMap<>();
             jobsWithLiveTasks.forEach(this::index);
         }
         return attemptsByMachine.getOrDefault(machine, List.of()).stream()
                 .filter(settled.negate())
-                .mapToDouble(CancelledAttempt::jobOpenAt)
+                .mapToDouble(CancelledAttempt::jobActiveAt)
                 .min()
                 .orElse(Double.POSITIVE_INFINITY);
     }
@@ -58,7 +58,7 @@
                         new CancelledAttempt(
                                 record.spec().id() + "/" + state.task(),
                                 state.attempt(),
-                                record.lastKnownOpenAt());
+                                record.lastKnownActiveAt());
                 attemptsByMachine
                         .computeIfAbsent(state.machine(), m -> new ArrayList<>())
                         .add(attempt);
--- a/src/main/java/io/pepperfield/jobs/CrashLoopBackoff.java
+++ b/src/main/java/io/pepperfield/jobs/CrashLoopBackoff.java
@@ -78,7 +78,7 @@
     }
 
     /** A stored record says that a task failed in its latest attempt. */
-    void recordEarlierFailure() {
+    void restoreFailure() {
         earlierFailures = Math.min(MAX_FAILED_MACHINES, earlierFailures + 1);
     }
 
--- a/src/main/java/io/pepperfield/jobs/CreateIfAbsent.java
+++ b/src/main/java/io/pepperfield/jobs/CreateIfAbsent.java
@@ -31,7 +31,7 @@
         /** The state service's rate did not allow it. */
         THROTTLED,
         /** More was waiting than can be written in time. */
-        TOO_MANY
+        OVERLOADED
     }
 
     /** A key to be created, until when it may be tried (loop time), and whom to tell. */
@@ -93,7 +93,7 @@
             // Asked again while the first request waits: one answer for both.
             queued.callbacks.add(done);
         } else if (queuedByKey.size() >= maxQueued) {
-            done.accept(Result.TOO_MANY);
+            done.accept(Result.OVERLOADED);
         } else {
             List<Consumer<Result>> callbacks = new ArrayList<>(List.of(done));
             PendingCreation creation =
@@ -145,7 +145,7 @@
             queue.poll();
             queuedByKey.remove(creation.key);
             if (creation.deadline < loop.now()) {
-                creation.complete(Result.TOO_MANY);
+                creation.complete(Result.OVERLOADED);
             } else {
                 batch.add(creation);
                 bytes += size;
--- a/src/main/java/io/pepperfield/jobs/DependencyGraph.java
+++ b/src/main/java/io/pepperfield/jobs/DependencyGraph.java
@@ -32,7 +32,7 @@
      * The id in the instance that the job itself has: a copy for each dependent would fill the heap
      * where thousands of jobs have hundreds of dependencies, and descriptions are kept for ever.
      */
-    String sharedId(String id) {
+    String internId(String id) {
         JobRecord record = records.get(id);
         if (record != null) {
             return record.spec().id();
@@ -44,7 +44,7 @@
     /**
      * The instance of an accepted job's id that its dependents have; itself where there is none.
      */
-    String claimId(String id) {
+    String takeInternedId(String id) {
         String known = idsNamedBeforeJobs.remove(id);
         return known == null ? id : known;
     }
@@ -65,10 +65,10 @@
         for (String id : record.spec().dependencies()) {
             JobRecord dependency = records.get(id);
             if (dependency != null && dependency.finalStatus() == Status.DONE) {
-                record.dependencyDone(dependency);
+                record.updateReadyTime(dependency);
                 continue;
             }
-            record.dependencyAdded();
+            record.countUnfinishedDependency();
             // Also where the dependency is not known yet: a later page may bring it.
             dependentsByJob.computeIfAbsent(id, i -> new ArrayList<>()).add(record);
             cancelled |= dependency != null && dependency.finalStatus() == Status.CANCELLED;
@@ -86,9 +86,9 @@
         List<JobRecord> dependents = dependentsByJob.remove(ended.spec().id());
         for (JobRecord dependent : dependents == null ? List.<JobRecord>of() : dependents) {
             if (ended.finalStatus() == Status.DONE) {
-                dependent.dependencyFinished(ended);
+                dependent.completeDependency(ended);
             } else if (!dependent.hasEnded()) {
-                dependent.end(FinalState.CANCELLED_WITH_DEPENDENCY);
+                dependent.setFinalState(FinalState.CANCELLED_WITH_DEPENDENCY);
                 cancelled.add(dependent);
             }
             affectedDependents.add(dependent.spec().id());
--- a/src/main/java/io/pepperfield/jobs/Job.java
+++ b/src/main/java/io/pepperfield/jobs/Job.java
@@ -67,7 +67,7 @@
     }
 
     /** Of a job that has ended: a loop time in seconds at which it had not. */
-    public double lastKnownOpenAt() {
+    public double lastKnownActiveAt() {
         return lastKnownOpenAt;
     }
 
@@ -82,7 +82,7 @@
     }
 
     /** The last job that it depends on is done: its class's times begin. */
-    public void dependenciesDone(double now) {
+    public void markDependenciesDone(double now) {
         awaitingDependencies = false;
         readyAt = now;
     }
@@ -229,8 +229,8 @@
     }
 
     /** A stored record says that the task failed in its latest attempt. */
-    public void recordEarlierFailure() {
-        crashLoop.recordEarlierFailure();
+    public void restoreFailure() {
+        crashLoop.restoreFailure();
     }
 
     /**
--- a/src/main/java/io/pepperfield/jobs/JobIndex.java
+++ b/src/main/java/io/pepperfield/jobs/JobIndex.java
@@ -58,8 +58,8 @@
      * A loop time in seconds at which none of the jobs was cancelled that may have attempts on the
      * machine beside those settled; infinity where there is none.
      */
-    public double noneCancelledAsOf(String machine, Predicate<CancelledAttempt> settled) {
-        return cancelledAttempts.noneCancelledAsOf(machine, settled);
+    public double noCancellationsBefore(String machine, Predicate<CancelledAttempt> settled) {
+        return cancelledAttempts.noCancellationsBefore(machine, settled);
     }
 
     /** The ids of the jobs that were affected by another job's end since the last call. */
@@ -73,7 +73,7 @@
      *
      * @param value the key's new value, or null where it was deleted
      */
-    public void changed(String key, JsonNode value) {
+    public void applyChange(String key, JsonNode value) {
         if (value == null) {
             return;
         }
@@ -94,9 +94,9 @@
     }
 
     private void addJob(String keyId, JsonNode value) {
-        String id = dependencies.claimId(keyId);
+        String id = dependencies.takeInternedId(keyId);
         JobSpec spec =
-                JobCodec.decodeSpec(id, value).withSharedDependencyIds(dependencies::sharedId);
+                JobCodec.decodeSpec(id, value).withInternedDependencyIds(dependencies::internId);
         JobRecord record = new JobRecord(spec, isDone);
         if (records.putIfAbsent(id, record) != null) {
             return;
@@ -133,11 +133,11 @@
      * dependents. Without recursion, since chains may be long.
      */
     private void applyFinalState(JobRecord first, FinalState state) {
-        first.end(state);
+        first.setFinalState(state);
         ArrayDeque<JobRecord> ended = new ArrayDeque<>(List.of(first));
         while (!ended.isEmpty()) {
             JobRecord record = ended.poll();
-            record.closed(replicaConfirmedAt.getAsDouble());
+            record.onEnded(replicaConfirmedAt.getAsDouble());
             cancelledAttempts.update(record);
             ended.addAll(dependencies.remove(record));
         }
--- a/src/main/java/io/pepperfield/jobs/JobMessages.java
+++ b/src/main/java/io/pepperfield/jobs/JobMessages.java
@@ -22,14 +22,14 @@
     private JobMessages() {}
 
     /** Whether the text may name a job. */
-    public static boolean validId(String id) {
+    public static boolean isValidId(String id) {
         return JOB_ID.matcher(id).matches();
     }
 
     /** The id that a submission carries, or empty where it carries none of the right form. */
     public static String jobId(JsonNode body) {
         JsonNode id = body.path("nameId");
-        return id.isTextual() && validId(id.textValue()) ? id.textValue() : "";
+        return id.isTextual() && isValidId(id.textValue()) ? id.textValue() : "";
     }
 
     /**
--- a/src/main/java/io/pepperfield/jobs/JobRecord.java
+++ b/src/main/java/io/pepperfield/jobs/JobRecord.java
@@ -64,7 +64,7 @@
     }
 
     /** Of a job that has ended: a loop time in seconds at which it had not. */
-    public double lastKnownOpenAt() {
+    public double lastKnownActiveAt() {
         return lastKnownOpenAt;
     }
 
@@ -147,8 +147,8 @@
         unreadable = true;
     }
 
-    /** Sets the final state; {@link #closed} follows once the replica's time is known. */
-    void end(FinalState state) {
+    /** Sets the final state; {@link #onEnded} follows once the replica's time is known. */
+    void setFinalState(FinalState state) {
         finalStatus = state.status();
         doneMs = state.doneMs();
     }
@@ -157,24 +157,24 @@
      * The job has ended, and had not at that loop time. What is stored of the tasks of a job that
      * is done is not needed any more.
      */
-    void closed(double knownOpenAt) {
+    void onEnded(double knownOpenAt) {
         lastKnownOpenAt = knownOpenAt;
         if (finalStatus == Status.DONE) {
             fragments.clear();
         }
     }
 
-    void dependencyAdded() {
+    void countUnfinishedDependency() {
         unfinishedDependencyCount++;
     }
 
-    void dependencyFinished(JobRecord dependency) {
+    void completeDependency(JobRecord dependency) {
         unfinishedDependencyCount--;
-        dependencyDone(dependency);
+        updateReadyTime(dependency);
     }
 
     /** The dependency is done, and was never counted as unfinished or is not any more. */
-    void dependencyDone(JobRecord dependency) {
+    void updateReadyTime(JobRecord dependency) {
         readyMs =
                 readyMs.isPresent() && dependency.doneMs.isPresent()
                         ? OptionalLong.of(
--- a/src/main/java/io/pepperfield/jobs/JobSpec.java
+++ b/src/main/java/io/pepperfield/jobs/JobSpec.java
@@ -108,7 +108,7 @@
     }
 
     /** The same job, with the ids of its dependencies as {@code shared} gives them. */
-    JobSpec withSharedDependencyIds(UnaryOperator<String> shared) {
+    JobSpec withInternedDependencyIds(UnaryOperator<String> shared) {
         return dependencies.isEmpty()
                 ? this
                 : copy(priority, dependencies.stream().map(shared).toList());
--- a/src/main/java/io/pepperfield/jobs/PriorityInheritance.java
+++ b/src/main/java/io/pepperfield/jobs/PriorityInheritance.java
@@ -70,7 +70,7 @@
     }
 
     /** Adds a job that has not ended; it may be added before its dependencies. */
-    public void added(JobSpec job) {
+    public void add(JobSpec job) {
         Node node = nodes.computeIfAbsent(job.id(), id -> new Node());
         if (node.spec != null) {
             return;
@@ -84,7 +84,7 @@
     }
 
     /** The job has ended: its dependencies inherit nothing from it any more. */
-    public void removed(JobSpec job) {
+    public void remove(JobSpec job) {
         Node node = nodes.get(job.id());
         if (node == null || node.spec == null) {
             return;
@@ -138,7 +138,7 @@
     }
 
     /** How many edges have been visited so far. */
-    long steps() {
+    long visitedEdges() {
         return steps;
     }
 
--- a/src/main/java/io/pepperfield/jobs/SubmissionDecoder.java
+++ b/src/main/java/io/pepperfield/jobs/SubmissionDecoder.java
@@ -146,7 +146,7 @@
         JsonNode value = body.path("awaits");
         Set<String> ids = new LinkedHashSet<>();
         for (JsonNode id : value) {
-            if (!id.isTextual() || !JobMessages.validId(id.textValue())) {
+            if (!id.isTextual() || !JobMessages.isValidId(id.textValue())) {
                 throw new InvalidSubmissionException("awaits: want an array of job ids");
             }
             ids.add(id.textValue());
--- a/src/main/java/io/pepperfield/jobs/UserRequests.java
+++ b/src/main/java/io/pepperfield/jobs/UserRequests.java
@@ -235,7 +235,7 @@
                 policy.storeThrottled();
                 answer.accept(HttpReply.unavailable(STORE_UNAVAILABLE));
             }
-            case TOO_MANY -> answer.accept(tooManyReply());
+            case OVERLOADED -> answer.accept(tooManyReply());
         }
     }
 
@@ -337,7 +337,7 @@
             }
             case EXISTS -> answerFinalStatus(id, answer);
             case UNAVAILABLE, THROTTLED -> answer.accept(HttpReply.unavailable(STORE_UNAVAILABLE));
-            case TOO_MANY -> answer.accept(tooManyReply());
+            case OVERLOADED -> answer.accept(tooManyReply());
         }
     }
 
--- a/src/main/java/io/pepperfield/lifecycle/JobCompletion.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobCompletion.java
@@ -87,8 +87,8 @@
 
     /** The job has a durable final state: whatever is left of it is stopped. */
     void jobEnded(Job job, Status status) {
-        job.finish(status, durable.jobIndex().get(job.spec.id()).lastKnownOpenAt());
-        priorityInheritance.removed(job.spec);
+        job.finish(status, durable.jobIndex().get(job.spec.id()).lastKnownActiveAt());
+        priorityInheritance.remove(job.spec);
         if (status == Status.DONE) {
             runRecords.discardPending(job);
         }
--- a/src/main/java/io/pepperfield/lifecycle/JobRecovery.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobRecovery.java
@@ -32,7 +32,7 @@
         double ageS = Math.max(0, (wallClockMs - record.spec().acceptedMs()) / 1000.0);
         Job job = new Job(record.spec(), now - ageS);
         if (record.finalStatus() != null) {
-            job.finish(record.finalStatus(), record.lastKnownOpenAt());
+            job.finish(record.finalStatus(), record.lastKnownActiveAt());
         }
         boolean anyLive = false;
         for (TaskState state : record.taskStates()) {
@@ -54,7 +54,7 @@
         switch (state.phase()) {
             case DONE -> job.markDone(state.task());
             // Or every failover would let a job that fails everywhere loose on the fleet once more.
-            case FAILED -> job.recordEarlierFailure();
+            case FAILED -> job.restoreFailure();
             case LIVE -> restoreLiveAttempt(job, state);
             case GONE -> {
                 // The task waits again, as does one without a record.
--- a/src/main/java/io/pepperfield/lifecycle/JobTracker.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobTracker.java
@@ -128,7 +128,7 @@
         } else if (job == null) {
             accept(record);
         } else if (job.isAwaitingDependencies() && record.ready()) {
-            job.dependenciesDone(readyAt(record));
+            job.markDependenciesDone(readyAt(record));
             onWorkChanged.run();
         }
     }
@@ -145,9 +145,9 @@
         if (!record.ready()) {
             job.awaitDependencies();
         } else if (!job.spec.dependencies().isEmpty()) {
-            job.dependenciesDone(readyAt(record));
+            job.markDependenciesDone(readyAt(record));
         }
-        priorityInheritance.added(job.spec);
+        priorityInheritance.add(job.spec);
     }
 
     /** By this leader's clock; now where the final states, by an older version, do not say. */
--- a/src/test/java/io/pepperfield/dispatch/DispatcherTest.java
+++ b/src/test/java/io/pepperfield/dispatch/DispatcherTest.java
@@ -419,7 +419,7 @@
                 requests.stream().map(request -> request.job().id()).toList());
         assertTrue(requests.get(0).withinGuarantee());
         // Not before its time: the wait of its class begins when the last of them is done.
-        waits.dependenciesDone(now);
+        waits.markDependenciesDone(now);
         assertEquals(2, dispatcher.pendingRequests(now).size());
         assertEquals("run-000002", dispatcher.pendingRequests(now).get(0).job().id());
         dispatcher.runPassIfDue();
--- a/src/test/java/io/pepperfield/forms/UserAnswerForms.java
+++ b/src/test/java/io/pepperfield/forms/UserAnswerForms.java
@@ -31,7 +31,7 @@
     private UserAnswerForms(FormFile file) {
         this.file = file;
         JobIndex catalog = new JobIndex(() -> 0);
-        Replica replica = new Replica((key, data, stamp) -> catalog.changed(key, data));
+        Replica replica = new Replica((key, data, stamp) -> catalog.applyChange(key, data));
         ReplicaSynchronizer sync = new ReplicaSynchronizer(loop, this, replica, 1, 0.01);
         users =
                 new UserRequests(
--- a/src/test/java/io/pepperfield/forms/UserForms.java
+++ b/src/test/java/io/pepperfield/forms/UserForms.java
@@ -36,7 +36,7 @@
             file.add("rank " + rank, with(submission, "rank", rank));
         }
         for (String id : List.of("run-000001", "run-12345", "RUN-000001", "run-0000001x")) {
-            file.add("id " + id, String.valueOf(JobMessages.validId(id)));
+            file.add("id " + id, String.valueOf(JobMessages.isValidId(id)));
         }
         for (Status status : Status.values()) {
             file.add("state", JobMessages.statusAnswer(ID, status, 3, 2));
@@ -76,17 +76,17 @@
         JsonNode job =
                 JobCodec.encodeSpec(
                         new JobSpecBuilder().id(ID).tasks(4).dependencies(prerequisites).build());
-        catalog.changed(Keys.JOB_PREFIX + ID, job);
+        catalog.applyChange(Keys.JOB_PREFIX + ID, job);
         file.add("waits for others", catalog.get(ID).statusAnswer());
         prerequisites.forEach(
                 id -> {
-                    catalog.changed(
+                    catalog.applyChange(
                             Keys.JOB_PREFIX + id,
                             JobCodec.encodeSpec(new JobSpecBuilder().id(id).build()));
-                    catalog.changed(Keys.FINAL_STATE_PREFIX + id, JobCodec.encodeDone(NOW_MS));
+                    catalog.applyChange(Keys.FINAL_STATE_PREFIX + id, JobCodec.encodeDone(NOW_MS));
                 });
         file.add("is ready", catalog.get(ID).statusAnswer());
-        catalog.changed(
+        catalog.applyChange(
                 Keys.runRecord(ID, 0),
                 TaskState.encode(
                         List.of(
@@ -94,7 +94,7 @@
                                 new TaskState(1, 1, Phase.DONE, "", 0),
                                 new TaskState(2, 3, Phase.FAILED, "", 0))));
         file.add("runs", catalog.get(ID).statusAnswer());
-        catalog.changed(Keys.FINAL_STATE_PREFIX + ID, JobCodec.encodeFinalStatus(Status.CANCELLED));
+        catalog.applyChange(Keys.FINAL_STATE_PREFIX + ID, JobCodec.encodeFinalStatus(Status.CANCELLED));
         file.add("is cancelled", catalog.get(ID).statusAnswer());
     }
 }
--- a/src/test/java/io/pepperfield/health/LeaseRenewalTest.java
+++ b/src/test/java/io/pepperfield/health/LeaseRenewalTest.java
@@ -34,7 +34,7 @@
             new LeaseRenewal(new Settings.WorkerTimings(4, 22, 47), jobIndex, () -> knownUpTo);
 
     private void accepted(String id, String... needed) {
-        jobIndex.changed(
+        jobIndex.applyChange(
                 Keys.JOB_PREFIX + id,
                 JobCodec.encodeSpec(
                         new JobSpecBuilder()
@@ -47,13 +47,13 @@
     }
 
     private void alive(String id, String machine) {
-        jobIndex.changed(
+        jobIndex.applyChange(
                 Keys.runRecord(id, 0),
                 TaskState.encode(List.of(new TaskState(0, 3, TaskState.Phase.LIVE, machine, 1))));
     }
 
     private void cancelled(String id) {
-        jobIndex.changed(
+        jobIndex.applyChange(
                 Keys.FINAL_STATE_PREFIX + id, JobCodec.encodeFinalStatus(Status.CANCELLED));
     }
 
@@ -119,7 +119,7 @@
         // Other machines go on.
         assertEquals(70, renewal.localCancellationWatermark(report("m2")));
         // Proven gone, as the leader has written meanwhile.
-        jobIndex.changed(
+        jobIndex.applyChange(
                 Keys.runRecord("run-000001", 0),
                 TaskState.encode(List.of(new TaskState(0, 3, TaskState.Phase.GONE, "", 0))));
         assertEquals(70, renewal.localCancellationWatermark(report("m1")));
--- a/src/test/java/io/pepperfield/jobs/CrashLoopingJobTest.java
+++ b/src/test/java/io/pepperfield/jobs/CrashLoopingJobTest.java
@@ -46,8 +46,8 @@
         assertEquals(40, job.startableTaskCount(true));
         assertEquals(0, job.startNotBefore());
         // After a change of leader.
-        job.recordEarlierFailure();
-        job.recordEarlierFailure();
+        job.restoreFailure();
+        job.restoreFailure();
         assertEquals(1, job.startableTaskCount(false));
     }
 }
--- a/src/test/java/io/pepperfield/jobs/CreateIfAbsentTest.java
+++ b/src/test/java/io/pepperfield/jobs/CreateIfAbsentTest.java
@@ -40,12 +40,12 @@
         assertEquals(
                 List.of(
                         "a CREATED",
-                        "b0 TOO_MANY",
-                        "b1 TOO_MANY",
-                        "b2 TOO_MANY",
-                        "b3 TOO_MANY",
-                        "b4 TOO_MANY",
-                        "b5 TOO_MANY"),
+                        "b0 OVERLOADED",
+                        "b1 OVERLOADED",
+                        "b2 OVERLOADED",
+                        "b3 OVERLOADED",
+                        "b4 OVERLOADED",
+                        "b5 OVERLOADED"),
                 said);
         ask("b7");
         assertEquals(List.of(List.of("a"), List.of("b7")), state.writtenKeys);
--- a/src/test/java/io/pepperfield/jobs/FinalStateTraceTest.java
+++ b/src/test/java/io/pepperfield/jobs/FinalStateTraceTest.java
@@ -18,7 +18,7 @@
     private Replica replica = replica();
 
     private Replica replica() {
-        return new Replica((key, data, stamp) -> catalog.changed(key, data));
+        return new Replica((key, data, stamp) -> catalog.applyChange(key, data));
     }
 
     @Test
--- a/src/test/java/io/pepperfield/jobs/PipelineTest.java
+++ b/src/test/java/io/pepperfield/jobs/JobDependenciesTest.java
@@ -17,12 +17,12 @@
 import org.junit.jupiter.api.Test;
 
 /** What a node knows of jobs that need others, as the news of the state service reach it. */
-class PipelineTest {
+class JobDependenciesTest {
 
     private final JobIndex catalog = new JobIndex(() -> 0);
 
     private static String id(int number) {
-        return JobMessages.validId("run-" + number)
+        return JobMessages.isValidId("run-" + number)
                 ? "run-" + number
                 : String.format(Locale.ROOT, "run-%06d", number);
     }
@@ -32,11 +32,11 @@
         for (int other : needed) {
             job.withArray("aw").add(id(other));
         }
-        catalog.changed(Keys.JOB_PREFIX + id(number), job);
+        catalog.applyChange(Keys.JOB_PREFIX + id(number), job);
     }
 
     private void ended(int number, Status status) {
-        catalog.changed(Keys.FINAL_STATE_PREFIX + id(number), JobCodec.encodeFinalStatus(status));
+        catalog.applyChange(Keys.FINAL_STATE_PREFIX + id(number), JobCodec.encodeFinalStatus(status));
     }
 
     private Status end(int number) {
@@ -130,7 +130,7 @@
     }
 
     private void done(int number, long atMs) {
-        catalog.changed(Keys.FINAL_STATE_PREFIX + id(number), JobCodec.encodeDone(atMs));
+        catalog.applyChange(Keys.FINAL_STATE_PREFIX + id(number), JobCodec.encodeDone(atMs));
     }
 
     private OptionalLong readyMs(int number) {
@@ -148,7 +148,7 @@
         // Submitted when these are over: from its submission, where that is later.
         accepted(4, 1, 2);
         assertEquals(OptionalLong.of(9_000), readyMs(4));
-        catalog.changed(
+        catalog.applyChange(
                 Keys.JOB_PREFIX + id(5),
                 Json.object().put("at", 11_000).set("aw", Json.array().add(id(1))));
         assertEquals(OptionalLong.of(11_000), readyMs(5));
--- a/src/test/java/io/pepperfield/jobs/PriorityInheritanceTest.java
+++ b/src/test/java/io/pepperfield/jobs/PriorityInheritanceTest.java
@@ -40,17 +40,17 @@
     void aRankReachesAllThatIsNeededAndLeavesWithTheJobThatLentIt() {
         JobSpec standard = job(3, Priority.STANDARD, 2);
         JobSpec urgent = job(4, Priority.URGENT, 2);
-        ranks.added(job(1, Priority.BEST_EFFORT));
-        ranks.added(job(2, Priority.BEST_EFFORT, 1));
-        ranks.added(standard);
+        ranks.add(job(1, Priority.BEST_EFFORT));
+        ranks.add(job(2, Priority.BEST_EFFORT, 1));
+        ranks.add(standard);
         assertEquals(Priority.STANDARD, rank(1));
-        ranks.added(urgent);
+        ranks.add(urgent);
         assertEquals(Priority.URGENT, rank(1));
         assertEquals(Priority.URGENT, rank(2));
-        ranks.removed(urgent);
+        ranks.remove(urgent);
         assertEquals(Priority.STANDARD, rank(1));
         assertEquals(Priority.STANDARD, rank(2));
-        ranks.removed(standard);
+        ranks.remove(standard);
         assertEquals(Priority.BEST_EFFORT, rank(1));
         assertEquals(Priority.BEST_EFFORT, rank(2));
     }
@@ -58,9 +58,9 @@
     @Test
     void aJobKeepsItsOwnRankWhereThatIsHigher() {
         JobSpec last = job(2, Priority.BEST_EFFORT, 1);
-        ranks.added(job(1, Priority.PRODUCTION));
-        ranks.added(last);
-        ranks.removed(last);
+        ranks.add(job(1, Priority.PRODUCTION));
+        ranks.add(last);
+        ranks.remove(last);
         assertEquals(Map.of(), placed);
     }
 
@@ -75,16 +75,16 @@
             }
             jobs.add(job(i, Priority.values()[random.nextInt(4)], needed));
         }
-        jobs.forEach(ranks::added);
+        jobs.forEach(ranks::add);
         List<JobSpec> gone =
                 jobs.subList(30, 60).stream().filter(j -> random.nextBoolean()).toList();
-        gone.forEach(ranks::removed);
+        gone.forEach(ranks::remove);
         Map<String, Priority> afterwards = new HashMap<>();
         PriorityInheritance newLeaders = new PriorityInheritance(afterwards::put);
         List<JobSpec> left = new ArrayList<>(jobs);
         left.removeAll(gone);
         Collections.shuffle(left, random);
-        left.forEach(newLeaders::added);
+        left.forEach(newLeaders::add);
         for (JobSpec job : left) {
             assertEquals(
                     placed.getOrDefault(job.id(), job.priority()),
@@ -102,12 +102,12 @@
             jobs.add(job(i, Priority.BEST_EFFORT, i % 2 == 0 ? i - 2 : 0));
         }
         jobs.add(job(many, Priority.URGENT, many - 2));
-        jobs.forEach(ranks::added);
+        jobs.forEach(ranks::add);
         assertEquals(Priority.URGENT, rank(0));
-        assertTrue(ranks.steps() < 5L * many, "steps " + ranks.steps());
+        assertTrue(ranks.visitedEdges() < 5L * many, "steps " + ranks.visitedEdges());
         // All are cancelled with the first one.
-        jobs.forEach(ranks::removed);
-        assertTrue(ranks.steps() < 8L * many, "steps " + ranks.steps());
+        jobs.forEach(ranks::remove);
+        assertTrue(ranks.visitedEdges() < 8L * many, "steps " + ranks.visitedEdges());
         assertEquals(0, ranks.size());
     }
 }
--- a/src/test/java/io/pepperfield/jobs/SharedRunRecordsTest.java
+++ b/src/test/java/io/pepperfield/jobs/SharedRunRecordsTest.java
@@ -89,7 +89,7 @@
         JobIndex catalog = new JobIndex(() -> 0);
         Map<String, Job> jobs = new HashMap<>();
         for (int i = 0; i < 3; i++) {
-            catalog.changed(Keys.JOB_PREFIX + spec(i, 1).id(), JobCodec.encodeSpec(spec(i, 1)));
+            catalog.applyChange(Keys.JOB_PREFIX + spec(i, 1).id(), JobCodec.encodeSpec(spec(i, 1)));
             jobs.put(spec(i, 1).id(), job(i, 1));
         }
         String key = Keys.SHARED_RUN_RECORD_PREFIX + "7-1";
@@ -97,10 +97,10 @@
                 Json.read(
                         "{\"run-000000\":[[0,1,1,\"m1\",1]],\"run-000001\":[[0,1,1,\"m2\",1]]}"
                                 .getBytes(StandardCharsets.UTF_8));
-        catalog.changed(key, both);
+        catalog.applyChange(key, both);
         assertEquals("running", catalog.get("run-000000").statusAnswer().path("status").asText());
         // Left out once it was over: a line that stayed would be an attempt on a machine long gone.
-        catalog.changed(
+        catalog.applyChange(
                 key,
                 Json.read("{\"run-000001\":[[0,1,1,\"m2\",1]]}".getBytes(StandardCharsets.UTF_8)));
         assertEquals(0, catalog.get("run-000000").taskStates().size());
@@ -120,13 +120,13 @@
         JobIndex catalog = new JobIndex(() -> 0);
         for (int i = 0; i < 10; i++) {
             jobs.put(spec(i, 1).id(), job(i, 1));
-            catalog.changed(Keys.JOB_PREFIX + spec(i, 1).id(), JobCodec.encodeSpec(spec(i, 1)));
+            catalog.applyChange(Keys.JOB_PREFIX + spec(i, 1).id(), JobCodec.encodeSpec(spec(i, 1)));
         }
         String old = Keys.SHARED_RUN_RECORD_PREFIX + "7-1";
         records.restore(old, jobs.keySet(), jobs);
         Map<String, JsonNode> whole = records.encodeRecord(old, SharedRunRecordsTest::live);
         assertEquals(Set.of(old), whole.keySet());
-        catalog.changed(old, whole.get(old));
+        catalog.applyChange(old, whole.get(old));
         assertTrue(records.split(old));
         Map<String, JsonNode> parts = records.encodeRecord(old, SharedRunRecordsTest::live);
         assertEquals(TaskState.SPLIT_PARTS, parts.size());
@@ -135,14 +135,14 @@
         // A reading in pages may bring the new records before the one that they are taken from.
         parts.keySet().stream()
                 .sorted(Comparator.reverseOrder())
-                .forEach(key -> catalog.changed(key, parts.get(key)));
+                .forEach(key -> catalog.applyChange(key, parts.get(key)));
         jobs.keySet().forEach(id -> assertEquals(1, catalog.get(id).taskStates().size(), id));
         records.remove("run-000009");
-        catalog.changed(old, records.encodeRecord(old, SharedRunRecordsTest::live).get(old));
+        catalog.applyChange(old, records.encodeRecord(old, SharedRunRecordsTest::live).get(old));
         parts.keySet()
                 .forEach(
                         key ->
-                                catalog.changed(
+                                catalog.applyChange(
                                         key,
                                         records.encodeRecord(old, SharedRunRecordsTest::live)
                                                 .get(key)));
@@ -155,14 +155,14 @@
     void theNewerOfTwoLinesOfATaskCounts() {
         JobIndex catalog = new JobIndex(() -> 0);
         JobSpec spec = spec(1, CHUNK);
-        catalog.changed(Keys.JOB_PREFIX + spec.id(), JobCodec.encodeSpec(spec));
+        catalog.applyChange(Keys.JOB_PREFIX + spec.id(), JobCodec.encodeSpec(spec));
         // A divided record, of which an older version has written the first part whole again.
-        catalog.changed(
+        catalog.applyChange(
                 Keys.runRecord(spec.id(), 1),
                 Json.read(
                         "[[8,1,1,\"m1\",1],[9,2,2],[10,1,1,\"m1\",1],[11,3,0],[12,1,0]]"
                                 .getBytes(StandardCharsets.UTF_8)));
-        catalog.changed(
+        catalog.applyChange(
                 Keys.runRecord(spec.id(), 0),
                 Json.read(
                         "[[8,2,1,\"m2\",1],[9,1,1,\"m1\",1],[10,1,0],[11,2,3],[12,1,1,\"m1\",1]]"
--- a/src/test/java/io/pepperfield/jobs/UserAnswersTraceTest.java
+++ b/src/test/java/io/pepperfield/jobs/UserRequestsTraceTest.java
@@ -22,7 +22,7 @@
  * What one node tells its users, and what it asks the state service before, which here answers when
  * the trace says so.
  */
-class UserAnswersTraceTest implements NoOpKeyValueStore {
+class UserRequestsTraceTest implements NoOpKeyValueStore {
 
     private final List<String> decisions = new ArrayList<>();
     private SimulatedLoop loop;
@@ -66,7 +66,7 @@
     private void begin() {
         loop = new SimulatedLoop();
         JobIndex catalog = new JobIndex(() -> 0);
-        Replica replica = new Replica((key, data, stamp) -> catalog.changed(key, data));
+        Replica replica = new Replica((key, data, stamp) -> catalog.applyChange(key, data));
         ReplicaSynchronizer sync = new ReplicaSynchronizer(loop, this, replica, 1, 0.1);
         users =
                 new UserRequests(
@@ -74,7 +74,7 @@
                         catalog,
                         sync,
                         this,
-                        UserAnswersTraceTest::feasibility,
+                        UserRequestsTraceTest::feasibility,
                         SubmissionPolicy.UNLIMITED,
                         new UserRequests.Limits(32, 8, 10, 2, tasks -> tasks),
                         id -> {});
--- a/src/test/java/io/pepperfield/peer/VersionsTest.java
+++ b/src/test/java/io/pepperfield/peer/VersionsTest.java
@@ -154,8 +154,8 @@
         said.fieldNames()
                 .forEachRemaining(
                         id -> {
-                            catalog.changed(Keys.JOB_PREFIX + id, Json.object().put("n", 4));
-                            catalog.changed(Keys.SHARED_RUN_RECORD_PREFIX + "41-1", said);
+                            catalog.applyChange(Keys.JOB_PREFIX + id, Json.object().put("n", 4));
+                            catalog.applyChange(Keys.SHARED_RUN_RECORD_PREFIX + "41-1", said);
                             List<TaskState> lines = List.copyOf(catalog.get(id).taskStates());
                             again.set(id, TaskState.encode(lines));
                             lines.forEach(
