--- a/src/main/java/io/pepperfield/jobs/CancelledAttempt.java
+++ b/src/main/java/io/pepperfield/jobs/CancelledAttempt.java
@@ -1,10 +1,10 @@
 package io.pepperfield.jobs;
 
 /**
- * An attempt of a cancelled job that may be alive on its machine by what is stored of its task.
+ * An attempt of a cancelled job whose stored task state is still live.
  *
- * @param task the job's id and the task's number, separated by a slash
- * @param number the attempt's number, from 1
- * @param jobOpenAt loop time in seconds at which the job was not cancelled yet
+ * @param taskId the job id and the task number, separated by a slash
+ * @param attemptNumber the attempt number, from 1
+ * @param jobActiveAt a loop time in seconds at which the job was not yet cancelled
  */
 public record CancelledAttempt(String taskId, int attemptNumber, double jobActiveAt) {}
--- a/src/main/java/io/pepperfield/jobs/CancelledAttempts.java
+++ b/src/main/java/io/pepperfield/jobs/CancelledAttempts.java
@@ -9,18 +9,17 @@
 import java.util.function.Predicate;
 
 /**
- * The attempts of cancelled jobs that may still be alive by what is stored of them, indexed by
- * machine. The index is built on demand and dropped with each change. Confined to the event loop's
- * thread.
+ * The attempts of cancelled jobs whose stored task state is still live, indexed by machine. The
+ * index is built on demand and invalidated by each change. Confined to the event loop's thread.
  */
 final class CancelledAttempts {
 
     private final Set<JobRecord> jobsWithLiveTasks = new HashSet<>();
 
-    /** Null where a job has changed since it was built. */
+    /** The index; null if a job has changed since it was last built. */
     private Map<String, List<CancelledAttempt>> attemptsByMachine;
 
-    /** To be called after each change of a job's final state or of its task states. */
+    /** Updates the job; must be called after each change of its final state or task states. */
     void update(JobRecord record) {
         if (record.finalStatus() != Status.CANCELLED) {
             return;
@@ -34,18 +33,18 @@
     }
 
     /**
-     * A loop time in seconds at which none of the jobs was cancelled that may have attempts on the
-     * machine; infinity where there is none.
+     * Returns a loop time in seconds at which no cancelled job with a possibly live attempt on the
+     * machine had been cancelled yet; infinity if there is no such job.
      *
-     * @param settled attempts that need not be considered
+     * @param excluded selects attempts to leave out
      */
-    double noCancellationsBefore(String machine, Predicate<CancelledAttempt> settled) {
+    double noCancellationsBefore(String machine, Predicate<CancelledAttempt> excluded) {
         if (attemptsByMachine == null) {
             attemptsByMachine = new HashMap<>();
             jobsWithLiveTasks.forEach(this::index);
         }
         return attemptsByMachine.getOrDefault(machine, List.of()).stream()
-                .filter(settled.negate())
+                .filter(excluded.negate())
                 .mapToDouble(CancelledAttempt::jobActiveAt)
                 .min()
                 .orElse(Double.POSITIVE_INFINITY);
--- a/src/main/java/io/pepperfield/jobs/CrashLoopBackoff.java
+++ b/src/main/java/io/pepperfield/jobs/CrashLoopBackoff.java
@@ -5,47 +5,48 @@
 import java.util.Set;
 
 /**
- * The failures of a job's tasks since one of them was last completed. A job that failed on several
- * machines and was completed on none since was submitted with a mistake, as far as anyone can tell:
- * it is crash looping. Such a job is probed one task at a time and after growing pauses, and
- * neither rents nor preempts anything until a task is completed.
+ * Tracks the failures of a job's tasks since the last task completed. A job whose tasks failed on
+ * several machines without any task completing in between was probably submitted with an error: it
+ * is crash looping. Such a job is retried one task at a time with exponential backoff, and neither
+ * rents machines nor preempts other jobs until a task completes.
  */
 final class CrashLoopBackoff {
 
     /**
-     * One machine on which tasks fail may be faulty; that two are, and nothing else is known of the
-     * job, is less likely.
+     * Number of machines with failures from which the job counts as crash looping. A single machine
+     * may be faulty; two faulty machines are less likely than a faulty job.
      */
     private static final int CRASH_LOOP_MACHINES = 2;
 
     private static final int MAX_FAILED_MACHINES = 8;
 
     /**
-     * The last few machines on which a task failed, with the loop time until when to avoid them.
+     * The most recent machines on which a task failed, with the loop time until which to avoid
+     * each.
      */
     private final LinkedHashMap<String, Double> avoidedUntil = new LinkedHashMap<>();
 
-    /** Tasks that stored records call failed, from before this leader. */
-    private int earlierFailures;
+    /** Number of tasks that failed under an earlier leader, according to the stored records. */
+    private int restoredFailures;
 
     private double startNotBefore;
 
-    /** Whether tasks have failed on several machines and none was completed since. */
+    /** Whether tasks have failed on several machines and none has completed since. */
     boolean isCrashLooping() {
-        return avoidedUntil.size() + earlierFailures >= CRASH_LOOP_MACHINES;
+        return avoidedUntil.size() + restoredFailures >= CRASH_LOOP_MACHINES;
     }
 
-    /** Loop time in seconds before which no task is started; 0 where no pause is due. */
+    /** Loop time in seconds before which no task is started; 0 if no backoff applies. */
     double startNotBefore() {
         return startNotBefore;
     }
 
-    /** The machines on which tasks failed. */
+    /** The most recent machines on which tasks failed since a task last completed. */
     Set<String> failedMachines() {
         return avoidedUntil.keySet();
     }
 
-    /** The machines on which tasks failed of late. */
+    /** The machines on which tasks failed recently enough that they are still avoided. */
     Set<String> recentlyFailedMachines(double now) {
         Set<String> machines = new HashSet<>();
         avoidedUntil.forEach(
@@ -58,34 +59,34 @@
     }
 
     /**
-     * A task failed on that machine.
+     * Records that a task failed on the machine.
      *
-     * @return whether the job is crash looping from now on, and was not before
+     * @return whether this failure made the job crash looping
      */
-    boolean recordFailure(String machine, double now, double firstPauseS, double longestPauseS) {
-        boolean before = isCrashLooping();
+    boolean recordFailure(String machine, double now, double initialBackoffS, double maxBackoffS) {
+        boolean wasCrashLooping = isCrashLooping();
         avoidedUntil.remove(machine);
-        avoidedUntil.put(machine, now + longestPauseS);
+        avoidedUntil.put(machine, now + maxBackoffS);
         if (avoidedUntil.size() > MAX_FAILED_MACHINES) {
             avoidedUntil.remove(avoidedUntil.keySet().iterator().next());
         }
         if (!isCrashLooping()) {
             return false;
         }
-        int doublings = avoidedUntil.size() + earlierFailures - CRASH_LOOP_MACHINES;
-        startNotBefore = now + Math.min(longestPauseS, firstPauseS * Math.pow(2, doublings));
-        return !before;
+        int doublings = avoidedUntil.size() + restoredFailures - CRASH_LOOP_MACHINES;
+        startNotBefore = now + Math.min(maxBackoffS, initialBackoffS * Math.pow(2, doublings));
+        return !wasCrashLooping;
     }
 
-    /** A stored record says that a task failed in its latest attempt. */
+    /** Records a task whose latest attempt failed according to a stored record. */
     void restoreFailure() {
-        earlierFailures = Math.min(MAX_FAILED_MACHINES, earlierFailures + 1);
+        restoredFailures = Math.min(MAX_FAILED_MACHINES, restoredFailures + 1);
     }
 
-    /** A task was completed: the job was not submitted with a mistake. */
+    /** Clears all failures, because a task completed: the job itself is not faulty. */
     void reset() {
         avoidedUntil.clear();
-        earlierFailures = 0;
+        restoredFailures = 0;
         startNotBefore = 0;
     }
 }
--- a/src/main/java/io/pepperfield/jobs/CreateIfAbsent.java
+++ b/src/main/java/io/pepperfield/jobs/CreateIfAbsent.java
@@ -16,25 +16,25 @@
 import java.util.function.Consumer;
 
 /**
- * Creates keys that must not exist yet, many in one transaction; used by any controller for
- * submissions and cancellations. No more wait than can be written while their users wait: a longer
- * queue would be worked off for users who have given up and asked again, and nobody would be
- * answered in time any more.
+ * Creates keys that must not exist yet, batching many into one transaction; used by every
+ * controller for submissions and cancellations. The queue is limited to the creations that can be
+ * written before their clients time out: a longer queue would be spent on requests whose clients
+ * have given up and retried, and no request would be answered in time.
  */
 final class CreateIfAbsent {
 
-    /** How the creation of a key ended. */
+    /** The outcome of creating a key. */
     enum Result {
         CREATED,
         EXISTS,
         UNAVAILABLE,
-        /** The state service's rate did not allow it. */
+        /** The state service rejected the request because its rate limit was exceeded. */
         THROTTLED,
-        /** More was waiting than can be written in time. */
+        /** The queue is full, or the creation waited in it for too long. */
         OVERLOADED
     }
 
-    /** A key to be created, until when it may be tried (loop time), and whom to tell. */
+    /** A key to create, the loop time at which the creation expires, and the callbacks. */
     private record PendingCreation(
             String key, JsonNode value, double deadline, List<Consumer<Result>> callbacks) {
 
@@ -43,15 +43,17 @@
         }
 
         /**
-         * As sent: counted in letters, names of another script would have the service refuse
-         * everybody in the transaction.
+         * The size in bytes as sent. Counting characters would underestimate non-ASCII names, and
+         * the service would then reject the whole transaction as too large.
          */
         int encodedSize() {
             return Json.write(value).length + 2 * key.length();
         }
     }
 
-    /** Users wait 5 s for an answer; what has waited so long is told to come back. */
+    /**
+     * Clients time out after 5 s; a creation queued for longer than this is answered with a retry.
+     */
     static final double MAX_QUEUE_WAIT_S = 3;
 
     private static final int STATUS_TOO_MANY_REQUESTS = 429;
@@ -67,9 +69,9 @@
     private boolean transactionInFlight;
 
     /**
-     * @param maxMutations how many keys one transaction may create
-     * @param maxBytes the most bytes of keys and values in one transaction
-     * @param mutationsPerS how many keys can be created in a second
+     * @param maxMutations maximum number of keys created by one transaction
+     * @param maxBytes maximum size in bytes of the keys and values of one transaction
+     * @param mutationsPerS number of keys that can be created per second
      */
     CreateIfAbsent(
             Loop loop,
@@ -86,11 +88,11 @@
         this.maxBytes = maxBytes;
     }
 
-    /** Enqueues a key's creation; it leaves with the next {@link #flush}. */
+    /** Enqueues the creation of a key; it is sent by a following {@link #flush}. */
     void create(String key, JsonNode value, Consumer<Result> done) {
         PendingCreation queued = queuedByKey.get(key);
         if (queued != null) {
-            // Asked again while the first request waits: one answer for both.
+            // A duplicate of a queued request: one creation answers both.
             queued.callbacks.add(done);
         } else if (queuedByKey.size() >= maxQueued) {
             done.accept(Result.OVERLOADED);
@@ -103,14 +105,14 @@
         }
     }
 
-    /** Whether the key's creation waits already, so that it is asked for once more at no cost. */
+    /** Whether the key's creation is already queued, so that a duplicate request costs nothing. */
     boolean isQueued(String key) {
         return queuedByKey.containsKey(key);
     }
 
     /**
-     * To be called at the end of each batch of commands, so that one transaction carries what came
-     * together.
+     * Sends the queued creations unless a transaction is in flight. Must be called at the end of
+     * each batch of commands, so that requests that arrived together share a transaction.
      */
     void flush() {
         if (transactionInFlight || queue.isEmpty()) {
@@ -132,7 +134,7 @@
                 });
     }
 
-    /** Takes from the queue what fits into one transaction and still has somebody waiting. */
+    /** Takes from the queue the unexpired creations that fit into one transaction. */
     private List<PendingCreation> nextBatch() {
         List<PendingCreation> batch = new ArrayList<>();
         int bytes = 0;
@@ -158,14 +160,15 @@
         if (outcome instanceof CompareAndSwapOutcome.Committed) {
             completeAll(batch, Result.CREATED);
         } else if (outcome instanceof CompareAndSwapOutcome.Conflict conflict
-                && batch.stream().anyMatch(one -> conflict.failedKeys().contains(one.key))) {
+                && batch.stream()
+                        .anyMatch(creation -> conflict.failedKeys().contains(creation.key))) {
             resolveConflict(batch, conflict.failedKeys());
         } else if (outcome instanceof CompareAndSwapOutcome.Refused refused
                 && refused.status() == STATUS_TOO_MANY_REQUESTS) {
             completeAll(batch, Result.THROTTLED);
         } else {
-            // Also when nobody answered: the user comes back, and finds it accepted if it took
-            // effect after all.
+            // This includes transactions without an answer: the client retries, and finds its
+            // request accepted if the transaction was committed after all.
             completeAll(batch, Result.UNAVAILABLE);
         }
     }
@@ -185,8 +188,8 @@
     }
 
     /**
-     * Was in a transaction that failed for another key's sake; joined by what asked for the same
-     * meanwhile.
+     * Puts a creation whose transaction failed because of another key back at the head of the
+     * queue, merged with a request for the same key that was queued in the meantime.
      */
     private void requeue(PendingCreation creation) {
         PendingCreation later = queuedByKey.put(creation.key, creation);
--- a/src/main/java/io/pepperfield/jobs/DependencyGraph.java
+++ b/src/main/java/io/pepperfield/jobs/DependencyGraph.java
@@ -8,18 +8,18 @@
 import java.util.Set;
 
 /**
- * Which accepted jobs wait for which others. A job waits until all its dependencies are done, and
- * is cancelled with the first of them that is. Confined to the event loop's thread.
+ * The dependency graph of the accepted jobs. A job waits until all its dependencies are done, and
+ * is cancelled as soon as one of them is cancelled. Confined to the event loop's thread.
  */
 final class DependencyGraph {
 
-    /** The records of all accepted jobs by id; kept by {@link JobIndex}. */
+    /** The records of all accepted jobs by id; maintained by {@link JobIndex}. */
     private final Map<String, JobRecord> records;
 
-    /** Ids that some job depends on and whose own job has not been read yet. */
-    private final Map<String, String> idsNamedBeforeJobs = new HashMap<>();
+    /** Interned ids of dependencies whose own job has not been read yet. */
+    private final Map<String, String> unresolvedIds = new HashMap<>();
 
-    /** Of each job that has not ended, those that depend on it. */
+    /** The dependents of each job that has not ended, by the job's id. */
     private final Map<String, List<JobRecord>> dependentsByJob = new HashMap<>();
 
     private final Set<String> affectedDependents = new LinkedHashSet<>();
@@ -29,24 +29,26 @@
     }
 
     /**
-     * The id in the instance that the job itself has: a copy for each dependent would fill the heap
-     * where thousands of jobs have hundreds of dependencies, and descriptions are kept for ever.
+     * Returns the interned instance of a job id, the one that the job's own specification uses. A
+     * copy for each dependent would fill the heap if thousands of jobs have hundreds of
+     * dependencies each, since specifications are kept forever.
      */
     String internId(String id) {
         JobRecord record = records.get(id);
         if (record != null) {
             return record.spec().id();
         }
-        String known = idsNamedBeforeJobs.putIfAbsent(id, id);
-        return known == null ? id : known;
+        String interned = unresolvedIds.putIfAbsent(id, id);
+        return interned == null ? id : interned;
     }
 
     /**
-     * The instance of an accepted job's id that its dependents have; itself where there is none.
+     * Removes and returns the instance of an accepted job's id that its dependents already use;
+     * returns the argument if there is none.
      */
     String takeInternedId(String id) {
-        String known = idsNamedBeforeJobs.remove(id);
-        return known == null ? id : known;
+        String interned = unresolvedIds.remove(id);
+        return interned == null ? id : interned;
     }
 
     /** Whether the job is known to be done. */
@@ -58,7 +60,7 @@
     /**
      * Adds a job's dependencies.
      *
-     * @return whether one of them is known to be cancelled, and the job with it
+     * @return whether one of them is known to be cancelled, so that the job is cancelled too
      */
     boolean add(JobRecord record) {
         boolean cancelled = false;
@@ -69,7 +71,7 @@
                 continue;
             }
             record.countUnfinishedDependency();
-            // Also where the dependency is not known yet: a later page may bring it.
+            // Also if the dependency is not known yet: a later page may contain it.
             dependentsByJob.computeIfAbsent(id, i -> new ArrayList<>()).add(record);
             cancelled |= dependency != null && dependency.finalStatus() == Status.CANCELLED;
         }
@@ -77,9 +79,10 @@
     }
 
     /**
-     * A job has ended: its dependents lose a dependency, or are cancelled with it.
+     * Removes a job that has ended: its dependents have one unfinished dependency less, or are
+     * cancelled with it.
      *
-     * @return the dependents that are cancelled now; their own dependents are not visited yet
+     * @return the dependents cancelled by this call; their own dependents have not been visited
      */
     List<JobRecord> remove(JobRecord ended) {
         List<JobRecord> cancelled = new ArrayList<>();
@@ -96,7 +99,7 @@
         return cancelled;
     }
 
-    /** The ids of the jobs that were affected by another job's end since the last call. */
+    /** Returns the ids of the jobs affected by the end of another job since the last call. */
     List<String> drainAffected() {
         List<String> affected = List.copyOf(affectedDependents);
         affectedDependents.clear();
--- a/src/main/java/io/pepperfield/jobs/Feasibility.java
+++ b/src/main/java/io/pepperfield/jobs/Feasibility.java
@@ -1,24 +1,24 @@
 package io.pepperfield.jobs;
 
-/** Decides whether a job can ever run on the machine types that there are. */
+/** Decides whether a job can ever run on the available machine types. */
 public interface Feasibility {
 
-    /** Whether a job can ever run. */
+    /** The result of a feasibility check. */
     sealed interface Verdict {
-        /** Some machine type, or enough of them, can hold the job. */
+        /** The job can run on the available machine types. */
         record Feasible() implements Verdict {}
 
         /**
-         * No machine type can.
+         * The job can never run.
          *
-         * @param reason for the user
+         * @param reason the error message for the user
          */
         record Infeasible(String reason) implements Verdict {}
 
-        /** The machine types are not known yet. */
+        /** The check is not possible because the machine types have not been loaded yet. */
         record Undecided() implements Verdict {}
     }
 
-    /** Decides about a job, by the machine types as known now. */
+    /** Checks a job against the machine types currently known. */
     Verdict check(JobSpec job);
 }
--- a/src/main/java/io/pepperfield/jobs/Job.java
+++ b/src/main/java/io/pepperfield/jobs/Job.java
@@ -11,31 +11,31 @@
 
     public final JobSpec spec;
 
-    /** Run times of this job's tasks: what WIRE predicts from. */
+    /** Run times of this job's tasks, from which WIRE predicts the remaining ones. */
     public final PeerRunTimes runTimes = new PeerRunTimes();
 
     private final CrashLoopBackoff crashLoop = new CrashLoopBackoff();
 
-    /** When this leader's clock says it was submitted, or its last dependency was done. */
+    /** Loop time in seconds at which it was submitted or its last dependency was done. */
     private double readyAt;
 
     private boolean awaitingDependencies;
 
-    /** Its description with the priority of {@link PriorityInheritance}. */
+    /** The specification with the effective priority from {@link PriorityInheritance}. */
     private JobSpec effectiveSpec;
 
     private final BitSet pendingTasks;
     private final BitSet doneTasks;
 
-    /** Tasks of which the last attempt failed. */
+    /** Tasks whose last attempt failed. */
     private final BitSet failedTasks = new BitSet();
 
     private final Int2IntMap lastAttempts = new Int2IntOpenHashMap();
     private Status finalStatus;
-    private double lastKnownOpenAt;
+    private double lastKnownActiveAt;
 
     /**
-     * Creates the state of a job none of whose tasks has been started.
+     * Creates the state of a job with no task started.
      *
      * @param submittedAt loop time in seconds
      */
@@ -50,57 +50,61 @@
 
     // ---- state of the job
 
-    /** The final state, or null. */
+    /** The final state, or null if the job has not ended. */
     public Status finalStatus() {
         return finalStatus;
     }
 
     /**
-     * The job has ended: no task of it waits any more.
+     * Marks the job as ended; none of its tasks is pending any more.
      *
-     * @param knownOpenAt a loop time in seconds at which it had not ended yet
+     * @param knownActiveAt a loop time in seconds at which the job had not ended yet
      */
-    public void finish(Status status, double knownOpenAt) {
+    public void finish(Status status, double knownActiveAt) {
         finalStatus = status;
-        lastKnownOpenAt = knownOpenAt;
+        lastKnownActiveAt = knownActiveAt;
         pendingTasks.clear();
     }
 
-    /** Of a job that has ended: a loop time in seconds at which it had not. */
+    /** For a job that has ended: a loop time in seconds at which it had not ended yet. */
     public double lastKnownActiveAt() {
-        return lastKnownOpenAt;
+        return lastKnownActiveAt;
     }
 
-    /** Jobs that it depends on are not done yet: until then it holds and blocks nothing. */
+    /**
+     * Marks the job as waiting for its dependencies: until they are done it reserves and blocks
+     * nothing.
+     */
     public void awaitDependencies() {
         awaitingDependencies = true;
     }
 
-    /** Whether it waits for other jobs. */
+    /** Whether the job waits for its dependencies. */
     public boolean isAwaitingDependencies() {
         return awaitingDependencies;
     }
 
-    /** The last job that it depends on is done: its class's times begin. */
+    /** Marks all dependencies as done; the job's waiting time counts from {@code now}. */
     public void markDependenciesDone(double now) {
         awaitingDependencies = false;
         readyAt = now;
     }
 
-    /** Loop time in seconds at which its tasks could first be started. */
+    /** Loop time in seconds from which its tasks can be started. */
     public double readyAt() {
         return readyAt;
     }
 
-    /** Its description with the effective priority, by which it is placed. */
+    /** The specification with the effective priority, which placement uses. */
     public JobSpec effectiveSpec() {
         return effectiveSpec;
     }
 
     /**
-     * Sets the priority by which it is placed.
+     * Sets the priority used for placement.
      *
-     * @param priority the highest among its own and those of the unfinished jobs that depend on it
+     * @param priority the highest among the job's own priority and those of its unfinished
+     *     dependents
      */
     public void setEffectivePriority(JobSpec.Priority priority) {
         effectiveSpec = priority == spec.priority() ? spec : spec.withPriority(priority);
@@ -108,17 +112,22 @@
 
     // ---- tasks
 
-    /** Tasks that wait to be started; none while the job waits for others. */
+    /** The number of pending tasks; 0 while the job waits for its dependencies. */
     public int pendingTaskCount() {
         return awaitingDependencies ? 0 : pendingTasks.cardinality();
     }
 
-    /** The first task that waits to be started, or -1. */
+    /** The first pending task, or -1. */
     public int nextPendingTask() {
         return pendingTasks.nextSetBit(0);
     }
 
-    /** How many of its tasks may be started now, beside those that may be alive. */
+    /**
+     * The number of tasks that may be started now. A crash-looping job may start a single task, and
+     * only while no other may be live.
+     *
+     * @param anyAlive whether any attempt of the job may be live
+     */
     public int startableTaskCount(boolean anyAlive) {
         if (!isCrashLooping()) {
             return pendingTaskCount();
@@ -131,7 +140,7 @@
         return doneTasks.cardinality();
     }
 
-    /** Whether all its tasks are completed. */
+    /** Whether all tasks are completed. */
     public boolean allDone() {
         return doneTaskCount() == spec.tasks();
     }
@@ -141,7 +150,7 @@
         return doneTasks.get(task);
     }
 
-    /** Records that the task is completed: it is not started again. */
+    /** Marks the task as completed; it is not started again. */
     public void markDone(int task) {
         doneTasks.set(task);
         pendingTasks.clear(task);
@@ -152,17 +161,17 @@
         return failedTasks.get(task);
     }
 
-    /** Records that the task's last attempt failed. */
+    /** Marks the task's last attempt as failed. */
     public void markFailed(int task) {
         failedTasks.set(task);
     }
 
-    /** The number of the task's last attempt; 0 before the first. */
+    /** The number of the task's last attempt; 0 before the first attempt. */
     public int lastAttempt(int task) {
         return lastAttempts.get(task);
     }
 
-    /** Takes the task off the pending ones and gives its new attempt's number. */
+    /** Removes the task from the pending tasks and returns the number of its new attempt. */
     public int startAttempt(int task) {
         pendingTasks.clear(task);
         failedTasks.clear(task);
@@ -171,7 +180,11 @@
         return number;
     }
 
-    /** From a stored record: the task has got as far as that attempt, which may be alive. */
+    /**
+     * Restores a task's last attempt from a stored record.
+     *
+     * @param live whether the attempt may be live
+     */
     public void restoreAttempt(int task, int attempt, boolean live) {
         lastAttempts.put(task, attempt);
         if (live && finalStatus == null) {
@@ -180,8 +193,8 @@
     }
 
     /**
-     * The task's attempt is proven gone; the task waits again unless it is done or the job has
-     * ended.
+     * Makes the task pending again after its attempt is proven to have terminated, unless the task
+     * is done or the job has ended.
      */
     public void requeue(int task) {
         if (finalStatus == null && !doneTasks.get(task)) {
@@ -192,50 +205,51 @@
     // ---- failures
 
     /**
-     * Whether tasks have failed on several machines and none was completed since; see {@link
+     * Whether tasks have failed on several machines and none has completed since; see {@link
      * CrashLoopBackoff}.
      */
     public boolean isCrashLooping() {
         return crashLoop.isCrashLooping();
     }
 
-    /** Loop time in seconds before which none of its tasks is started, after a failure. */
+    /** Loop time in seconds before which no task is started because of earlier failures. */
     public double startNotBefore() {
         return crashLoop.startNotBefore();
     }
 
-    /** Where it failed since a task was last completed. */
+    /** The most recent machines on which tasks failed since a task last completed. */
     public Set<String> failedMachines() {
         return crashLoop.failedMachines();
     }
 
     /**
-     * Where it failed of late: the next try goes elsewhere. Not for ever, or a job of which no task
-     * can be completed would wait beside the only machines that fit it.
+     * The machines on which tasks failed recently; the next attempt avoids them. A machine is
+     * avoided for a limited time only: otherwise a job whose tasks all fail would wait forever
+     * although the only machines that fit it are free.
      */
     public Set<String> recentlyFailedMachines(double now) {
         return crashLoop.recentlyFailedMachines(now);
     }
 
     /**
-     * A task failed on that machine.
+     * Records that a task failed on the machine.
      *
      * @param now loop time in seconds
-     * @return whether the job is crash looping from now on, and was not before
+     * @return whether this failure made the job crash looping
      */
     public boolean recordFailure(
-            String machine, double now, double firstPauseS, double longestPauseS) {
-        return crashLoop.recordFailure(machine, now, firstPauseS, longestPauseS);
+            String machine, double now, double initialBackoffS, double maxBackoffS) {
+        return crashLoop.recordFailure(machine, now, initialBackoffS, maxBackoffS);
     }
 
-    /** A stored record says that the task failed in its latest attempt. */
+    /** Records a task whose latest attempt failed according to a stored record. */
     public void restoreFailure() {
         crashLoop.restoreFailure();
     }
 
     /**
-     * A task was completed. What can be completed was not submitted with a mistake, whatever its
-     * bad machines have made of it.
+     * Records that a task completed. This clears all earlier failures: the job itself is not
+     * faulty, so the failures are attributed to the machines.
      */
     public void recordSuccess() {
         crashLoop.reset();
--- a/src/main/java/io/pepperfield/jobs/JobCodec.java
+++ b/src/main/java/io/pepperfield/jobs/JobCodec.java
@@ -10,12 +10,12 @@
 import java.util.List;
 import java.util.OptionalLong;
 
-/** The stored forms of a job's description and of its final state. */
+/** Encodes and decodes the stored form of a job's specification and of its final state. */
 public final class JobCodec {
 
     private JobCodec() {}
 
-    /** Encodes an accepted job. */
+    /** Encodes the specification of an accepted job. */
     public static ObjectNode encodeSpec(JobSpec job) {
         ObjectNode node =
                 Json.object()
@@ -53,13 +53,13 @@
                 .put("re", job.spotAllowed());
     }
 
-    /** What the list of dependencies takes of the encoded job, in bytes. */
+    /** The size in bytes of the dependency list within the encoded specification. */
     static int dependenciesBytes(JobSpec job) {
         return Json.write(encodeSpec(job)).length
                 - Json.write(encodeSpec(job.withoutDependencies())).length;
     }
 
-    /** Decodes what {@link #encodeSpec} has encoded. */
+    /** Decodes a specification encoded by {@link #encodeSpec}. */
     public static JobSpec decodeSpec(String id, JsonNode node) {
         return new JobSpec(
                 id,
@@ -73,7 +73,7 @@
                 node.path("m").asDouble(),
                 node.path("i").asText(),
                 node.path("ig").asDouble(),
-                node.has("f") ? texts(node.get("f")) : null,
+                node.has("f") ? textValues(node.get("f")) : null,
                 node.has("z") ? node.path("z").asText() : null,
                 node.path("t").asBoolean(),
                 node.path("sp").asBoolean(),
@@ -84,16 +84,16 @@
                 node.has("d") ? node.path("d").doubleValue() : null,
                 node.path("at").asLong(),
                 node.path("k").asInt(1),
-                texts(node.path("aw")));
+                textValues(node.path("aw")));
     }
 
-    private static List<String> texts(JsonNode array) {
-        List<String> texts = new ArrayList<>();
-        array.forEach(text -> texts.add(text.asText()));
-        return texts;
+    private static List<String> textValues(JsonNode array) {
+        List<String> values = new ArrayList<>();
+        array.forEach(value -> values.add(value.asText()));
+        return values;
     }
 
-    /** Encodes a final state. */
+    /** Encodes a final state without the time at which it was reached. */
     public static ObjectNode encodeFinalStatus(Status status) {
         return Json.object().put("s", status.wireName());
     }
@@ -101,16 +101,16 @@
     /**
      * Encodes the final state of a job that is done.
      *
-     * @param doneMs time of day in milliseconds, from which the times of its dependents count;
-     *     versions that do not know the field ignore it
+     * @param doneMs wall-clock time in milliseconds at which the job was done, from which the
+     *     waiting times of its dependents count; versions without this field ignore it
      */
     public static ObjectNode encodeDone(long doneMs) {
         return encodeFinalStatus(Status.DONE).put("at", doneMs);
     }
 
     /**
-     * When the job was done, as time of day in milliseconds; empty where the version that wrote it
-     * did not say.
+     * Decodes the wall-clock time in milliseconds at which the job was done; empty if the version
+     * that wrote the final state did not record it.
      */
     public static OptionalLong decodeDoneMs(JsonNode stored) {
         JsonNode doneMs = stored.path("at");
@@ -119,7 +119,10 @@
                 : OptionalLong.empty();
     }
 
-    /** Decodes what {@link #encodeFinalStatus} has encoded. */
+    /**
+     * Decodes the status of a final state encoded by {@link #encodeFinalStatus} or {@link
+     * #encodeDone}.
+     */
     public static Status decodeFinalStatus(JsonNode stored) {
         return stored.path("s").asText().equals(Status.DONE.wireName())
                 ? Status.DONE
--- a/src/main/java/io/pepperfield/jobs/JobIndex.java
+++ b/src/main/java/io/pepperfield/jobs/JobIndex.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * All jobs that were ever accepted, as the replica holds them; every controller answers its users
- * from this index. Fed with the replica's changes on the event loop's thread, to which it is
+ * An index of all jobs ever accepted, derived from the replica. Every controller answers user
+ * requests from it. Updated with the replica's changes on the event loop's thread, to which it is
  * confined.
  */
 public final class JobIndex {
@@ -29,11 +29,12 @@
     private final SharedRecordIndex sharedRecords = new SharedRecordIndex();
     private final DoubleSupplier replicaConfirmedAt;
 
-    /** One for all records. */
+    /** A single instance, shared by all records. */
     private final Predicate<String> isDone = dependencies::isDone;
 
     /**
-     * @param replicaConfirmedAt a loop time in seconds up to which all changes are known here
+     * @param replicaConfirmedAt supplies a loop time in seconds up to which the replica holds all
+     *     changes
      */
     public JobIndex(DoubleSupplier replicaConfirmedAt) {
         this.replicaConfirmedAt = replicaConfirmedAt;
@@ -55,23 +56,25 @@
     }
 
     /**
-     * A loop time in seconds at which none of the jobs was cancelled that may have attempts on the
-     * machine beside those settled; infinity where there is none.
+     * Returns a loop time in seconds at which no cancelled job with a possibly live attempt on the
+     * machine had been cancelled yet; infinity if there is no such job.
+     *
+     * @param excluded selects attempts to leave out
      */
-    public double noCancellationsBefore(String machine, Predicate<CancelledAttempt> settled) {
-        return cancelledAttempts.noCancellationsBefore(machine, settled);
+    public double noCancellationsBefore(String machine, Predicate<CancelledAttempt> excluded) {
+        return cancelledAttempts.noCancellationsBefore(machine, excluded);
     }
 
-    /** The ids of the jobs that were affected by another job's end since the last call. */
+    /** Returns the ids of the jobs affected by the end of another job since the last call. */
     public List<String> drainAffectedJobs() {
         return dependencies.drainAffected();
     }
 
     /**
-     * Applies a change of the replica. Keys of other packages are ignored, and so are deletions:
-     * accepted jobs and final states are never deleted.
+     * Applies a change of the replica. Keys of other packages are ignored. Deletions are ignored
+     * too, as accepted jobs and final states are never deleted.
      *
-     * @param value the key's new value, or null where it was deleted
+     * @param value the key's new value, or null if it was deleted
      */
     public void applyChange(String key, JsonNode value) {
         if (value == null) {
@@ -113,7 +116,7 @@
     private void addFinalState(String id, FinalState state) {
         JobRecord record = records.get(id);
         if (record == null) {
-            // A reading in pages brings the keys in their order, final states before jobs.
+            // A paged read returns the keys in order, final states before jobs.
             finalStatesBeforeJobs.put(id, state);
         } else if (!record.hasEnded()) {
             applyFinalState(record, state);
@@ -127,10 +130,11 @@
     }
 
     /**
-     * A job is cancelled if its own final state says so or that of any dependency, direct or not.
-     * Both are written once, and what waits cannot be done; so this holds on every controller from
-     * the moment at which it knows the one final state, and nothing has to be written for the
-     * dependents. Without recursion, since chains may be long.
+     * Applies a job's final state to the job and, if it is a cancellation, to its direct and
+     * transitive dependents. Nothing is written for the dependents: final states are written once,
+     * and a job that still waits for a dependency cannot be done, so every controller derives the
+     * same cancellations from the one final state. Iterative, because dependency chains may be
+     * long.
      */
     private void applyFinalState(JobRecord first, FinalState state) {
         first.setFinalState(state);
@@ -144,8 +148,9 @@
     }
 
     /**
-     * A job that a record leaves out is over with nothing alive, and its old task states must not
-     * come to life under the next leader.
+     * Replaces the contents of a shared run record. A job that is no longer in any shared record
+     * has ended without live attempts; its old task states are removed so that the next leader does
+     * not restore them as live attempts.
      */
     private void applySharedRecord(String key, JsonNode value) {
         List<String> jobs = new ArrayList<>();
--- a/src/main/java/io/pepperfield/jobs/JobMessages.java
+++ b/src/main/java/io/pepperfield/jobs/JobMessages.java
@@ -6,11 +6,12 @@
 import java.util.regex.Pattern;
 
 /**
- * The users' messages; with {@link SubmissionDecoder} the only place that knows their field names.
+ * The messages of the user API. Their field names appear only here and in {@link
+ * SubmissionDecoder}.
  */
 public final class JobMessages {
 
-    /** A submission is invalid; the message names the field and says what is wanted. */
+    /** Thrown for an invalid submission; the message names the field and the expected value. */
     public static final class InvalidSubmissionException extends Exception {
         InvalidSubmissionException(String message) {
             super(message);
@@ -21,35 +22,35 @@
 
     private JobMessages() {}
 
-    /** Whether the text may name a job. */
+    /** Whether the text has the form of a job id. */
     public static boolean isValidId(String id) {
         return JOB_ID.matcher(id).matches();
     }
 
-    /** The id that a submission carries, or empty where it carries none of the right form. */
+    /** Returns the job id of a submission, or an empty string if it is missing or malformed. */
     public static String jobId(JsonNode body) {
         JsonNode id = body.path("nameId");
         return id.isTextual() && isValidId(id.textValue()) ? id.textValue() : "";
     }
 
     /**
-     * Reads and checks a submission.
+     * Decodes and validates a submission.
      *
-     * @param nowMs time of day of the submission in milliseconds
-     * @param tasksPerRunRecord how many tasks are to share a run record
-     * @throws InvalidSubmissionException names the first field that is missing or invalid
+     * @param nowMs wall-clock time of the submission in milliseconds
+     * @param tasksPerRunRecord number of tasks per run record
+     * @throws InvalidSubmissionException for the first missing or invalid field
      */
     public static JobSpec decodeSubmission(JsonNode body, long nowMs, int tasksPerRunRecord)
             throws InvalidSubmissionException {
         return new SubmissionDecoder(body).decode(nowMs, tasksPerRunRecord);
     }
 
-    /** The answer to a query for a job's state, with its counts of tasks. */
+    /** The reply to a status query, with the task counts. */
     public static ObjectNode statusAnswer(String id, Status status, int done, int running) {
         return briefStatusAnswer(id, status).put("done", done).put("running", running);
     }
 
-    /** The answer that names a job and its state alone. */
+    /** The reply with only a job's id and status. */
     public static ObjectNode briefStatusAnswer(String id, Status status) {
         return Json.object().put("nameId", id).put("status", status.wireName());
     }
--- a/src/main/java/io/pepperfield/jobs/JobRecord.java
+++ b/src/main/java/io/pepperfield/jobs/JobRecord.java
@@ -12,35 +12,35 @@
 import java.util.function.Predicate;
 
 /**
- * What the replica holds of one accepted job: its description, its final state, its run records and
- * how many of its dependencies are unfinished. Changed by {@link JobIndex} alone, on the event
- * loop's thread.
+ * The replicated state of one accepted job: its specification, its final state, its run records and
+ * the number of its unfinished dependencies. Modified only by {@link JobIndex} and its parts, on
+ * the event loop's thread.
  */
 public final class JobRecord {
 
-    /** How many of the dependencies that a job waits for are shown to its user. */
+    /** Maximum number of unfinished dependencies listed in a status reply. */
     private static final int MAX_DEPENDENCIES_SHOWN = 16;
 
     private final JobSpec spec;
     private final Predicate<String> isDone;
     private final Int2ObjectMap<RunRecordFragment> fragments = new Int2ObjectOpenHashMap<>();
     private Status finalStatus;
-    private double lastKnownOpenAt;
+    private double lastKnownActiveAt;
     private boolean unreadable;
     private int doneTasks;
     private int runningTasks;
     private int failedTasks;
 
-    /** How many of its dependencies are not known to be done. */
+    /** Number of dependencies not known to be done. */
     private int unfinishedDependencyCount;
 
-    /** When the job itself was done, in milliseconds of the day's time. */
+    /** Wall-clock time in milliseconds at which the job was done. */
     private OptionalLong doneMs = OptionalLong.empty();
 
     private OptionalLong readyMs;
 
     /**
-     * @param isDone whether the job with that id is known to be done
+     * @param isDone tests whether the job with a given id is known to be done
      */
     JobRecord(JobSpec spec, Predicate<String> isDone) {
         this.spec = spec;
@@ -48,12 +48,12 @@
         this.readyMs = OptionalLong.of(spec.acceptedMs());
     }
 
-    /** What the user asked for. */
+    /** The specification as submitted. */
     public JobSpec spec() {
         return spec;
     }
 
-    /** The final state, or null while the job has none. */
+    /** The final state, or null if the job has not ended. */
     public Status finalStatus() {
         return finalStatus;
     }
@@ -63,40 +63,45 @@
         return finalStatus != null;
     }
 
-    /** Of a job that has ended: a loop time in seconds at which it had not. */
+    /** For a job that has ended: a loop time in seconds at which it had not ended yet. */
     public double lastKnownActiveAt() {
-        return lastKnownOpenAt;
+        return lastKnownActiveAt;
     }
 
-    /** Whether a run record of the job is of an unknown form: nothing may be done about the job. */
+    /**
+     * Whether a run record of the job has an unknown format, in which case the job must be left
+     * alone.
+     */
     public boolean unreadable() {
         return unreadable;
     }
 
-    /** Whether all its dependencies are durably done. */
+    /** Whether all dependencies are durably done. */
     public boolean ready() {
         return unfinishedDependencyCount == 0;
     }
 
     /**
-     * Of a job that is ready: the time of day in milliseconds at which it was submitted or its last
-     * dependency was done, whichever is later; empty where a final state does not say.
+     * For a job that is ready: the wall-clock time in milliseconds at which it was submitted or its
+     * last dependency was done, whichever is later; empty if a dependency's final state does not
+     * record the time.
      */
     public OptionalLong readyMs() {
         return readyMs;
     }
 
     /**
-     * The ids of the jobs that it still waits for. Found on demand, as thousands of jobs may each
-     * have hundreds of dependencies.
+     * The ids of the unfinished dependencies. Computed on demand rather than stored, as thousands
+     * of jobs may each have hundreds of dependencies.
      */
     public List<String> unfinishedDependencies() {
         return spec.dependencies().stream().filter(isDone.negate()).toList();
     }
 
     /**
-     * The stored states of its tasks, one for each task. A split run record that a controller of an
-     * older version has written whole again leaves old states in its parts: the newer one counts.
+     * The stored states of the tasks, one for each task. If a controller of an older version has
+     * written a split run record as a whole again, stale states remain in its parts; the newer
+     * state of a task is returned.
      */
     public Collection<TaskState> taskStates() {
         Map<Integer, TaskState> newest = new LinkedHashMap<>();
@@ -108,7 +113,7 @@
         return newest.values();
     }
 
-    /** The body of the answer to a query for the job's state. */
+    /** The body of the reply to a status query. */
     public JsonNode statusAnswer() {
         if (finalStatus != null) {
             int done = finalStatus == Status.DONE ? spec.tasks() : doneTasks;
@@ -117,17 +122,18 @@
         Status status = runningTasks > 0 ? Status.RUNNING : Status.PENDING;
         ObjectNode answer = JobMessages.statusAnswer(spec.id(), status, doneTasks, runningTasks);
         if (!ready()) {
-            addUnfinishedDependencies(answer);
+            putUnfinishedDependencies(answer);
         }
-        // Why a job that was submitted with a mistake makes no progress.
+        // Shows the user why a faulty job makes no progress.
         return failedTasks > 0 ? answer.put("failed", failedTasks) : answer;
     }
 
     /**
-     * Users ask every few seconds: a list as long as a stored value allows would be most of what
-     * this controller sends.
+     * Adds the unfinished dependencies to a status reply. Clients poll every few seconds, so the
+     * list is limited: one as long as a stored value allows would dominate the controller's
+     * outgoing traffic.
      */
-    private void addUnfinishedDependencies(ObjectNode answer) {
+    private void putUnfinishedDependencies(ObjectNode answer) {
         spec.dependencies().stream()
                 .filter(isDone.negate())
                 .limit(MAX_DEPENDENCIES_SHOWN)
@@ -137,7 +143,7 @@
         }
     }
 
-    // ---- changes, for JobIndex and its parts
+    // ---- changes, called by JobIndex and its parts
 
     int runningTasks() {
         return runningTasks;
@@ -147,33 +153,37 @@
         unreadable = true;
     }
 
-    /** Sets the final state; {@link #onEnded} follows once the replica's time is known. */
+    /** Sets the final state; {@link #onEnded} must follow in the same update. */
     void setFinalState(FinalState state) {
         finalStatus = state.status();
         doneMs = state.doneMs();
     }
 
     /**
-     * The job has ended, and had not at that loop time. What is stored of the tasks of a job that
-     * is done is not needed any more.
+     * Records a loop time at which the job had not ended yet, and drops the task states of a job
+     * that is done, as they are no longer needed.
      */
-    void onEnded(double knownOpenAt) {
-        lastKnownOpenAt = knownOpenAt;
+    void onEnded(double knownActiveAt) {
+        lastKnownActiveAt = knownActiveAt;
         if (finalStatus == Status.DONE) {
             fragments.clear();
         }
     }
 
+    /** Counts a dependency that is not known to be done. */
     void countUnfinishedDependency() {
         unfinishedDependencyCount++;
     }
 
+    /** Handles the completion of a dependency that was counted as unfinished. */
     void completeDependency(JobRecord dependency) {
         unfinishedDependencyCount--;
         updateReadyTime(dependency);
     }
 
-    /** The dependency is done, and was never counted as unfinished or is not any more. */
+    /**
+     * Advances the ready time to the completion of a dependency that is not counted as unfinished.
+     */
     void updateReadyTime(JobRecord dependency) {
         readyMs =
                 readyMs.isPresent() && dependency.doneMs.isPresent()
@@ -183,16 +193,16 @@
     }
 
     /**
-     * The counts follow each change of one fragment: neither a change nor a query costs a pass over
-     * the whole array.
+     * Replaces a fragment and updates the task counts incrementally, so that neither a change nor a
+     * query iterates over all tasks of the job.
      */
-    void putFragment(int number, RunRecordFragment fragment) {
+    void putFragment(int index, RunRecordFragment fragment) {
         count(fragment, 1);
-        count(fragments.put(number, fragment), -1);
+        count(fragments.put(index, fragment), -1);
     }
 
-    void removeFragment(int number) {
-        count(fragments.remove(number), -1);
+    void removeFragment(int index) {
+        count(fragments.remove(index), -1);
     }
 
     private void count(RunRecordFragment fragment, int sign) {
--- a/src/main/java/io/pepperfield/jobs/JobSpec.java
+++ b/src/main/java/io/pepperfield/jobs/JobSpec.java
@@ -5,26 +5,29 @@
 import java.util.function.UnaryOperator;
 
 /**
- * What a user asked for; never changes.
+ * A job's specification as submitted by its user; immutable.
  *
- * @param id run- and six digits or more
- * @param workload the class of jobs by which run times are predicted
- * @param team the owner, whose quota the job uses
- * @param cpus of one task, as are gpus and memory
+ * @param id {@code run-} followed by at least six digits
+ * @param workload the workload name, by which run times are predicted
+ * @param team the owning team, whose quota the job uses
+ * @param tasks the number of tasks
+ * @param cpus CPUs per task
+ * @param gpus GPUs per task
+ * @param memGb memory per task in GB
  * @param image the container image
- * @param imageGb its size, which a machine without it has to pull
+ * @param imageGb size of the image in GB, which a machine without the image has to pull
  * @param machineTypes allowed machine types, or null for any
- * @param zone the only allowed zone, or null
- * @param sameZone all tasks in the same zone
- * @param spreadOverZones at most half of the tasks, rounded up, in one zone
- * @param spotAllowed may use spot machines
- * @param expectedRunTimeS how many seconds a task is expected to run
- * @param checkpointIntervalS seconds between two checkpoints of a task; 0 for none
- * @param checkpointDurationS seconds that a checkpoint takes
+ * @param zone the only allowed zone, or null for any
+ * @param sameZone whether all tasks must run in the same zone
+ * @param spreadOverZones whether at most half of the tasks, rounded up, may run in one zone
+ * @param spotAllowed whether spot machines may be used
+ * @param expectedRunTimeS expected run time of a task in seconds
+ * @param checkpointIntervalS seconds between two checkpoints of a task; 0 for no checkpoints
+ * @param checkpointDurationS duration of a checkpoint in seconds
  * @param deadlineS deadline in seconds after the submission, or null
- * @param acceptedMs time of day of the submission in milliseconds
- * @param tasksPerRunRecord tasks in one stored run record
- * @param dependencies jobs that must be done before any task starts, each once
+ * @param acceptedMs wall-clock time of the submission in milliseconds
+ * @param tasksPerRunRecord number of tasks per stored run record
+ * @param dependencies ids of the jobs that must be done before any task starts, without duplicates
  */
 public record JobSpec(
         String id,
@@ -52,8 +55,8 @@
         List<String> dependencies) {
 
     /**
-     * The kind of job: independent tasks, replicas that run until cancelled, or tasks that start
-     * together.
+     * The kind of job: independent tasks (ARRAY), replicas that run until the job is cancelled
+     * (SERVICE), or tasks that must be started together (GANG).
      */
     public enum Shape {
         ARRAY,
@@ -61,7 +64,7 @@
         GANG
     }
 
-    /** From the highest to the lowest. */
+    /** Priorities, from highest to lowest. */
     public enum Priority {
         PRODUCTION,
         URGENT,
@@ -69,49 +72,49 @@
         BEST_EFFORT
     }
 
-    /** Whether its tasks are replicas that run until it is cancelled. */
+    /** Whether the tasks are replicas that run until the job is cancelled. */
     public boolean isService() {
         return shape == Shape.SERVICE;
     }
 
-    /** All tasks are started together or none. */
+    /** Whether either all tasks are started together or none. */
     public boolean isGang() {
         return shape == Shape.GANG;
     }
 
-    /** How many tasks must be able to run at the same time. */
+    /** The minimum number of tasks that must be able to run concurrently. */
     public int minConcurrentTasks() {
         return shape == Shape.ARRAY ? 1 : tasks;
     }
 
-    /** How many tasks may be in one zone at the same time. */
+    /** The maximum number of tasks that may run concurrently in one zone. */
     public int maxTasksPerZone() {
         return spreadOverZones ? (tasks + 1) / 2 : tasks;
     }
 
-    /** The number of run records that its tasks need. */
+    /** The number of run records for all tasks. */
     public int runRecordCount() {
         return (tasks + tasksPerRunRecord - 1) / tasksPerRunRecord;
     }
 
     /**
-     * The key of a part of a split run record: numbers beyond those of the job's records, which
-     * every version reads like any other.
+     * The key of a part of a split run record. The parts use record numbers above those of the
+     * job's regular records, which every version reads like any other record.
      */
     public String splitRecordKey(int record, int part) {
         return Keys.runRecord(id, record + part * runRecordCount());
     }
 
-    /** The same job with another priority. */
+    /** Returns a copy with another priority. */
     public JobSpec withPriority(Priority other) {
         return copy(other, dependencies);
     }
 
-    /** The same job, with the ids of its dependencies as {@code shared} gives them. */
-    JobSpec withInternedDependencyIds(UnaryOperator<String> shared) {
+    /** Returns a copy whose dependency ids are mapped by {@code intern}. */
+    JobSpec withInternedDependencyIds(UnaryOperator<String> intern) {
         return dependencies.isEmpty()
                 ? this
-                : copy(priority, dependencies.stream().map(shared).toList());
+                : copy(priority, dependencies.stream().map(intern).toList());
     }
 
     JobSpec withoutDependencies() {
@@ -145,15 +148,15 @@
                 otherDependencies);
     }
 
-    /** Whether its tasks save checkpoints. */
+    /** Whether the tasks take checkpoints. */
     public boolean takesCheckpoints() {
         return checkpointIntervalS > 0;
     }
 
-    /** Whether a machine of that type, in that zone and of that kind may hold a task. */
-    public boolean allowsMachine(String type, String inZone, boolean onSpot) {
-        return (spotAllowed || !onSpot)
+    /** Whether a machine of the given type and zone, on demand or spot, may run a task. */
+    public boolean allowsMachine(String type, String machineZone, boolean spot) {
+        return (spotAllowed || !spot)
                 && (machineTypes == null || machineTypes.contains(type))
-                && (zone == null || zone.equals(inZone));
+                && (zone == null || zone.equals(machineZone));
     }
 }
--- a/src/main/java/io/pepperfield/jobs/LinearizableReads.java
+++ b/src/main/java/io/pepperfield/jobs/LinearizableReads.java
@@ -4,35 +4,36 @@
 import java.util.function.Consumer;
 
 /**
- * What a user may be told about a job, the same on every controller: reads are linearizable.
+ * Linearizable reads of a job's state, for replies to users of any controller.
  *
- * <p>Invariant: whatever any controller had told anybody (accepted, done, cancelled) before a
- * request came in here is known to the reading that answers it.
+ * <p>Invariant: a read reflects every state (accepted, done, cancelled) that any controller had
+ * reported to any client before the request arrived here.
  *
- * <p>Proof. (1) What is told is durable before it is told: either the state service has confirmed
- * the transaction that wrote it, or it was read there. A transaction without an answer lets nobody
- * be told anything but to come back; carried out late, it adds what nobody had denied since, or
- * finds its key written and does nothing. (2) The keys of jobs and of final states are written once
- * and never deleted: each later revision holds them too. (3) A reading that does not end at once
- * waits for a read index request that left after the user's request came in. The service is
- * strongly consistent: its answer holds all changes up to a revision that is not older than what
- * had been told by then, and the replica and the job index have them when the job is looked up, in
- * the same command. An answer that came too late for those who waited is none. (4) A final state
- * needs no request: by (2) no other can follow it, however old this controller's knowledge is. (5)
- * A process that began anew knows nothing until it has read all keys, and then (3) holds for it;
- * until then it says only that it cannot tell.
+ * <p>Proof. (1) A state is durable before it is reported: either the state service has confirmed
+ * the transaction that wrote it, or it was read from the service. After a transaction without an
+ * answer, the client is only asked to retry; if the transaction is committed late, it either adds a
+ * key whose existence no controller has denied since, or finds the key written and does nothing.
+ * (2) The keys of jobs and of final states are written once and never deleted, so every later
+ * revision contains them. (3) A read that cannot be answered from a known final state waits for a
+ * read index request that was sent after the user's request arrived. The service is strongly
+ * consistent: its answer contains all changes up to a revision that is not older than any state
+ * reported by then, and the replica and the job index hold these changes when the job is looked up,
+ * in the same command. An answer that arrives after the waiting requests have timed out counts as
+ * no answer. (4) A known final state is returned without a read index request: by (2) no other
+ * state can follow it, however stale the replica is. (5) A restarted process has no state until it
+ * has read all keys, after which (3) applies; until then every read is unavailable.
  */
 final class LinearizableReads {
 
-    /** The result of reading a job. */
+    /** The outcome of reading a job. */
     sealed interface ReadOutcome {
-        /** The job was accepted; its record as of the reading. */
+        /** The job was accepted; contains its current record. */
         record Accepted(JobRecord job) implements ReadOutcome {}
 
-        /** Not accepted by any controller before the request came in. */
+        /** No controller had accepted the job before the request arrived. */
         record NeverAccepted() implements ReadOutcome {}
 
-        /** The state service has not answered in time. */
+        /** The state service did not confirm in time that the replica is current. */
         record Unavailable() implements ReadOutcome {}
     }
 
@@ -45,13 +46,17 @@
     }
 
     /**
-     * Whether this controller has heard that the job was accepted; that it has not says nothing.
+     * Whether the replica contains the job. False does not prove that the job was never accepted,
+     * as the replica may be stale.
      */
     boolean isKnown(String id) {
         return jobIndex.get(id) != null;
     }
 
-    /** Reads a job; the outcome is told at once or once the replica is known to be current. */
+    /**
+     * Reads a job. Calls back at once if its final state is known, otherwise once the replica is
+     * confirmed to be current or the confirmation has failed.
+     */
     void read(String id, Consumer<ReadOutcome> done) {
         if (isFinal(id)) {
             done.accept(new ReadOutcome.Accepted(jobIndex.get(id)));
@@ -69,7 +74,7 @@
                 : new ReadOutcome.NeverAccepted();
     }
 
-    /** Whether this controller knows the job's final state, which it may tell at any time. */
+    /** Whether the replica contains the job's final state, which may be returned at any time. */
     boolean isFinal(String id) {
         return isKnown(id) && jobIndex.get(id).finalStatus() != null;
     }
--- a/src/main/java/io/pepperfield/jobs/PriorityInheritance.java
+++ b/src/main/java/io/pepperfield/jobs/PriorityInheritance.java
@@ -7,28 +7,28 @@
 import java.util.function.BiConsumer;
 
 /**
- * Priority inheritance: users set the priority that they care about on the last job of a pipeline,
- * and a job is placed by its effective priority, the highest among its own and those of its
- * unfinished dependents, direct or not.
+ * Priority inheritance along job dependencies. Users set the priority of a pipeline on its last
+ * job, so jobs are placed by their effective priority: the highest among a job's own priority and
+ * those of its direct and transitive unfinished dependents.
  *
- * <p>Derived from the unfinished jobs alone, in whatever order they come, so that a new leader
- * finds the same priorities, and a priority goes again with the job that it comes from. Of each job
- * the dependents are counted by effective priority: a job that comes or goes costs a step for each
- * edge over which a priority changes, however many jobs depend on the same one. Confined to the
- * event loop's thread.
+ * <p>Effective priorities depend only on the set of unfinished jobs and not on the order in which
+ * they are added, so a new leader derives the same priorities, and an inherited priority is dropped
+ * when the job that it comes from is removed. Each job counts its dependents by effective priority,
+ * so adding or removing a job visits only the edges over which a priority changes, regardless of
+ * the number of dependents of a job. Confined to the event loop's thread.
  */
 public final class PriorityInheritance {
 
     private static final Priority[] PRIORITIES = Priority.values();
 
     /**
-     * A job, or one that is named before it is added, with how many of its dependents there are of
-     * each effective priority.
+     * A job, possibly not added yet and only referenced by a dependent, with the number of its
+     * dependents of each effective priority.
      */
     private static final class Node {
         private final int[] dependentsByPriority = new int[PRIORITIES.length];
 
-        /** Null where the job is not known, or has ended. */
+        /** Null if the job has not been added or has ended. */
         private JobSpec spec;
 
         private Priority effectivePriority;
@@ -52,21 +52,21 @@
     }
 
     /**
-     * The effective priority of one dependent of {@code job} changes; null stands for a dependent
-     * that did not exist before, or does not any more.
+     * A change of the effective priority of one dependent of {@code job}. {@code before} is null if
+     * the dependent was added, {@code after} is null if it was removed.
      */
-    private record Step(String job, Priority before, Priority after) {}
+    private record PriorityChange(String job, Priority before, Priority after) {}
 
     private final Map<String, Node> nodes = new HashMap<>();
-    private final BiConsumer<String, Priority> onChanged;
-    private long steps;
+    private final BiConsumer<String, Priority> onPriorityChanged;
+    private long visitedEdges;
 
     /**
-     * @param onChanged told of a job and its new effective priority, where that is not the one
-     *     before; at first it is its own
+     * @param onPriorityChanged called with a job's id and its new effective priority whenever the
+     *     effective priority changes; initially it is the job's own priority
      */
-    public PriorityInheritance(BiConsumer<String, Priority> onChanged) {
-        this.onChanged = onChanged;
+    public PriorityInheritance(BiConsumer<String, Priority> onPriorityChanged) {
+        this.onPriorityChanged = onPriorityChanged;
     }
 
     /** Adds a job that has not ended; it may be added before its dependencies. */
@@ -77,72 +77,72 @@
         }
         node.spec = job;
         node.effectivePriority = job.priority();
-        ArrayDeque<Step> open = new ArrayDeque<>();
-        addSteps(job, null, node.effectivePriority, open);
-        open.add(new Step(job.id(), null, null));
-        propagate(open);
+        ArrayDeque<PriorityChange> pending = new ArrayDeque<>();
+        addChanges(job, null, node.effectivePriority, pending);
+        pending.add(new PriorityChange(job.id(), null, null));
+        propagate(pending);
     }
 
-    /** The job has ended: its dependencies inherit nothing from it any more. */
+    /** Removes a job that has ended, so that its dependencies no longer inherit from it. */
     public void remove(JobSpec job) {
         Node node = nodes.get(job.id());
         if (node == null || node.spec == null) {
             return;
         }
         node.spec = null;
-        ArrayDeque<Step> open = new ArrayDeque<>();
-        addSteps(job, node.effectivePriority, null, open);
-        forgetIfUnused(job.id(), node);
-        propagate(open);
+        ArrayDeque<PriorityChange> pending = new ArrayDeque<>();
+        addChanges(job, node.effectivePriority, null, pending);
+        removeIfUnused(job.id(), node);
+        propagate(pending);
     }
 
-    private static void addSteps(
-            JobSpec job, Priority before, Priority after, ArrayDeque<Step> open) {
-        job.dependencies().forEach(id -> open.add(new Step(id, before, after)));
+    private static void addChanges(
+            JobSpec job, Priority before, Priority after, ArrayDeque<PriorityChange> pending) {
+        job.dependencies().forEach(id -> pending.add(new PriorityChange(id, before, after)));
     }
 
-    /** Without recursion: chains may be long. */
-    private void propagate(ArrayDeque<Step> open) {
-        while (!open.isEmpty()) {
-            Step step = open.poll();
-            steps++;
-            Node node = nodes.computeIfAbsent(step.job, id -> new Node());
-            count(node, step.before, -1);
-            count(node, step.after, 1);
+    /** Iterative, because dependency chains may be long. */
+    private void propagate(ArrayDeque<PriorityChange> pending) {
+        while (!pending.isEmpty()) {
+            PriorityChange change = pending.poll();
+            visitedEdges++;
+            Node node = nodes.computeIfAbsent(change.job, id -> new Node());
+            count(node, change.before, -1);
+            count(node, change.after, 1);
             if (node.spec != null) {
-                updateEffectivePriority(node, open);
+                updateEffectivePriority(node, pending);
             }
-            forgetIfUnused(step.job, node);
+            removeIfUnused(change.job, node);
         }
     }
 
-    private void updateEffectivePriority(Node node, ArrayDeque<Step> open) {
+    private void updateEffectivePriority(Node node, ArrayDeque<PriorityChange> pending) {
         Priority highest = node.highestPriority();
         if (highest != node.effectivePriority) {
-            addSteps(node.spec, node.effectivePriority, highest, open);
+            addChanges(node.spec, node.effectivePriority, highest, pending);
             node.effectivePriority = highest;
-            onChanged.accept(node.spec.id(), highest);
+            onPriorityChanged.accept(node.spec.id(), highest);
         }
     }
 
-    private static void count(Node node, Priority priority, int change) {
+    private static void count(Node node, Priority priority, int delta) {
         if (priority != null) {
-            node.dependentsByPriority[priority.ordinal()] += change;
+            node.dependentsByPriority[priority.ordinal()] += delta;
         }
     }
 
-    private void forgetIfUnused(String id, Node node) {
+    private void removeIfUnused(String id, Node node) {
         if (node.isUnused()) {
             nodes.remove(id);
         }
     }
 
-    /** How many edges have been visited so far. */
+    /** The number of edges visited so far. */
     long visitedEdges() {
-        return steps;
+        return visitedEdges;
     }
 
-    /** How many jobs are kept here. */
+    /** The number of jobs with a node. */
     int size() {
         return nodes.size();
     }
--- a/src/main/java/io/pepperfield/jobs/RunRecordFragment.java
+++ b/src/main/java/io/pepperfield/jobs/RunRecordFragment.java
@@ -5,11 +5,14 @@
 import java.util.List;
 
 /**
- * One stored run record, or one job's part of a shared one: the task states as written, with counts
- * of the tasks that are done, may be alive, or failed in their latest attempt.
+ * The contents of one run record, or of one job's entry in a shared run record: the task states in
+ * their stored form, with counts of the tasks by phase.
  *
- * @param json the task states as stored: trees of an array of 100,000 tasks would take a third of
- *     the heap
+ * @param json the task states as serialized JSON; parsed trees for an array of 100,000 tasks would
+ *     take a third of the heap
+ * @param doneTasks number of completed tasks
+ * @param runningTasks number of tasks whose latest attempt may be live
+ * @param failedTasks number of tasks whose latest attempt failed
  */
 record RunRecordFragment(byte[] json, int doneTasks, int runningTasks, int failedTasks) {
 
@@ -17,8 +20,8 @@
         int done = 0;
         int running = 0;
         int failed = 0;
-        for (JsonNode line : data) {
-            TaskState.Phase phase = TaskState.decodePhase(line);
+        for (JsonNode state : data) {
+            TaskState.Phase phase = TaskState.decodePhase(state);
             done += phase == TaskState.Phase.DONE ? 1 : 0;
             running += phase == TaskState.Phase.LIVE ? 1 : 0;
             failed += phase == TaskState.Phase.FAILED ? 1 : 0;
--- a/src/main/java/io/pepperfield/jobs/SharedRunRecords.java
+++ b/src/main/java/io/pepperfield/jobs/SharedRunRecords.java
@@ -16,13 +16,13 @@
 import java.util.function.Function;
 
 /**
- * Which small jobs share a stored run record. A swarm of jobs with a task each would otherwise cost
- * a mutation for each intent, and mutations per second are the scarcest resource. A record whose
- * jobs are all over is used again. Kept by the leader, on the event loop's thread.
+ * Assigns small jobs to shared run records. Without sharing, many single-task jobs would cost one
+ * mutation per intent, and mutations per second are the scarcest resource. A record is reused once
+ * all its jobs have ended. Maintained by the leader, on the event loop's thread.
  */
 public final class SharedRunRecords {
 
-    /** A job is small if so many like it fill a record. */
+    /** A job is small if at least this many jobs of its size fit into one record. */
     private static final int MIN_JOBS_PER_RECORD = 16;
 
     private final FencingToken fencingToken;
@@ -31,10 +31,10 @@
     private final Map<String, String> recordByJob = new HashMap<>();
     private final ArrayDeque<String> emptyRecords = new ArrayDeque<>();
 
-    /** The records among which a record that had become too large is split. */
+    /** For each split record, the keys of the parts among which its jobs are distributed. */
     private final Map<String, List<String>> partsByRecord = new HashMap<>();
 
-    /** Of each job in a split record, the part that holds it. */
+    /** For each job in a split record, the key of the part that contains it. */
     private final Map<String, String> partByJob = new HashMap<>();
 
     private String openRecord = "";
@@ -42,9 +42,9 @@
     private int sequence;
 
     /**
-     * @param fencingToken of the leadership: no record's name is ever chosen by two leaders
-     * @param maxTasks of all jobs in a record: the absence of its job's final state is a
-     *     precondition of an intent, and preconditions are limited
+     * @param fencingToken the leader's fencing token, which makes record keys unique across leaders
+     * @param maxTasks maximum number of tasks of all jobs in a record. An intent has the absence of
+     *     its job's final state as a precondition, and the number of preconditions is limited
      */
     public SharedRunRecords(FencingToken fencingToken, int maxTasks) {
         this.fencingToken = fencingToken;
@@ -52,34 +52,35 @@
     }
 
     /**
-     * Takes over a record of an earlier leader.
+     * Restores a record written by an earlier leader.
      *
-     * @param ids the jobs that the record holds
-     * @param jobs all jobs that are not over, by id
+     * @param ids the jobs in the record
+     * @param jobs all tracked jobs by id; other jobs in the record are left out
      */
     public void restore(String key, Collection<String> ids, Map<String, Job> jobs) {
-        Map<String, Job> held = jobsByRecord.computeIfAbsent(key, k -> new LinkedHashMap<>());
+        Map<String, Job> contained = jobsByRecord.computeIfAbsent(key, k -> new LinkedHashMap<>());
         for (String id : ids) {
             Job job = jobs.get(id);
             if (job != null) {
-                held.put(id, job);
+                contained.put(id, job);
                 recordByJob.put(id, key);
             }
         }
-        if (held.isEmpty()) {
+        if (contained.isEmpty()) {
             emptyRecords.add(key);
         }
     }
 
     /**
-     * The key of the record that the job shares; empty where the job has records of its own.
+     * Returns the key of the job's shared record, assigning one if necessary; empty if the job uses
+     * records of its own.
      *
-     * @param begun whether the job has run records of its own already
+     * @param hasOwnRecords whether the job already has run records of its own
      */
-    public Optional<String> recordKeyFor(Job job, boolean begun) {
-        String known = recordByJob.get(job.spec.id());
-        if (known != null || begun || !isSmall(job.spec)) {
-            return Optional.ofNullable(known);
+    public Optional<String> recordKeyFor(Job job, boolean hasOwnRecords) {
+        String sharedKey = recordByJob.get(job.spec.id());
+        if (sharedKey != null || hasOwnRecords || !isSmall(job.spec)) {
+            return Optional.ofNullable(sharedKey);
         }
         if (!hasRoomFor(job.spec)) {
             openNextRecord();
@@ -110,8 +111,8 @@
     }
 
     /**
-     * The job is over and nothing of it may be alive: its task states are left out from the next
-     * write on.
+     * Removes a job that has ended and has no live attempts. Its task states are omitted from the
+     * next write on.
      */
     public void remove(String id) {
         String key = recordByJob.remove(id);
@@ -125,17 +126,18 @@
         }
     }
 
-    /** The jobs in a record that are not over. */
+    /** The jobs in a record that have not been removed. */
     public Collection<Job> jobs(String key) {
         return jobsByRecord.get(key).values();
     }
 
     /**
-     * The record has become too large for the state service: its jobs are split among new records
-     * of this leader's, which are written together with it from now on, so that no task state is
-     * ever missing or in two of them.
+     * Splits a record that has become too large for the state service. Its jobs are distributed
+     * among the record and new records of this leader, which from then on are written in the same
+     * transaction, so that no task state is ever missing or duplicated.
      *
-     * @return false where that is not possible
+     * @return false if the record cannot be split because it is split already or has fewer than two
+     *     jobs
      */
     public boolean split(String key) {
         Collection<Job> jobs = jobs(key);
@@ -147,12 +149,12 @@
             parts.add(newRecordKey());
         }
         partsByRecord.put(key, parts);
-        int place = 0;
+        int index = 0;
         for (Job job : jobs) {
-            partByJob.put(job.spec.id(), parts.get(place++ * parts.size() / jobs.size()));
+            partByJob.put(job.spec.id(), parts.get(index++ * parts.size() / jobs.size()));
         }
         if (key.equals(openRecord)) {
-            // Nothing more is added to it.
+            // No further jobs are added to a split record.
             openRecord = "";
         }
         return true;
@@ -163,10 +165,10 @@
     }
 
     /**
-     * What the record is to hold now, and its parts. The record comes first: what it leaves out is
-     * found in a part afterwards.
+     * Encodes the current contents of a record and of its parts, by key. The record itself comes
+     * first, so that a reader finds the jobs that it omits in one of the following parts.
      *
-     * @param taskStates gives the states of a job's tasks
+     * @param taskStates returns the states of a job's tasks
      */
     public Map<String, JsonNode> encodeRecord(
             String key, Function<Job, List<TaskState>> taskStates) {
--- a/src/main/java/io/pepperfield/jobs/Status.java
+++ b/src/main/java/io/pepperfield/jobs/Status.java
@@ -2,19 +2,19 @@
 
 import java.util.Locale;
 
-/** A job's state as its user is told; the last two are final. */
+/** The status of a job as reported to users; the last two values are final. */
 public enum Status {
     PENDING,
     RUNNING,
     DONE,
     CANCELLED;
 
-    /** Whether the state is final. */
+    /** Whether the status is final. */
     public boolean isFinal() {
         return this == DONE || this == CANCELLED;
     }
 
-    /** The state's name in the users' protocol. */
+    /** The name of the status in the user API. */
     public String wireName() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/io/pepperfield/jobs/SubmissionDecoder.java
+++ b/src/main/java/io/pepperfield/jobs/SubmissionDecoder.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads and checks the body of one submission, field by field. */
+/** Decodes and validates the body of one submission. */
 final class SubmissionDecoder {
 
     private static final int MAX_TASKS = 100_000;
@@ -25,9 +25,9 @@
     }
 
     /**
-     * @param nowMs time of day of the submission in milliseconds
-     * @param tasksPerRunRecord how many tasks are to share a run record
-     * @throws InvalidSubmissionException names the first field that is missing or invalid
+     * @param nowMs wall-clock time of the submission in milliseconds
+     * @param tasksPerRunRecord number of tasks per run record
+     * @throws InvalidSubmissionException for the first missing or invalid field
      */
     JobSpec decode(long nowMs, int tasksPerRunRecord) throws InvalidSubmissionException {
         if (!body.isObject()) {
@@ -76,8 +76,8 @@
         return switch (name("shape")) {
             case "sweep" -> Shape.ARRAY;
             case "standing" -> Shape.SERVICE;
-            // Not in the users' table of shapes, but among the words of their platform; see
-            // docs/QUESTIONS.md.
+            // Not listed among the shapes of the user API, but used as a term on the users'
+            // platform; see docs/QUESTIONS.md.
             case "gang" -> Shape.GANG;
             default -> throw new InvalidSubmissionException("shape: want sweep or standing");
         };
@@ -117,7 +117,7 @@
         return cpus;
     }
 
-    /** Null where any machine type is allowed. */
+    /** The allowed machine types, or null for any. */
     private List<String> machineTypes() throws InvalidSubmissionException {
         if (isAbsent("flavours")) {
             return null;
@@ -138,7 +138,7 @@
         return List.copyOf(names);
     }
 
-    /** None where the field is absent; each id once. */
+    /** The ids of the dependencies without duplicates; empty if the field is absent. */
     private List<String> dependencies() throws InvalidSubmissionException {
         if (isAbsent("awaits")) {
             return List.of();
@@ -172,8 +172,8 @@
     }
 
     /**
-     * Half a surrogate pair is no character: a store that refused it would refuse all that is
-     * written beside it.
+     * Whether the value is a valid name. Unpaired surrogates are rejected because they cannot be
+     * encoded: a store that refused one would refuse the whole transaction.
      */
     private static boolean isName(JsonNode value) {
         return value.isTextual()
--- a/src/main/java/io/pepperfield/jobs/SubmissionPolicy.java
+++ b/src/main/java/io/pepperfield/jobs/SubmissionPolicy.java
@@ -1,20 +1,20 @@
 package io.pepperfield.jobs;
 
-/** Decides whether a new job may be written now; asked once all else about it has been checked. */
+/** Decides whether a new job may be written now; consulted after all other checks have passed. */
 public interface SubmissionPolicy {
 
-    /** What is decided about a new job. */
+    /** The decision about a new job. */
     sealed interface Decision {
-        /** It may be written. */
+        /** The job may be written. */
         record Admitted() implements Decision {}
 
-        /** Its user is told to come back, at once. */
+        /** The job is rejected immediately and its client is asked to retry. */
         record Refused(String reason, int retryAfterS) implements Decision {}
     }
 
     Decision ADMITTED = new Decision.Admitted();
 
-    /** Admits everything: the state service's own refusal is the limit. */
+    /** Admits every job; only the state service's own rate limit applies. */
     SubmissionPolicy UNLIMITED =
             new SubmissionPolicy() {
                 @Override
@@ -26,9 +26,11 @@
                 public void storeThrottled() {}
             };
 
-    /** Decides about a job that nobody is known to have accepted; counts it if it is admitted. */
+    /** Decides about a job that is not known to be accepted yet, and counts it if admitted. */
     Decision decide(JobSpec job);
 
-    /** The state service has refused a creation as beyond its rate. */
+    /**
+     * Called when the state service has rejected a creation because its rate limit was exceeded.
+     */
     void storeThrottled();
 }
--- a/src/main/java/io/pepperfield/jobs/TaskState.java
+++ b/src/main/java/io/pepperfield/jobs/TaskState.java
@@ -7,35 +7,35 @@
 import java.util.List;
 
 /**
- * What is stored of one task.
+ * The stored state of one task.
  *
- * @param task the task's number, from 0
- * @param attempt the number of its latest attempt, from 1
- * @param phase how far that attempt has got
- * @param machine where it may be alive; empty unless it is live
- * @param incarnation the agent's incarnation on that machine; 0 unless it is live
+ * @param task the task number, from 0
+ * @param attempt the number of the task's latest attempt, from 1
+ * @param phase the phase of that attempt
+ * @param machine the machine of a live attempt; empty in any other phase
+ * @param incarnation the incarnation of the agent on that machine; 0 in any other phase
  */
 public record TaskState(int task, int attempt, Phase phase, String machine, long incarnation) {
 
     /**
-     * Among so many keys a run record is split that was stored under a higher limit than there is
-     * now. It depends on no setting, so that every leader looks for a task's state under the same
-     * key.
+     * Number of keys among which a run record is split if it was stored under a higher size limit
+     * than the current one. Not configurable, so that every leader looks up a task's state under
+     * the same key.
      */
     public static final int SPLIT_PARTS = 4;
 
-    /** Stands for a run record of a form that is not known here; known ones are an array. */
+    /** Placeholder for a run record in an unknown format; known formats are arrays. */
     public static final JsonNode UNREADABLE_RECORD = Json.object().put("unreadable", true);
 
-    /** How far a task's latest attempt has got; the order is part of the stored form. */
+    /** The phase of a task's latest attempt; the order of the values is part of the stored form. */
     public enum Phase {
-        /** Proven ended without a result; the task waits to be started again. */
+        /** The attempt is proven to have terminated without a result; the task is pending again. */
         GONE,
-        /** May be alive on its machine. */
+        /** The attempt may be live on its machine. */
         LIVE,
         /** The task is completed. */
         DONE,
-        /** Ended with a failure; the task waits to be started again. */
+        /** The attempt failed; the task is pending again. */
         FAILED
     }
 
@@ -53,10 +53,10 @@
     }
 
     /**
-     * Splits the task states of a run record among its parts.
+     * Distributes the task states of a run record among its parts.
      *
      * @param firstTask the number of the record's first task
-     * @param tasksPerRunRecord how many tasks the record may hold
+     * @param tasksPerRunRecord maximum number of tasks in the record
      */
     public static List<List<TaskState>> split(
             List<TaskState> states, int firstTask, int tasksPerRunRecord) {
@@ -72,25 +72,25 @@
     }
 
     /**
-     * Which of two states of one task is the newer one. A task that is done stays done, attempts
-     * only count up, and an attempt that was alive is never alive again.
+     * Returns the newer of two states of one task. A done task stays done, attempt numbers only
+     * increase, and an attempt that is no longer live never becomes live again.
      */
-    static TaskState newer(TaskState one, TaskState other) {
-        if ((one.phase == Phase.DONE) != (other.phase == Phase.DONE)) {
-            return one.phase == Phase.DONE ? one : other;
+    static TaskState newer(TaskState first, TaskState second) {
+        if ((first.phase == Phase.DONE) != (second.phase == Phase.DONE)) {
+            return first.phase == Phase.DONE ? first : second;
         }
-        if (one.attempt != other.attempt) {
-            return one.attempt > other.attempt ? one : other;
+        if (first.attempt != second.attempt) {
+            return first.attempt > second.attempt ? first : second;
         }
-        return one.phase == Phase.LIVE ? other : one;
+        return first.phase == Phase.LIVE ? second : first;
     }
 
-    /** Reads the phase alone from the stored form of one task. */
+    /** Decodes only the phase from the stored form of one task. */
     static Phase decodePhase(JsonNode stored) {
         return Phase.values()[stored.path(2).asInt()];
     }
 
-    /** Decodes what {@link #encode} has encoded. */
+    /** Decodes the task states of a run record encoded by {@link #encode}. */
     public static List<TaskState> decode(JsonNode record) {
         List<TaskState> states = new ArrayList<>();
         for (JsonNode stored : record) {
--- a/src/main/java/io/pepperfield/jobs/UserRequests.java
+++ b/src/main/java/io/pepperfield/jobs/UserRequests.java
@@ -14,21 +14,23 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * Submissions, queries and cancellations, on any controller; what is told about a job is as {@link
- * LinearizableReads} has it. Confined to the event loop's thread, on which every answer is given.
+ * Handles submissions, queries and cancellations on any controller. Replies reflect the job's state
+ * as read by {@link LinearizableReads}. Confined to the event loop's thread, on which every reply
+ * is sent.
  */
 public final class UserRequests {
 
     /**
-     * What users' requests may take of the state service.
+     * Limits on the use of the state service by user requests.
      *
-     * @param maxMutations in one transaction; it has as many preconditions, which leaves room for
-     *     that of the stored-state version
-     * @param maxValueKib the largest stored value
-     * @param mutationsPerS mutations per second for submissions, and as many for cancellations
-     * @param maxUnknownQueries queries about unknown jobs that may wait for their confirmation
-     * @param tasksPerRunRecord tasks in a run record of a new job, given how many the first stored
-     *     form takes
+     * @param maxMutations maximum number of mutations in one transaction. It has one precondition
+     *     per mutation, which leaves room for the precondition on the stored-state version
+     * @param maxValueKib maximum size of a stored value in KiB
+     * @param mutationsPerS mutations per second for submissions, and again for cancellations
+     * @param maxUnknownQueries maximum number of concurrent queries for unknown jobs that wait for
+     *     the replica to be confirmed as current
+     * @param tasksPerRunRecord maps the number of tasks that fit into a run record in the original
+     *     stored form to the number of tasks per run record of a new job
      */
     public record Limits(
             int maxMutations,
@@ -39,22 +41,22 @@
 
         private static final int BYTES_PER_KIB = 1024;
 
-        /** Part of a value that a job's description may take. */
-        private static final double SPEC_PART = 0.9;
+        /** Maximum size of a job's specification, as a fraction of the maximum value size. */
+        private static final double MAX_SPEC_FRACTION = 0.9;
 
         /**
-         * A task takes up to about 60 bytes of a run record; half of a value leaves room for long
+         * A task takes up to about 60 bytes of a run record; twice as many are reserved for long
          * machine names.
          */
         private static final int RESERVED_BYTES_PER_TASK = 120;
 
         private int maxSpecBytes() {
-            return (int) (maxValueKib * BYTES_PER_KIB * SPEC_PART);
+            return (int) (maxValueKib * BYTES_PER_KIB * MAX_SPEC_FRACTION);
         }
 
         private int tasksInRunRecord() {
-            int inFirstForm = (int) (maxValueKib * BYTES_PER_KIB / RESERVED_BYTES_PER_TASK);
-            return tasksPerRunRecord.applyAsInt(Math.max(1, inFirstForm));
+            int inOriginalForm = (int) (maxValueKib * BYTES_PER_KIB / RESERVED_BYTES_PER_TASK);
+            return tasksPerRunRecord.applyAsInt(Math.max(1, inOriginalForm));
         }
     }
 
@@ -71,12 +73,12 @@
     private final CreateIfAbsent cancellations;
     private final Consumer<String> onCancelled;
 
-    /** Queries about jobs that this controller knows nothing of, waiting for their confirmation. */
+    /** Queries for jobs unknown to this controller that wait for the replica to be confirmed. */
     private int unknownQueriesInFlight;
 
     /**
-     * @param onCancelled told of each job that has been cancelled through this controller, when its
-     *     user is
+     * @param onCancelled called with the id of each job cancelled through this controller, when its
+     *     user is answered
      */
     public UserRequests(
             Loop loop,
@@ -93,11 +95,11 @@
         this.policy = policy;
         this.limits = limits;
         this.onCancelled = onCancelled;
-        this.submissions = creations(store, RequestPriority.SUBMISSION);
-        this.cancellations = creations(store, RequestPriority.CANCELLATION);
+        this.submissions = newCreator(store, RequestPriority.SUBMISSION);
+        this.cancellations = newCreator(store, RequestPriority.CANCELLATION);
     }
 
-    private CreateIfAbsent creations(KeyValueStore store, RequestPriority priority) {
+    private CreateIfAbsent newCreator(KeyValueStore store, RequestPriority priority) {
         return new CreateIfAbsent(
                 loop,
                 store,
@@ -107,7 +109,7 @@
                 limits.mutationsPerS());
     }
 
-    /** Sends what has been gathered for the state service; called after each batch of commands. */
+    /** Sends the queued creations to the state service; called after each batch of commands. */
     public void flush() {
         cancellations.flush();
         submissions.flush();
@@ -115,7 +117,7 @@
 
     // ---- submission
 
-    /** Accepts a job once it is durable, and answers its user. */
+    /** Validates a submission and answers its user once the job is durable or refused. */
     public void submit(byte[] body, Consumer<HttpReply> answer) {
         JsonNode json = Json.read(body);
         String id = JobMessages.jobId(json);
@@ -136,17 +138,17 @@
         try {
             job = JobMessages.decodeSubmission(json, loop.wallMs(), limits.tasksInRunRecord());
         } catch (JobMessages.InvalidSubmissionException e) {
-            answerUnlessKnown(id, HttpReply.error(400, e.getMessage()), answer);
+            answerStatusOrElse(id, HttpReply.error(400, e.getMessage()), answer);
             return;
         }
         JsonNode stored = JobCodec.encodeSpec(job);
         Optional<HttpReply> refusal = refusal(job, Json.write(stored).length);
         if (refusal.isPresent()) {
-            answerUnlessKnown(id, refusal.get(), answer);
+            answerStatusOrElse(id, refusal.get(), answer);
         } else if (job.dependencies().stream().allMatch(reads::isKnown)) {
             accept(job, stored, answer);
         } else {
-            acceptOnceDependenciesAreKnown(job, stored, answer);
+            acceptAfterDependencyCheck(job, stored, answer);
         }
     }
 
@@ -164,20 +166,20 @@
                 : Optional.empty();
     }
 
-    /** Which field makes the description too long to be stored; empty where none does. */
+    /** Names the field that makes the specification too large to be stored; empty if it is not. */
     private Optional<String> oversizeReason(JobSpec job, int storedBytes) {
         int maxBytes = limits.maxSpecBytes();
         if (storedBytes <= maxBytes) {
             return Optional.empty();
         }
-        int listBytes = JobCodec.dependenciesBytes(job);
-        int otherBytes = storedBytes - listBytes;
+        int dependencyBytes = JobCodec.dependenciesBytes(job);
+        int otherBytes = storedBytes - dependencyBytes;
         return Optional.of(
                 otherBytes < maxBytes
                         ? "awaits: want at most "
                                 + (maxBytes - otherBytes)
                                 + " bytes of JSON beside the other fields, not "
-                                + listBytes
+                                + dependencyBytes
                         : "flavours and names: want at most "
                                 + maxBytes
                                 + " bytes in all, not "
@@ -185,10 +187,10 @@
     }
 
     /**
-     * A dependency may have been accepted a moment ago by another controller; what nobody has
-     * accepted by now is refused.
+     * Accepts the job after a linearizable read, unless a dependency is still unknown then: another
+     * controller may have accepted the dependency a moment ago.
      */
-    private void acceptOnceDependenciesAreKnown(
+    private void acceptAfterDependencyCheck(
             JobSpec job, JsonNode stored, Consumer<HttpReply> answer) {
         reads.read(
                 job.id(),
@@ -213,7 +215,7 @@
 
     private void accept(JobSpec job, JsonNode stored, Consumer<HttpReply> answer) {
         String id = job.id();
-        // Submitted again while its creation waits, it costs nothing more.
+        // A resubmission while the creation is queued costs nothing and is not counted again.
         if (!submissions.isQueued(Keys.JOB_PREFIX + id)
                 && policy.decide(job) instanceof SubmissionPolicy.Decision.Refused refused) {
             answer.accept(HttpReply.unavailable(refused.reason(), refused.retryAfterS()));
@@ -235,12 +237,14 @@
                 policy.storeThrottled();
                 answer.accept(HttpReply.unavailable(STORE_UNAVAILABLE));
             }
-            case OVERLOADED -> answer.accept(tooManyReply());
+            case OVERLOADED -> answer.accept(overloadedReply());
         }
     }
 
-    /** By then what waits now has been written; to come back sooner would only add to the crowd. */
-    private static HttpReply tooManyReply() {
+    /**
+     * Asks the client to retry once the current queue is written; earlier retries would add load.
+     */
+    private static HttpReply overloadedReply() {
         return HttpReply.unavailable(
                 "more is submitted than can be written",
                 (int) Math.ceil(CreateIfAbsent.MAX_QUEUE_WAIT_S));
@@ -248,17 +252,16 @@
 
     // ---- query
 
-    /** Answers a user's query for a job's state. */
+    /** Answers a query for a job's status. */
     public void query(String id, Consumer<HttpReply> answer) {
         if (reads.isKnown(id)) {
-            answerUnlessKnown(id, JOB_NOT_FOUND, answer);
+            answerStatusOrElse(id, JOB_NOT_FOUND, answer);
         } else if (unknownQueriesInFlight >= limits.maxUnknownQueries()) {
-            // Queries about jobs that nobody submitted must leave room for those about jobs that
-            // somebody did.
+            // Queries for jobs that do not exist must not crowd out queries for jobs that do.
             answer.accept(HttpReply.unavailable("too many questions about unknown jobs"));
         } else {
             unknownQueriesInFlight++;
-            answerUnlessKnown(
+            answerStatusOrElse(
                     id,
                     JOB_NOT_FOUND,
                     reply -> {
@@ -269,17 +272,18 @@
     }
 
     /**
-     * A known id gets 200 whatever its body says: the job was accepted, perhaps by another
-     * controller and a moment ago.
+     * Answers with the job's status if it has been accepted, perhaps a moment ago by another
+     * controller, and with {@code refusal} otherwise. A submission with an accepted id is therefore
+     * answered with 200 whatever its body contains.
      */
-    private void answerUnlessKnown(String id, HttpReply refusal, Consumer<HttpReply> answer) {
+    private void answerStatusOrElse(String id, HttpReply refusal, Consumer<HttpReply> answer) {
         reads.read(
                 id,
                 outcome ->
                         answer.accept(
                                 outcome instanceof ReadOutcome.Accepted accepted
                                         ? statusReply(accepted.job())
-                                        : notKnownReply(outcome, refusal)));
+                                        : unknownJobReply(outcome, refusal)));
     }
 
     private static HttpReply statusReply(JobRecord job) {
@@ -288,7 +292,7 @@
                 : HttpReply.json(200, job.statusAnswer());
     }
 
-    private static HttpReply notKnownReply(ReadOutcome outcome, HttpReply refusal) {
+    private static HttpReply unknownJobReply(ReadOutcome outcome, HttpReply refusal) {
         return outcome instanceof ReadOutcome.NeverAccepted
                 ? refusal
                 : HttpReply.unavailable(STORE_UNAVAILABLE);
@@ -296,7 +300,7 @@
 
     // ---- cancellation
 
-    /** Cancels a job durably, and answers its user. */
+    /** Cancels a job and answers its user once the cancellation is durable. */
     public void cancel(String id, Consumer<HttpReply> answer) {
         if (reads.isKnown(id)) {
             cancelKnownJob(id, answer);
@@ -308,14 +312,14 @@
                     if (outcome instanceof ReadOutcome.Accepted) {
                         cancelKnownJob(id, answer);
                     } else {
-                        answer.accept(notKnownReply(outcome, JOB_NOT_FOUND));
+                        answer.accept(unknownJobReply(outcome, JOB_NOT_FOUND));
                     }
                 });
     }
 
     /**
-     * Unless this controller knows it, the state service decides whether the job has ended already:
-     * its final state is written once.
+     * Cancels a job whose acceptance is known. Unless the replica already contains the job's final
+     * state, the state service decides whether the job has ended, as a final state is written once.
      */
     private void cancelKnownJob(String id, Consumer<HttpReply> answer) {
         if (reads.isFinal(id)) {
@@ -337,7 +341,7 @@
             }
             case EXISTS -> answerFinalStatus(id, answer);
             case UNAVAILABLE, THROTTLED -> answer.accept(HttpReply.unavailable(STORE_UNAVAILABLE));
-            case OVERLOADED -> answer.accept(tooManyReply());
+            case OVERLOADED -> answer.accept(overloadedReply());
         }
     }
 
