--- a/src/main/java/io/pepperfield/jobs/CreateIfAbsent.java
+++ b/src/main/java/io/pepperfield/jobs/CreateIfAbsent.java
@@ -52,7 +52,8 @@
     }
 
     /**
-     * Clients time out after 5 s; a creation queued for longer than this is answered with a retry.
+     * Maximum time in the queue. Clients time out after 5 s; a creation that has been queued for
+     * longer than this is refused, and its client retries.
      */
     static final double MAX_QUEUE_WAIT_S = 3;
 
--- a/src/test/java/io/pepperfield/jobs/CrashLoopingJobTest.java
+++ b/src/test/java/io/pepperfield/jobs/CrashLoopingJobTest.java
@@ -7,25 +7,29 @@
 import io.pepperfield.standin.JobSpecBuilder;
 import org.junit.jupiter.api.Test;
 
-/** A job that was submitted with a mistake fails on every machine until its user cancels it. */
+/**
+ * A faulty job fails on every machine until its user cancels it. Without a backoff it would be
+ * retried across the whole fleet.
+ */
 class CrashLoopingJobTest {
 
     private final Job job =
             new Job(new JobSpecBuilder().tasks(40).cpus(4).spot(true).chunk(64).build(), 0);
 
     @Test
-    void failuresOnOneMachineAreTheMachines() {
+    void failuresOnASingleMachineAreNotACrashLoop() {
         for (int i = 0; i < 4; i++) {
             assertFalse(job.recordFailure("m1", 10, 2, 60));
         }
         assertEquals(40, job.startableTaskCount(true));
-        assertTrue(job.failedMachines().contains("m1"), "the next try goes elsewhere");
+        assertTrue(job.failedMachines().contains("m1"), "the next attempt avoids the machine");
     }
 
     @Test
-    void failuresOnSeveralLetOneTaskGoAtATimeAfterGrowingPauses() {
+    void failuresOnSeveralMachinesAllowOneTaskAtATimeWithExponentialBackoff() {
         job.recordFailure("m1", 10, 2, 60);
-        assertTrue(job.recordFailure("m2", 10, 2, 60), "said once");
+        assertTrue(
+                job.recordFailure("m2", 10, 2, 60), "the start of the crash loop is reported once");
         assertEquals(12, job.startNotBefore());
         assertEquals(1, job.startableTaskCount(false));
         assertEquals(0, job.startableTaskCount(true));
@@ -35,17 +39,19 @@
             job.recordFailure("m" + i, 100, 2, 60);
         }
         assertEquals(160, job.startNotBefore());
-        assertTrue(job.failedMachines().size() < 10, "a small site has no other machines left");
+        assertTrue(
+                job.failedMachines().size() < 10,
+                "a small zone must keep machines that are not avoided");
     }
 
     @Test
-    void oneCompletedTaskClearsItAndADurableFailureIsRemembered() {
+    void aCompletedTaskClearsTheCrashLoopAndStoredFailuresRestoreIt() {
         job.recordFailure("m1", 10, 2, 60);
         job.recordFailure("m2", 10, 2, 60);
         job.recordSuccess();
         assertEquals(40, job.startableTaskCount(true));
         assertEquals(0, job.startNotBefore());
-        // After a change of leader.
+        // A new leader restores the failures from the stored records.
         job.restoreFailure();
         job.restoreFailure();
         assertEquals(1, job.startableTaskCount(false));
--- a/src/test/java/io/pepperfield/jobs/CreateIfAbsentTest.java
+++ b/src/test/java/io/pepperfield/jobs/CreateIfAbsentTest.java
@@ -10,33 +10,33 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Submissions beyond what can be written while their users wait. */
+/** Submissions beyond the number that can be written before their clients time out. */
 class CreateIfAbsentTest {
 
-    private final RecordingKeyValueStore state = new RecordingKeyValueStore();
-    private final List<String> said = new ArrayList<>();
-    private final CreateIfAbsent once =
-            new CreateIfAbsent(state, state, RequestPriority.SUBMISSION, 4, 40_000, 2);
+    private final RecordingKeyValueStore store = new RecordingKeyValueStore();
+    private final List<String> results = new ArrayList<>();
+    private final CreateIfAbsent creator =
+            new CreateIfAbsent(store, store, RequestPriority.SUBMISSION, 4, 40_000, 2);
 
-    private void ask(String key) {
-        once.create(key, Json.object(), result -> said.add(key + " " + result));
-        once.flush();
+    private void create(String key) {
+        creator.create(key, Json.object(), result -> results.add(key + " " + result));
+        creator.flush();
     }
 
     @Test
-    void aQueueIsNoLongerThanItsUsersWaitAndTheRestIsToldAtOnce() {
-        ask("a");
+    void requestsBeyondTheQueueLimitAreRefusedAtOnceAndExpiredOnesAreNotWritten() {
+        create("a");
         for (int i = 0; i < 20; i++) {
-            ask("b" + i);
+            create("b" + i);
         }
-        // Three seconds' worth of two a second wait behind the first; the others are told to come
-        // back.
-        assertEquals(14, said.size());
-        // The answer comes so late that those who waited have gone: what they asked for again comes
-        // next, not their queue.
-        state.now = 4;
-        said.clear();
-        state.pendingCallback.accept(new CompareAndSwapOutcome.Committed(1));
+        // At 2 mutations/s and a maximum queue wait of 3 s, 6 creations queue behind the one in
+        // flight; the other 14 are refused.
+        assertEquals(14, results.size());
+        // The transaction completes after the queued creations have expired, so they are refused,
+        // and the next transaction contains only the request that arrived later.
+        store.now = 4;
+        results.clear();
+        store.pendingCallback.accept(new CompareAndSwapOutcome.Committed(1));
         assertEquals(
                 List.of(
                         "a CREATED",
@@ -46,50 +46,50 @@
                         "b3 OVERLOADED",
                         "b4 OVERLOADED",
                         "b5 OVERLOADED"),
-                said);
-        ask("b7");
-        assertEquals(List.of(List.of("a"), List.of("b7")), state.writtenKeys);
+                results);
+        create("b7");
+        assertEquals(List.of(List.of("a"), List.of("b7")), store.writtenKeys);
     }
 
     @Test
-    void whoAsksAgainWhileTheFirstRequestWaitsIsAnsweredWithIt() {
-        ask("a");
-        ask("b");
-        ask("b");
-        state.pendingCallback.accept(new CompareAndSwapOutcome.Committed(1));
-        state.pendingCallback.accept(new CompareAndSwapOutcome.Committed(2));
-        assertEquals(List.of("a CREATED", "b CREATED", "b CREATED"), said);
-        assertEquals(List.of(List.of("a"), List.of("b")), state.writtenKeys);
+    void aDuplicateOfAQueuedRequestSharesItsResult() {
+        create("a");
+        create("b");
+        create("b");
+        store.pendingCallback.accept(new CompareAndSwapOutcome.Committed(1));
+        store.pendingCallback.accept(new CompareAndSwapOutcome.Committed(2));
+        assertEquals(List.of("a CREATED", "b CREATED", "b CREATED"), results);
+        assertEquals(List.of(List.of("a"), List.of("b")), store.writtenKeys);
     }
 
     @Test
-    void whatFailedForAnothersSakeIsTriedAgain() {
-        ask("a");
-        ask("b");
-        ask("c");
-        state.pendingCallback.accept(new CompareAndSwapOutcome.Committed(1));
-        state.pendingCallback.accept(new CompareAndSwapOutcome.Conflict(List.of("b")));
-        assertEquals(List.of("a CREATED", "b EXISTS"), said);
-        state.pendingCallback.accept(new CompareAndSwapOutcome.Committed(2));
-        assertEquals(List.of("a CREATED", "b EXISTS", "c CREATED"), said);
+    void creationsThatFailedBecauseOfAnotherKeyAreRetried() {
+        create("a");
+        create("b");
+        create("c");
+        store.pendingCallback.accept(new CompareAndSwapOutcome.Committed(1));
+        store.pendingCallback.accept(new CompareAndSwapOutcome.Conflict(List.of("b")));
+        assertEquals(List.of("a CREATED", "b EXISTS"), results);
+        store.pendingCallback.accept(new CompareAndSwapOutcome.Committed(2));
+        assertEquals(List.of("a CREATED", "b EXISTS", "c CREATED"), results);
     }
 
     @Test
-    void aTransactionHoldsNoMoreBytesThanTheServiceTakesWhateverTheScript() {
-        ask("a");
-        // Three bytes a letter: two such values are too much for one transaction here, which would
-        // be refused for all in it.
+    void transactionSizeIsLimitedInBytesAlsoForNonAsciiText() {
+        create("a");
+        // 3 bytes per character: two such values exceed the size limit of one transaction, which
+        // the service would reject as a whole.
         for (String key : List.of("b", "c", "d")) {
-            once.create(
+            creator.create(
                     key,
                     Json.object().put("w", "\u754c".repeat(7_000)),
-                    result -> said.add(key + " " + result));
+                    result -> results.add(key + " " + result));
         }
         for (int i = 1; i <= 4; i++) {
-            state.pendingCallback.accept(new CompareAndSwapOutcome.Committed(i));
+            store.pendingCallback.accept(new CompareAndSwapOutcome.Committed(i));
         }
         assertEquals(
-                List.of(List.of("a"), List.of("b"), List.of("c"), List.of("d")), state.writtenKeys);
-        assertEquals(List.of("a CREATED", "b CREATED", "c CREATED", "d CREATED"), said);
+                List.of(List.of("a"), List.of("b"), List.of("c"), List.of("d")), store.writtenKeys);
+        assertEquals(List.of("a CREATED", "b CREATED", "c CREATED", "d CREATED"), results);
     }
 }
--- a/src/test/java/io/pepperfield/jobs/FinalStateTraceTest.java
+++ b/src/test/java/io/pepperfield/jobs/FinalStateTraceTest.java
@@ -11,31 +11,31 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a node tells about a job as the news of the state service reach it, in whatever order. */
+/** A job's status on one controller, for changes and snapshots applied in any order. */
 class FinalStateTraceTest {
 
-    private JobIndex catalog = new JobIndex(() -> 0);
-    private Replica replica = replica();
+    private JobIndex jobIndex = new JobIndex(() -> 0);
+    private Replica replica = newReplica();
 
-    private Replica replica() {
-        return new Replica((key, data, stamp) -> catalog.applyChange(key, data));
+    private Replica newReplica() {
+        return new Replica((key, data, modRevision) -> jobIndex.applyChange(key, data));
     }
 
     @Test
-    void answers() throws IOException {
-        ReplayTrace.check("final-states.txt", this::play);
+    void statusRepliesMatchTheTrace() throws IOException {
+        ReplayTrace.check("final-states.txt", this::apply);
     }
 
-    private List<String> play(String[] words) {
+    private List<String> apply(String[] words) {
         switch (words[0]) {
             case "node" -> {
-                catalog = new JobIndex(() -> 0);
-                replica = replica();
+                jobIndex = new JobIndex(() -> 0);
+                replica = newReplica();
             }
-            case "news" -> replica.applyChanges(items(words, 2), Long.parseLong(words[1]));
-            case "reading" -> replica.loadSnapshot(items(words, 2), Long.parseLong(words[1]));
+            case "news" -> replica.applyChanges(keyValues(words, 2), Long.parseLong(words[1]));
+            case "reading" -> replica.loadSnapshot(keyValues(words, 2), Long.parseLong(words[1]));
             default -> {
-                JobRecord record = catalog.get(words[1]);
+                JobRecord record = jobIndex.get(words[1]);
                 return List.of(
                         record == null
                                 ? "unknown"
@@ -51,43 +51,44 @@
     }
 
     /**
-     * STAMP:job | STAMP:done | STAMP:cancelled | STAMP:run=TASK.STATE,... (0 gone, 1 live, 2 done),
-     * all of run-000001.
+     * Parses REVISION:job | REVISION:done | REVISION:cancelled | REVISION:run=TASK.PHASE,... with
+     * the keys' modification revisions and the phases 0 (gone), 1 (live) and 2 (done), all of
+     * run-000001.
      */
-    private static List<KeyValue> items(String[] words, int from) {
-        List<KeyValue> items = new ArrayList<>();
+    private static List<KeyValue> keyValues(String[] words, int from) {
+        List<KeyValue> keyValues = new ArrayList<>();
         for (int i = from; i < words.length; i++) {
-            String[] part = words[i].split(":");
-            long stamp = Long.parseLong(part[0]);
-            switch (part[1].split("=")[0]) {
+            String[] parts = words[i].split(":");
+            long modRevision = Long.parseLong(parts[0]);
+            switch (parts[1].split("=")[0]) {
                 case "job" ->
-                        items.add(
+                        keyValues.add(
                                 new KeyValue(
                                         Keys.JOB_PREFIX + "run-000001",
                                         Json.object().put("n", 3).put("k", 10),
-                                        stamp));
+                                        modRevision));
                 case "run" -> {
-                    List<TaskState> lines = new ArrayList<>();
-                    for (String line : part[1].substring(4).split(",")) {
-                        lines.add(
+                    List<TaskState> states = new ArrayList<>();
+                    for (String state : parts[1].substring(4).split(",")) {
+                        states.add(
                                 new TaskState(
-                                        line.charAt(0) - '0',
+                                        state.charAt(0) - '0',
                                         1,
-                                        TaskState.Phase.values()[line.charAt(2) - '0'],
+                                        TaskState.Phase.values()[state.charAt(2) - '0'],
                                         "m",
                                         1));
                     }
-                    JsonNode data = TaskState.encode(lines);
-                    items.add(new KeyValue(Keys.runRecord("run-000001", 0), data, stamp));
+                    JsonNode data = TaskState.encode(states);
+                    keyValues.add(new KeyValue(Keys.runRecord("run-000001", 0), data, modRevision));
                 }
                 default ->
-                        items.add(
+                        keyValues.add(
                                 new KeyValue(
                                         Keys.FINAL_STATE_PREFIX + "run-000001",
-                                        Json.object().put("s", part[1]),
-                                        stamp));
+                                        Json.object().put("s", parts[1]),
+                                        modRevision));
             }
         }
-        return items;
+        return keyValues;
     }
 }
--- a/src/test/java/io/pepperfield/jobs/JobMessagesTest.java
+++ b/src/test/java/io/pepperfield/jobs/JobMessagesTest.java
@@ -12,23 +12,24 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is no submission must not become a job. */
+/** Guards against invalid submissions being accepted as jobs. */
 class JobMessagesTest {
 
-    private static final String GOOD =
+    private static final String VALID =
             "{\"nameId\":\"run-000412\",\"workload\":\"train\",\"owner\":\"vision\",\"shape\":\"sweep\",\"rank\":\"urgent\","
                     + "\"shards\":16,\"vcpus\":8.0,\"accelerators\":1.0,\"memGb\":64.0,\"bundle\":\"img-07\",\"pullGb\":6.2,\"flavours\":[\"g8\"],"
                     + "\"site\":null,\"together\":true,\"spread\":false,\"reclaimable\":true,\"expectedS\":240.0,\"snapshotEveryS\":30.0,"
                     + "\"snapshotS\":4.0,\"dueS\":900.0}";
 
-    private static JobSpec read(String body) throws JobMessages.InvalidSubmissionException {
+    private static JobSpec decode(String body) throws JobMessages.InvalidSubmissionException {
         return JobMessages.decodeSubmission(
                 Json.read(body.getBytes(StandardCharsets.UTF_8)), 0, 64);
     }
 
     @Test
-    void whatIsAcceptedIsReadBackAsItWas() throws JobMessages.InvalidSubmissionException {
-        JobSpec job = read(GOOD.replace("img-07", "b\u00fcndel \ud83d\ude00 \\\\\\\""));
+    void anAcceptedJobIsDecodedUnchangedFromItsStoredForm()
+            throws JobMessages.InvalidSubmissionException {
+        JobSpec job = decode(VALID.replace("img-07", "b\u00fcndel \ud83d\ude00 \\\\\\\""));
         JsonNode stored = Json.read(Json.write(JobCodec.encodeSpec(job)));
         assertEquals(job, JobCodec.decodeSpec("run-000412", stored));
     }
@@ -54,22 +55,22 @@
                 "snapshotEveryS",
                 "snapshotS"
             })
-    void aFieldThatLacksOrIsNull(String field) {
+    void aMissingOrNullFieldIsRejected(String field) {
         assertThrows(
                 JobMessages.InvalidSubmissionException.class,
-                () -> read(GOOD.replace("\"" + field + "\":", "\"x" + field + "\":")));
+                () -> decode(VALID.replace("\"" + field + "\":", "\"x" + field + "\":")));
         assertThrows(
                 JobMessages.InvalidSubmissionException.class,
                 () ->
-                        read(
-                                GOOD.replace(
+                        decode(
+                                VALID.replace(
                                         "\"" + field + "\":",
                                         "\"" + field + "\":null,\"x" + field + "\":")));
     }
 
     /**
-     * In the last two what the text stands for has no form in Unicode: a state service may refuse
-     * it, with all written beside it.
+     * The last two values contain an unpaired surrogate, which cannot be encoded: the state service
+     * may reject it together with the rest of the transaction.
      */
     @ParameterizedTest
     @CsvSource(
@@ -113,26 +114,28 @@
                 "img-07, 'i\\ud83d'",
                 "g8, 'g\\ude008'"
             })
-    void aValueThatIsNone(String from, String to) {
+    void anInvalidValueIsRejected(String from, String to) {
         assertThrows(
-                JobMessages.InvalidSubmissionException.class, () -> read(GOOD.replace(from, to)));
+                JobMessages.InvalidSubmissionException.class,
+                () -> decode(VALID.replace(from, to)));
     }
 
-    private static String needing(String awaits) {
-        return GOOD.replace("\"dueS\":900.0", "\"dueS\":900.0,\"awaits\":" + awaits);
+    private static String withDependencies(String awaits) {
+        return VALID.replace("\"dueS\":900.0", "\"dueS\":900.0,\"awaits\":" + awaits);
     }
 
     @Test
-    void whatAJobNeedsIsAListOfIdsEachOnce() throws JobMessages.InvalidSubmissionException {
-        JobSpec job = read(needing("[\"run-000398\",\"run-000405\",\"run-000398\"]"));
+    void dependenciesAreAnArrayOfJobIdsWithoutDuplicates()
+            throws JobMessages.InvalidSubmissionException {
+        JobSpec job = decode(withDependencies("[\"run-000398\",\"run-000405\",\"run-000398\"]"));
         assertEquals(List.of("run-000398", "run-000405"), job.dependencies());
         assertEquals(
                 job,
                 JobCodec.decodeSpec("run-000412", Json.read(Json.write(JobCodec.encodeSpec(job)))));
-        for (String none : List.of("[]", "null")) {
-            assertEquals(List.of(), read(needing(none)).dependencies());
+        for (String absent : List.of("[]", "null")) {
+            assertEquals(List.of(), decode(withDependencies(absent)).dependencies());
         }
-        for (String bad :
+        for (String invalid :
                 List.of(
                         "\"run-000398\"",
                         "{}",
@@ -145,17 +148,19 @@
                         "[\"\"]",
                         "[[]]")) {
             assertThrows(
-                    JobMessages.InvalidSubmissionException.class, () -> read(needing(bad)), bad);
+                    JobMessages.InvalidSubmissionException.class,
+                    () -> decode(withDependencies(invalid)),
+                    invalid);
         }
     }
 
     @Test
-    void nestingWithoutEnd() {
+    void excessivelyNestedOrLongValuesAreRejected() {
         assertThrows(
                 JobMessages.InvalidSubmissionException.class,
-                () -> read("{\"nameId\":" + "[".repeat(30_000) + "]".repeat(30_000) + "}"));
+                () -> decode("{\"nameId\":" + "[".repeat(30_000) + "]".repeat(30_000) + "}"));
         assertThrows(
                 JobMessages.InvalidSubmissionException.class,
-                () -> read(GOOD.replace("16", "1".repeat(30_000))));
+                () -> decode(VALID.replace("16", "1".repeat(30_000))));
     }
 }
--- a/src/test/java/io/pepperfield/jobs/SharedRunRecordsTest.java
+++ b/src/test/java/io/pepperfield/jobs/SharedRunRecordsTest.java
@@ -21,10 +21,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Swarms of small jobs share their run records. */
+/** Small jobs share their run records. */
 class SharedRunRecordsTest {
 
-    private static final int CHUNK = 32;
+    private static final int TASKS_PER_RECORD = 32;
 
     private static Job job(int number, int tasks) {
         return new Job(spec(number, tasks), 0);
@@ -36,48 +36,48 @@
                 .rank(JobSpec.Priority.BEST_EFFORT)
                 .tasks(tasks)
                 .spot(true)
-                .chunk(CHUNK)
+                .chunk(TASKS_PER_RECORD)
                 .build();
     }
 
-    private static List<TaskState> live(Job job) {
+    private static List<TaskState> liveTask(Job job) {
         return List.of(new TaskState(0, 1, TaskState.Phase.LIVE, "m1", 1));
     }
 
     @Test
-    void aSwarmCostsAKeyForEachChunkOfIt() {
-        SharedRunRecords records = new SharedRunRecords(new FencingToken(7), 2 * CHUNK);
+    void manySmallJobsNeedOneKeyPerFullRecord() {
+        SharedRunRecords records = new SharedRunRecords(new FencingToken(7), 2 * TASKS_PER_RECORD);
         Set<String> keys = new HashSet<>();
-        for (int i = 0; i < 4 * CHUNK; i++) {
+        for (int i = 0; i < 4 * TASKS_PER_RECORD; i++) {
             keys.add(records.recordKeyFor(job(i, 1), false).orElseThrow());
         }
         assertEquals(4, keys.size());
         assertEquals(
                 Optional.empty(),
-                records.recordKeyFor(job(500, CHUNK), false),
-                "a large job has chunks of its own");
+                records.recordKeyFor(job(500, TASKS_PER_RECORD), false),
+                "a large job has records of its own");
         assertEquals(
                 Optional.empty(),
                 records.recordKeyFor(job(501, 1), true),
-                "and so has one that began with them");
+                "a job that already has records of its own keeps them");
     }
 
     @Test
-    void whatIsOverIsLeftOutAndItsRecordUsedAgain() {
-        SharedRunRecords records = new SharedRunRecords(new FencingToken(7), 2 * CHUNK);
+    void endedJobsAreOmittedAndTheirRecordIsReused() {
+        SharedRunRecords records = new SharedRunRecords(new FencingToken(7), 2 * TASKS_PER_RECORD);
         String first = records.recordKeyFor(job(0, 1), false).orElseThrow();
-        for (int i = 1; i <= CHUNK; i++) {
+        for (int i = 1; i <= TASKS_PER_RECORD; i++) {
             assertTrue(records.recordKeyFor(job(i, 1), false).isPresent());
         }
         records.remove("run-000003");
         assertEquals(
-                CHUNK - 1,
-                records.encodeRecord(first, SharedRunRecordsTest::live).get(first).size());
-        for (int i = 0; i < CHUNK; i++) {
+                TASKS_PER_RECORD - 1,
+                records.encodeRecord(first, SharedRunRecordsTest::liveTask).get(first).size());
+        for (int i = 0; i < TASKS_PER_RECORD; i++) {
             records.remove(String.format(Locale.ROOT, "run-%06d", i));
         }
         Set<String> keys = new HashSet<>();
-        for (int i = 100; i < 100 + 2 * CHUNK; i++) {
+        for (int i = 100; i < 100 + 2 * TASKS_PER_RECORD; i++) {
             keys.add(records.recordKeyFor(job(i, 1), false).orElseThrow());
         }
         assertEquals(3, keys.size());
@@ -85,28 +85,30 @@
     }
 
     @Test
-    void theNextLeaderFindsEachJobInItsRecordAndNothingOfThoseLeftOut() {
-        JobIndex catalog = new JobIndex(() -> 0);
+    void theNextLeaderRestoresJobsFromTheirRecordsWithoutOmittedOnes() {
+        JobIndex jobIndex = new JobIndex(() -> 0);
         Map<String, Job> jobs = new HashMap<>();
         for (int i = 0; i < 3; i++) {
-            catalog.applyChange(Keys.JOB_PREFIX + spec(i, 1).id(), JobCodec.encodeSpec(spec(i, 1)));
+            jobIndex.applyChange(
+                    Keys.JOB_PREFIX + spec(i, 1).id(), JobCodec.encodeSpec(spec(i, 1)));
             jobs.put(spec(i, 1).id(), job(i, 1));
         }
         String key = Keys.SHARED_RUN_RECORD_PREFIX + "7-1";
-        JsonNode both =
+        JsonNode twoJobs =
                 Json.read(
                         "{\"run-000000\":[[0,1,1,\"m1\",1]],\"run-000001\":[[0,1,1,\"m2\",1]]}"
                                 .getBytes(StandardCharsets.UTF_8));
-        catalog.applyChange(key, both);
-        assertEquals("running", catalog.get("run-000000").statusAnswer().path("status").asText());
-        // Left out once it was over: a line that stayed would be an attempt on a machine long gone.
-        catalog.applyChange(
+        jobIndex.applyChange(key, twoJobs);
+        assertEquals("running", jobIndex.get("run-000000").statusAnswer().path("status").asText());
+        // Omitted after the job ended: a remaining task state would be restored as a live attempt
+        // on a machine that no longer exists.
+        jobIndex.applyChange(
                 key,
                 Json.read("{\"run-000001\":[[0,1,1,\"m2\",1]]}".getBytes(StandardCharsets.UTF_8)));
-        assertEquals(0, catalog.get("run-000000").taskStates().size());
-        assertEquals(1, catalog.get("run-000001").taskStates().size());
-        SharedRunRecords next = new SharedRunRecords(new FencingToken(9), 2 * CHUNK);
-        next.restore(key, catalog.jobsBySharedRecord().get(key), jobs);
+        assertEquals(0, jobIndex.get("run-000000").taskStates().size());
+        assertEquals(1, jobIndex.get("run-000001").taskStates().size());
+        SharedRunRecords next = new SharedRunRecords(new FencingToken(9), 2 * TASKS_PER_RECORD);
+        next.restore(key, jobIndex.jobsBySharedRecord().get(key), jobs);
         assertEquals(key, next.recordKeyFor(jobs.get("run-000001"), false).orElseThrow());
         assertEquals(
                 Keys.SHARED_RUN_RECORD_PREFIX + "9-1",
@@ -114,65 +116,69 @@
     }
 
     @Test
-    void aRecordThatHasBecomeTooLargeIsDividedAndNoLineIsEverMissing() {
-        SharedRunRecords records = new SharedRunRecords(new FencingToken(9), 2 * CHUNK);
+    void anOversizedRecordIsSplitWithoutLosingATaskState() {
+        SharedRunRecords records = new SharedRunRecords(new FencingToken(9), 2 * TASKS_PER_RECORD);
         Map<String, Job> jobs = new LinkedHashMap<>();
-        JobIndex catalog = new JobIndex(() -> 0);
+        JobIndex jobIndex = new JobIndex(() -> 0);
         for (int i = 0; i < 10; i++) {
             jobs.put(spec(i, 1).id(), job(i, 1));
-            catalog.applyChange(Keys.JOB_PREFIX + spec(i, 1).id(), JobCodec.encodeSpec(spec(i, 1)));
+            jobIndex.applyChange(
+                    Keys.JOB_PREFIX + spec(i, 1).id(), JobCodec.encodeSpec(spec(i, 1)));
         }
         String old = Keys.SHARED_RUN_RECORD_PREFIX + "7-1";
         records.restore(old, jobs.keySet(), jobs);
-        Map<String, JsonNode> whole = records.encodeRecord(old, SharedRunRecordsTest::live);
+        Map<String, JsonNode> whole = records.encodeRecord(old, SharedRunRecordsTest::liveTask);
         assertEquals(Set.of(old), whole.keySet());
-        catalog.applyChange(old, whole.get(old));
+        jobIndex.applyChange(old, whole.get(old));
         assertTrue(records.split(old));
-        Map<String, JsonNode> parts = records.encodeRecord(old, SharedRunRecordsTest::live);
+        Map<String, JsonNode> parts = records.encodeRecord(old, SharedRunRecordsTest::liveTask);
         assertEquals(TaskState.SPLIT_PARTS, parts.size());
         assertTrue(parts.values().stream().allMatch(part -> part.size() <= 3), parts.toString());
         assertEquals(10, parts.values().stream().mapToInt(JsonNode::size).sum());
-        // A reading in pages may bring the new records before the one that they are taken from.
+        // A paged read may return the new parts before the record that was split.
         parts.keySet().stream()
                 .sorted(Comparator.reverseOrder())
-                .forEach(key -> catalog.applyChange(key, parts.get(key)));
-        jobs.keySet().forEach(id -> assertEquals(1, catalog.get(id).taskStates().size(), id));
+                .forEach(key -> jobIndex.applyChange(key, parts.get(key)));
+        jobs.keySet().forEach(id -> assertEquals(1, jobIndex.get(id).taskStates().size(), id));
         records.remove("run-000009");
-        catalog.applyChange(old, records.encodeRecord(old, SharedRunRecordsTest::live).get(old));
+        jobIndex.applyChange(
+                old, records.encodeRecord(old, SharedRunRecordsTest::liveTask).get(old));
         parts.keySet()
                 .forEach(
                         key ->
-                                catalog.applyChange(
+                                jobIndex.applyChange(
                                         key,
-                                        records.encodeRecord(old, SharedRunRecordsTest::live)
+                                        records.encodeRecord(old, SharedRunRecordsTest::liveTask)
                                                 .get(key)));
-        assertEquals(0, catalog.get("run-000009").taskStates().size());
-        assertEquals(1, catalog.get("run-000008").taskStates().size());
-        assertFalse(records.split(old), "divided once");
+        assertEquals(0, jobIndex.get("run-000009").taskStates().size());
+        assertEquals(1, jobIndex.get("run-000008").taskStates().size());
+        assertFalse(records.split(old), "a record is split at most once");
     }
 
     @Test
-    void theNewerOfTwoLinesOfATaskCounts() {
-        JobIndex catalog = new JobIndex(() -> 0);
-        JobSpec spec = spec(1, CHUNK);
-        catalog.applyChange(Keys.JOB_PREFIX + spec.id(), JobCodec.encodeSpec(spec));
-        // A divided record, of which an older version has written the first part whole again.
-        catalog.applyChange(
+    void theNewerOfTwoStatesOfATaskIsReturned() {
+        JobIndex jobIndex = new JobIndex(() -> 0);
+        JobSpec spec = spec(1, TASKS_PER_RECORD);
+        jobIndex.applyChange(Keys.JOB_PREFIX + spec.id(), JobCodec.encodeSpec(spec));
+        // A split record whose first key an older version has written as a whole again.
+        jobIndex.applyChange(
                 Keys.runRecord(spec.id(), 1),
                 Json.read(
                         "[[8,1,1,\"m1\",1],[9,2,2],[10,1,1,\"m1\",1],[11,3,0],[12,1,0]]"
                                 .getBytes(StandardCharsets.UTF_8)));
-        catalog.applyChange(
+        jobIndex.applyChange(
                 Keys.runRecord(spec.id(), 0),
                 Json.read(
                         "[[8,2,1,\"m2\",1],[9,1,1,\"m1\",1],[10,1,0],[11,2,3],[12,1,1,\"m1\",1]]"
                                 .getBytes(StandardCharsets.UTF_8)));
-        Map<Integer, TaskState> lines = new HashMap<>();
-        catalog.get(spec.id()).taskStates().forEach(line -> lines.put(line.task(), line));
-        assertEquals(new TaskState(8, 2, TaskState.Phase.LIVE, "m2", 1), lines.get(8));
-        assertEquals(TaskState.Phase.DONE, lines.get(9).phase());
-        assertEquals(TaskState.Phase.GONE, lines.get(10).phase());
-        assertEquals(3, lines.get(11).attempt());
-        assertEquals(TaskState.Phase.GONE, lines.get(12).phase());
+        Map<Integer, TaskState> newestStates = new HashMap<>();
+        jobIndex.get(spec.id())
+                .taskStates()
+                .forEach(state -> newestStates.put(state.task(), state));
+        assertEquals(new TaskState(8, 2, TaskState.Phase.LIVE, "m2", 1), newestStates.get(8));
+        assertEquals(TaskState.Phase.DONE, newestStates.get(9).phase());
+        assertEquals(TaskState.Phase.GONE, newestStates.get(10).phase());
+        assertEquals(3, newestStates.get(11).attempt());
+        assertEquals(TaskState.Phase.GONE, newestStates.get(12).phase());
     }
 }
--- a/src/test/java/io/pepperfield/jobs/UserRequestsTraceTest.java
+++ b/src/test/java/io/pepperfield/jobs/UserRequestsTraceTest.java
@@ -19,66 +19,69 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What one node tells its users, and what it asks the state service before, which here answers when
+ * Replies of one controller to its users, and its requests to the state service, which answers when
  * the trace says so.
  */
 class UserRequestsTraceTest implements NoOpKeyValueStore {
 
     private final List<String> decisions = new ArrayList<>();
     private SimulatedLoop loop;
-    private Consumer<ReadResult> reading;
-    private Consumer<ReadResult> question;
-    private Consumer<CompareAndSwapOutcome> transaction;
-    private List<String> keys;
-    private UserRequests users;
+    private Consumer<ReadResult> pendingSnapshot;
+    private Consumer<ReadResult> pendingReadIndex;
+    private Consumer<CompareAndSwapOutcome> pendingTransaction;
+    private List<String> writtenKeys;
+    private UserRequests requests;
 
     @Test
-    void answers() throws IOException {
-        ReplayTrace.check("user-answers.txt", this::play);
+    void repliesAndStoreRequestsMatchTheTrace() throws IOException {
+        ReplayTrace.check("user-answers.txt", this::apply);
     }
 
-    private List<String> play(String[] words) {
+    private List<String> apply(String[] words) {
         decisions.clear();
         switch (words[0]) {
-            case "node" -> begin();
+            case "node" -> start();
             case "time" -> loop.run(Double.parseDouble(words[1]));
-            case "reading" -> reading.accept(read(words));
-            case "answer" -> question.accept(read(words));
-            case "written" -> transaction.accept(new CompareAndSwapOutcome.Committed(0));
-            case "exists" -> transaction.accept(new CompareAndSwapOutcome.Conflict(keys));
-            case "lost" -> transaction.accept(new CompareAndSwapOutcome.Unknown());
+            case "reading" -> pendingSnapshot.accept(read(words));
+            case "answer" -> pendingReadIndex.accept(read(words));
+            case "written" -> pendingTransaction.accept(new CompareAndSwapOutcome.Committed(0));
+            case "exists" ->
+                    pendingTransaction.accept(new CompareAndSwapOutcome.Conflict(writtenKeys));
+            case "lost" -> pendingTransaction.accept(new CompareAndSwapOutcome.Unknown());
             case "submit" ->
-                    users.submit(Json.write(submission(words)), reply -> say(words, reply));
-            case "cancel" -> users.cancel("run-00000" + words[1], reply -> say(words, reply));
-            default -> users.query("run-00000" + words[1], reply -> say(words, reply));
+                    requests.submit(
+                            Json.write(submission(words)), reply -> recordReply(words, reply));
+            case "cancel" ->
+                    requests.cancel("run-00000" + words[1], reply -> recordReply(words, reply));
+            default -> requests.query("run-00000" + words[1], reply -> recordReply(words, reply));
         }
-        users.flush();
+        requests.flush();
         return List.copyOf(decisions);
     }
 
-    private void say(String[] words, HttpReply reply) {
+    private void recordReply(String[] words, HttpReply reply) {
         JsonNode body = Json.read(reply.body());
-        boolean tellsWhy = words.length > 2 && List.of("awaits", "full").contains(words[2]);
-        String said = body.path("status").asText(tellsWhy ? body.path("error").asText() : "");
-        decisions.add((words[0] + " " + words[1] + ": " + reply.status() + " " + said).strip());
+        boolean showsError = words.length > 2 && List.of("awaits", "full").contains(words[2]);
+        String detail = body.path("status").asText(showsError ? body.path("error").asText() : "");
+        decisions.add((words[0] + " " + words[1] + ": " + reply.status() + " " + detail).strip());
     }
 
-    private void begin() {
+    private void start() {
         loop = new SimulatedLoop();
-        JobIndex catalog = new JobIndex(() -> 0);
-        Replica replica = new Replica((key, data, stamp) -> catalog.applyChange(key, data));
-        ReplicaSynchronizer sync = new ReplicaSynchronizer(loop, this, replica, 1, 0.1);
-        users =
+        JobIndex jobIndex = new JobIndex(() -> 0);
+        Replica replica = new Replica((key, data, modRevision) -> jobIndex.applyChange(key, data));
+        ReplicaSynchronizer synchronizer = new ReplicaSynchronizer(loop, this, replica, 1, 0.1);
+        requests =
                 new UserRequests(
                         loop,
-                        catalog,
-                        sync,
+                        jobIndex,
+                        synchronizer,
                         this,
                         UserRequestsTraceTest::feasibility,
                         SubmissionPolicy.UNLIMITED,
                         new UserRequests.Limits(32, 8, 10, 2, tasks -> tasks),
                         id -> {});
-        sync.start();
+        synchronizer.start();
     }
 
     private static Feasibility.Verdict feasibility(JobSpec job) {
@@ -90,9 +93,12 @@
                 : new Feasibility.Verdict.Feasible();
     }
 
-    /** submit NUMBER [unfit | undecided | incomplete | needs NUMBER | awaits JSON | full] */
+    /**
+     * Builds a submission: NUMBER [unfit | undecided | incomplete | needs NUMBER | awaits JSON |
+     * full]
+     */
     private static ObjectNode submission(String[] words) {
-        String what = words.length > 2 ? words[2] : "";
+        String variant = words.length > 2 ? words[2] : "";
         ObjectNode body =
                 Json.object()
                         .put("nameId", "run-00000" + words[1])
@@ -103,7 +109,9 @@
                         .put("shards", 3)
                         .put(
                                 "vcpus",
-                                what.equals("unfit") ? 65 : what.equals("undecided") ? 999 : 1)
+                                variant.equals("unfit")
+                                        ? 65
+                                        : variant.equals("undecided") ? 999 : 1)
                         .put("accelerators", 0.0)
                         .put("memGb", 1.0)
                         .put("bundle", "i")
@@ -114,19 +122,22 @@
                         .put("expectedS", 1.0)
                         .put("snapshotEveryS", 0.0)
                         .put("snapshotS", 0.0);
-        if (what.equals("needs")) {
+        if (variant.equals("needs")) {
             body.putArray("awaits").add("run-00000" + words[3]);
-        } else if (what.equals("awaits")) {
+        } else if (variant.equals("awaits")) {
             body.set("awaits", Json.read(words[3].getBytes(StandardCharsets.UTF_8)));
-        } else if (what.equals("full")) {
+        } else if (variant.equals("full")) {
             for (int i = 0; i < 600; i++) {
                 body.withArray("awaits").add("run-" + (100_000 + i));
             }
         }
-        return what.equals("incomplete") ? body.without(List.of("rank")) : body;
+        return variant.equals("incomplete") ? body.without(List.of("rank")) : body;
     }
 
-    /** fails | gone | REVISION STAMP:job=NUMBER | STAMP:done=NUMBER | STAMP:cancelled=NUMBER ... */
+    /**
+     * Parses fails | gone | REVISION ENTRY..., where an entry is MOD_REVISION:job=NUMBER,
+     * MOD_REVISION:done=NUMBER or MOD_REVISION:cancelled=NUMBER.
+     */
     private static ReadResult read(String[] words) {
         if (words[1].equals("fails")) {
             return new ReadResult.Failed();
@@ -134,7 +145,7 @@
         if (words[1].equals("gone")) {
             return new ReadResult.RevisionTooOld();
         }
-        List<KeyValue> items =
+        List<KeyValue> keyValues =
                 Arrays.stream(words)
                         .skip(2)
                         .map(
@@ -152,32 +163,32 @@
                                                     Long.parseLong(part[0]));
                                 })
                         .toList();
-        return new ReadResult.Read(items, false, Long.parseLong(words[1]));
+        return new ReadResult.Read(keyValues, false, Long.parseLong(words[1]));
     }
 
     @Override
     public void compareAndSwap(
-            RequestPriority urgency,
-            List<Precondition> guards,
-            List<Mutation> changes,
+            RequestPriority priority,
+            List<Precondition> preconditions,
+            List<Mutation> mutations,
             Consumer<CompareAndSwapOutcome> done) {
-        keys = changes.stream().map(Mutation::key).toList();
-        decisions.add("writes " + String.join(" ", keys).replace(Keys.ROOT, ""));
-        transaction = done;
+        writtenKeys = mutations.stream().map(Mutation::key).toList();
+        decisions.add("writes " + String.join(" ", writtenKeys).replace(Keys.ROOT, ""));
+        pendingTransaction = done;
     }
 
     @Override
     public void readPage(String after, Consumer<ReadResult> done) {
         decisions.add("reads all");
-        reading = done;
+        pendingSnapshot = done;
     }
 
     @Override
     public void watch(long since, double holdS, Consumer<ReadResult> done) {
-        // The long follow is silent here: nothing may rest on it.
+        // Watches with a hold time are never answered here: no reply may depend on them.
         if (holdS == 0) {
             decisions.add("asks since " + since);
-            question = done;
+            pendingReadIndex = done;
         }
     }
 }
