--- a/src/main/java/io/pepperfield/lifecycle/JobCompletion.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobCompletion.java
@@ -88,8 +88,8 @@
 
     /** Handles a job whose final state is durable: stops its remaining attempts. */
     void jobEnded(Job job, Status status) {
-        job.finish(status, durable.jobIndex().get(job.spec.id()).lastKnownOpenAt());
-        priorityInheritance.removed(job.spec);
+        job.finish(status, durable.jobIndex().get(job.spec.id()).lastKnownActiveAt());
+        priorityInheritance.remove(job.spec);
         if (status == Status.DONE) {
             runRecords.discardPending(job);
         }
--- a/src/main/java/io/pepperfield/lifecycle/JobRecovery.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobRecovery.java
@@ -32,7 +32,7 @@
         double ageS = Math.max(0, (wallClockMs - record.spec().acceptedMs()) / 1000.0);
         Job job = new Job(record.spec(), now - ageS);
         if (record.finalStatus() != null) {
-            job.finish(record.finalStatus(), record.lastKnownOpenAt());
+            job.finish(record.finalStatus(), record.lastKnownActiveAt());
         }
         boolean anyLive = false;
         for (TaskState state : record.taskStates()) {
@@ -55,7 +55,7 @@
             case DONE -> job.markDone(state.task());
             // Restores the failure: otherwise, after every failover, a job that fails on every
             // machine would again start many tasks at once.
-            case FAILED -> job.recordEarlierFailure();
+            case FAILED -> job.restoreFailure();
             case LIVE -> restoreLiveAttempt(job, state);
             case GONE -> {
                 // The task is pending again, like a task without a record.
--- a/src/main/java/io/pepperfield/lifecycle/JobTracker.java
+++ b/src/main/java/io/pepperfield/lifecycle/JobTracker.java
@@ -130,7 +130,7 @@
         } else if (job == null) {
             addNewJob(record);
         } else if (job.isAwaitingDependencies() && record.ready()) {
-            job.dependenciesDone(readyAt(record));
+            job.markDependenciesDone(readyAt(record));
             onWorkChanged.run();
         }
     }
@@ -149,9 +149,9 @@
         if (!record.ready()) {
             job.awaitDependencies();
         } else if (!job.spec.dependencies().isEmpty()) {
-            job.dependenciesDone(readyAt(record));
+            job.markDependenciesDone(readyAt(record));
         }
-        priorityInheritance.added(job.spec);
+        priorityInheritance.add(job.spec);
     }
 
     /**
--- a/src/test/java/io/pepperfield/dispatch/DispatcherTest.java
+++ b/src/test/java/io/pepperfield/dispatch/DispatcherTest.java
@@ -421,7 +421,7 @@
                 requests.stream().map(request -> request.job().id()).toList());
         assertTrue(requests.get(0).withinGuarantee());
         // Its waiting time starts when the last dependency is done, so the other job stays first.
-        dependent.dependenciesDone(now);
+        dependent.markDependenciesDone(now);
         assertEquals(2, dispatcher.pendingRequests(now).size());
         assertEquals("run-000002", dispatcher.pendingRequests(now).get(0).job().id());
         dispatcher.runPassIfDue();
