--- a/src/main/java/io/pepperfield/controller/BatchFlusher.java
+++ b/src/main/java/io/pepperfield/controller/BatchFlusher.java
@@ -30,7 +30,7 @@
     }
 
     void flush() {
-        pauseDetector.checkStale();
+        pauseDetector.updateAndCheckStale();
         if (!compatibility.mayServe()) {
             return;
         }
--- a/src/main/java/io/pepperfield/controller/CancellationAnnouncer.java
+++ b/src/main/java/io/pepperfield/controller/CancellationAnnouncer.java
@@ -23,7 +23,7 @@
 
     void flush() {
         if (!pendingJobs.isEmpty()) {
-            peers.announceCancelled(pendingJobs);
+            peers.broadcastCancelledJobs(pendingJobs);
             pendingJobs.clear();
         }
     }
--- a/src/main/java/io/pepperfield/controller/ControllerAssembly.java
+++ b/src/main/java/io/pepperfield/controller/ControllerAssembly.java
@@ -7,8 +7,8 @@
 import io.pepperfield.config.Feature;
 import io.pepperfield.config.Settings;
 import io.pepperfield.fencing.FencingToken;
-import io.pepperfield.health.LeaseRenewal;
-import io.pepperfield.health.MembershipLog;
+import io.pepperfield.health.LeaseRenewalPolicy;
+import io.pepperfield.health.MembershipChangeLogger;
 import io.pepperfield.health.PauseDetector;
 import io.pepperfield.heartbeat.ClusterLinks;
 import io.pepperfield.heartbeat.HeartbeatHandler;
@@ -50,13 +50,13 @@
     private final PartitionOrderRouter partitionOrders;
     private final MachineTypes machineTypes;
     private final Membership membership;
-    private final MembershipLog membershipLog;
+    private final MembershipChangeLogger membershipLog;
     private final Replica replica;
     private final ReplicaSynchronizer synchronizer;
     private final Leadership leadership;
     private final JobIndex jobIndex;
     private final PauseDetector pauseDetector;
-    private final LeaseRenewal leaseRenewal;
+    private final LeaseRenewalPolicy leaseRenewal;
     private final HeartbeatHandler heartbeatHandler;
     private final CurrentLeader currentLeader;
     private final FencedWriter writer;
@@ -81,7 +81,7 @@
                 new PartitionOrderRouter(external.workers(), external.peers(), settings);
         this.machineTypes = new MachineTypes(settings);
         this.membership = new Membership(settings.node(), timings.livenessS());
-        this.membershipLog = new MembershipLog(membership);
+        this.membershipLog = new MembershipChangeLogger(membership);
         this.replica = new Replica(this::replicaChanged);
         this.synchronizer = createSynchronizer();
         this.leadership =
@@ -95,7 +95,7 @@
         this.jobIndex = new JobIndex(synchronizer::lastConfirmedAt);
         this.pauseDetector = new PauseDetector(loop, timings.grantS(), this::lastAnswerAt);
         this.leaseRenewal =
-                new LeaseRenewal(
+                new LeaseRenewalPolicy(
                         settings.deployment().workerTimings(),
                         jobIndex,
                         synchronizer::lastConfirmedAt);
--- a/src/main/java/io/pepperfield/controller/ControllerTicker.java
+++ b/src/main/java/io/pepperfield/controller/ControllerTicker.java
@@ -43,7 +43,7 @@
     /** Runs the duties now and at each interval from now on. */
     void tick() {
         loop.after(intervalS, this::tick);
-        pauseDetector.checkStale();
+        pauseDetector.updateAndCheckStale();
         if (synchronizer.loaded()) {
             compatibility.tick();
         }
--- a/src/main/java/io/pepperfield/controller/CurrentLeader.java
+++ b/src/main/java/io/pepperfield/controller/CurrentLeader.java
@@ -1,6 +1,6 @@
 package io.pepperfield.controller;
 
-import io.pepperfield.health.MembershipLog;
+import io.pepperfield.health.MembershipChangeLogger;
 import io.pepperfield.heartbeat.HeartbeatHandler;
 import io.pepperfield.loop.Loop;
 import io.pepperfield.peer.HeartbeatForwarder;
@@ -16,7 +16,7 @@
     private final Loop loop;
     private final HeartbeatHandler heartbeatHandler;
     private final HeartbeatForwarder heartbeatForwarder;
-    private final MembershipLog membershipLog;
+    private final MembershipChangeLogger membershipLog;
     private final Supplier<Leader> factory;
     private Optional<Leader> leader = Optional.empty();
 
@@ -27,7 +27,7 @@
             Loop loop,
             HeartbeatHandler heartbeatHandler,
             HeartbeatForwarder heartbeatForwarder,
-            MembershipLog membershipLog,
+            MembershipChangeLogger membershipLog,
             Supplier<Leader> factory) {
         this.loop = loop;
         this.heartbeatHandler = heartbeatHandler;
@@ -48,7 +48,7 @@
     void begin() {
         Leader started = factory.get();
         leader = Optional.of(started);
-        heartbeatHandler.leadershipBegins(started.heartbeats());
+        heartbeatHandler.leadershipStarted(started.heartbeats());
         started.recoverState();
         heartbeatForwarder
                 .cachedHeartbeats(loop.now())
@@ -61,7 +61,7 @@
         if (leader.isPresent()) {
             leader.get().stop();
             leader = Optional.empty();
-            heartbeatHandler.leadershipEnds();
+            heartbeatHandler.leadershipEnded();
         }
     }
 }
--- a/src/main/java/io/pepperfield/controller/Leader.java
+++ b/src/main/java/io/pepperfield/controller/Leader.java
@@ -17,8 +17,8 @@
 import io.pepperfield.fleet.Fleet;
 import io.pepperfield.fleet.Machine;
 import io.pepperfield.health.FailureDetector;
-import io.pepperfield.health.LeaseRenewal;
-import io.pepperfield.heartbeat.LeaderHeartbeats;
+import io.pepperfield.health.LeaseRenewalPolicy;
+import io.pepperfield.heartbeat.LeaderHeartbeatReceiver;
 import io.pepperfield.leadership.Leadership;
 import io.pepperfield.lifecycle.DirectOrders;
 import io.pepperfield.lifecycle.DurableState;
@@ -77,7 +77,7 @@
             PartitionOrderRouter workers,
             CloudProvider cloud,
             MachineTypes machineTypes,
-            LeaseRenewal leaseRenewal) {
+            LeaseRenewalPolicy leaseRenewal) {
         this.loop = loop;
         this.settings = settings;
         this.leadership = leadership;
@@ -217,7 +217,7 @@
     }
 
     /** Takes heartbeats, wherever workers have sent them. */
-    LeaderHeartbeats heartbeats() {
+    LeaderHeartbeatReceiver heartbeats() {
         return heartbeats;
     }
 
--- a/src/main/java/io/pepperfield/controller/LeaderHeartbeatProcessor.java
+++ b/src/main/java/io/pepperfield/controller/LeaderHeartbeatProcessor.java
@@ -5,8 +5,8 @@
 import io.pepperfield.fleet.Machine;
 import io.pepperfield.fleet.Order;
 import io.pepperfield.fleet.WorkerProtocol;
-import io.pepperfield.health.LeaseRenewal;
-import io.pepperfield.heartbeat.LeaderHeartbeats;
+import io.pepperfield.health.LeaseRenewalPolicy;
+import io.pepperfield.heartbeat.LeaderHeartbeatReceiver;
 import io.pepperfield.leadership.Leadership;
 import io.pepperfield.loop.Loop;
 import io.pepperfield.peer.PeerMessages;
@@ -16,19 +16,19 @@
 import java.util.Optional;
 
 /** Applies heartbeats to the leader's fleet, and decides whether they renew a lease. */
-final class LeaderHeartbeatProcessor implements LeaderHeartbeats {
+final class LeaderHeartbeatProcessor implements LeaderHeartbeatReceiver {
 
     private final Loop loop;
     private final Fleet fleet;
     private final Leadership leadership;
-    private final LeaseRenewal leaseRenewal;
+    private final LeaseRenewalPolicy leaseRenewal;
     private final StoreFreshness storeFreshness;
 
     LeaderHeartbeatProcessor(
             Loop loop,
             Fleet fleet,
             Leadership leadership,
-            LeaseRenewal leaseRenewal,
+            LeaseRenewalPolicy leaseRenewal,
             StoreFreshness storeFreshness) {
         this.loop = loop;
         this.fleet = fleet;
--- a/src/main/java/io/pepperfield/controller/LeaderSupervisor.java
+++ b/src/main/java/io/pepperfield/controller/LeaderSupervisor.java
@@ -1,6 +1,6 @@
 package io.pepperfield.controller;
 
-import io.pepperfield.health.MembershipLog;
+import io.pepperfield.health.MembershipChangeLogger;
 import io.pepperfield.heartbeat.HeartbeatHandler;
 import io.pepperfield.leadership.Leadership;
 import io.pepperfield.loop.Loop;
@@ -16,7 +16,7 @@
     private final ReplicaSynchronizer synchronizer;
     private final Leadership leadership;
     private final CurrentLeader currentLeader;
-    private final MembershipLog membershipLog;
+    private final MembershipChangeLogger membershipLog;
     private final HeartbeatHandler heartbeatHandler;
     private final double leaseS;
 
@@ -28,7 +28,7 @@
             ReplicaSynchronizer synchronizer,
             Leadership leadership,
             CurrentLeader currentLeader,
-            MembershipLog membershipLog,
+            MembershipChangeLogger membershipLog,
             HeartbeatHandler heartbeatHandler,
             double leaseS) {
         this.loop = loop;
@@ -53,7 +53,7 @@
     }
 
     private void checkMembership(double now) {
-        membershipLog.update(now);
+        membershipLog.logChanges(now);
         if (heartbeatHandler.leaderHasReceiveFailure(now)) {
             // Others reach the workers: whoever leads next sends its orders directly.
             leadership.stepDown("no worker reaches this node, and others do", leaseS);
--- a/src/main/java/io/pepperfield/controller/PeerMessageReceiver.java
+++ b/src/main/java/io/pepperfield/controller/PeerMessageReceiver.java
@@ -51,7 +51,7 @@
 
     @Override
     public void directOrdersReceived(FencingToken token, PeerMessages.DirectOrderMessage message) {
-        if (pauseDetector.checkStale() || !compatibility.mayServe()) {
+        if (pauseDetector.updateAndCheckStale() || !compatibility.mayServe()) {
             // Sent before a pause, perhaps: by now another controller may lead, and the machine
             // have other orders.
             return;
--- a/src/main/java/io/pepperfield/controller/ReplicaChangeRouter.java
+++ b/src/main/java/io/pepperfield/controller/ReplicaChangeRouter.java
@@ -57,7 +57,7 @@
     private void leaderKeyChanged(JsonNode value, long modRevision) {
         leadership.leaderKeyChanged(value, modRevision);
         if (!leadership.leaderNode().isEmpty()) {
-            heartbeatForwarder.leaderChanged(leadership.leaderNode());
+            heartbeatForwarder.setLeader(leadership.leaderNode());
         }
     }
 
--- a/src/main/java/io/pepperfield/controller/SummaryLog.java
+++ b/src/main/java/io/pepperfield/controller/SummaryLog.java
@@ -37,7 +37,7 @@
         }
         loggedAt = now;
         log(now);
-        heartbeatHandler.forgetMisrouted(now - intervalS);
+        heartbeatHandler.evictMisroutedBefore(now - intervalS);
     }
 
     private void log(double now) {
--- a/src/main/java/io/pepperfield/health/LeaseRenewal.java
+++ b/src/main/java/io/pepperfield/health/LeaseRenewalPolicy.java
@@ -21,7 +21,7 @@
  * controller on whose knowledge the answer rests: neither a refusal nor a renewed grant nor a
  * peer's report of an outage moves it. Confined to the event loop.
  */
-public final class LeaseRenewal {
+public final class LeaseRenewalPolicy {
 
     private final Settings.WorkerTimings timings;
     private final JobIndex jobIndex;
@@ -31,7 +31,7 @@
      * @param lastConfirmedAt loop time at which this controller's last request was sent that was
      *     answered with all changes up to then
      */
-    public LeaseRenewal(
+    public LeaseRenewalPolicy(
             Settings.WorkerTimings timings, JobIndex jobIndex, DoubleSupplier lastConfirmedAt) {
         this.timings = timings;
         this.jobIndex = jobIndex;
@@ -79,7 +79,7 @@
      * Stop orders for what the heartbeat shows of jobs that are known to be cancelled: right under
      * any fencing token, since a cancellation is final.
      */
-    public List<Order> stopsForCancelled(Heartbeat heartbeat) {
+    public List<Order> stopOrdersForCancelledJobs(Heartbeat heartbeat) {
         List<Order> stops = new ArrayList<>();
         for (Heartbeat.AttemptStatus status : heartbeat.attempts()) {
             JobRecord job = jobIndex.get(status.taskRef().job());
--- a/src/main/java/io/pepperfield/health/MembershipLog.java
+++ b/src/main/java/io/pepperfield/health/MembershipChangeLogger.java
@@ -6,15 +6,15 @@
 import org.slf4j.LoggerFactory;
 
 /** Writes to the leader's log which controllers have fallen silent and which are live again. */
-public final class MembershipLog {
+public final class MembershipChangeLogger {
 
-    private static final Logger LOG = LoggerFactory.getLogger(MembershipLog.class);
+    private static final Logger LOG = LoggerFactory.getLogger(MembershipChangeLogger.class);
 
     private final Membership membership;
     private Set<String> logged = Set.of();
 
     /** Creates a log of that membership; nothing has been logged yet. */
-    public MembershipLog(Membership membership) {
+    public MembershipChangeLogger(Membership membership) {
         this.membership = membership;
     }
 
@@ -24,14 +24,14 @@
     }
 
     /** Logs what has changed since the last call. */
-    public void update(double now) {
+    public void logChanges(double now) {
         Set<String> live = membership.liveMembers(now);
         for (String controller : logged) {
             if (!live.contains(controller)) {
                 LOG.info(
                         "controller silent: controller={} silentS={} liveControllers={}",
                         controller,
-                        Math.round(membership.silentForS(controller, now)),
+                        Math.round(membership.secondsSinceLastMessage(controller, now)),
                         live);
             }
         }
--- a/src/main/java/io/pepperfield/health/PauseDetector.java
+++ b/src/main/java/io/pepperfield/health/PauseDetector.java
@@ -41,7 +41,7 @@
      * Notes that the process runs, and tells whether what it knows is stale. To be called with each
      * batch of commands.
      */
-    public boolean checkStale() {
+    public boolean updateAndCheckStale() {
         double now = loop.now();
         if (now - activeAt > grantS) {
             LOG.info("process paused: pauseS={}", Math.round(now - activeAt));
--- a/src/main/java/io/pepperfield/heartbeat/ForwardedBatchHandler.java
+++ b/src/main/java/io/pepperfield/heartbeat/ForwardedBatchHandler.java
@@ -22,7 +22,7 @@
     private final PauseDetector pauseDetector;
     private final PartitionAssignment partitions;
     private final LeaderRole leaderRole;
-    private final LogOnce logOnce;
+    private final WarnOnceLogger logOnce;
 
     ForwardedBatchHandler(
             ClusterLinks links,
@@ -30,7 +30,7 @@
             PauseDetector pauseDetector,
             PartitionAssignment partitions,
             LeaderRole leaderRole,
-            LogOnce logOnce) {
+            WarnOnceLogger logOnce) {
         this.leadership = links.leadership();
         this.synchronizer = links.synchronizer();
         this.membership = membership;
@@ -45,7 +45,7 @@
         if (batch.fencingToken().isNewerThan(leadership.fencingToken()) && leadership.isLeader()) {
             leadership.observeFencingToken(batch.fencingToken());
         }
-        if (pauseDetector.checkStale()
+        if (pauseDetector.updateAndCheckStale()
                 || !leadership.isLeader()
                 || leaderRole.leader().isEmpty()
                 || !leaderRole.mayAnswer(now)) {
@@ -55,13 +55,13 @@
             logOnce.warn(batch.sender(), "a message of its earlier process or a copy came");
             return HttpReply.error(409, "a message of an earlier process");
         }
-        LeaderHeartbeats leader = leaderRole.leader().get();
+        LeaderHeartbeatReceiver leader = leaderRole.leader().get();
         batch.cachedHeartbeats().forEach(leader::restoreCachedHeartbeat);
         batch.directOrderReplies().forEach(leader::directOrderReplyReceived);
         Set<String> owners = partitions.owners(now);
         List<LeaderVerdict> verdicts = new ArrayList<>();
         for (ForwardedHeartbeat heartbeat : batch.heartbeats()) {
-            partitions.record(heartbeat.machine(), owners, batch.sender(), now);
+            partitions.recordHeartbeat(heartbeat.machine(), owners, batch.sender(), now);
             verdicts.add(leader.acceptForwardedHeartbeat(heartbeat, batch.sender()));
         }
         double storeContactAgeS = now - synchronizer.lastConfirmedAt();
--- a/src/main/java/io/pepperfield/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/io/pepperfield/heartbeat/HeartbeatHandler.java
@@ -3,7 +3,7 @@
 import io.pepperfield.config.Settings;
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.WorkerProtocol;
-import io.pepperfield.health.LeaseRenewal;
+import io.pepperfield.health.LeaseRenewalPolicy;
 import io.pepperfield.health.PauseDetector;
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.InboundRequest;
@@ -32,7 +32,7 @@
     private final PartitionOwnerRole partitionOwnerRole;
     private final LeaderlessRole leaderlessRole;
     private final ForwardedBatchHandler forwardedBatches;
-    private final LogOnce logOnce = new LogOnce();
+    private final WarnOnceLogger logOnce = new WarnOnceLogger();
 
     /** Creates the handler of a controller that does not lead. */
     public HeartbeatHandler(
@@ -40,7 +40,7 @@
             Settings settings,
             ClusterLinks links,
             Membership membership,
-            LeaseRenewal leaseRenewal,
+            LeaseRenewalPolicy leaseRenewal,
             PauseDetector pauseDetector) {
         this.loop = loop;
         this.leadership = links.leadership();
@@ -70,13 +70,13 @@
     }
 
     /** This controller leads and has recovered its state. */
-    public void leadershipBegins(LeaderHeartbeats leader) {
-        leaderRole.begin(leader);
+    public void leadershipStarted(LeaderHeartbeatReceiver leader) {
+        leaderRole.leadershipStarted(leader);
     }
 
     /** This controller does not lead any more. */
-    public void leadershipEnds() {
-        leaderRole.end();
+    public void leadershipEnded() {
+        leaderRole.leadershipEnded();
     }
 
     /** Takes a worker's heartbeat; {@code answer} is called once, perhaps later. */
@@ -90,7 +90,7 @@
         Heartbeat heartbeat = parsed.get();
         double now = loop.now();
         isolation.recordHeartbeat(heartbeat.zone());
-        if (pauseDetector.checkStale()) {
+        if (pauseDetector.updateAndCheckStale()) {
             answer.accept(HeartbeatVerdict.Refused.PROCESS_PAUSED.toReply());
         } else if (leadership.isLeader()) {
             answer.accept(leaderRole.answer(heartbeat, request.body(), now).toReply());
@@ -121,7 +121,7 @@
     }
 
     /** Forgets the misrouted machines that were first seen here before that loop time. */
-    public void forgetMisrouted(double before) {
-        misroutedMachines.forgetBefore(before);
+    public void evictMisroutedBefore(double before) {
+        misroutedMachines.evictBefore(before);
     }
 }
--- a/src/main/java/io/pepperfield/heartbeat/IsolationDetector.java
+++ b/src/main/java/io/pepperfield/heartbeat/IsolationDetector.java
@@ -53,7 +53,7 @@
     }
 
     /** Whether another controller leads that this one cannot reach, while the store answers. */
-    boolean othersReachLeader(double now) {
+    boolean anotherControllerLeads(double now) {
         return peers.storeContact(now) == Peers.StoreContact.CONNECTED
                 && !leadership.leaderNode().isEmpty()
                 && !leadership.leaderNode().equals(settings.node());
--- a/src/main/java/io/pepperfield/heartbeat/LeaderHeartbeats.java
+++ b/src/main/java/io/pepperfield/heartbeat/LeaderHeartbeatReceiver.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 
 /** What the leader does with heartbeats, whichever controller a worker has sent them to. */
-public interface LeaderHeartbeats {
+public interface LeaderHeartbeatReceiver {
 
     /**
      * Takes a worker's heartbeat.
--- a/src/main/java/io/pepperfield/heartbeat/LeaderRole.java
+++ b/src/main/java/io/pepperfield/heartbeat/LeaderRole.java
@@ -3,7 +3,7 @@
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.Order;
 import io.pepperfield.fleet.WorkerProtocol;
-import io.pepperfield.health.LeaseRenewal;
+import io.pepperfield.health.LeaseRenewalPolicy;
 import io.pepperfield.leadership.Leadership;
 import io.pepperfield.peer.HeartbeatForwarder;
 import io.pepperfield.store.ReplicaSynchronizer;
@@ -17,27 +17,27 @@
     private final Leadership leadership;
     private final HeartbeatForwarder forwarder;
     private final ReplicaSynchronizer synchronizer;
-    private final LeaseRenewal leaseRenewal;
+    private final LeaseRenewalPolicy leaseRenewal;
     private final IsolationDetector isolation;
     private final PartitionAssignment partitions;
     private final MisroutedMachines misroutedMachines;
     private final LeaderlessRole leaderlessRole;
-    private final LogOnce logOnce;
+    private final WarnOnceLogger logOnce;
 
     /** Empty while this controller does not lead, or has not recovered its state yet. */
-    private Optional<LeaderHeartbeats> leader = Optional.empty();
+    private Optional<LeaderHeartbeatReceiver> leader = Optional.empty();
 
     /**
      * @param leaderlessRole answers after the election until the state is recovered
      */
     LeaderRole(
             ClusterLinks links,
-            LeaseRenewal leaseRenewal,
+            LeaseRenewalPolicy leaseRenewal,
             IsolationDetector isolation,
             PartitionAssignment partitions,
             MisroutedMachines misroutedMachines,
             LeaderlessRole leaderlessRole,
-            LogOnce logOnce) {
+            WarnOnceLogger logOnce) {
         this.leadership = links.leadership();
         this.forwarder = links.forwarder();
         this.synchronizer = links.synchronizer();
@@ -50,18 +50,18 @@
     }
 
     /** A leadership has recovered its state. */
-    void begin(LeaderHeartbeats newLeader) {
+    void leadershipStarted(LeaderHeartbeatReceiver newLeader) {
         leader = Optional.of(newLeader);
         partitions.reset();
     }
 
     /** The leadership has ended. */
-    void end() {
+    void leadershipEnded() {
         leader = Optional.empty();
     }
 
     /** The leader, once it has recovered its state. */
-    Optional<LeaderHeartbeats> leader() {
+    Optional<LeaderHeartbeatReceiver> leader() {
         return leader;
     }
 
@@ -86,12 +86,12 @@
             return leaderlessRole.renewLease(heartbeat);
         }
         Set<String> owners = partitions.owners(now);
-        Optional<String> owner = misroutedMachines.redirect(heartbeat.machine(), owners, now);
+        Optional<String> owner = misroutedMachines.redirectTarget(heartbeat.machine(), owners, now);
         if (owner.isPresent()) {
             return new HeartbeatVerdict.Redirected(owner.get());
         }
         Optional<List<Order>> orders = leader.get().acceptHeartbeat(heartbeat, "");
-        partitions.recordLocal(heartbeat.machine(), owners, now);
+        partitions.recordLocalHeartbeat(heartbeat.machine(), owners, now);
         if (orders.isEmpty()) {
             logOnce.warn(heartbeat.machine(), "sends a late copy of a heartbeat, or was returned");
             return HeartbeatVerdict.Refused.OUTDATED_HEARTBEAT;
@@ -116,7 +116,7 @@
     boolean hasReceiveFailure(double now) {
         if (!mayAnswer(now)) {
             // Workers that are refused everywhere turn up at random controllers afterwards.
-            partitions.restartObservation();
+            partitions.resetObservations();
         }
         partitions.owners(now);
         // In an outage nobody else could be elected, and machines would get no stops from anybody.
--- a/src/main/java/io/pepperfield/heartbeat/LeaderlessRole.java
+++ b/src/main/java/io/pepperfield/heartbeat/LeaderlessRole.java
@@ -3,7 +3,7 @@
 import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.WorkerProtocol;
-import io.pepperfield.health.LeaseRenewal;
+import io.pepperfield.health.LeaseRenewalPolicy;
 import io.pepperfield.leadership.Leadership;
 import io.pepperfield.loop.Loop;
 import io.pepperfield.peer.HeartbeatForwarder;
@@ -14,12 +14,15 @@
     private final Loop loop;
     private final Leadership leadership;
     private final HeartbeatForwarder forwarder;
-    private final LeaseRenewal leaseRenewal;
+    private final LeaseRenewalPolicy leaseRenewal;
     private final IsolationDetector isolation;
 
     /** Creates the role; it holds no state of its own. */
     LeaderlessRole(
-            Loop loop, ClusterLinks links, LeaseRenewal leaseRenewal, IsolationDetector isolation) {
+            Loop loop,
+            ClusterLinks links,
+            LeaseRenewalPolicy leaseRenewal,
+            IsolationDetector isolation) {
         this.loop = loop;
         this.leadership = links.leadership();
         this.forwarder = links.forwarder();
@@ -32,7 +35,7 @@
         if (!isolation.isIsolated(now) && isolation.leaderMayBeAbsent(now)) {
             return renewLease(heartbeat);
         }
-        if (isolation.othersReachLeader(now)) {
+        if (isolation.anotherControllerLeads(now)) {
             return new HeartbeatVerdict.Redirected(leadership.leaderNode());
         }
         // Cut off from the leader and the store: others take the worker within its lease.
@@ -60,6 +63,7 @@
             return HeartbeatVerdict.Refused.LEASE_EXHAUSTED;
         }
         return new HeartbeatVerdict.Accepted(
-                WorkerProtocol.heartbeatReply(token, leaseRenewal.stopsForCancelled(heartbeat)));
+                WorkerProtocol.heartbeatReply(
+                        token, leaseRenewal.stopOrdersForCancelledJobs(heartbeat)));
     }
 }
--- a/src/main/java/io/pepperfield/heartbeat/MisroutedMachines.java
+++ b/src/main/java/io/pepperfield/heartbeat/MisroutedMachines.java
@@ -28,7 +28,7 @@
      * The controller to which the machine is to be redirected; empty while its heartbeats are
      * answered here.
      */
-    Optional<String> redirect(String machine, Set<String> partitionOwners, double now) {
+    Optional<String> redirectTarget(String machine, Set<String> partitionOwners, double now) {
         String owner = Partitions.owner(machine, partitionOwners);
         if (owner.equals(self) || owner.isEmpty()) {
             misroutedSince.remove(machine);
@@ -43,7 +43,7 @@
     }
 
     /** Forgets the machines that were first misrouted before that loop time. */
-    void forgetBefore(double time) {
+    void evictBefore(double time) {
         misroutedSince.values().removeIf(since -> since < time);
     }
 }
--- a/src/main/java/io/pepperfield/heartbeat/PartitionAssignment.java
+++ b/src/main/java/io/pepperfield/heartbeat/PartitionAssignment.java
@@ -3,7 +3,7 @@
 import io.pepperfield.config.Settings;
 import io.pepperfield.peer.Membership;
 import io.pepperfield.peer.Partitions;
-import io.pepperfield.peer.Reachability;
+import io.pepperfield.peer.ReceiveFailureDetector;
 import java.util.Set;
 
 /**
@@ -14,7 +14,7 @@
 
     private final Settings settings;
     private final Membership membership;
-    private Reachability reachability;
+    private ReceiveFailureDetector reachability;
 
     /** Creates the assignment as it is before any heartbeat. */
     public PartitionAssignment(Settings settings, Membership membership) {
@@ -26,12 +26,12 @@
     /** A new leadership begins, to which earlier observations mean nothing. */
     void reset() {
         Settings.WorkerTimings timings = settings.deployment().workerTimings();
-        reachability = new Reachability(timings.heartbeatIntervalS(), timings.leaseS());
+        reachability = new ReceiveFailureDetector(timings.heartbeatIntervalS(), timings.leaseS());
     }
 
     /** The controllers that own a partition. */
     public Set<String> owners(double now) {
-        return reachability.owners(membership.liveMembers(now), now);
+        return reachability.eligibleOwners(membership.liveMembers(now), now);
     }
 
     /** Whether that controller gets no heartbeats although workers reach others. */
@@ -45,17 +45,17 @@
     }
 
     /** A heartbeat of the machine arrived at this controller. */
-    void recordLocal(String machine, Set<String> owners, double now) {
-        record(machine, owners, settings.node(), now);
+    void recordLocalHeartbeat(String machine, Set<String> owners, double now) {
+        recordHeartbeat(machine, owners, settings.node(), now);
     }
 
     /** A heartbeat of the machine arrived at that controller. */
-    void record(String machine, Set<String> owners, String receivedBy, double now) {
+    void recordHeartbeat(String machine, Set<String> owners, String receivedBy, double now) {
         reachability.recordHeartbeat(machine, Partitions.owner(machine, owners), receivedBy, now);
     }
 
     /** Workers are refused everywhere for now, so that where they turn up tells nothing. */
-    void restartObservation() {
-        reachability.restartObservation();
+    void resetObservations() {
+        reachability.resetObservations();
     }
 }
--- a/src/main/java/io/pepperfield/heartbeat/PartitionOwnerRole.java
+++ b/src/main/java/io/pepperfield/heartbeat/PartitionOwnerRole.java
@@ -38,7 +38,8 @@
      */
     void answer(Heartbeat heartbeat, byte[] encoded, double now, Consumer<HeartbeatVerdict> done) {
         Optional<String> owner =
-                misroutedMachines.redirect(heartbeat.machine(), forwarder.partitionOwners(), now);
+                misroutedMachines.redirectTarget(
+                        heartbeat.machine(), forwarder.partitionOwners(), now);
         if (owner.isPresent()) {
             done.accept(new HeartbeatVerdict.Redirected(owner.get()));
             return;
@@ -48,7 +49,7 @@
     }
 
     private HeartbeatVerdict fromLeader(Heartbeat heartbeat, LeaderVerdict verdict) {
-        if (pauseDetector.checkStale()) {
+        if (pauseDetector.updateAndCheckStale()) {
             return HeartbeatVerdict.Refused.PROCESS_PAUSED;
         }
         if (verdict instanceof LeaderVerdict.Orders orders
--- a/src/main/java/io/pepperfield/heartbeat/LogOnce.java
+++ b/src/main/java/io/pepperfield/heartbeat/WarnOnceLogger.java
@@ -6,9 +6,9 @@
 import org.slf4j.LoggerFactory;
 
 /** Logs each fault of a sender's messages once: a broken sender repeats it thousands of times. */
-final class LogOnce {
+final class WarnOnceLogger {
 
-    private static final Logger LOG = LoggerFactory.getLogger(LogOnce.class);
+    private static final Logger LOG = LoggerFactory.getLogger(WarnOnceLogger.class);
 
     /** Bounds the memory; whatever comes after so many is not logged. */
     private static final int MAX_ENTRIES = 10_000;
--- a/src/main/java/io/pepperfield/overview/ControllerOverview.java
+++ b/src/main/java/io/pepperfield/overview/ControllerOverview.java
@@ -71,7 +71,7 @@
         entry.put("node", member.node())
                 .put("zone", member.zone())
                 .put("state", state(member.node(), now));
-        double silentS = membership.silentForS(member.node(), now);
+        double silentS = membership.secondsSinceLastMessage(member.node(), now);
         if (Double.isFinite(silentS)) {
             entry.put("heardAgoS", Math.round(10 * silentS) / 10.0);
         }
--- a/src/main/java/io/pepperfield/peer/HeartbeatBatchBuilder.java
+++ b/src/main/java/io/pepperfield/peer/HeartbeatBatchBuilder.java
@@ -81,7 +81,7 @@
         bytes += encoded.length;
     }
 
-    byte[] write() {
+    byte[] encode() {
         return Json.write(body);
     }
 }
--- a/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
+++ b/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
@@ -78,7 +78,7 @@
      * Sets who leads, as this controller knows it; empty where nobody does. Another leader than
      * before has no heartbeats of this partition yet.
      */
-    public void leaderChanged(String controller) {
+    public void setLeader(String controller) {
         if (leader != null && leader.node().equals(controller)
                 || leader == null && controller.isEmpty()) {
             return;
@@ -212,7 +212,7 @@
                         1,
                         "POST",
                         Peers.HEARTBEATS_PATH,
-                        message.write(),
+                        message.encode(),
                         Math.round(1000 * Math.min(heartbeatIntervalS / 2, WORKER_TIMEOUT_S / 3))),
                 outcome -> loop.post(() -> replyReceived(to, now, batch, outcome)));
     }
--- a/src/main/java/io/pepperfield/peer/Membership.java
+++ b/src/main/java/io/pepperfield/peer/Membership.java
@@ -56,7 +56,7 @@
     }
 
     /** Seconds since its last message, infinite where none has come. */
-    public double silentForS(String controller, double now) {
+    public double secondsSinceLastMessage(String controller, double now) {
         Member member = members.get(controller);
         return member == null ? Double.POSITIVE_INFINITY : now - member.lastHeardAt;
     }
--- a/src/main/java/io/pepperfield/peer/Peers.java
+++ b/src/main/java/io/pepperfield/peer/Peers.java
@@ -174,7 +174,7 @@
      * Tells all others which jobs users have been told are cancelled: a controller that has lost
      * the store alone can stop those tasks at once, instead of letting their machines go.
      */
-    public void announceCancelled(List<String> ids) {
+    public void broadcastCancelledJobs(List<String> ids) {
         byte[] body = PeerMessages.writeCancelledJobs(ids);
         for (Settings.Member member : settings.members()) {
             client.send(
--- a/src/main/java/io/pepperfield/peer/Reachability.java
+++ b/src/main/java/io/pepperfield/peer/ReceiveFailureDetector.java
@@ -13,9 +13,9 @@
  * workers would be redirected to it again and again, each time with a pause of seconds and no
  * orders. Confined to the event loop.
  */
-public final class Reachability {
+public final class ReceiveFailureDetector {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Reachability.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ReceiveFailureDetector.class);
 
     /** So many misrouted machines of one partition at once are no accident of theirs. */
     private static final int MIN_MISROUTED_MACHINES = 2;
@@ -46,7 +46,7 @@
     private final Map<String, OwnerState> owners = new HashMap<>();
 
     /** Creates an empty view; both intervals are in seconds. */
-    public Reachability(double heartbeatIntervalS, double leaseS) {
+    public ReceiveFailureDetector(double heartbeatIntervalS, double leaseS) {
         this.heartbeatIntervalS = heartbeatIntervalS;
         this.leaseS = leaseS;
     }
@@ -72,7 +72,7 @@
      * Of the live controllers those that are to have a partition; all of them where none would be
      * left.
      */
-    public Set<String> owners(Set<String> live, double now) {
+    public Set<String> eligibleOwners(Set<String> live, double now) {
         Set<String> receiving = new TreeSet<>();
         for (String controller : live) {
             OwnerState owner = owners.computeIfAbsent(controller, name -> new OwnerState());
@@ -125,7 +125,7 @@
      * The workers are refused everywhere for now: until that is over, where they turn up tells
      * nothing.
      */
-    public void restartObservation() {
+    public void resetObservations() {
         owners.values()
                 .forEach(
                         owner -> {
--- a/src/test/java/io/pepperfield/health/LeaseRenewalTest.java
+++ b/src/test/java/io/pepperfield/health/LeaseRenewalPolicyTest.java
@@ -26,12 +26,13 @@
  * Reports every 4 s, leases of 22 s, cancellations within 47 s: on what knowledge a lease is
  * renewed, and for how long.
  */
-class LeaseRenewalTest {
+class LeaseRenewalPolicyTest {
 
     private double knownUpTo = 60;
     private final JobIndex jobIndex = new JobIndex(() -> knownUpTo);
-    private final LeaseRenewal renewal =
-            new LeaseRenewal(new Settings.WorkerTimings(4, 22, 47), jobIndex, () -> knownUpTo);
+    private final LeaseRenewalPolicy renewal =
+            new LeaseRenewalPolicy(
+                    new Settings.WorkerTimings(4, 22, 47), jobIndex, () -> knownUpTo);
 
     private void accepted(String id, String... needed) {
         jobIndex.changed(
@@ -96,7 +97,7 @@
         // Its run order may be held back, and nobody here can call it off: the machine must end by
         // itself in time.
         assertEquals(60, renewal.localCancellationWatermark(report("m1")));
-        assertEquals(List.of(), renewal.stopsForCancelled(report("m1")));
+        assertEquals(List.of(), renewal.stopOrdersForCancelledJobs(report("m1")));
         // Another attempt of the same task says nothing about this one.
         assertEquals(
                 60,
@@ -112,10 +113,10 @@
         assertEquals(70, renewal.localCancellationWatermark(running));
         assertEquals(
                 List.of(new Order.Stop(new TaskRef("run-000001", 0), 3, 0)),
-                renewal.stopsForCancelled(running));
+                renewal.stopOrdersForCancelledJobs(running));
         Heartbeat ended = report("m1", line("run-000001", 3, Heartbeat.State.ENDED));
         assertEquals(70, renewal.localCancellationWatermark(ended));
-        assertEquals(List.of(), renewal.stopsForCancelled(ended));
+        assertEquals(List.of(), renewal.stopOrdersForCancelledJobs(ended));
         // Other machines go on.
         assertEquals(70, renewal.localCancellationWatermark(report("m2")));
         // Proven gone, as the leader has written meanwhile.
@@ -169,7 +170,7 @@
         assertEquals(70, renewal.localCancellationWatermark(running));
         assertEquals(
                 List.of(new Order.Stop(new TaskRef("run-000003", 0), 3, 0)),
-                renewal.stopsForCancelled(running));
+                renewal.stopOrdersForCancelledJobs(running));
         // Read again as its own cancellation: still open as of 60, not as of later.
         cancelled("run-000003");
         assertEquals(60, renewal.localCancellationWatermark(report("m1")));
--- a/src/test/java/io/pepperfield/heartbeat/MisroutedMachinesTest.java
+++ b/src/test/java/io/pepperfield/heartbeat/MisroutedMachinesTest.java
@@ -18,23 +18,23 @@
     @Test
     void aMachineIsRedirectedToItsOwnerAfterAnInterval() {
         MisroutedMachines misrouted = new MisroutedMachines(OTHER, 2);
-        assertEquals(Optional.empty(), misrouted.redirect(MACHINE, OWNERS, 10));
-        assertEquals(Optional.empty(), misrouted.redirect(MACHINE, OWNERS, 11.9));
-        assertEquals(Optional.of(OWNER), misrouted.redirect(MACHINE, OWNERS, 12));
+        assertEquals(Optional.empty(), misrouted.redirectTarget(MACHINE, OWNERS, 10));
+        assertEquals(Optional.empty(), misrouted.redirectTarget(MACHINE, OWNERS, 11.9));
+        assertEquals(Optional.of(OWNER), misrouted.redirectTarget(MACHINE, OWNERS, 12));
     }
 
     @Test
     void theOwnerAnswersItsMachinesItself() {
         MisroutedMachines misrouted = new MisroutedMachines(OWNER, 2);
-        assertEquals(Optional.empty(), misrouted.redirect(MACHINE, OWNERS, 10));
-        assertEquals(Optional.empty(), misrouted.redirect(MACHINE, OWNERS, 20));
+        assertEquals(Optional.empty(), misrouted.redirectTarget(MACHINE, OWNERS, 10));
+        assertEquals(Optional.empty(), misrouted.redirectTarget(MACHINE, OWNERS, 20));
     }
 
     @Test
     void aMachineThatIsForgottenIsCountedAnew() {
         MisroutedMachines misrouted = new MisroutedMachines(OTHER, 2);
-        misrouted.redirect(MACHINE, OWNERS, 10);
-        misrouted.forgetBefore(11);
-        assertEquals(Optional.empty(), misrouted.redirect(MACHINE, OWNERS, 13));
+        misrouted.redirectTarget(MACHINE, OWNERS, 10);
+        misrouted.evictBefore(11);
+        assertEquals(Optional.empty(), misrouted.redirectTarget(MACHINE, OWNERS, 13));
     }
 }
--- a/src/test/java/io/pepperfield/peer/PeerForms.java
+++ b/src/test/java/io/pepperfield/peer/PeerForms.java
@@ -92,7 +92,7 @@
         batch.addRepeated(report, report);
         batch.addDirectOrderReply(WorkerForms.report());
         batch.addCached(WorkerForms.report(), 0.7);
-        return batch.write();
+        return batch.encode();
     }
 
     private static String told(HeartbeatBatch batch) {
@@ -158,7 +158,7 @@
         file.add(
                 "state service lost",
                 peers.storeContact(10) == Peers.StoreContact.ISOLATED ? "here" : "by all");
-        peers.announceCancelled(List.of("run-000412"));
+        peers.broadcastCancelledJobs(List.of("run-000412"));
         peers.send(SETTINGS.members().get(0), "/peer/path", batch, 1.5, outcome -> {});
         PartitionOrderRouter orders =
                 new PartitionOrderRouter(new HttpWorkerClient(loop, sender, 1), peers, SETTINGS);
@@ -179,7 +179,7 @@
                                                 + " "
                                                 + withoutProcess(request.body())),
                         SETTINGS);
-        forwarder.leaderChanged("node-1");
+        forwarder.setLeader("node-1");
         byte[] report = WorkerForms.report();
         forwarder.submit(
                 WorkerProtocol.parseHeartbeat(Json.read(report)).orElseThrow(),
--- a/src/test/java/io/pepperfield/peer/ReachabilityTest.java
+++ b/src/test/java/io/pepperfield/peer/ReceiveFailureDetectorTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Which controllers lose their partition because its heartbeats do not reach them. */
-class ReachabilityTest {
+class ReceiveFailureDetectorTest {
 
     private static final Set<String> FIVE =
             Set.of("worker-0", "worker-1", "worker-2", "worker-3", "worker-4");
@@ -20,10 +20,10 @@
 
     /** Heartbeats of 30 machines, each to its partition owner unless that one is unreachable. */
     private static Set<String> sendHeartbeats(
-            Reachability reachability, double from, double until, String unreachable) {
+            ReceiveFailureDetector reachability, double from, double until, String unreachable) {
         Set<String> owners = FIVE;
         for (double now = from; now < until; now += 0.5) {
-            owners = reachability.owners(FIVE, now);
+            owners = reachability.eligibleOwners(FIVE, now);
             for (int i = 0; i < 30; i++) {
                 String owner = Partitions.owner(machine(i), owners);
                 reachability.recordHeartbeat(
@@ -35,7 +35,7 @@
 
     @Test
     void aControllerWithReceiveFailureLosesItsPartitionAndDoesNotOscillate() {
-        Reachability reachability = new Reachability(2, 12);
+        ReceiveFailureDetector reachability = new ReceiveFailureDetector(2, 12);
         assertEquals(FIVE, sendHeartbeats(reachability, 0, 20, "nobody"));
         assertEquals(
                 FIVE,
@@ -57,12 +57,12 @@
 
     @Test
     void newMachinesThatAreMisroutedAreNoReceiveFailure() {
-        Reachability reachability = new Reachability(2, 12);
+        ReceiveFailureDetector reachability = new ReceiveFailureDetector(2, 12);
         // Nobody has a machine for long, as when the first ones of a day boot; then each is
         // misrouted
         // for a period and more.
         for (double now = 0; now < 20; now++) {
-            reachability.owners(FIVE, now);
+            reachability.eligibleOwners(FIVE, now);
         }
         assertEquals(FIVE, sendHeartbeats(reachability, 20, 24.5, "worker-3"));
         assertEquals(FIVE, sendHeartbeats(reachability, 24.5, 60, "nobody"));
@@ -70,12 +70,12 @@
 
     @Test
     void whileTheLeaderRefusesAllWorkersThereIsNoReceiveFailure() {
-        Reachability reachability = new Reachability(2, 12);
+        ReceiveFailureDetector reachability = new ReceiveFailureDetector(2, 12);
         sendHeartbeats(reachability, 0, 20, "nobody");
         sendHeartbeats(reachability, 20, 24, "worker-3");
         for (double now = 24; now < 34; now += 0.5) {
-            reachability.restartObservation();
-            assertEquals(FIVE, reachability.owners(FIVE, now));
+            reachability.resetObservations();
+            assertEquals(FIVE, reachability.eligibleOwners(FIVE, now));
         }
         assertEquals(FIVE, sendHeartbeats(reachability, 34, 38, "worker-3"));
         assertEquals(FIVE, sendHeartbeats(reachability, 38, 60, "nobody"));
@@ -83,9 +83,9 @@
 
     @Test
     void aRestartedControllerHasTimeToBeFound() {
-        Reachability reachability = new Reachability(2, 12);
+        ReceiveFailureDetector reachability = new ReceiveFailureDetector(2, 12);
         sendHeartbeats(reachability, 0, 20, "nobody");
-        reachability.owners(FOUR, 21);
+        reachability.eligibleOwners(FOUR, 21);
         // Its workers are where they were, for a period each.
         assertEquals(FIVE, sendHeartbeats(reachability, 30, 35, "worker-3"));
         assertEquals(FIVE, sendHeartbeats(reachability, 35, 80, "nobody"));
--- a/src/test/java/io/pepperfield/peer/VersionsTest.java
+++ b/src/test/java/io/pepperfield/peer/VersionCompatibilityTest.java
@@ -33,11 +33,11 @@
  * write and say the same, as the old version is there beside it while controllers are replaced one
  * by one.
  */
-class VersionsTest {
+class VersionCompatibilityTest {
 
     @Test
     void bothUnderstandEachOther() throws IOException {
-        ReplayTrace.check("production-version.txt", VersionsTest::play);
+        ReplayTrace.check("production-version.txt", VersionCompatibilityTest::play);
     }
 
     /** What is understood of it, and whether it would be written in the same way now. */
