--- a/src/main/java/io/pepperfield/heartbeat/ForwardedBatchHandler.java
+++ b/src/main/java/io/pepperfield/heartbeat/ForwardedBatchHandler.java
@@ -22,7 +22,7 @@
     private final PauseDetector pauseDetector;
     private final PartitionAssignment partitions;
     private final LeaderRole leaderRole;
-    private final WarnOnceLogger logOnce;
+    private final WarnOnceLogger faultLogger;
 
     ForwardedBatchHandler(
             ClusterLinks links,
@@ -30,17 +30,17 @@
             PauseDetector pauseDetector,
             PartitionAssignment partitions,
             LeaderRole leaderRole,
-            WarnOnceLogger logOnce) {
+            WarnOnceLogger faultLogger) {
         this.leadership = links.leadership();
         this.synchronizer = links.synchronizer();
         this.membership = membership;
         this.pauseDetector = pauseDetector;
         this.partitions = partitions;
         this.leaderRole = leaderRole;
-        this.logOnce = logOnce;
+        this.faultLogger = faultLogger;
     }
 
-    /** The reply to a batch, with one verdict for each of its heartbeats. */
+    /** Returns the reply to a batch, with one verdict for each of its heartbeats. */
     HttpReply answer(HeartbeatBatch batch, double now) {
         if (batch.fencingToken().isNewerThan(leadership.fencingToken()) && leadership.isLeader()) {
             leadership.observeFencingToken(batch.fencingToken());
@@ -52,7 +52,7 @@
             return HttpReply.error(503, "not leading");
         }
         if (!membership.recordMessage(batch.sender(), batch.incarnation(), batch.sequence(), now)) {
-            logOnce.warn(batch.sender(), "a message of its earlier process or a copy came");
+            faultLogger.warn(batch.sender(), "message is a duplicate or from an earlier process");
             return HttpReply.error(409, "a message of an earlier process");
         }
         LeaderHeartbeatReceiver leader = leaderRole.leader().get();
--- a/src/main/java/io/pepperfield/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/io/pepperfield/heartbeat/HeartbeatHandler.java
@@ -16,9 +16,9 @@
 import java.util.function.Consumer;
 
 /**
- * Answers the heartbeats of workers in the role that this controller has at the time: as the
- * leader, as a partition owner with the leader's verdict, or without a reachable leader. Confined
- * to the event loop.
+ * Answers the heartbeats of workers according to this controller's current role: as the leader, as
+ * a partition owner with the leader's verdict, or without a reachable leader. Confined to the event
+ * loop.
  */
 public final class HeartbeatHandler {
 
@@ -32,9 +32,9 @@
     private final PartitionOwnerRole partitionOwnerRole;
     private final LeaderlessRole leaderlessRole;
     private final ForwardedBatchHandler forwardedBatches;
-    private final WarnOnceLogger logOnce = new WarnOnceLogger();
+    private final WarnOnceLogger faultLogger = new WarnOnceLogger();
 
-    /** Creates the handler of a controller that does not lead. */
+    /** Creates the handler; the controller does not lead initially. */
     public HeartbeatHandler(
             Loop loop,
             Settings settings,
@@ -63,27 +63,27 @@
                         partitions,
                         misroutedMachines,
                         leaderlessRole,
-                        logOnce);
+                        faultLogger);
         this.forwardedBatches =
                 new ForwardedBatchHandler(
-                        links, membership, pauseDetector, partitions, leaderRole, logOnce);
+                        links, membership, pauseDetector, partitions, leaderRole, faultLogger);
     }
 
-    /** This controller leads and has recovered its state. */
+    /** Called when this controller has become the leader. */
     public void leadershipStarted(LeaderHeartbeatReceiver leader) {
         leaderRole.leadershipStarted(leader);
     }
 
-    /** This controller does not lead any more. */
+    /** Called when this controller is no longer the leader. */
     public void leadershipEnded() {
         leaderRole.leadershipEnded();
     }
 
-    /** Takes a worker's heartbeat; {@code answer} is called once, perhaps later. */
+    /** Handles a worker's heartbeat; {@code answer} is called once, possibly later. */
     public void handle(InboundRequest request, Consumer<HttpReply> answer) {
         Optional<Heartbeat> parsed = WorkerProtocol.parseHeartbeat(Json.read(request.body()));
         if (parsed.isEmpty()) {
-            logOnce.warn("a worker", "sends what is no heartbeat");
+            faultLogger.warn("a worker", "request body is not a valid heartbeat");
             answer.accept(HeartbeatVerdict.Refused.MALFORMED.toReply());
             return;
         }
@@ -102,26 +102,26 @@
         }
     }
 
-    /** Takes what a partition owner forwards; {@code answer} is called once. */
+    /** Handles a batch forwarded by a partition owner; {@code answer} is called once. */
     public void handleForwarded(PeerMessages.HeartbeatBatch batch, Consumer<HttpReply> answer) {
         answer.accept(forwardedBatches.answer(batch, loop.now()));
     }
 
-    /** Which controllers own a partition, as the leader sees them. */
+    /** The leader's assignment of partitions to controllers. */
     public PartitionAssignment partitions() {
         return partitions;
     }
 
     /**
-     * To be called often while leading: whether others reach the workers and this controller does
-     * not, so that another one should lead.
+     * Whether heartbeats of this leader's partition reach other controllers only, so that another
+     * controller should lead. Called on every tick while leading, since it updates the detection.
      */
     public boolean leaderHasReceiveFailure(double now) {
         return leaderRole.hasReceiveFailure(now);
     }
 
-    /** Forgets the misrouted machines that were first seen here before that loop time. */
-    public void evictMisroutedBefore(double before) {
-        misroutedMachines.evictBefore(before);
+    /** Evicts the misrouted machines that were first seen here before the given loop time. */
+    public void evictMisroutedBefore(double time) {
+        misroutedMachines.evictBefore(time);
     }
 }
--- a/src/main/java/io/pepperfield/heartbeat/HeartbeatVerdict.java
+++ b/src/main/java/io/pepperfield/heartbeat/HeartbeatVerdict.java
@@ -4,13 +4,13 @@
 import io.pepperfield.fleet.WorkerProtocol;
 import io.pepperfield.http.HttpReply;
 
-/** How a worker's heartbeat is to be answered. */
+/** The answer to a worker's heartbeat. */
 sealed interface HeartbeatVerdict {
 
-    /** The reply that tells the worker so. */
+    /** Encodes the verdict as an HTTP reply. */
     HttpReply toReply();
 
-    /** The lease is renewed and the orders of the body are to be carried out. */
+    /** Renews the machine's lease; {@code body} holds the orders for the worker. */
     record Accepted(ObjectNode body) implements HeartbeatVerdict {
         @Override
         public HttpReply toReply() {
@@ -18,7 +18,7 @@
         }
     }
 
-    /** Another controller takes the heartbeats of this machine. */
+    /** Redirects the worker to the controller that receives this machine's heartbeats. */
     record Redirected(String controller) implements HeartbeatVerdict {
         @Override
         public HttpReply toReply() {
@@ -26,7 +26,7 @@
         }
     }
 
-    /** The lease is not renewed; the worker tries again, here or at another controller. */
+    /** Does not renew the lease; the worker retries, here or at another controller. */
     enum Refused implements HeartbeatVerdict {
         MALFORMED(400, "not a report"),
         PROCESS_PAUSED(503, "has stood still"),
--- a/src/main/java/io/pepperfield/heartbeat/IsolationDetector.java
+++ b/src/main/java/io/pepperfield/heartbeat/IsolationDetector.java
@@ -7,8 +7,8 @@
 import io.pepperfield.peer.Peers;
 
 /**
- * Tells from this controller's links to the store, the leader, the other controllers and the
- * workers of each zone whether it is cut off, and whether a leader may be absent. Confined to the
+ * Detects whether this controller is isolated, and whether there may be no leader, from its contact
+ * with the store, the leader, the other controllers and the workers of each zone. Confined to the
  * event loop.
  */
 final class IsolationDetector {
@@ -19,7 +19,6 @@
     private final Peers peers;
     private final ZonePartitionDetector zonePartitionDetector = new ZonePartitionDetector();
 
-    /** Creates the detector of a controller that has received no heartbeat yet. */
     IsolationDetector(Settings settings, ClusterLinks links) {
         this.settings = settings;
         this.leadership = links.leadership();
@@ -27,15 +26,15 @@
         this.peers = links.peers();
     }
 
-    /** A heartbeat of a machine in that zone arrived. */
+    /** Records the arrival of a heartbeat from a machine in the given zone. */
     void recordHeartbeat(String zone) {
         zonePartitionDetector.recordHeartbeat(zone.equals(settings.zone()));
     }
 
     /**
-     * Whether this controller is cut off from the store, and from whoever may lead by now, so that
-     * others are to take its workers within their leases. Not so where the whole zone is cut off,
-     * since its workers reach nobody else either.
+     * Whether this controller has lost both the store and any current leader, so that its workers
+     * should move to other controllers before their leases expire. False if its whole zone is
+     * partitioned, because its workers cannot reach other controllers either.
      */
     boolean isIsolated(double now) {
         return !leadership.holdsValidLease()
@@ -44,7 +43,10 @@
                 && !zonePartitionDetector.isPartitioned();
     }
 
-    /** Whether nobody may lead just now, or nobody here can tell who does. */
+    /**
+     * Whether there may currently be no leader, or this controller cannot determine the leader. A
+     * leader that answered within the last heartbeat interval may just have failed.
+     */
     boolean leaderMayBeAbsent(double now) {
         return now - forwarder.leaderAnsweredAt()
                         < settings.deployment().workerTimings().heartbeatIntervalS()
@@ -52,7 +54,7 @@
                 || peers.storeContact(now) != Peers.StoreContact.CONNECTED;
     }
 
-    /** Whether another controller leads that this one cannot reach, while the store answers. */
+    /** Whether, according to a store that this controller reaches, another controller leads. */
     boolean anotherControllerLeads(double now) {
         return peers.storeContact(now) == Peers.StoreContact.CONNECTED
                 && !leadership.leaderNode().isEmpty()
--- a/src/main/java/io/pepperfield/heartbeat/LeaderHeartbeatReceiver.java
+++ b/src/main/java/io/pepperfield/heartbeat/LeaderHeartbeatReceiver.java
@@ -6,25 +6,25 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What the leader does with heartbeats, whichever controller a worker has sent them to. */
+/** Receives, on the leader, the heartbeats that workers have sent to any controller. */
 public interface LeaderHeartbeatReceiver {
 
     /**
-     * Takes a worker's heartbeat.
+     * Processes a worker's heartbeat.
      *
-     * @param reportingController the controller that forwarded it, or empty where the worker sent
-     *     it here
-     * @return the orders that answer it; empty where it is refused
+     * @param reportingController the controller that forwarded it, or an empty string if the worker
+     *     sent it to this controller
+     * @return the orders for the worker, or empty if the heartbeat is refused
      */
     Optional<List<Order>> acceptHeartbeat(Heartbeat heartbeat, String reportingController);
 
-    /** Takes a heartbeat that another controller has forwarded, and gives the verdict on it. */
+    /** Processes a heartbeat that another controller has forwarded, and returns the verdict. */
     PeerMessages.LeaderVerdict acceptForwardedHeartbeat(
             PeerMessages.ForwardedHeartbeat forwarded, String reportingController);
 
-    /** Takes a worker's reply to direct orders. */
+    /** Processes a worker's reply to direct orders. */
     void directOrderReplyReceived(Heartbeat heartbeat);
 
-    /** Takes a heartbeat that another controller answered before this leader was elected. */
+    /** Restores a heartbeat that a controller answered before this leader was elected. */
     void restoreCachedHeartbeat(PeerMessages.CachedHeartbeat cached);
 }
--- a/src/main/java/io/pepperfield/heartbeat/LeaderRole.java
+++ b/src/main/java/io/pepperfield/heartbeat/LeaderRole.java
@@ -22,13 +22,13 @@
     private final PartitionAssignment partitions;
     private final MisroutedMachines misroutedMachines;
     private final LeaderlessRole leaderlessRole;
-    private final WarnOnceLogger logOnce;
+    private final WarnOnceLogger faultLogger;
 
-    /** Empty while this controller does not lead, or has not recovered its state yet. */
+    /** Empty while this controller does not lead or has not recovered its state. */
     private Optional<LeaderHeartbeatReceiver> leader = Optional.empty();
 
     /**
-     * @param leaderlessRole answers after the election until the state is recovered
+     * @param leaderlessRole answers heartbeats from the election until the state is recovered
      */
     LeaderRole(
             ClusterLinks links,
@@ -37,7 +37,7 @@
             PartitionAssignment partitions,
             MisroutedMachines misroutedMachines,
             LeaderlessRole leaderlessRole,
-            WarnOnceLogger logOnce) {
+            WarnOnceLogger faultLogger) {
         this.leadership = links.leadership();
         this.forwarder = links.forwarder();
         this.synchronizer = links.synchronizer();
@@ -46,33 +46,36 @@
         this.partitions = partitions;
         this.misroutedMachines = misroutedMachines;
         this.leaderlessRole = leaderlessRole;
-        this.logOnce = logOnce;
+        this.faultLogger = faultLogger;
     }
 
-    /** A leadership has recovered its state. */
+    /** Called when this controller has become the leader. */
     void leadershipStarted(LeaderHeartbeatReceiver newLeader) {
         leader = Optional.of(newLeader);
         partitions.reset();
     }
 
-    /** The leadership has ended. */
+    /** Called when the leadership has ended. */
     void leadershipEnded() {
         leader = Optional.empty();
     }
 
-    /** The leader, once it has recovered its state. */
+    /** The leader's receiver of heartbeats; empty while this controller cannot act as leader. */
     Optional<LeaderHeartbeatReceiver> leader() {
         return leader;
     }
 
-    /** Whether this controller, which leads as far as it knows, may answer workers. */
+    /**
+     * Whether this controller may answer workers. It holds the leadership as far as it knows, but
+     * may be isolated or lack recent contact with the store.
+     */
     boolean mayAnswer(double now) {
         return !isolation.isIsolated(now)
                 && leaseRenewal.mayRenew(synchronizer.lastConfirmedAt(), now);
     }
 
     /**
-     * @param encoded the heartbeat as it came
+     * @param encoded the heartbeat as received
      */
     HeartbeatVerdict answer(Heartbeat heartbeat, byte[] encoded, double now) {
         if (heartbeat.fencingToken().isNewerThan(leadership.fencingToken())) {
@@ -93,7 +96,9 @@
         Optional<List<Order>> orders = leader.get().acceptHeartbeat(heartbeat, "");
         partitions.recordLocalHeartbeat(heartbeat.machine(), owners, now);
         if (orders.isEmpty()) {
-            logOnce.warn(heartbeat.machine(), "sends a late copy of a heartbeat, or was returned");
+            faultLogger.warn(
+                    heartbeat.machine(),
+                    "heartbeat is a late duplicate, or the machine is released");
             return HeartbeatVerdict.Refused.OUTDATED_HEARTBEAT;
         }
         cache(heartbeat, encoded, orders.get());
@@ -110,16 +115,17 @@
     }
 
     /**
-     * To be called often while leading: whether others reach the workers and this controller does
-     * not, so that another one should lead.
+     * Whether heartbeats of this leader's partition reach other controllers only, so that another
+     * controller should lead. Called on every tick while leading, since it updates the detection.
      */
     boolean hasReceiveFailure(double now) {
         if (!mayAnswer(now)) {
-            // Workers that are refused everywhere turn up at random controllers afterwards.
+            // Workers that every controller refuses contact random controllers afterwards.
             partitions.resetObservations();
         }
         partitions.owners(now);
-        // In an outage nobody else could be elected, and machines would get no stops from anybody.
+        // During a store outage no other leader could be elected, and no controller would send
+        // stop orders to the machines.
         return leadership.holdsValidLease() && partitions.hasLocalReceiveFailure(now);
     }
 }
--- a/src/main/java/io/pepperfield/heartbeat/LeaderlessRole.java
+++ b/src/main/java/io/pepperfield/heartbeat/LeaderlessRole.java
@@ -8,7 +8,7 @@
 import io.pepperfield.loop.Loop;
 import io.pepperfield.peer.HeartbeatForwarder;
 
-/** Answers heartbeats while no leader can be asked. */
+/** Answers heartbeats while no leader is reachable. */
 final class LeaderlessRole {
 
     private final Loop loop;
@@ -17,7 +17,6 @@
     private final LeaseRenewalPolicy leaseRenewal;
     private final IsolationDetector isolation;
 
-    /** Creates the role; it holds no state of its own. */
     LeaderlessRole(
             Loop loop,
             ClusterLinks links,
@@ -30,7 +29,7 @@
         this.isolation = isolation;
     }
 
-    /** The verdict of a controller that neither leads nor reaches a leader. */
+    /** Returns the verdict of a controller that neither leads nor reaches a leader. */
     HeartbeatVerdict answer(Heartbeat heartbeat, double now) {
         if (!isolation.isIsolated(now) && isolation.leaderMayBeAbsent(now)) {
             return renewLease(heartbeat);
@@ -38,14 +37,15 @@
         if (isolation.anotherControllerLeads(now)) {
             return new HeartbeatVerdict.Redirected(leadership.leaderNode());
         }
-        // Cut off from the leader and the store: others take the worker within its lease.
+        // No contact with the leader or the store: the worker finds another controller before its
+        // lease expires.
         return HeartbeatVerdict.Refused.LEADER_UNREACHABLE;
     }
 
     /**
-     * Renews a lease while nobody leads or the leader cannot be asked, with no orders but stops for
-     * what is known to be cancelled; as long as either the last leader's answer to this machine or
-     * this controller's own replica allows.
+     * Renews a lease while there is no leader or it cannot be reached. The only orders are stops
+     * for attempts of jobs that are known to be cancelled. The lease is renewed as long as the last
+     * leader's answer to this machine or this controller's own replica permits, whichever is later.
      */
     HeartbeatVerdict renewLease(Heartbeat heartbeat) {
         FencingToken token =
@@ -55,8 +55,8 @@
                         forwarder.cancellationWatermark(heartbeat.machine()),
                         leaseRenewal.localCancellationWatermark(heartbeat));
         if (!token.exists() || heartbeat.fencingToken().isNewerThan(token)) {
-            // A worker drops an answer with a lower token, and would stay here while its lease runs
-            // out.
+            // A worker ignores an answer with a lower token, and would keep sending its heartbeats
+            // here until its lease expires.
             return HeartbeatVerdict.Refused.NO_FENCING_TOKEN;
         }
         if (!leaseRenewal.mayRenew(cancellationWatermark, loop.now())) {
--- a/src/main/java/io/pepperfield/heartbeat/MisroutedMachines.java
+++ b/src/main/java/io/pepperfield/heartbeat/MisroutedMachines.java
@@ -7,9 +7,10 @@
 import java.util.Set;
 
 /**
- * The machines of other partitions whose heartbeats arrive at this controller. Each is redirected
- * to its owner only after a heartbeat interval: the owner may have just ended, and being sent back
- * and forth costs the machine more of its lease than a detour through this controller.
+ * Tracks the machines of other partitions whose heartbeats arrive at this controller. A machine is
+ * redirected to its partition owner only after a heartbeat interval: the owner may just have
+ * failed, and being redirected back and forth takes more of the machine's lease than having its
+ * heartbeats forwarded by this controller.
  */
 final class MisroutedMachines {
 
@@ -25,8 +26,8 @@
     }
 
     /**
-     * The controller to which the machine is to be redirected; empty while its heartbeats are
-     * answered here.
+     * Returns the controller to which the machine is to be redirected, or empty while this
+     * controller answers its heartbeats.
      */
     Optional<String> redirectTarget(String machine, Set<String> partitionOwners, double now) {
         String owner = Partitions.owner(machine, partitionOwners);
@@ -42,7 +43,7 @@
         return Optional.of(owner);
     }
 
-    /** Forgets the machines that were first misrouted before that loop time. */
+    /** Evicts the machines that were first misrouted before the given loop time. */
     void evictBefore(double time) {
         misroutedSince.values().removeIf(since -> since < time);
     }
--- a/src/main/java/io/pepperfield/heartbeat/PartitionOwnerRole.java
+++ b/src/main/java/io/pepperfield/heartbeat/PartitionOwnerRole.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Answers the heartbeats of this controller's partition with the verdicts of another leader. */
+/** Answers the heartbeats of this controller's partition with the verdicts of the leader. */
 final class PartitionOwnerRole {
 
     private final HeartbeatForwarder forwarder;
@@ -27,14 +27,14 @@
         this.leaderlessRole = leaderlessRole;
     }
 
-    /** Whether a leader answers what this controller forwards. */
+    /** Whether a leader answers the heartbeats that this controller forwards. */
     boolean isActive(double now) {
         return forwarder.leaderReachable(now);
     }
 
     /**
-     * @param encoded the heartbeat as it came
-     * @param done called once, perhaps later, on the event loop
+     * @param encoded the heartbeat as received
+     * @param done called once on the event loop, possibly later
      */
     void answer(Heartbeat heartbeat, byte[] encoded, double now, Consumer<HeartbeatVerdict> done) {
         Optional<String> owner =
@@ -45,10 +45,10 @@
             return;
         }
         forwarder.submit(
-                heartbeat, encoded, verdict -> done.accept(fromLeader(heartbeat, verdict)));
+                heartbeat, encoded, verdict -> done.accept(toHeartbeatVerdict(heartbeat, verdict)));
     }
 
-    private HeartbeatVerdict fromLeader(Heartbeat heartbeat, LeaderVerdict verdict) {
+    private HeartbeatVerdict toHeartbeatVerdict(Heartbeat heartbeat, LeaderVerdict verdict) {
         if (pauseDetector.updateAndCheckStale()) {
             return HeartbeatVerdict.Refused.PROCESS_PAUSED;
         }
--- a/src/main/java/io/pepperfield/heartbeat/package-info.java
+++ b/src/main/java/io/pepperfield/heartbeat/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Answers the heartbeats of workers, in each of the three roles that a controller may have: as the
- * leader, as the owner of a partition with the leader's verdict, and without a reachable leader.
+ * Answers the heartbeats of workers in each of a controller's three roles: as the leader, as a
+ * partition owner with the leader's verdict, and without a reachable leader.
  */
 package io.pepperfield.heartbeat;
--- a/src/main/java/io/pepperfield/peer/HeartbeatBatchBuilder.java
+++ b/src/main/java/io/pepperfield/peer/HeartbeatBatchBuilder.java
@@ -7,29 +7,31 @@
 import io.pepperfield.http.Json;
 
 /**
- * One message of a partition owner to the leader, filled up to the size that its listener takes.
+ * Builds one message of a partition owner to the leader, within the size that the leader's listener
+ * accepts.
  */
 final class HeartbeatBatchBuilder {
 
     /**
-     * The peers' listener takes four times as much as the users' one; a heartbeat alone may be a
-     * quarter of that.
+     * Size from which nothing more is added to a message. The listener for peers accepts messages
+     * four times as large as the listener for users; a single heartbeat may take up a quarter of
+     * that limit.
      */
     private static final int MAX_BYTES = 128 * 1024;
 
-    /** About what a repeated heartbeat takes. */
+    /** Approximate encoded size of a repeated heartbeat. */
     private static final int REPEATED_BYTES = 64;
 
     private final ObjectNode body;
     private final ArrayNode heartbeats;
     private final ArrayNode directOrderReplies;
     private final ArrayNode cachedHeartbeats;
-    private int bytes;
+    private int estimatedBytes;
 
     /**
      * @param sender the name of the sending controller
-     * @param incarnation identifies its process
-     * @param sequence numbers the messages of that process
+     * @param incarnation identifies the sender's process
+     * @param sequence increases with each message of that process
      */
     HeartbeatBatchBuilder(String sender, String incarnation, long sequence, FencingToken token) {
         body =
@@ -44,11 +46,12 @@
     }
 
     boolean hasRoom() {
-        return bytes < MAX_BYTES;
+        return estimatedBytes < MAX_BYTES;
     }
 
     /**
-     * Adds one that differs from an earlier one, which the leader has, only in sequence and token.
+     * Adds a heartbeat in short form: one that differs only in sequence number and fencing token
+     * from an earlier heartbeat that the leader has.
      */
     void addRepeated(Heartbeat heartbeat, Heartbeat earlier) {
         heartbeats
@@ -58,27 +61,28 @@
                 .add(earlier.sequence())
                 .add(heartbeat.sequence())
                 .add(heartbeat.fencingToken().value());
-        bytes += REPEATED_BYTES;
+        estimatedBytes += REPEATED_BYTES;
     }
 
+    /** Adds a heartbeat in full. */
     void addFull(byte[] encoded) {
         heartbeats.addRawValue(PeerMessages.embedded(encoded));
-        bytes += encoded.length;
+        estimatedBytes += encoded.length;
     }
 
     /** Adds a worker's reply to direct orders. */
     void addDirectOrderReply(byte[] encoded) {
         directOrderReplies.addRawValue(PeerMessages.embedded(encoded));
-        bytes += encoded.length;
+        estimatedBytes += encoded.length;
     }
 
-    /** Adds a cached heartbeat of that age, for a leader that was just elected. */
+    /** Adds a cached heartbeat with its age, for a newly elected leader. */
     void addCached(byte[] encoded, double ageS) {
         cachedHeartbeats
                 .addObject()
                 .put("ageMs", Math.round(ageS * 1000))
                 .putRawValue("report", PeerMessages.embedded(encoded));
-        bytes += encoded.length;
+        estimatedBytes += encoded.length;
     }
 
     byte[] encode() {
--- a/src/main/java/io/pepperfield/peer/HeartbeatCache.java
+++ b/src/main/java/io/pepperfield/peer/HeartbeatCache.java
@@ -8,18 +8,18 @@
 import java.util.Map;
 
 /**
- * The last answered heartbeat of each machine in this controller's partition, kept so that a new
- * leader need not wait for the next one.
+ * Caches the last answered heartbeat of each machine in this controller's partition, so that a new
+ * leader does not have to wait for the next one.
  */
 final class HeartbeatCache {
 
-    /** In heartbeat intervals: the next heartbeat is due within this time. */
+    /** Age in heartbeat intervals up to which the machine's next heartbeat is not yet overdue. */
     private static final double RECENT_INTERVALS = 1.25;
 
-    /** Up to this many machines nothing is evicted. */
+    /** Number of cached machines up to which no entry is evicted. */
     private static final int EVICTION_THRESHOLD = 64;
 
-    private final double recentS;
+    private final double recencyWindowS;
     private final Map<String, Entry> entries = new HashMap<>();
 
     /** One machine's last heartbeat. */
@@ -38,12 +38,15 @@
             return encoded;
         }
 
-        /** Loop time in seconds at which it was answered. */
+        /** Loop time in seconds at which the heartbeat was answered. */
         double answeredAt() {
             return answeredAt;
         }
 
-        /** Whether the next heartbeat says no more than this one, which the leader has. */
+        /**
+         * Whether the leader has this heartbeat and the next one differs from it only in sequence
+         * number and fencing token.
+         */
         boolean isRepeatedBy(Heartbeat next) {
             return forwarded && haveSameContent(next, heartbeat);
         }
@@ -65,77 +68,86 @@
     }
 
     HeartbeatCache(double heartbeatIntervalS) {
-        this.recentS = RECENT_INTERVALS * heartbeatIntervalS;
+        this.recencyWindowS = RECENT_INTERVALS * heartbeatIntervalS;
     }
 
-    /** The machine's last heartbeat, or null. */
+    /** Returns the machine's last heartbeat, or null if none is cached. */
     Entry get(String machine) {
         return entries.get(machine);
     }
 
     /**
-     * Loop time up to which all cancellations were settled on the machine by leaders' answers; see
+     * Loop time up to which leaders' answers have settled all cancellations on the machine; see
      * {@link HeartbeatForwarder#cancellationWatermark}.
      */
     double cancellationWatermark(String machine) {
-        Entry last = entries.get(machine);
-        return last == null ? Double.NEGATIVE_INFINITY : last.cancellationWatermark;
+        Entry entry = entries.get(machine);
+        return entry == null ? Double.NEGATIVE_INFINITY : entry.cancellationWatermark;
     }
 
-    /** Keeps a heartbeat whose answer settles all cancellations up to the watermark. */
-    void put(Heartbeat received, byte[] encoded, double watermark, double now) {
-        Entry last = entries.computeIfAbsent(received.machine(), name -> new Entry());
-        last.cancellationWatermark = Math.max(last.cancellationWatermark, watermark);
-        if (last.isOlderThan(received)) {
-            last.heartbeat = received;
-            last.encoded = encoded;
-            last.answeredAt = now;
+    /**
+     * Caches a heartbeat whose answer settles all cancellations up to the watermark; an older
+     * heartbeat than the cached one only advances the watermark.
+     */
+    void put(Heartbeat heartbeat, byte[] encoded, double watermark, double now) {
+        Entry entry = entries.computeIfAbsent(heartbeat.machine(), name -> new Entry());
+        entry.cancellationWatermark = Math.max(entry.cancellationWatermark, watermark);
+        if (entry.isOlderThan(heartbeat)) {
+            entry.heartbeat = heartbeat;
+            entry.encoded = encoded;
+            entry.answeredAt = now;
         }
     }
 
-    /** The leader has the heartbeat; it counts as forwarded unless a newer one came meanwhile. */
-    void markForwarded(Heartbeat received) {
-        Entry last = entries.get(received.machine());
-        last.forwarded = last.heartbeat == received;
+    /**
+     * Marks the machine's entry as forwarded if this heartbeat, which the leader has accepted, is
+     * still the cached one.
+     */
+    void markForwarded(Heartbeat heartbeat) {
+        Entry entry = entries.get(heartbeat.machine());
+        entry.forwarded = entry.heartbeat == heartbeat;
     }
 
-    /** It is unknown whether the leader has any heartbeat of the machine. */
+    /** Marks the machine's entry as not forwarded: whether the leader has it is unknown. */
     void markNotForwarded(String machine) {
-        Entry last = entries.get(machine);
-        if (last != null) {
-            last.forwarded = false;
+        Entry entry = entries.get(machine);
+        if (entry != null) {
+            entry.forwarded = false;
         }
     }
 
-    /** Another leader has none of these heartbeats yet. */
+    /** Marks all entries as not forwarded; called when the leader has changed. */
     void markAllNotForwarded() {
-        entries.values().forEach(last -> last.forwarded = false);
+        entries.values().forEach(entry -> entry.forwarded = false);
     }
 
-    /** The machines whose next heartbeat is not overdue. */
+    /** Returns the machines whose next heartbeat is not overdue. */
     List<String> recentMachines(double now) {
         List<String> machines = new ArrayList<>();
         entries.forEach(
-                (machine, last) -> {
-                    if (now - last.answeredAt < recentS) {
+                (machine, entry) -> {
+                    if (now - entry.answeredAt < recencyWindowS) {
                         machines.add(machine);
                     }
                 });
         return machines;
     }
 
-    /** The last heartbeats of those machines, with their ages. */
+    /** Returns the last heartbeats of the recent machines, with their ages. */
     List<CachedHeartbeat> recentHeartbeats(double now) {
         return recentMachines(now).stream()
                 .map(entries::get)
-                .map(last -> new CachedHeartbeat(last.heartbeat, now - last.answeredAt))
+                .map(entry -> new CachedHeartbeat(entry.heartbeat, now - entry.answeredAt))
                 .toList();
     }
 
-    /** Evicts machines whose last heartbeat was answered before that time, once there are many. */
+    /**
+     * Evicts entries answered before the given loop time, if the cache exceeds its eviction
+     * threshold.
+     */
     void evictOlderThan(double time) {
         if (entries.size() > EVICTION_THRESHOLD) {
-            entries.values().removeIf(last -> last.answeredAt < time);
+            entries.values().removeIf(entry -> entry.answeredAt < time);
         }
     }
 }
--- a/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
+++ b/src/main/java/io/pepperfield/peer/HeartbeatForwarder.java
@@ -20,17 +20,17 @@
 import java.util.function.Consumer;
 
 /**
- * A partition owner's side of its link to the leader. Heartbeats that came together are forwarded
- * in one message, and one message is in flight at a time; the leader's reply holds a verdict on
- * each heartbeat. What a heartbeat repeats of the one before is left out. Confined to the event
- * loop.
+ * Forwards the heartbeats of a partition owner's machines to the leader. Heartbeats are batched,
+ * with one request in flight at a time; the leader's reply holds a verdict on each heartbeat. A
+ * heartbeat that repeats the content of the one before is sent in a short form. Confined to the
+ * event loop.
  */
 public final class HeartbeatForwarder {
 
-    /** How long a worker waits for an answer. */
+    /** Time in seconds after which a worker stops waiting for the answer to a heartbeat. */
     private static final double WORKER_TIMEOUT_S = 4;
 
-    /** A worker's heartbeat that waits for its verdict. */
+    /** A worker's heartbeat without a verdict so far. */
     private static final class PendingHeartbeat {
         final Heartbeat heartbeat;
         final byte[] encoded;
@@ -50,22 +50,22 @@
     private final double heartbeatIntervalS;
     private final String incarnation = UUID.randomUUID().toString();
     private final ArrayDeque<PendingHeartbeat> pending = new ArrayDeque<>();
-    private final ArrayDeque<byte[]> directOrderReplies = new ArrayDeque<>();
-    private final ArrayDeque<String> cachedToSend = new ArrayDeque<>();
+    private final ArrayDeque<byte[]> pendingDirectOrderReplies = new ArrayDeque<>();
+    private final ArrayDeque<String> machinesToResend = new ArrayDeque<>();
     private final HeartbeatCache cache;
 
-    /** Null where nobody is known to lead, and while this controller leads itself. */
+    /** Null if no leader is known, and while this controller itself leads. */
     private Settings.Member leader;
 
     private FencingToken fencingToken = FencingToken.NONE;
     private Set<String> partitionOwners = Set.of();
     private long sequence;
     private boolean requestInFlight;
-    private double sentAt = Double.NEGATIVE_INFINITY;
+    private double lastSentAt = Double.NEGATIVE_INFINITY;
     private double leaderAnsweredAt = Double.NEGATIVE_INFINITY;
     private boolean leaderReachable;
 
-    /** Creates a forwarder that knows of no leader yet. */
+    /** Creates a forwarder without a known leader. */
     public HeartbeatForwarder(Loop loop, HttpSender client, Settings settings) {
         this.loop = loop;
         this.client = client;
@@ -75,8 +75,8 @@
     }
 
     /**
-     * Sets who leads, as this controller knows it; empty where nobody does. Another leader than
-     * before has no heartbeats of this partition yet.
+     * Sets the leader known to this controller; empty if there is none. A new leader is sent all
+     * recent heartbeats of this partition again, since it has none of them.
      */
     public void setLeader(String controller) {
         if (leader != null && leader.node().equals(controller)
@@ -90,10 +90,10 @@
                         .orElse(null);
         leaderReachable = false;
         partitionOwners = Set.of();
-        cachedToSend.clear();
+        machinesToResend.clear();
         if (leader != null) {
             cache.markAllNotForwarded();
-            cachedToSend.addAll(cache.recentMachines(loop.now()));
+            machinesToResend.addAll(cache.recentMachines(loop.now()));
         }
     }
 
@@ -102,85 +102,87 @@
         return leaderReachable && now - leaderAnsweredAt < heartbeatIntervalS;
     }
 
-    /** Loop time in seconds at which the last message was sent that a leader has answered. */
+    /** Loop time in seconds at which the latest request answered by a leader was sent. */
     public double leaderAnsweredAt() {
         return leaderAnsweredAt;
     }
 
     /**
-     * Loop time up to which all cancellations are settled on the machine, by what leaders have
-     * answered it through this controller.
+     * Loop time up to which all cancellations are settled on the machine by the answers that
+     * leaders have sent it through this controller.
      */
     public double cancellationWatermark(String machine) {
         return cache.cancellationWatermark(machine);
     }
 
     /**
-     * Loop time up to which a leader's answer to a heartbeat settles all cancellations there. One
-     * with a stop settles nothing: whether it arrives nobody knows, and what is to be stopped may
-     * not even have begun. One without says that no attempt of a job cancelled by then may be alive
-     * there.
+     * Loop time up to which a leader's answer to a heartbeat settles all cancellations on the
+     * machine. An answer with a stop order settles none: it may not arrive, and the attempt to be
+     * stopped may not have started yet. An answer without one means that no attempt of a job
+     * cancelled by then can be live on the machine.
      *
-     * @param knownUpTo up to when that leader knew all cancellations
+     * @param anyStop whether the answer contains a stop order
+     * @param cancellationsKnownAsOf loop time up to which that leader knew all cancellations
      */
-    public static double cancellationWatermark(boolean anyStop, double knownUpTo) {
-        return anyStop ? Double.NEGATIVE_INFINITY : knownUpTo;
+    public static double cancellationWatermark(boolean anyStop, double cancellationsKnownAsOf) {
+        return anyStop ? Double.NEGATIVE_INFINITY : cancellationsKnownAsOf;
     }
 
-    /** The highest fencing token that a leader has shown this controller. */
+    /** The highest fencing token that this controller has received from a leader. */
     public FencingToken fencingToken() {
         return fencingToken;
     }
 
-    /** The controllers that own a partition, as the leader said last. */
+    /** The controllers that own a partition, from the leader's latest reply. */
     public Set<String> partitionOwners() {
         return partitionOwners;
     }
 
-    /**
-     * The last heartbeats of this partition with their ages, for a leader that was just elected.
-     */
+    /** The recent heartbeats of this partition with their ages, for a newly elected leader. */
     public List<CachedHeartbeat> cachedHeartbeats(double now) {
         return cache.recentHeartbeats(now);
     }
 
     /**
-     * Keeps a heartbeat that a leader has answered, so that a new leader need not wait for the
-     * next.
+     * Caches a heartbeat that a leader has answered, so that a new leader does not have to wait for
+     * the next one.
      *
-     * @param watermark loop time up to which that answer settles all cancellations there
+     * @param watermark loop time up to which that answer settles all cancellations on the machine
      */
     public void cacheHeartbeat(Heartbeat heartbeat, byte[] encoded, double watermark) {
         cache.put(heartbeat, encoded, watermark, loop.now());
     }
 
     /**
-     * Forwards a worker's heartbeat; called back once, with the leader's verdict or {@link
-     * LeaderVerdict#UNREACHABLE}.
+     * Queues a worker's heartbeat for the leader. The callback is called once, with the leader's
+     * verdict or {@link LeaderVerdict#UNREACHABLE}.
      */
     public void submit(Heartbeat heartbeat, byte[] encoded, Consumer<LeaderVerdict> onVerdict) {
         pending.add(new PendingHeartbeat(heartbeat, encoded, onVerdict));
     }
 
-    /** Forwards a worker's reply to direct orders. */
+    /** Queues a worker's reply to direct orders for the leader. */
     public void addDirectOrderReply(byte[] encoded) {
-        directOrderReplies.add(encoded);
+        pendingDirectOrderReplies.add(encoded);
     }
 
-    /** To be called at the end of each batch of commands, and often otherwise. */
+    /** Sends the next request if one is due; called after each command batch and between them. */
     public void flush() {
         double now = loop.now();
         if (leader == null) {
             failPending();
-            directOrderReplies.clear();
+            pendingDirectOrderReplies.clear();
             return;
         }
         boolean anythingToSend =
-                !pending.isEmpty() || !directOrderReplies.isEmpty() || !cachedToSend.isEmpty();
-        // Spaced, so that what comes from many workers costs the leader few messages; an empty
-        // message now and then shows that this controller is live.
+                !pending.isEmpty()
+                        || !pendingDirectOrderReplies.isEmpty()
+                        || !machinesToResend.isEmpty();
+        // Requests are spaced so that heartbeats of many workers share one message to the leader.
+        // With nothing to forward, an empty message still shows the leader that this controller is
+        // live.
         if (!requestInFlight
-                && now - sentAt
+                && now - lastSentAt
                         >= (anythingToSend ? heartbeatIntervalS / 50 : heartbeatIntervalS / 4)) {
             send(now);
         }
@@ -194,17 +196,17 @@
 
     private void send(double now) {
         requestInFlight = true;
-        sentAt = now;
+        lastSentAt = now;
         HeartbeatBatchBuilder message =
                 new HeartbeatBatchBuilder(settings.node(), incarnation, ++sequence, fencingToken);
         List<PendingHeartbeat> batch = addHeartbeats(message);
-        while (!directOrderReplies.isEmpty() && message.hasRoom()) {
-            message.addDirectOrderReply(directOrderReplies.poll());
+        while (!pendingDirectOrderReplies.isEmpty() && message.hasRoom()) {
+            message.addDirectOrderReply(pendingDirectOrderReplies.poll());
         }
         addCached(message, now);
         Settings.Member to = leader;
-        // Well within a worker's timeout, so that it can still be answered without orders, also one
-        // that waits behind these.
+        // Well below the worker timeout: if the leader does not reply, these workers, and those
+        // queued for the next request, can still be answered in time without orders.
         client.send(
                 new OutboundRequest(
                         to.address().host(),
@@ -233,8 +235,8 @@
     }
 
     private void addCached(HeartbeatBatchBuilder message, double now) {
-        while (!cachedToSend.isEmpty() && message.hasRoom()) {
-            HeartbeatCache.Entry last = cache.get(cachedToSend.poll());
+        while (!machinesToResend.isEmpty() && message.hasRoom()) {
+            HeartbeatCache.Entry last = cache.get(machinesToResend.poll());
             if (last != null) {
                 message.addCached(last.encoded(), now - last.answeredAt());
             }
@@ -257,9 +259,9 @@
         partitionOwners = reply.partitionOwners();
         leaderReachable = true;
         leaderAnsweredAt = Math.max(leaderAnsweredAt, requestSentAt);
-        double knownUpTo = requestSentAt - reply.storeContactAgeS();
+        double cancellationsKnownAsOf = requestSentAt - reply.storeContactAgeS();
         for (int i = 0; i < batch.size(); i++) {
-            applyVerdict(batch.get(i), reply.verdicts().get(i), knownUpTo);
+            applyVerdict(batch.get(i), reply.verdicts().get(i), cancellationsKnownAsOf);
         }
         cache.evictOlderThan(
                 loop.now() - settings.deployment().workerTimings().cancellationDeadlineS());
@@ -277,7 +279,8 @@
         unanswered.onVerdict.accept(LeaderVerdict.UNREACHABLE);
     }
 
-    private void applyVerdict(PendingHeartbeat answered, LeaderVerdict verdict, double knownUpTo) {
+    private void applyVerdict(
+            PendingHeartbeat answered, LeaderVerdict verdict, double cancellationsKnownAsOf) {
         if (verdict instanceof LeaderVerdict.FullHeartbeatRequired && !answered.sendInFull) {
             answered.sendInFull = true;
             pending.add(answered);
@@ -285,7 +288,8 @@
         }
         if (verdict instanceof LeaderVerdict.Orders orders) {
             double watermark =
-                    cancellationWatermark(WorkerProtocol.containsStop(orders.orders()), knownUpTo);
+                    cancellationWatermark(
+                            WorkerProtocol.containsStop(orders.orders()), cancellationsKnownAsOf);
             cacheHeartbeat(answered.heartbeat, answered.encoded, watermark);
             cache.markForwarded(answered.heartbeat);
         }
--- a/src/main/java/io/pepperfield/peer/PartitionOrderRouter.java
+++ b/src/main/java/io/pepperfield/peer/PartitionOrderRouter.java
@@ -16,26 +16,26 @@
 import java.util.function.Consumer;
 
 /**
- * The leader's direct way to the workers of all partitions: orders for another controller's
- * partition go through that controller, in one message for many workers. The workers' replies come
- * back with the heartbeats that it forwards.
+ * Routes the leader's direct orders to the workers of all partitions. Orders for a worker in
+ * another controller's partition are sent through that controller, batched into one message per
+ * controller; the workers' replies return with the heartbeats that the controller forwards.
  */
 public final class PartitionOrderRouter implements WorkerClient {
 
     private final WorkerClient localWorkers;
     private final Peers peers;
-    private final Map<String, Settings.Member> members = new HashMap<>();
+    private final Map<String, Settings.Member> membersByName = new HashMap<>();
     private final Map<Settings.Member, List<PeerMessages.DirectOrderMessage>> pendingOrders =
             new LinkedHashMap<>();
     private FencingToken fencingToken = FencingToken.NONE;
 
     /**
-     * Creates the router; {@code localWorkers} reaches the workers of this controller's partition.
+     * @param localWorkers the client for workers in this controller's own partition
      */
     public PartitionOrderRouter(WorkerClient localWorkers, Peers peers, Settings settings) {
         this.localWorkers = localWorkers;
         this.peers = peers;
-        settings.members().forEach(member -> members.put(member.node(), member));
+        settings.members().forEach(member -> membersByName.put(member.node(), member));
     }
 
     @Override
@@ -64,8 +64,8 @@
     }
 
     /**
-     * Sends orders to a worker that reports through that controller; directly where it is no
-     * member's name.
+     * Queues orders for a worker whose heartbeats arrive through the given controller, until the
+     * next {@link #flush}; sends them directly if the name is not that of a cluster member.
      */
     public void sendOrders(
             String reportingController,
@@ -74,20 +74,20 @@
             long incarnation,
             List<Order> orders,
             Consumer<Result> done) {
-        Settings.Member owner = members.get(reportingController);
+        Settings.Member owner = membersByName.get(reportingController);
         if (owner == null) {
             localWorkers.sendOrders(address, orderToken, incarnation, orders, done);
             return;
         }
         fencingToken = orderToken;
         pendingOrders
-                .computeIfAbsent(owner, o -> new ArrayList<>())
+                .computeIfAbsent(owner, member -> new ArrayList<>())
                 .add(
                         new PeerMessages.DirectOrderMessage(
                                 address, incarnation, WorkerProtocol.encodeOrders(orders)));
     }
 
-    /** At the end of each batch of commands: one message for each partition. */
+    /** Sends the queued orders, one message per controller; called after each command batch. */
     public void flush() {
         pendingOrders.forEach(
                 (owner, messages) -> peers.sendDirectOrders(owner, fencingToken, messages));
--- a/src/main/java/io/pepperfield/peer/PeerMessages.java
+++ b/src/main/java/io/pepperfield/peer/PeerMessages.java
@@ -18,17 +18,17 @@
 import java.util.TreeSet;
 
 /**
- * The messages between partition owners and the leader; the only place that knows their field
- * names.
+ * Codec for the messages between partition owners and the leader. Their field names are used in
+ * this package only.
  */
 public final class PeerMessages {
 
-    /** One heartbeat as a partition owner forwards it. */
+    /** A heartbeat in the form in which a partition owner forwards it. */
     public sealed interface ForwardedHeartbeat {
         /** The name of the machine that sent it. */
         String machine();
 
-        /** The heartbeat in full. */
+        /** A heartbeat forwarded in full. */
         record Full(Heartbeat heartbeat) implements ForwardedHeartbeat {
             @Override
             public String machine() {
@@ -36,7 +36,10 @@
             }
         }
 
-        /** Differs from an earlier one, of {@code baseSequence}, only in its sequence and token. */
+        /**
+         * A heartbeat in short form. It differs from the earlier one with sequence number {@code
+         * baseSequence} only in sequence number and fencing token.
+         */
         record Repeated(
                 String machine,
                 long incarnation,
@@ -46,7 +49,7 @@
                 implements ForwardedHeartbeat {}
     }
 
-    /** A heartbeat that its partition owner answered before the leader was elected. */
+    /** A heartbeat that the partition owner answered before the current leader was elected. */
     public record CachedHeartbeat(Heartbeat heartbeat, double ageS) {}
 
     /**
@@ -54,7 +57,7 @@
      *
      * @param sender the name of the owner
      * @param incarnation identifies the owner's process
-     * @param sequence numbers the messages of that process
+     * @param sequence increases with each message of that process
      */
     public record HeartbeatBatch(
             String sender,
@@ -67,32 +70,33 @@
 
     /** The leader's verdict on one heartbeat. */
     public sealed interface LeaderVerdict {
-        /** The verdict on a late copy, or on a machine that was returned. */
+        /** The heartbeat is a late duplicate, or its machine has been released. */
         LeaderVerdict REFUSED = new Refused();
 
-        /** The verdict on a repeated heartbeat of which the leader lacks the earlier one. */
+        /** The leader does not have the earlier heartbeat that a short form refers to. */
         LeaderVerdict FULL_HEARTBEAT_REQUIRED = new FullHeartbeatRequired();
 
-        /** The outcome where no leader answered. */
+        /** No leader answered. */
         LeaderVerdict UNREACHABLE = new Unreachable();
 
-        /** To be answered with these orders. */
+        /** The heartbeat is accepted; the worker is sent these orders. */
         record Orders(JsonNode orders) implements LeaderVerdict {}
 
-        /** A late copy, or of a machine that was returned. */
+        /** See {@link #REFUSED}. */
         record Refused() implements LeaderVerdict {}
 
-        /** The leader lacks the heartbeat that a short one repeats. */
+        /** See {@link #FULL_HEARTBEAT_REQUIRED}. */
         record FullHeartbeatRequired() implements LeaderVerdict {}
 
-        /** No leader answered; known to the sender only and never part of a message. */
+        /** See {@link #UNREACHABLE}; created by the partition owner, never part of a message. */
         record Unreachable() implements LeaderVerdict {}
     }
 
     /**
      * The leader's reply to a batch, with one verdict for each of its heartbeats.
      *
-     * @param storeContactAgeS seconds since the leader last knew all changes in the store
+     * @param storeContactAgeS seconds since the leader was last known to have all changes in the
+     *     store
      */
     public record HeartbeatBatchReply(
             FencingToken fencingToken,
@@ -100,19 +104,24 @@
             Set<String> partitionOwners,
             List<LeaderVerdict> verdicts) {}
 
-    /** Orders that a partition owner is to hand to a worker at once. */
+    /**
+     * Orders that a partition owner sends to a worker at once, not in answer to the worker's next
+     * heartbeat.
+     */
     public record DirectOrderMessage(String address, long incarnation, JsonNode orders) {}
 
-    /** A repeated heartbeat is an array of machine, incarnation, base, sequence and token. */
+    /**
+     * A repeated heartbeat is an array of machine, incarnation, base sequence, sequence and token.
+     */
     private static final int REPEATED_FIELDS = 5;
 
-    private static final String FULL_HEARTBEAT_WORD = "whole";
+    private static final String FULL_HEARTBEAT_REQUIRED_CODE = "whole";
 
     private PeerMessages() {}
 
     /**
-     * A worker's heartbeat as part of a message; one in another encoding than UTF-8 would spoil the
-     * others beside it.
+     * Returns a worker's heartbeat as a raw JSON value, re-encoded as UTF-8 if it is in another
+     * encoding, which would make the whole message unreadable.
      */
     static RawValue embedded(byte[] heartbeat) {
         boolean utf8 = heartbeat.length > 1 && heartbeat[0] > 0 && heartbeat[1] > 0;
@@ -122,7 +131,10 @@
                         StandardCharsets.UTF_8));
     }
 
-    /** Empty where the message is not one of this version's: it is refused whole. */
+    /**
+     * Decodes a batch; empty if it is malformed or of an incompatible version. One malformed
+     * heartbeat makes the whole batch invalid.
+     */
     public static Optional<HeartbeatBatch> readBatch(JsonNode message) {
         if (!message.path("node").isTextual()
                 || !message.path("life").isTextual()
@@ -197,14 +209,14 @@
             } else {
                 answers.add(
                         verdict instanceof LeaderVerdict.FullHeartbeatRequired
-                                ? FULL_HEARTBEAT_WORD
+                                ? FULL_HEARTBEAT_REQUIRED_CODE
                                 : "refused");
             }
         }
         return Json.write(node);
     }
 
-    /** Empty where the message is not a reply to that many heartbeats. */
+    /** Decodes the reply to a batch; empty if it is no reply to that number of heartbeats. */
     static Optional<HeartbeatBatchReply> readBatchReply(JsonNode message, int heartbeats) {
         if (!message.path("epoch").isIntegralNumber()
                 || !message.path("contactAgoMs").isNumber()
@@ -229,27 +241,33 @@
         if (verdict.isArray()) {
             return new LeaderVerdict.Orders(verdict);
         }
-        return verdict.asText().equals(FULL_HEARTBEAT_WORD)
+        return verdict.asText().equals(FULL_HEARTBEAT_REQUIRED_CODE)
                 ? LeaderVerdict.FULL_HEARTBEAT_REQUIRED
                 : LeaderVerdict.REFUSED;
     }
 
-    /** Encodes how long ago this controller knew all changes in the store, and its token. */
-    static ObjectNode writeStoreContact(double contactAgoS, FencingToken token) {
+    /**
+     * Encodes the seconds since this controller was last known to have all changes in the store,
+     * and its fencing token.
+     */
+    static ObjectNode writeStoreContact(double storeContactAgeS, FencingToken token) {
         return Json.object()
-                .put("contactAgoMs", Math.round(contactAgoS * 1000))
+                .put("contactAgoMs", Math.round(storeContactAgeS * 1000))
                 .put("epoch", token.value());
     }
 
-    /** Seconds since another controller knew all changes; empty where it does not say so. */
+    /**
+     * Decodes the seconds since another controller was last known to have all changes in the store;
+     * empty if the message does not state them.
+     */
     static OptionalDouble readStoreContactAge(JsonNode message) {
-        JsonNode contactAgoMs = message.path("contactAgoMs");
-        return contactAgoMs.isNumber()
-                ? OptionalDouble.of(contactAgoMs.doubleValue() / 1000)
+        JsonNode storeContactAgeMs = message.path("contactAgoMs");
+        return storeContactAgeMs.isNumber()
+                ? OptionalDouble.of(storeContactAgeMs.doubleValue() / 1000)
                 : OptionalDouble.empty();
     }
 
-    /** The fencing token that the message was sent under. */
+    /** Decodes the fencing token under which the message was sent. */
     static FencingToken readToken(JsonNode message) {
         return new FencingToken(message.path("epoch").longValue());
     }
--- a/src/main/java/io/pepperfield/peer/Peers.java
+++ b/src/main/java/io/pepperfield/peer/Peers.java
@@ -18,39 +18,42 @@
 import java.util.function.Consumer;
 
 /**
- * The exchange between controllers: whether they reach the key-value store, the heartbeats of their
- * partitions, and orders for them. A controller that alone has lost the store must leave the load
- * balancer and let go of its workers; in an outage that all of them see, it must not. Confined to
- * the event loop.
+ * Sends and dispatches messages between controllers: contact with the key-value store, heartbeats
+ * of partitions, orders for workers, cancelled jobs. A controller that is alone in having lost the
+ * store must leave the load balancer and let its workers move to other controllers; in an outage
+ * that affects all controllers it must do neither. Confined to the event loop.
  */
 public final class Peers {
 
     /** Receives the other controllers' messages. */
     public interface Handler {
-        /** A partition owner's heartbeats, for the leader; {@code answer} is called once. */
+        /** Handles a partition owner's heartbeats as the leader; {@code answer} is called once. */
         void heartbeatBatchReceived(PeerMessages.HeartbeatBatch batch, Consumer<HttpReply> answer);
 
-        /** Orders for a worker of this controller's partition. */
+        /** Handles orders for a worker in this controller's partition. */
         void directOrdersReceived(FencingToken token, PeerMessages.DirectOrderMessage message);
 
-        /** Another controller has told users that these jobs are cancelled. */
+        /** Handles the cancellation of jobs that another controller has confirmed to users. */
         void jobsCancelled(List<String> ids);
     }
 
-    /** Answers what other controllers POST to a path of a feature. */
+    /** Answers POST requests of other controllers on one path. */
     public interface Endpoint {
-        /** Takes a message; the answer may come later. */
+        /** Handles a message; {@code answer} may be called later. */
         void handle(InboundRequest request, Consumer<HttpReply> answer);
     }
 
-    /** Whether this controller reaches the store, compared with the others. */
+    /**
+     * State of this controller's contact with the store: {@code OUTAGE} if the other controllers
+     * have lost it too, {@code ISOLATED} if this one alone has, or cannot reach any peer.
+     */
     public enum StoreContact {
         CONNECTED,
         OUTAGE,
         ISOLATED
     }
 
-    /** Where a partition owner sends the heartbeats of its partition. */
+    /** Path to which a partition owner sends the heartbeats of its partition. */
     static final String HEARTBEATS_PATH = "/peer/relay";
 
     private static final String CONTACT_PATH = "/peer/contact";
@@ -58,33 +61,35 @@
     private static final String CANCELLED_PATH = "/peer/cancelled";
 
     /**
-     * In heartbeat intervals: how old the last contact with the store may be before the others are
-     * asked. A watch is held for half an interval, and as much again is not the ordinary case.
+     * Heartbeat intervals without store contact after which the peers are queried. The store
+     * answers a watch after half an interval at the latest; twice that time is exceptional.
      */
-    private static final double DOUBT_INTERVALS = 0.8;
+    private static final double PEER_QUERY_INTERVALS = 0.8;
 
-    /** In heartbeat intervals: after so long without contact the store counts as lost. */
-    private static final double LOST_INTERVALS = 1.5;
+    /** Heartbeat intervals without store contact after which the store counts as lost. */
+    private static final double STORE_LOST_INTERVALS = 1.5;
 
-    /** In heartbeat intervals: after so long without any peer's answer this one is isolated. */
-    private static final double UNREACHED_INTERVALS = 2;
+    /** Heartbeat intervals without a peer's reply after which this controller is isolated. */
+    private static final double NO_PEER_REPLY_INTERVALS = 2;
 
-    /** Reported where the store has never been reached, so that the number stays exact. */
-    private static final double MAX_CONTACT_AGO_S = 1e9;
+    /**
+     * Age reported if the store has never been reached; low enough to be exact as a number in the
+     * message.
+     */
+    private static final double MAX_STORE_CONTACT_AGE_S = 1e9;
 
     private final Loop loop;
     private final Settings settings;
     private final HttpSender client;
     private final double heartbeatIntervalS;
-    private final Map<String, Double> peerConfirmedAt = new HashMap<>();
+    private final Map<String, Double> peerStoreContactAt = new HashMap<>();
     private final Map<String, Endpoint> endpoints = new HashMap<>();
     private Handler handler;
-    private double peerReachedAt = Double.NEGATIVE_INFINITY;
-    private double queriedAt = Double.NEGATIVE_INFINITY;
-    private double ownConfirmedAt = Double.NEGATIVE_INFINITY;
+    private double lastPeerReplyAt = Double.NEGATIVE_INFINITY;
+    private double lastPeerQueryAt = Double.NEGATIVE_INFINITY;
+    private double ownStoreContactAt = Double.NEGATIVE_INFINITY;
     private FencingToken fencingToken = FencingToken.NONE;
 
-    /** Creates the exchange with the other members of the cluster. */
     public Peers(Loop loop, Settings settings, HttpSender client) {
         this.loop = loop;
         this.settings = settings;
@@ -92,25 +97,25 @@
         this.heartbeatIntervalS = settings.deployment().workerTimings().heartbeatIntervalS();
     }
 
-    /** Sets what receives the messages; called once, before the first of them. */
+    /** Sets the receiver of messages; called once, before the first message arrives. */
     public void setHandler(Handler receiver) {
         handler = receiver;
     }
 
     /**
-     * To be called often; asks the others only while this controller itself seems to have lost the
-     * store.
+     * Updates this controller's contact with the store, and queries the other controllers for
+     * theirs while its own is overdue. Called several times per heartbeat interval.
      *
-     * @param ownLastConfirmedAt loop time up to which this controller knows all changes
+     * @param lastStoreContactAt loop time up to which this controller has all changes in the store
      */
-    public void tick(double now, double ownLastConfirmedAt, FencingToken ownToken) {
-        ownConfirmedAt = ownLastConfirmedAt;
+    public void tick(double now, double lastStoreContactAt, FencingToken ownToken) {
+        ownStoreContactAt = lastStoreContactAt;
         fencingToken = ownToken;
-        if (now - ownLastConfirmedAt < DOUBT_INTERVALS * heartbeatIntervalS
-                || now - queriedAt < heartbeatIntervalS / 4) {
+        if (now - lastStoreContactAt < PEER_QUERY_INTERVALS * heartbeatIntervalS
+                || now - lastPeerQueryAt < heartbeatIntervalS / 4) {
             return;
         }
-        queriedAt = now;
+        lastPeerQueryAt = now;
         for (Settings.Member member : settings.members()) {
             client.send(
                     new OutboundRequest(
@@ -127,33 +132,34 @@
 
     private void contactReceived(String controller, double sentAt, HttpOutcome outcome) {
         if (outcome instanceof HttpOutcome.Answered answer && answer.status() == 200) {
-            OptionalDouble contactAgoS = PeerMessages.readStoreContactAge(answer.json());
-            if (contactAgoS.isPresent()) {
-                peerReachedAt = Math.max(peerReachedAt, sentAt);
-                peerConfirmedAt.merge(controller, sentAt - contactAgoS.getAsDouble(), Math::max);
+            OptionalDouble contactAgeS = PeerMessages.readStoreContactAge(answer.json());
+            if (contactAgeS.isPresent()) {
+                lastPeerReplyAt = Math.max(lastPeerReplyAt, sentAt);
+                peerStoreContactAt.merge(controller, sentAt - contactAgeS.getAsDouble(), Math::max);
             }
         }
     }
 
     /**
-     * Whether the store is lost, and to whom. A controller that reaches nobody at all must take
-     * itself for the one that is isolated: the others may be deciding without it.
+     * Returns whether the store is lost, and if so to all controllers or to this one only. A
+     * controller that reaches no peer must treat itself as isolated, since the others may be taking
+     * decisions without it.
      */
     public StoreContact storeContact(double now) {
-        if (now - ownConfirmedAt < LOST_INTERVALS * heartbeatIntervalS) {
+        if (now - ownStoreContactAt < STORE_LOST_INTERVALS * heartbeatIntervalS) {
             return StoreContact.CONNECTED;
         }
         if (settings.members().isEmpty()) {
             return StoreContact.OUTAGE;
         }
         boolean isolated =
-                now - peerReachedAt > UNREACHED_INTERVALS * heartbeatIntervalS
-                        || peerConfirmedAt.values().stream()
-                                .anyMatch(at -> at > ownConfirmedAt + heartbeatIntervalS);
+                now - lastPeerReplyAt > NO_PEER_REPLY_INTERVALS * heartbeatIntervalS
+                        || peerStoreContactAt.values().stream()
+                                .anyMatch(at -> at > ownStoreContactAt + heartbeatIntervalS);
         return isolated ? StoreContact.ISOLATED : StoreContact.OUTAGE;
     }
 
-    /** Hands orders for workers to the owner of their partition. */
+    /** Sends orders for workers to the owner of their partition. */
     void sendDirectOrders(
             Settings.Member owner,
             FencingToken orderToken,
@@ -171,8 +177,9 @@
     }
 
     /**
-     * Tells all others which jobs users have been told are cancelled: a controller that has lost
-     * the store alone can stop those tasks at once, instead of letting their machines go.
+     * Notifies all other controllers of jobs whose cancellation was confirmed to users. A
+     * controller that is alone in having lost the store can then stop their tasks at once, instead
+     * of letting the leases of their machines expire.
      */
     public void broadcastCancelledJobs(List<String> ids) {
         byte[] body = PeerMessages.writeCancelledJobs(ids);
@@ -190,12 +197,12 @@
         }
     }
 
-    /** Adds a path for a feature's messages; where it is not served, they get 404. */
+    /** Registers the handler for POST requests on a path; unregistered paths are answered 404. */
     public void addEndpoint(String path, Endpoint endpoint) {
         endpoints.put(path, endpoint);
     }
 
-    /** Sends a feature's message to another controller; the answer arrives on the event loop. */
+    /** Sends a message to another controller; {@code done} is called on the event loop. */
     public void send(
             Settings.Member member,
             String path,
@@ -214,7 +221,7 @@
                 outcome -> loop.post(() -> done.accept(outcome)));
     }
 
-    /** Takes another controller's message; {@code answer} is called once, perhaps later. */
+    /** Handles another controller's message; {@code answer} is called once, possibly later. */
     public void handle(InboundRequest request, Consumer<HttpReply> answer) {
         switch (request.method() + " " + request.path()) {
             case "GET " + CONTACT_PATH -> answer.accept(describeContact());
@@ -232,8 +239,8 @@
     }
 
     private HttpReply describeContact() {
-        double contactAgoS = Math.min(MAX_CONTACT_AGO_S, loop.now() - ownConfirmedAt);
-        return HttpReply.json(200, PeerMessages.writeStoreContact(contactAgoS, fencingToken));
+        double contactAgeS = Math.min(MAX_STORE_CONTACT_AGE_S, loop.now() - ownStoreContactAt);
+        return HttpReply.json(200, PeerMessages.writeStoreContact(contactAgeS, fencingToken));
     }
 
     private void handleHeartbeats(InboundRequest request, Consumer<HttpReply> answer) {
--- a/src/main/java/io/pepperfield/peer/ReceiveFailureDetector.java
+++ b/src/main/java/io/pepperfield/peer/ReceiveFailureDetector.java
@@ -8,150 +8,163 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's view of whether each controller receives the heartbeats of its partition. One that
- * other controllers reach and its workers do not has a receive failure (a one-way partition): its
- * workers would be redirected to it again and again, each time with a pause of seconds and no
- * orders. Confined to the event loop.
+ * Detects, on the leader, controllers that do not receive the heartbeats of their partition. A
+ * controller that other controllers can reach but its workers cannot has a receive failure (a
+ * one-way network partition). As long as it owned a partition, its workers would be redirected to
+ * it repeatedly, each time losing seconds without receiving orders. Confined to the event loop.
  */
 public final class ReceiveFailureDetector {
 
     private static final Logger LOG = LoggerFactory.getLogger(ReceiveFailureDetector.class);
 
-    /** So many misrouted machines of one partition at once are no accident of theirs. */
+    /**
+     * Number of simultaneously misrouted machines from which the fault lies with the partition
+     * owner and not with a single machine.
+     */
     private static final int MIN_MISROUTED_MACHINES = 2;
 
     /**
-     * Heartbeat intervals until a controller's workers have found it: one at another controller,
-     * then the redirect, with the worker's timeout between.
+     * Heartbeat intervals that workers need to find their controller: one at another controller,
+     * then the worker timeout and the redirect.
      */
     private static final double DISCOVERY_INTERVALS = 3;
 
-    /** Each new failure doubles the time without a partition, up to so many leases. */
+    /**
+     * Maximum time without a partition, in leases; each further failure doubles the time up to
+     * this.
+     */
     private static final int MAX_PENALTY_LEASES = 8;
 
-    /** How well one controller receives the heartbeats of its partition; loop times in seconds. */
+    /** Observations of one controller as a partition owner; loop times in seconds. */
     private static final class OwnerState {
-        double ownsSince = Double.NaN;
-        double heardAt = Double.NEGATIVE_INFINITY;
-        double receiveFailureUntil = Double.NEGATIVE_INFINITY;
-        double penaltyLeases;
+        double ownerSince = Double.NaN;
+        double lastHeartbeatAt = Double.NEGATIVE_INFINITY;
+        double withoutPartitionUntil = Double.NEGATIVE_INFINITY;
+        double penaltyInLeases;
         final Map<String, MisroutedMachine> misroutedMachines = new HashMap<>();
     }
 
-    /** A machine whose heartbeats arrive elsewhere, since when and until when. */
+    /**
+     * A machine whose heartbeats arrive at a controller other than its partition owner, with the
+     * loop times of the first and the last of them.
+     */
     private record MisroutedMachine(double since, double lastSeenAt) {}
 
     private final double heartbeatIntervalS;
     private final double leaseS;
     private final Map<String, OwnerState> owners = new HashMap<>();
 
-    /** Creates an empty view; both intervals are in seconds. */
+    /** Creates a detector without observations; both parameters are in seconds. */
     public ReceiveFailureDetector(double heartbeatIntervalS, double leaseS) {
         this.heartbeatIntervalS = heartbeatIntervalS;
         this.leaseS = leaseS;
     }
 
-    /** A heartbeat of a machine in that owner's partition arrived at a controller. */
+    /** Records that a heartbeat of a machine in the owner's partition arrived at a controller. */
     public void recordHeartbeat(String machine, String owner, String receivedBy, double now) {
         if (owner.isEmpty()) {
             return;
         }
         OwnerState state = owners.computeIfAbsent(owner, name -> new OwnerState());
         if (owner.equals(receivedBy)) {
-            state.heardAt = now;
+            state.lastHeartbeatAt = now;
             state.misroutedMachines.remove(machine);
         } else {
             state.misroutedMachines.merge(
                     machine,
                     new MisroutedMachine(now, now),
-                    (known, latest) -> new MisroutedMachine(known.since, now));
+                    (existing, latest) -> new MisroutedMachine(existing.since, now));
         }
     }
 
     /**
-     * Of the live controllers those that are to have a partition; all of them where none would be
-     * left.
+     * Updates the detection and returns the live controllers that may own a partition: those
+     * without a receive failure, or all of them if every one has a failure.
      */
-    public Set<String> eligibleOwners(Set<String> live, double now) {
-        Set<String> receiving = new TreeSet<>();
-        for (String controller : live) {
+    public Set<String> eligibleOwners(Set<String> liveControllers, double now) {
+        Set<String> eligible = new TreeSet<>();
+        for (String controller : liveControllers) {
             OwnerState owner = owners.computeIfAbsent(controller, name -> new OwnerState());
-            if (owner.receiveFailureUntil > now) {
+            if (owner.withoutPartitionUntil > now) {
                 continue;
             }
-            if (Double.isNaN(owner.ownsSince)) {
-                owner.ownsSince = now;
+            if (Double.isNaN(owner.ownerSince)) {
+                owner.ownerSince = now;
             }
             if (detectReceiveFailure(owner, now)) {
                 withdrawPartition(controller, owner, now);
             } else {
-                if (owner.heardAt > owner.ownsSince
-                        && now - owner.ownsSince > MAX_PENALTY_LEASES * leaseS) {
-                    owner.penaltyLeases = 0;
+                if (owner.lastHeartbeatAt > owner.ownerSince
+                        && now - owner.ownerSince > MAX_PENALTY_LEASES * leaseS) {
+                    owner.penaltyInLeases = 0;
                 }
-                receiving.add(controller);
+                eligible.add(controller);
             }
         }
         owners.forEach(
                 (controller, owner) -> {
-                    if (!live.contains(controller)) {
-                        // It begins anew when it is back: its workers need their time to find it.
-                        owner.ownsSince = Double.NaN;
+                    if (!liveControllers.contains(controller)) {
+                        // When it is live again its observation restarts, since its workers need
+                        // time to find it.
+                        owner.ownerSince = Double.NaN;
                         owner.misroutedMachines.clear();
                     }
                 });
-        return receiving.isEmpty() ? live : receiving;
+        return eligible.isEmpty() ? liveControllers : eligible;
     }
 
     private void withdrawPartition(String controller, OwnerState owner, double now) {
-        owner.penaltyLeases = Math.min(MAX_PENALTY_LEASES, Math.max(1, 2 * owner.penaltyLeases));
-        owner.receiveFailureUntil = now + owner.penaltyLeases * leaseS;
-        owner.ownsSince = Double.NaN;
+        owner.penaltyInLeases =
+                Math.min(MAX_PENALTY_LEASES, Math.max(1, 2 * owner.penaltyInLeases));
+        owner.withoutPartitionUntil = now + owner.penaltyInLeases * leaseS;
+        owner.ownerSince = Double.NaN;
         LOG.warn(
-                "receive failure: controller={} withoutPartitionS={}: others receive the"
-                        + " heartbeats of its partition, it does not",
+                "receive failure: controller={} withoutPartitionS={}: heartbeats of its"
+                        + " partition arrive at other controllers only",
                 controller,
-                Math.round(owner.penaltyLeases * leaseS));
+                Math.round(owner.penaltyInLeases * leaseS));
         owner.misroutedMachines.clear();
     }
 
-    /** Whether that controller has lost its partition for not receiving its heartbeats. */
+    /** Whether the controller is currently without a partition because of a receive failure. */
     public boolean hasReceiveFailure(String controller, double now) {
         OwnerState owner = owners.get(controller);
-        return owner != null && owner.receiveFailureUntil > now;
+        return owner != null && owner.withoutPartitionUntil > now;
     }
 
     /**
-     * The workers are refused everywhere for now: until that is over, where they turn up tells
-     * nothing.
+     * Discards all observations while workers are refused by every controller, since which
+     * controller they then try is no evidence of a failure. Running penalties remain.
      */
     public void resetObservations() {
         owners.values()
                 .forEach(
                         owner -> {
-                            owner.ownsSince = Double.NaN;
+                            owner.ownerSince = Double.NaN;
                             owner.misroutedMachines.clear();
                         });
     }
 
     private boolean detectReceiveFailure(OwnerState owner, double now) {
-        // A misrouted machine spends most of its time waiting for an answer of its owner; it is
-        // seen elsewhere once in a while.
+        // A misrouted machine spends most of its time waiting for its owner to answer, so its
+        // heartbeats reach other controllers only occasionally; an entry is kept for a lease.
         owner.misroutedMachines.values().removeIf(machine -> now - machine.lastSeenAt > leaseS);
-        // New machines turn up anywhere and are redirected after an interval: until then an owner
-        // that had none before has received nothing for long, which is no failure.
+        // New machines contact any controller and are redirected after a heartbeat interval. An
+        // owner whose partition was empty until then has received no heartbeats for long, which is
+        // no failure; so the time without heartbeats starts with the first misrouted one.
         double firstMisroutedAt =
                 owner.misroutedMachines.values().stream()
                         .mapToDouble(MisroutedMachine::since)
                         .min()
                         .orElse(now);
-        double receivingUntil = Math.max(owner.ownsSince, owner.heardAt);
-        double silentSince = Math.max(receivingUntil, firstMisroutedAt - heartbeatIntervalS / 2);
-        if (now - silentSince <= DISCOVERY_INTERVALS * heartbeatIntervalS) {
+        double lastHeartbeatOrStart = Math.max(owner.ownerSince, owner.lastHeartbeatAt);
+        double noHeartbeatSince =
+                Math.max(lastHeartbeatOrStart, firstMisroutedAt - heartbeatIntervalS / 2);
+        if (now - noHeartbeatSince <= DISCOVERY_INTERVALS * heartbeatIntervalS) {
             return false;
         }
-        // On a small site a partition may be a single machine: it tells as much if it has been
-        // misrouted for a while.
+        // In a small cluster a partition may consist of a single machine, which is sufficient
+        // evidence once it has been misrouted for longer than a lease.
         return owner.misroutedMachines.size() >= MIN_MISROUTED_MACHINES
                 || owner.misroutedMachines.values().stream()
                         .anyMatch(machine -> machine.lastSeenAt - machine.since > leaseS);
