--- a/src/main/java/io/pepperfield/health/FailureDetector.java
+++ b/src/main/java/io/pepperfield/health/FailureDetector.java
@@ -15,28 +15,34 @@
 import java.util.Optional;
 
 /**
- * Finds the machines that are silent, have a receive failure, never came up, are faulty or about to
- * be reclaimed, and releases them. Lives as long as one leadership; confined to the event loop.
+ * Detects and releases machines that are unresponsive, have a receive failure, did not boot, are
+ * faulty or are about to be reclaimed. One instance serves one leadership; confined to the event
+ * loop.
  */
 public final class FailureDetector {
 
-    /** Of the deadline for a cancellation; the rest is for the cloud to end the machine. */
+    /**
+     * Fraction of the cancellation deadline after which a cancelled task on an unresponsive machine
+     * is overdue; the remainder leaves time for the cloud to terminate the machine.
+     */
     private static final double OVERDUE_FRACTION = 0.6;
 
-    /** In heartbeat intervals: a machine that has been silent for longer is probed. */
-    private static final double PROBE_INTERVALS = 1.5;
+    /** Heartbeat intervals after which an unresponsive machine is probed. */
+    private static final double PROBE_AFTER_INTERVALS = 1.5;
 
     private final ClusterState cluster;
     private final Dispatcher dispatcher;
     private final WorkerClient workers;
     private final Dispatcher.AttemptControl attemptControl;
 
-    /** Loop time until which the silence of a zone's machines is taken for a partition. */
+    /**
+     * Loop time until which unresponsive machines of a zone are considered partitioned, by zone.
+     */
     private final Map<String, Double> partitionedUntil = new HashMap<>();
 
-    /** What one look at all machines has found. */
-    private static final class Census {
-        /** Machines that are ready or must have been. */
+    /** The result of one scan of all machines. */
+    private static final class FleetScan {
+        /** Number of machines that are ready or must have been ready under an earlier leader. */
         int machines;
 
         final Map<String, Integer> machinesPerZone = new HashMap<>();
@@ -45,7 +51,7 @@
     }
 
     private boolean stopped;
-    private double capacityCheckedAt = Double.NEGATIVE_INFINITY;
+    private double lastCapacityCheckAt = Double.NEGATIVE_INFINITY;
 
     /** Creates the failure detector of one leadership. */
     public FailureDetector(
@@ -59,74 +65,80 @@
         this.attemptControl = attemptControl;
     }
 
-    /** The leadership has ended: answers to probes change nothing any more. */
+    /** Ends the detection with the leadership; later answers to probes are ignored. */
     public void stop() {
         stopped = true;
     }
 
     /**
-     * Looks at all machines, and releases those that are lost, faulty, reclaimed or never came up.
+     * Scans all machines, and releases those that are lost, faulty, about to be reclaimed or did
+     * not boot.
      *
-     * @return false where none of several machines can be reached: this controller is more likely
-     *     cut off than they all dead
+     * @return false if several machines exist and none is reachable: it is more likely that this
+     *     controller is isolated than that all of them failed
      */
     public boolean tick(double now) {
-        Census census = new Census();
+        FleetScan scan = new FleetScan();
         for (Machine machine : cluster.fleet().machines()) {
             if (!machine.releasing()) {
-                examine(machine, census, now);
+                classify(machine, scan, now);
             }
         }
-        // The cloud ends them whoever is cut off: before the question whether it is this
-        // controller.
-        releaseOverdue(census.lost, now);
-        if (census.machines > 1 && census.lost.size() == census.machines) {
+        // Overdue machines are released even if this controller is the one that is isolated: the
+        // cloud terminates them in either case.
+        releaseOverdue(scan.lost, now);
+        if (scan.machines > 1 && scan.lost.size() == scan.machines) {
             return false;
         }
-        census.lost.removeIf(Machine::releasing);
-        recordPartitions(census, now);
-        releaseLost(census, now);
-        releaseNeverReady(census.neverReady, now);
+        scan.lost.removeIf(Machine::releasing);
+        recordPartitionedZones(scan, now);
+        releaseLost(scan, now);
+        releaseNeverReady(scan.neverReady, now);
         return true;
     }
 
-    private void examine(Machine machine, Census census, double now) {
+    private void classify(Machine machine, FleetScan scan, double now) {
         boolean unreachable = machine.unreachableFor(now) > cluster.heartbeatTimeoutS();
-        // One that had long booted when this leader began may be unreachable with the rest of its
-        // zone: silent, and not a machine that never came up.
-        boolean bootedBefore =
+        // A machine that must have booted before this leader was elected may be unreachable
+        // together with its zone: it is lost, and not a machine that did not boot.
+        boolean mustHaveBooted =
                 !machine.ready() && cluster.bootTracker().mustHaveBootedBefore(machine);
-        if (machine.ready() || bootedBefore) {
-            census.machines++;
-            census.machinesPerZone.merge(machine.zone(), 1, Integer::sum);
+        if (machine.ready() || mustHaveBooted) {
+            scan.machines++;
+            scan.machinesPerZone.merge(machine.zone(), 1, Integer::sum);
             if (unreachable) {
-                census.lost.add(machine);
+                scan.lost.add(machine);
             }
         }
         if (machine.ready()) {
-            checkMachine(machine, now);
-        } else if (!bootedBefore && cluster.bootTracker().isGivenUp(machine, now) && unreachable) {
-            census.neverReady.add(machine);
+            checkReadyMachine(machine, now);
+        } else if (!mustHaveBooted
+                && cluster.bootTracker().isGivenUp(machine, now)
+                && unreachable) {
+            scan.neverReady.add(machine);
         }
     }
 
-    /** Probes a machine that is late, and drains and releases one that is faulty or reclaimed. */
-    private void checkMachine(Machine machine, double now) {
-        if (machine.unreachableFor(now) > PROBE_INTERVALS * cluster.heartbeatIntervalS()
+    /**
+     * Probes a machine whose heartbeat is overdue, and drains and releases one that is faulty or
+     * about to be reclaimed.
+     */
+    private void checkReadyMachine(Machine machine, double now) {
+        if (machine.unreachableFor(now) > PROBE_AFTER_INTERVALS * cluster.heartbeatIntervalS()
                 && machine.claimDueProbe(now, cluster.heartbeatIntervalS() / 2)) {
             workers.probe(machine.address(), this::probeAnswered);
         }
         if (!Double.isNaN(machine.reclaimAt())) {
-            drainReclaimed(machine);
+            stopCheckpointedAttempts(machine);
         }
         if (machine.faulty()) {
             machine.drain();
         }
         if (machine.restarted()) {
-            cluster.instanceLifecycle().release(machine, "its worker has begun anew");
+            cluster.instanceLifecycle().release(machine, "worker restarted");
         } else if (machine.draining() && machine.idle()) {
-            String why = machine.faulty() ? "faulty" : "about to be taken";
-            cluster.instanceLifecycle().release(machine, why);
+            String reason = machine.faulty() ? "faulty" : "about to be reclaimed";
+            cluster.instanceLifecycle().release(machine, reason);
         }
     }
 
@@ -139,17 +151,21 @@
     private void releaseOverdue(List<Machine> lost, double now) {
         for (Machine machine : lost) {
             if (holdsOverdueCancellation(machine, now)) {
-                cluster.instanceLifecycle().release(machine, "silent with a cancelled task");
+                cluster.instanceLifecycle()
+                        .release(machine, "unresponsive with an overdue cancellation");
             }
         }
     }
 
     private void releaseNeverReady(List<Machine> neverReady, double now) {
-        double cancelS = cluster.settings().deployment().workerTimings().cancellationDeadlineS();
+        double cancellationDeadlineS =
+                cluster.settings().deployment().workerTimings().cancellationDeadlineS();
         for (Machine machine : neverReady) {
-            // Of a partitioned zone nobody can tell what has come up there since.
-            if (!isPartitioned(machine.zone(), now) || machine.unreachableFor(now) > cancelS) {
-                cluster.instanceLifecycle().release(machine, "never came up");
+            // Machines of a partitioned zone may have booted unnoticed. After the cancellation
+            // deadline their leases have expired in any case.
+            if (!isPartitioned(machine.zone(), now)
+                    || machine.unreachableFor(now) > cancellationDeadlineS) {
+                cluster.instanceLifecycle().release(machine, "did not boot");
             }
         }
     }
@@ -159,59 +175,64 @@
     }
 
     /**
-     * Many machines that are lost at once are more likely partitioned than dead, in one zone or, by
-     * this controller's own links, in all.
+     * Records the zones that are probably partitioned. Many machines lost at the same time are more
+     * likely partitioned than failed, in a single zone or, if this controller's own network is the
+     * cause, in all zones.
      */
-    private void recordPartitions(Census census, double now) {
-        int few = cluster.settings().operators().maxConcurrentSilentReleases();
-        boolean allPartitioned = census.lost.size() > Math.max(few, census.machines / 3);
+    private void recordPartitionedZones(FleetScan scan, double now) {
+        int partitionThreshold = cluster.settings().operators().maxConcurrentSilentReleases();
+        boolean allZonesPartitioned =
+                scan.lost.size() > Math.max(partitionThreshold, scan.machines / 3);
         Map<String, Integer> lostPerZone = new HashMap<>();
-        census.lost.forEach(machine -> lostPerZone.merge(machine.zone(), 1, Integer::sum));
+        scan.lost.forEach(machine -> lostPerZone.merge(machine.zone(), 1, Integer::sum));
         lostPerZone.forEach(
-                (zone, lost) -> {
-                    int halfOfZone = census.machinesPerZone.get(zone) / 2;
-                    if (allPartitioned || lost > Math.max(few, halfOfZone)) {
-                        // When a partition ends its machines come back one by one, each after its
-                        // timeout at controllers that it could not reach: those that are still
-                        // silent then are not dead yet.
+                (zone, lostInZone) -> {
+                    int halfOfZoneMachines = scan.machinesPerZone.get(zone) / 2;
+                    if (allZonesPartitioned
+                            || lostInZone > Math.max(partitionThreshold, halfOfZoneMachines)) {
+                        // After a partition has healed its machines return one by one, each once
+                        // its requests to unreachable controllers have timed out. Those that are
+                        // still unresponsive meanwhile have not necessarily failed.
                         partitionedUntil.put(zone, now + cluster.leaseS());
                     }
                 });
     }
 
-    /** Releases lost machines, those first that have been unreachable for longest. */
-    private void releaseLost(Census census, double now) {
-        // A tenth of a large fleet may die at once with a rack; a few at a time would take it
-        // minutes to be replaced.
+    /** Releases lost machines, longest unreachable first, up to a limit of pending releases. */
+    private void releaseLost(FleetScan scan, double now) {
+        // A tenth of a large fleet may fail at once with a rack; with the configured limit alone,
+        // replacing it would take minutes.
         int maxReleasing =
                 Math.max(
                         cluster.settings().operators().maxConcurrentSilentReleases(),
-                        census.machines / 10);
-        census.lost.sort(
+                        scan.machines / 10);
+        scan.lost.sort(
                 Comparator.comparingDouble((Machine machine) -> machine.unreachableFor(now))
                         .reversed());
-        for (Machine machine : census.lost) {
+        for (Machine machine : scan.lost) {
             if (cluster.instanceLifecycle().releasing() >= maxReleasing) {
                 break;
             }
-            if (isLost(machine, isPartitioned(machine.zone(), now), now)) {
+            if (shouldRelease(machine, isPartitioned(machine.zone(), now), now)) {
                 cluster.instanceLifecycle()
-                        .release(machine, machine.hasReceiveFailure() ? "does not hear" : "silent");
+                        .release(
+                                machine,
+                                machine.hasReceiveFailure() ? "receive failure" : "unresponsive");
             }
         }
     }
 
     /**
-     * Whether to release a silent machine. It may only hang, and its tasks with it until their
-     * lease expires: to release it earlier pays where replicas can go on elsewhere at once, and
-     * costs both work and replicas where they cannot.
+     * Whether to release an unresponsive machine. The machine may only hang temporarily, and its
+     * tasks with it, until their lease expires. Releasing it earlier is worthwhile if its replicas
+     * can continue elsewhere at once; otherwise both work and replicas are lost.
      */
-    private boolean isLost(Machine machine, boolean partitioned, double now) {
+    private boolean shouldRelease(Machine machine, boolean partitioned, double now) {
         double leaseS = cluster.leaseS();
         double unreachableS = machine.unreachableFor(now);
         if (partitioned) {
-            // A controller inside the partition may renew the leases for that long, and the tasks
-            // go on; afterwards all have ended.
+            // A controller inside the partition may renew leases up to the cancellation deadline,
+            // so that tasks keep running; afterwards all of them have ended.
             return unreachableS
                     > cluster.settings().deployment().workerTimings().cancellationDeadlineS();
         }
@@ -221,21 +242,21 @@
         if (!machine.holdsReplica()) {
             return unreachableS > leaseS / 2;
         }
-        // The answer costs a look at the whole fleet, so it is asked for one machine at a time, a
-        // few times an interval; and the replicas of what is being released already must have
-        // moved before the free capacity is known.
+        // The check scans the whole fleet, so it runs for one machine at a time and at most eight
+        // times per heartbeat interval. While other machines are being released their replicas have
+        // not been relocated yet, so the free capacity is unknown.
         if (cluster.instanceLifecycle().releasing() > 0
-                || now - capacityCheckedAt < cluster.heartbeatIntervalS() / 8) {
+                || now - lastCapacityCheckAt < cluster.heartbeatIntervalS() / 8) {
             return false;
         }
-        capacityCheckedAt = now;
+        lastCapacityCheckAt = now;
         return dispatcher.canRelocateReplicas(machine, now);
     }
 
     /**
-     * Whether it may still hold a task that was cancelled so long ago that it must be gone before
-     * long: a machine that hangs, unlike one that is partitioned, ends nothing by itself, and both
-     * look the same from here, also when it is the whole fleet.
+     * Whether the machine may still hold a task whose cancellation deadline is close. A machine
+     * that hangs does not end its tasks when the lease expires, unlike one that is partitioned; the
+     * leader cannot distinguish the two, even if the whole fleet is affected.
      */
     private boolean holdsOverdueCancellation(Machine machine, double now) {
         double overdueS =
@@ -250,10 +271,10 @@
     }
 
     /**
-     * A machine that the cloud will reclaim: what takes checkpoints saves its progress in time;
-     * what may still complete goes on.
+     * Prepares a machine that the cloud will reclaim: attempts that take checkpoints are stopped so
+     * that they save their progress in time; the others continue, as they may still complete.
      */
-    private void drainReclaimed(Machine machine) {
+    private void stopCheckpointedAttempts(Machine machine) {
         for (Attempt attempt : List.copyOf(machine.attempts())) {
             if (attempt.live()
                     && !attempt.stopRequested()
--- a/src/main/java/io/pepperfield/health/LeaseRenewalPolicy.java
+++ b/src/main/java/io/pepperfield/health/LeaseRenewalPolicy.java
@@ -11,15 +11,16 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * How long a machine's lease may be renewed. The invariant: every answer that renews a lease rests
- * on a cancellation watermark, a loop time up to which all cancellations are settled on that
- * machine: none of their tasks can be there once the answer has been carried out, and none can
- * begin there any more. The lease then expires before the watermark plus the deadline for
- * cancellations. What is cancelled after the watermark thus ends in time without any order.
+ * Decides whether a machine's lease may be renewed. Invariant: every answer that renews a lease is
+ * based on a cancellation watermark, the loop time up to which all cancellations are settled on
+ * that machine, so that after the worker has carried out the answer's orders no task of a job
+ * cancelled by then is running on the machine or can start there. The lease expires before the
+ * watermark plus the cancellation deadline; tasks of jobs cancelled after the watermark therefore
+ * end in time without a stop order.
  *
- * <p>The watermark is always the sending time of a request that the store answered to the
- * controller on whose knowledge the answer rests: neither a refusal nor a renewed grant nor a
- * peer's report of an outage moves it. Confined to the event loop.
+ * <p>The watermark is always the time at which a request was sent that the store answered to the
+ * controller whose replica the answer is based on. A refused request, a renewed grant or a peer's
+ * report of an outage does not advance it. Confined to the event loop.
  */
 public final class LeaseRenewalPolicy {
 
@@ -28,8 +29,8 @@
     private final DoubleSupplier lastConfirmedAt;
 
     /**
-     * @param lastConfirmedAt loop time at which this controller's last request was sent that was
-     *     answered with all changes up to then
+     * @param lastConfirmedAt loop time at which this controller sent its latest request that the
+     *     store answered with all changes up to then
      */
     public LeaseRenewalPolicy(
             Settings.WorkerTimings timings, JobIndex jobIndex, DoubleSupplier lastConfirmedAt) {
@@ -39,35 +40,36 @@
     }
 
     /**
-     * Whether a lease may be renewed with all cancellations settled up to the watermark, with a
-     * margin for the drift of two clocks.
+     * Whether a lease may be renewed if all cancellations are settled up to the watermark. Includes
+     * a margin for the clock drift between controller and worker.
      */
     public boolean mayRenew(double cancellationWatermark, double now) {
-        double margin = timings.cancellationDeadlineS() / 500 + timings.heartbeatIntervalS() / 8;
+        double marginS = timings.cancellationDeadlineS() / 500 + timings.heartbeatIntervalS() / 8;
         return now
                 <= cancellationWatermark
                         + timings.cancellationDeadlineS()
                         - timings.leaseS()
-                        - margin;
+                        - marginS;
     }
 
     /**
-     * The watermark by this controller's own replica, while no leader answers. What the heartbeat
-     * shows of cancelled jobs is stopped by the answer itself. What it does not show may still be
-     * on its way as a run order; but no order leaves before its intent is durable, and no intent
-     * becomes durable once its job is cancelled: so either its intent is known here, or its job was
-     * not cancelled as of this replica. Where the intent is known, the watermark is the time at
-     * which the job was last known to be open.
+     * Returns the watermark according to this controller's own replica, for use while no leader
+     * answers. Attempts of cancelled jobs that the heartbeat reports are stopped by the answer
+     * itself. For an attempt that it does not report, a run order may still be in flight. A run
+     * order is sent only after its intent is durable, and no intent becomes durable once its job is
+     * cancelled; so either the replica has the intent, or the job was not cancelled as of this
+     * replica. If it has the intent, the watermark is the time at which the job was last known to
+     * be open.
      */
     public double localCancellationWatermark(Heartbeat heartbeat) {
         return Math.min(
                 lastConfirmedAt.getAsDouble(),
                 jobIndex.noneCancelledAsOf(
                         heartbeat.machine(),
-                        attempt -> shows(heartbeat, attempt.task(), attempt.number())));
+                        attempt -> reportsAttempt(heartbeat, attempt.task(), attempt.number())));
     }
 
-    private static boolean shows(Heartbeat heartbeat, String task, int attemptNumber) {
+    private static boolean reportsAttempt(Heartbeat heartbeat, String task, int attemptNumber) {
         return heartbeat.attempts().stream()
                 .anyMatch(
                         status ->
@@ -76,8 +78,8 @@
     }
 
     /**
-     * Stop orders for what the heartbeat shows of jobs that are known to be cancelled: right under
-     * any fencing token, since a cancellation is final.
+     * Returns stop orders for the attempts in the heartbeat whose jobs are known to be cancelled.
+     * They are valid under any fencing token, since a cancellation is final.
      */
     public List<Order> stopOrdersForCancelledJobs(Heartbeat heartbeat) {
         List<Order> stops = new ArrayList<>();
--- a/src/main/java/io/pepperfield/health/package-info.java
+++ b/src/main/java/io/pepperfield/health/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Detection of failures: lost machines, paused processes, partitioned zones, silent controllers;
- * and the rule for how long leases may be renewed without a confirmation by the key-value store.
+ * Failure detection for lost machines, paused processes, partitioned zones and unresponsive
+ * controllers, and the policy for renewing leases without confirmation by the key-value store.
  */
 package io.pepperfield.health;
--- a/src/main/java/io/pepperfield/heartbeat/PartitionAssignment.java
+++ b/src/main/java/io/pepperfield/heartbeat/PartitionAssignment.java
@@ -16,6 +16,7 @@
     private final Membership membership;
     private ReceiveFailureDetector receiveFailures;
 
+    /** Creates an assignment without observations. */
     public PartitionAssignment(Settings settings, Membership membership) {
         this.settings = settings;
         this.membership = membership;
--- a/src/main/java/io/pepperfield/peer/Peers.java
+++ b/src/main/java/io/pepperfield/peer/Peers.java
@@ -90,6 +90,7 @@
     private double ownStoreContactAt = Double.NEGATIVE_INFINITY;
     private FencingToken fencingToken = FencingToken.NONE;
 
+    /** Creates the messaging with the other members of the cluster. */
     public Peers(Loop loop, Settings settings, HttpSender client) {
         this.loop = loop;
         this.settings = settings;
