--- a/src/test/java/io/pepperfield/health/FailureDetectorTest.java
+++ b/src/test/java/io/pepperfield/health/FailureDetectorTest.java
@@ -30,8 +30,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Which silent machines are given up: twelve in the east and twelve in the west, reports every
- * second, leases of six.
+ * Release of unresponsive machines: twelve machines in each of the zones east and west, with a
+ * heartbeat interval of 1 s and leases of 6 s.
  */
 class FailureDetectorTest implements Loop, NoOpFleetListener {
 
@@ -39,10 +39,10 @@
             SingleNodeSettings.of(List.of("east", "west"), Map.of(), List.of());
     private final TreeSet<String> released = new TreeSet<>();
     private final Fleet fleet = new Fleet(this, new FencingToken(10), 3);
-    private final Map<String, Integer> serials = new HashMap<>();
-    private final List<Runnable> posted = new ArrayList<>();
+    private final Map<String, Integer> sequences = new HashMap<>();
+    private final List<Runnable> postedCommands = new ArrayList<>();
     private final MachineTypes types = new MachineTypes(settings);
-    private final BootTracker boots = new BootTracker(types, 60);
+    private final BootTracker bootTracker = new BootTracker(types, 60);
     private final FailureDetector failureDetector;
     private double now;
 
@@ -60,7 +60,7 @@
                         done.accept(true);
                     }
                 };
-        InstanceLifecycle renting =
+        InstanceLifecycle instanceLifecycle =
                 new InstanceLifecycle(
                         this, cloud, null, fleet, new FencingToken(10), 1, 10, () -> true);
         ClusterState cluster =
@@ -72,8 +72,8 @@
                         fleet,
                         new LiveAttempts(),
                         new HashMap<>(),
-                        renting,
-                        boots,
+                        instanceLifecycle,
+                        bootTracker,
                         new LatencyHistograms());
         failureDetector =
                 new FailureDetector(
@@ -85,22 +85,22 @@
 
     private void tick() {
         failureDetector.tick(now);
-        List.copyOf(posted).forEach(Runnable::run);
-        posted.clear();
+        List.copyOf(postedCommands).forEach(Runnable::run);
+        postedCommands.clear();
     }
 
-    private void run(double until, String... zones) {
+    private void runUntil(double until, String... zones) {
         for (; now < until; now += 0.5) {
             for (String zone : zones) {
                 for (int i = 0; i < 12; i++) {
-                    report(zone + i, zone);
+                    sendHeartbeat(zone + i, zone);
                 }
             }
             tick();
         }
     }
 
-    private void report(String name, String zone) {
+    private void sendHeartbeat(String name, String zone) {
         fleet.expectMachine(name, "box", zone, false, 0, now);
         fleet.handleHeartbeat(
                 new Heartbeat(
@@ -110,7 +110,7 @@
                         zone,
                         false,
                         1,
-                        serials.merge(name, 1, Integer::sum),
+                        sequences.merge(name, 1, Integer::sum),
                         new FencingToken(10),
                         null,
                         List.of()),
@@ -118,78 +118,81 @@
     }
 
     @Test
-    void aZonesSilenceIsTakenForACutUntilItsMachinesHadTimeToComeBack() {
-        run(10, "east", "west");
-        run(25, "east");
-        // The cut ends: most are heard again, and the others have been silent for longer than a
-        // lease.
+    void machinesOfAPartitionedZoneAreKeptUntilTheyHadTimeToReconnect() {
+        runUntil(10, "east", "west");
+        runUntil(25, "east");
+        // The partition heals: most machines send heartbeats again, the others have been
+        // unresponsive for longer than a lease.
         for (int i = 0; i < 8; i++) {
-            report("west" + i, "west");
+            sendHeartbeat("west" + i, "west");
         }
         tick();
         assertEquals(List.of(), new ArrayList<>(released));
-        run(27, "east");
+        runUntil(27, "east");
         assertEquals(List.of(), new ArrayList<>(released));
     }
 
     @Test
-    void aFewSilentMachinesAreReturnedAndAZoneThatNeverComesBackIsToo() {
-        run(10, "east", "west");
-        report("east12", "east");
-        run(14, "east", "west");
+    void aSingleUnresponsiveMachineAndAPermanentlyLostZoneAreReleased() {
+        runUntil(10, "east", "west");
+        sendHeartbeat("east12", "east");
+        runUntil(14, "east", "west");
         assertEquals(List.of("east12"), new ArrayList<>(released));
-        run(33, "east");
+        runUntil(33, "east");
         assertEquals(1, released.size());
-        run(38, "east");
+        runUntil(38, "east");
         assertEquals(13, released.size());
     }
 
     @Test
-    void machinesOfASlowZoneAreWaitedForAndOneThatNeverComesIsNot() {
-        // Nominal 5 s. In the west all come late; in the east all but one are up in time.
+    void machinesOfASlowlyBootingZoneAreKeptAndAMachineThatDoesNotBootIsReleased() {
+        // The nominal boot time is 5 s. In the west all machines boot late; in the east all but one
+        // boot in time.
         for (int i = 0; i < 6; i++) {
             fleet.expectMachine("west" + i, "box", "west", false, 0, 0);
         }
         fleet.expectMachine("never", "box", "east", false, 0, 0);
         for (int i = 0; i < 4; i++) {
-            report("east" + i, "east");
+            sendHeartbeat("east" + i, "east");
             now = 6;
-            boots.machineBooted(fleet.get("east" + i), now);
+            bootTracker.machineBooted(fleet.get("east" + i), now);
         }
         for (now = 6; now < 19; now += 0.5) {
-            boots.update(fleet, now);
+            bootTracker.update(fleet, now);
             for (int i = 0; i < 4; i++) {
-                report("east" + i, "east");
+                sendHeartbeat("east" + i, "east");
             }
             tick();
-            // Counted on or a second fleet would be rented for one that is about to come.
-            assertTrue(boots.isStillExpected(fleet.get("west0"), now), "at " + now);
+            // If it were no longer expected, a second fleet would be rented although the first one
+            // is about to boot.
+            assertTrue(bootTracker.isStillExpected(fleet.get("west0"), now), "at " + now);
             assertTrue(
                     now <= 12
                             || fleet.get("never") == null
-                            || !boots.isStillExpected(fleet.get("never"), now));
+                            || !bootTracker.isStillExpected(fleet.get("never"), now));
         }
         assertEquals(List.of("never"), new ArrayList<>(released));
-        assertTrue(boots.isLate(types.get("box"), "west"));
-        // A leader that begins now has seen no boot at all: what is up speaks for the east, where a
-        // few stragglers are no news.
-        BootTracker next = new BootTracker(types, 60);
+        assertTrue(bootTracker.isLate(types.get("box"), "west"));
+        // A newly elected leader has observed no boots. The machines already up in the east count
+        // as evidence of normal boot times there, which a few slow machines do not outweigh.
+        BootTracker newLeaderBootTracker = new BootTracker(types, 60);
         for (int i = 0; i < 3; i++) {
             fleet.expectMachine("straggler" + i, "box", "east", false, 0, now);
         }
-        next.update(fleet, now);
-        // Nor are three that died as they booted, where nothing else was rented since.
-        assertEquals(5, next.expectedBootTime(types.get("box"), "east"));
+        newLeaderBootTracker.update(fleet, now);
+        // The same holds for three machines that failed while booting, if no others have been
+        // rented in the zone since.
+        assertEquals(5, newLeaderBootTracker.expectedBootTime(types.get("box"), "east"));
         now += 20;
-        next.update(fleet, now);
-        assertEquals(5, next.expectedBootTime(types.get("box"), "east"));
-        assertTrue(next.isLate(types.get("box"), "west"));
-        // When the trouble ends, what comes in time is believed again.
+        newLeaderBootTracker.update(fleet, now);
+        assertEquals(5, newLeaderBootTracker.expectedBootTime(types.get("box"), "east"));
+        assertTrue(newLeaderBootTracker.isLate(types.get("box"), "west"));
+        // After the slow machines are gone the nominal boot time is expected again.
         for (int i = 0; i < 6; i++) {
             fleet.confirmReleased("west" + i);
         }
-        boots.update(fleet, now);
-        assertEquals(5, boots.expectedBootTime(types.get("box"), "west"));
+        bootTracker.update(fleet, now);
+        assertEquals(5, bootTracker.expectedBootTime(types.get("box"), "west"));
     }
 
     @Override
@@ -204,7 +207,7 @@
 
     @Override
     public void post(Runnable command) {
-        posted.add(command);
+        postedCommands.add(command);
     }
 
     @Override
--- a/src/test/java/io/pepperfield/health/LeaseRenewalPolicyTest.java
+++ b/src/test/java/io/pepperfield/health/LeaseRenewalPolicyTest.java
@@ -23,18 +23,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Reports every 4 s, leases of 22 s, cancellations within 47 s: on what knowledge a lease is
- * renewed, and for how long.
+ * Lease renewal without the leader, with a heartbeat interval of 4 s, leases of 22 s and a
+ * cancellation deadline of 47 s.
  */
 class LeaseRenewalPolicyTest {
 
-    private double knownUpTo = 60;
-    private final JobIndex jobIndex = new JobIndex(() -> knownUpTo);
-    private final LeaseRenewalPolicy renewal =
+    private double lastConfirmedAt = 60;
+    private final JobIndex jobIndex = new JobIndex(() -> lastConfirmedAt);
+    private final LeaseRenewalPolicy policy =
             new LeaseRenewalPolicy(
-                    new Settings.WorkerTimings(4, 22, 47), jobIndex, () -> knownUpTo);
+                    new Settings.WorkerTimings(4, 22, 47), jobIndex, () -> lastConfirmedAt);
 
-    private void accepted(String id, String... needed) {
+    private void addJob(String id, String... dependencies) {
         jobIndex.changed(
                 Keys.JOB_PREFIX + id,
                 JobCodec.encodeSpec(
@@ -43,22 +43,22 @@
                                 .tasks(2)
                                 .spot(true)
                                 .chunk(8)
-                                .dependencies(List.of(needed))
+                                .dependencies(List.of(dependencies))
                                 .build()));
     }
 
-    private void alive(String id, String machine) {
+    private void addLiveAttempt(String id, String machine) {
         jobIndex.changed(
                 Keys.runRecord(id, 0),
                 TaskState.encode(List.of(new TaskState(0, 3, TaskState.Phase.LIVE, machine, 1))));
     }
 
-    private void cancelled(String id) {
+    private void cancelJob(String id) {
         jobIndex.changed(
                 Keys.FINAL_STATE_PREFIX + id, JobCodec.encodeFinalStatus(Status.CANCELLED));
     }
 
-    private static Heartbeat report(String machine, Heartbeat.AttemptStatus... lines) {
+    private static Heartbeat heartbeat(String machine, Heartbeat.AttemptStatus... attempts) {
         return new Heartbeat(
                 machine,
                 "a:1",
@@ -69,75 +69,78 @@
                 9,
                 new FencingToken(5),
                 null,
-                List.of(lines));
+                List.of(attempts));
     }
 
-    private static Heartbeat.AttemptStatus line(String id, int attempt, Heartbeat.State state) {
+    private static Heartbeat.AttemptStatus attemptStatus(
+            String id, int attempt, Heartbeat.State state) {
         return new Heartbeat.AttemptStatus(
                 new TaskRef(id, 0), attempt, state, Heartbeat.Cause.NONE);
     }
 
     @Test
-    void aLeaseEndsBeforeWhatIsCancelledAfterwardsMustBeGone() {
-        assertTrue(renewal.mayRenew(70, 94.4));
-        // Renewed then, it would end at 116.6 by a clock that may be slow: too close to 70 + 47.
-        assertFalse(renewal.mayRenew(70, 94.6));
+    void leaseIsRenewedOnlyIfItExpiresBeforeTheCancellationDeadline() {
+        assertTrue(policy.mayRenew(70, 94.4));
+        // A lease renewed at 94.6 expires at 116.6 by a clock that may be slow, which is too close
+        // to the deadline of 70 + 47.
+        assertFalse(policy.mayRenew(70, 94.6));
     }
 
     @Test
-    void whatIsShownIsStoppedAndWhatIsStillToBeginIsWaitedFor() {
-        accepted("run-000001");
-        accepted("run-000002");
-        alive("run-000001", "m1");
-        alive("run-000002", "m1");
-        // The question sent at 60 was answered, and so is one sent at 70: the cancellation fell
-        // between.
-        cancelled("run-000001");
-        knownUpTo = 70;
-        // Its run order may be held back, and nobody here can call it off: the machine must end by
-        // itself in time.
-        assertEquals(60, renewal.localCancellationWatermark(report("m1")));
-        assertEquals(List.of(), renewal.stopOrdersForCancelledJobs(report("m1")));
-        // Another attempt of the same task says nothing about this one.
+    void reportedAttemptOfACancelledJobIsStoppedAndAnUnreportedOneHoldsTheWatermarkBack() {
+        addJob("run-000001");
+        addJob("run-000002");
+        addLiveAttempt("run-000001", "m1");
+        addLiveAttempt("run-000002", "m1");
+        // The requests sent at 60 and at 70 were both answered by the store; the job was cancelled
+        // between them.
+        cancelJob("run-000001");
+        lastConfirmedAt = 70;
+        // Its run order may be delayed in transit and cannot be revoked by this controller, so the
+        // machine must end the attempt by its lease in time.
+        assertEquals(60, policy.localCancellationWatermark(heartbeat("m1")));
+        assertEquals(List.of(), policy.stopOrdersForCancelledJobs(heartbeat("m1")));
+        // A report of another attempt of the same task is no evidence about this one.
         assertEquals(
                 60,
-                renewal.localCancellationWatermark(
-                        report("m1", line("run-000001", 2, Heartbeat.State.ENDED))));
-        // Where it runs it is stopped with the answer; where it has ended, a late order does
-        // nothing.
-        Heartbeat running =
-                report(
+                policy.localCancellationWatermark(
+                        heartbeat("m1", attemptStatus("run-000001", 2, Heartbeat.State.ENDED))));
+        // A running attempt is stopped by the answer; for one that has ended a late run order has
+        // no effect.
+        Heartbeat heartbeatWithRunning =
+                heartbeat(
                         "m1",
-                        line("run-000001", 3, Heartbeat.State.RUNNING),
-                        line("run-000002", 3, Heartbeat.State.RUNNING));
-        assertEquals(70, renewal.localCancellationWatermark(running));
+                        attemptStatus("run-000001", 3, Heartbeat.State.RUNNING),
+                        attemptStatus("run-000002", 3, Heartbeat.State.RUNNING));
+        assertEquals(70, policy.localCancellationWatermark(heartbeatWithRunning));
         assertEquals(
                 List.of(new Order.Stop(new TaskRef("run-000001", 0), 3, 0)),
-                renewal.stopOrdersForCancelledJobs(running));
-        Heartbeat ended = report("m1", line("run-000001", 3, Heartbeat.State.ENDED));
-        assertEquals(70, renewal.localCancellationWatermark(ended));
-        assertEquals(List.of(), renewal.stopOrdersForCancelledJobs(ended));
-        // Other machines go on.
-        assertEquals(70, renewal.localCancellationWatermark(report("m2")));
-        // Proven gone, as the leader has written meanwhile.
+                policy.stopOrdersForCancelledJobs(heartbeatWithRunning));
+        Heartbeat heartbeatWithEnded =
+                heartbeat("m1", attemptStatus("run-000001", 3, Heartbeat.State.ENDED));
+        assertEquals(70, policy.localCancellationWatermark(heartbeatWithEnded));
+        assertEquals(List.of(), policy.stopOrdersForCancelledJobs(heartbeatWithEnded));
+        // Other machines are not affected.
+        assertEquals(70, policy.localCancellationWatermark(heartbeat("m2")));
+        // The leader has meanwhile recorded the attempt as terminated.
         jobIndex.changed(
                 Keys.runRecord("run-000001", 0),
                 TaskState.encode(List.of(new TaskState(0, 3, TaskState.Phase.GONE, "", 0))));
-        assertEquals(70, renewal.localCancellationWatermark(report("m1")));
+        assertEquals(70, policy.localCancellationWatermark(heartbeat("m1")));
     }
 
     @Test
-    void anIntentThatIsReadAfterItsJobsCancellationCountsToo() {
-        accepted("run-000001");
-        cancelled("run-000001");
-        alive("run-000001", "m1");
-        knownUpTo = 70;
-        assertEquals(60, renewal.localCancellationWatermark(report("m1")));
+    void intentThatIsReadAfterItsJobsCancellationHoldsTheWatermarkBack() {
+        addJob("run-000001");
+        cancelJob("run-000001");
+        addLiveAttempt("run-000001", "m1");
+        lastConfirmedAt = 70;
+        assertEquals(60, policy.localCancellationWatermark(heartbeat("m1")));
     }
 
     @Test
-    void aLeadersAnswerThatStopsSomethingSettlesNothing() {
-        // Whether it arrives nobody knows; the next one without a stop says that it did.
+    void leaderAnswerWithAStopOrderSettlesNoCancellations() {
+        // The answer may not arrive; the next answer without a stop order shows that it did.
         assertTrue(HeartbeatForwarder.cancellationWatermark(true, 70) < 0);
         assertEquals(70, HeartbeatForwarder.cancellationWatermark(false, 70));
         assertTrue(
@@ -153,26 +156,28 @@
     }
 
     /**
-     * It is cancelled with its ancestor, wherever that was confirmed and whether this node read of
-     * it or was told by another.
+     * A job is cancelled together with any job that it depends on, whichever controller confirmed
+     * the cancellation, and whether this one read it from the store or was notified by a peer.
      */
     @Test
-    void theCancellationOfAnAncestorCountsForAJobThatNeedsIt() {
-        accepted("run-000001");
-        accepted("run-000002", "run-000001");
-        accepted("run-000003", "run-000002");
-        cancelled("run-000001");
-        // No leader starts anything of it; what a line calls alive all the same is waited for.
-        alive("run-000003", "m1");
-        knownUpTo = 70;
-        assertEquals(60, renewal.localCancellationWatermark(report("m1")));
-        Heartbeat running = report("m1", line("run-000003", 3, Heartbeat.State.RUNNING));
-        assertEquals(70, renewal.localCancellationWatermark(running));
+    void cancellationOfAJobAppliesToItsTransitiveDependents() {
+        addJob("run-000001");
+        addJob("run-000002", "run-000001");
+        addJob("run-000003", "run-000002");
+        cancelJob("run-000001");
+        // No leader starts tasks of a dependent job; but a run record with a live attempt still
+        // holds the watermark back.
+        addLiveAttempt("run-000003", "m1");
+        lastConfirmedAt = 70;
+        assertEquals(60, policy.localCancellationWatermark(heartbeat("m1")));
+        Heartbeat heartbeatWithRunning =
+                heartbeat("m1", attemptStatus("run-000003", 3, Heartbeat.State.RUNNING));
+        assertEquals(70, policy.localCancellationWatermark(heartbeatWithRunning));
         assertEquals(
                 List.of(new Order.Stop(new TaskRef("run-000003", 0), 3, 0)),
-                renewal.stopOrdersForCancelledJobs(running));
-        // Read again as its own cancellation: still open as of 60, not as of later.
-        cancelled("run-000003");
-        assertEquals(60, renewal.localCancellationWatermark(report("m1")));
+                policy.stopOrdersForCancelledJobs(heartbeatWithRunning));
+        // When its own cancellation is read as well, it was still last known to be open at 60.
+        cancelJob("run-000003");
+        assertEquals(60, policy.localCancellationWatermark(heartbeat("m1")));
     }
 }
--- a/src/test/java/io/pepperfield/heartbeat/HeartbeatVerdictTest.java
+++ b/src/test/java/io/pepperfield/heartbeat/HeartbeatVerdictTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a worker is told for each verdict on its heartbeat. */
+/** The HTTP reply that a worker receives for each verdict on its heartbeat. */
 class HeartbeatVerdictTest {
 
     private static String body(HttpReply reply) {
@@ -29,7 +29,8 @@
         "NO_FENCING_TOKEN,503,no valid token is known here",
         "LEASE_EXHAUSTED,503,no leader answers"
     })
-    void aRefusalHasItsStatusAndText(HeartbeatVerdict.Refused refusal, int status, String message) {
+    void refusalIsEncodedAsItsStatusAndMessage(
+            HeartbeatVerdict.Refused refusal, int status, String message) {
         HttpReply reply = refusal.toReply();
         HttpReply expected = HttpReply.error(status, message);
         assertEquals(status, reply.status());
@@ -37,14 +38,14 @@
     }
 
     @Test
-    void aRedirectNamesTheController() {
+    void redirectNamesTheController() {
         HttpReply reply = new HeartbeatVerdict.Redirected("node-1").toReply();
         assertEquals(421, reply.status());
         assertEquals("{\"manager\":\"node-1\"}", body(reply));
     }
 
     @Test
-    void ordersOfTheLeaderAreHandedOnUnderItsToken() {
+    void acceptedHeartbeatIsAnsweredWithTheLeadersOrdersAndToken() {
         HttpReply reply =
                 new HeartbeatVerdict.Accepted(
                                 WorkerProtocol.heartbeatReply(
--- a/src/test/java/io/pepperfield/peer/MembershipTest.java
+++ b/src/test/java/io/pepperfield/peer/MembershipTest.java
@@ -7,21 +7,25 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which messages of which incarnation of a controller count. */
+/** Duplicates and messages of earlier incarnations do not count as signs of life. */
 class MembershipTest {
 
     @Test
-    void aLateMessageOfAnEarlierIncarnationIsIgnored() {
-        Membership members = new Membership("worker-0", 2);
-        assertTrue(members.recordMessage("worker-1", "first", 7, 10));
-        assertFalse(members.recordMessage("worker-1", "first", 7, 10.1), "a copy");
+    void lateMessageOfAnEarlierIncarnationIsIgnored() {
+        Membership membership = new Membership("worker-0", 2);
+        assertTrue(membership.recordMessage("worker-1", "first", 7, 10));
+        assertFalse(
+                membership.recordMessage("worker-1", "first", 7, 10.1),
+                "duplicate of the message before");
         assertTrue(
-                members.recordMessage("worker-1", "second", 1, 10.2),
-                "back within a fraction of a second");
-        assertFalse(members.recordMessage("worker-1", "first", 8, 30), "held back until now");
-        assertEquals(Set.of("worker-0"), members.liveMembers(30));
-        assertTrue(members.recordMessage("worker-1", "second", 2, 31));
-        assertEquals(Set.of("worker-0", "worker-1"), members.liveMembers(32));
-        assertEquals(Set.of("worker-0"), members.liveMembers(33.5));
+                membership.recordMessage("worker-1", "second", 1, 10.2),
+                "process restarted within a fraction of a second");
+        assertFalse(
+                membership.recordMessage("worker-1", "first", 8, 30),
+                "delayed message of the earlier process");
+        assertEquals(Set.of("worker-0"), membership.liveMembers(30));
+        assertTrue(membership.recordMessage("worker-1", "second", 2, 31));
+        assertEquals(Set.of("worker-0", "worker-1"), membership.liveMembers(32));
+        assertEquals(Set.of("worker-0"), membership.liveMembers(33.5));
     }
 }
--- a/src/test/java/io/pepperfield/peer/PartitionsTest.java
+++ b/src/test/java/io/pepperfield/peer/PartitionsTest.java
@@ -10,27 +10,28 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which controller owns the partition that a machine is in. */
+/** Assignment of machines to the controllers that own their partitions. */
 class PartitionsTest {
 
-    private static final Set<String> FIVE =
+    private static final Set<String> FIVE_CONTROLLERS =
             Set.of("worker-0", "worker-1", "worker-2", "worker-3", "worker-4");
-    private static final Set<String> FOUR = Set.of("worker-0", "worker-1", "worker-2", "worker-4");
+    private static final Set<String> WITHOUT_WORKER_3 =
+            Set.of("worker-0", "worker-1", "worker-2", "worker-4");
 
     private static String machine(int number) {
         return String.format(Locale.ROOT, "host-%06d", number);
     }
 
     @Test
-    void onlyTheMachinesOfAnEndedControllerMove() {
+    void onlyTheMachinesOfALeavingControllerMove() {
         Map<String, Integer> sizes = new HashMap<>();
         for (int i = 0; i < 1000; i++) {
-            String before = Partitions.owner(machine(i), FIVE);
+            String before = Partitions.owner(machine(i), FIVE_CONTROLLERS);
             sizes.merge(before, 1, Integer::sum);
-            String after = Partitions.owner(machine(i), FOUR);
+            String after = Partitions.owner(machine(i), WITHOUT_WORKER_3);
             assertEquals(before.equals("worker-3"), !before.equals(after), machine(i));
         }
-        // Even enough that no partition outgrows its sockets.
+        // Even enough that no controller runs out of sockets for its partition.
         sizes.forEach(
                 (node, size) ->
                         assertTrue(
--- a/src/test/java/io/pepperfield/peer/PeerForms.java
+++ b/src/test/java/io/pepperfield/peer/PeerForms.java
@@ -23,7 +23,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** What controllers say to each other about reports, orders and cancelled jobs. */
+/** Golden forms of the messages between controllers: heartbeats, orders and cancelled jobs. */
 public final class PeerForms implements Peers.Handler {
 
     private static final FencingToken TOKEN = new FencingToken(41);
@@ -42,13 +42,13 @@
         peers.setHandler(this);
     }
 
-    /** Adds them. */
+    /** Adds all forms to the file. */
     public static void write(FormFile file) {
         byte[] batch = batch();
         file.addRead(
                 "batch",
                 Json.read(batch),
-                form -> PeerMessages.readBatch(form).map(PeerForms::told).orElse("refused"));
+                form -> PeerMessages.readBatch(form).map(PeerForms::describe).orElse("refused"));
         List<LeaderVerdict> verdicts =
                 List.of(
                         new LeaderVerdict.Orders(WorkerProtocol.encodeOrders(WorkerForms.orders())),
@@ -57,7 +57,7 @@
         file.addRewrittenByField(
                 "answer",
                 PeerMessages.writeBatchReply(TOKEN, 0.25, List.of("node-0", "node-1"), verdicts),
-                PeerForms::rewriteAnswer);
+                PeerForms::rewriteReply);
         file.addRewrittenByField(
                 "orders",
                 PeerMessages.writeDirectOrders(
@@ -68,7 +68,7 @@
                                         3,
                                         WorkerProtocol.encodeOrders(WorkerForms.orders())))),
                 form ->
-                        text(
+                        toText(
                                 PeerMessages.writeDirectOrders(
                                         new FencingToken(form.path("epoch").longValue()),
                                         PeerMessages.readDirectOrders(form))));
@@ -76,7 +76,7 @@
                 "cancelled",
                 PeerMessages.writeCancelledJobs(List.of("run-000412", "run-000413")),
                 form ->
-                        text(
+                        toText(
                                 PeerMessages.writeCancelledJobs(
                                         PeerMessages.readCancelledJobs(form))));
         PeerForms forms = new PeerForms(file);
@@ -85,18 +85,18 @@
     }
 
     private static byte[] batch() {
-        Heartbeat report =
+        Heartbeat heartbeat =
                 WorkerProtocol.parseHeartbeat(Json.read(WorkerForms.report())).orElseThrow();
         HeartbeatBatchBuilder batch = new HeartbeatBatchBuilder("node-0", "a-process", 7, TOKEN);
         batch.addFull(WorkerForms.report());
-        batch.addRepeated(report, report);
+        batch.addRepeated(heartbeat, heartbeat);
         batch.addDirectOrderReply(WorkerForms.report());
         batch.addCached(WorkerForms.report(), 0.7);
         return batch.encode();
     }
 
-    private static String told(HeartbeatBatch batch) {
-        StringBuilder told =
+    private static String describe(HeartbeatBatch batch) {
+        StringBuilder description =
                 new StringBuilder(
                         String.join(
                                 " ",
@@ -104,49 +104,51 @@
                                 batch.incarnation(),
                                 String.valueOf(batch.sequence()),
                                 String.valueOf(batch.fencingToken())));
-        batch.heartbeats().forEach(beat -> told.append("; ").append(told(beat)));
+        batch.heartbeats()
+                .forEach(heartbeat -> description.append("; ").append(describe(heartbeat)));
         batch.directOrderReplies()
-                .forEach(report -> told.append("; ").append(WorkerForms.read(report)));
+                .forEach(heartbeat -> description.append("; ").append(WorkerForms.read(heartbeat)));
         batch.cachedHeartbeats()
                 .forEach(
-                        kept ->
-                                told.append("; of ")
-                                        .append(kept.ageS())
+                        cached ->
+                                description
+                                        .append("; of ")
+                                        .append(cached.ageS())
                                         .append(" s before ")
-                                        .append(WorkerForms.read(kept.heartbeat())));
-        return told.toString();
+                                        .append(WorkerForms.read(cached.heartbeat())));
+        return description.toString();
     }
 
-    private static String told(ForwardedHeartbeat beat) {
-        if (beat instanceof ForwardedHeartbeat.Full whole) {
-            return WorkerForms.read(whole.heartbeat());
+    private static String describe(ForwardedHeartbeat heartbeat) {
+        if (heartbeat instanceof ForwardedHeartbeat.Full full) {
+            return WorkerForms.read(full.heartbeat());
         }
-        ForwardedHeartbeat.Repeated same = (ForwardedHeartbeat.Repeated) beat;
-        return same.machine()
+        ForwardedHeartbeat.Repeated repeated = (ForwardedHeartbeat.Repeated) heartbeat;
+        return repeated.machine()
                 + " "
-                + same.incarnation()
+                + repeated.incarnation()
                 + " repeats "
-                + same.baseSequence()
+                + repeated.baseSequence()
                 + " as "
-                + same.sequence()
+                + repeated.sequence()
                 + " with "
-                + same.fencingToken();
+                + repeated.fencingToken();
     }
 
-    private static String rewriteAnswer(JsonNode form) {
-        return PeerMessages.readBatchReply(form, 3).map(PeerForms::text).orElse(null);
+    private static String rewriteReply(JsonNode form) {
+        return PeerMessages.readBatchReply(form, 3).map(PeerForms::toText).orElse(null);
     }
 
-    private static String text(HeartbeatBatchReply answer) {
-        return text(
+    private static String toText(HeartbeatBatchReply reply) {
+        return toText(
                 PeerMessages.writeBatchReply(
-                        answer.fencingToken(),
-                        answer.storeContactAgeS(),
-                        answer.partitionOwners(),
-                        answer.verdicts()));
+                        reply.fencingToken(),
+                        reply.storeContactAgeS(),
+                        reply.partitionOwners(),
+                        reply.verdicts()));
     }
 
-    private static String text(byte[] form) {
+    private static String toText(byte[] form) {
         return new String(form, StandardCharsets.UTF_8);
     }
 
@@ -162,9 +164,9 @@
         peers.send(SETTINGS.members().get(0), "/peer/path", batch, 1.5, outcome -> {});
         PartitionOrderRouter orders =
                 new PartitionOrderRouter(new HttpWorkerClient(loop, sender, 1), peers, SETTINGS);
-        for (String through : List.of("node-1", "node-2", "")) {
+        for (String controller : List.of("node-1", "node-2", "")) {
             orders.sendOrders(
-                    through, "10.1.0.14:9000", TOKEN, 3, WorkerForms.orders(), result -> {});
+                    controller, "10.1.0.14:9000", TOKEN, 3, WorkerForms.orders(), result -> {});
         }
         orders.flush();
         HeartbeatForwarder forwarder =
@@ -177,20 +179,20 @@
                                                 + " "
                                                 + request.path()
                                                 + " "
-                                                + withoutProcess(request.body())),
+                                                + withoutIncarnation(request.body())),
                         SETTINGS);
         forwarder.setLeader("node-1");
-        byte[] report = WorkerForms.report();
+        byte[] encoded = WorkerForms.report();
         forwarder.submit(
-                WorkerProtocol.parseHeartbeat(Json.read(report)).orElseThrow(),
-                report,
+                WorkerProtocol.parseHeartbeat(Json.read(encoded)).orElseThrow(),
+                encoded,
                 verdict -> {});
         forwarder.flush();
     }
 
-    /** Each process draws its own name. */
-    private static String withoutProcess(byte[] body) {
-        return text(body).replaceAll("\"life\":\"[^\"]*\"", "\"life\":\"...\"");
+    /** Replaces the incarnation, which each process generates at random. */
+    private static String withoutIncarnation(byte[] body) {
+        return toText(body).replaceAll("\"life\":\"[^\"]*\"", "\"life\":\"...\"");
     }
 
     private void receive(byte[] batch) {
@@ -202,7 +204,7 @@
         receive("POST", "/peer/cancelled", FormFile.input("peer-cancelled.json"));
         receive("POST", "/peer/unknown", new byte[0]);
         receive("GET", "/peer/relay", new byte[0]);
-        peers.addEndpoint("/peer/path", (call, answer) -> answer.accept(HttpReply.empty(200)));
+        peers.addEndpoint("/peer/path", (call, reply) -> reply.accept(HttpReply.empty(200)));
         receive("POST", "/peer/path", new byte[0]);
         receive("GET", "/peer/path", new byte[0]);
     }
@@ -214,9 +216,9 @@
     }
 
     @Override
-    public void heartbeatBatchReceived(HeartbeatBatch batch, Consumer<HttpReply> answer) {
-        file.add("received", told(batch));
-        answer.accept(HttpReply.empty(200));
+    public void heartbeatBatchReceived(HeartbeatBatch batch, Consumer<HttpReply> reply) {
+        file.add("received", describe(batch));
+        reply.accept(HttpReply.empty(200));
     }
 
     @Override
--- a/src/test/java/io/pepperfield/peer/PeerMessagesTest.java
+++ b/src/test/java/io/pepperfield/peer/PeerMessagesTest.java
@@ -8,39 +8,37 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/**
- * Which messages of other controllers are read, and how workers' heartbeats are embedded in them.
- */
+/** Validation of other controllers' messages, and embedding of workers' heartbeats in messages. */
 class PeerMessagesTest {
 
     @Test
-    void aMalformedMessageIsRefusedWhole() {
-        String good =
+    void malformedBatchIsRefusedAsAWhole() {
+        String valid =
                 "{\"node\":\"worker-1\",\"life\":\"a\",\"seq\":1,\"epoch\":7,\"beats\":[[\"host-1\",1,2,3,7]],\"more\":{}}";
         assertEquals(
                 1,
-                PeerMessages.readBatch(Json.read(good.getBytes(StandardCharsets.UTF_8)))
+                PeerMessages.readBatch(Json.read(valid.getBytes(StandardCharsets.UTF_8)))
                         .orElseThrow()
                         .heartbeats()
                         .size());
-        for (String bad :
+        for (String malformed :
                 List.of(
                         "",
                         "{}",
                         "[]",
-                        good.replace("\"beats\"", "\"reports\""),
-                        good.replace("1,2,3,7", "1,2"),
-                        good.replace("\"seq\":1", "\"seq\":\"1\""),
-                        good.substring(0, 40))) {
+                        valid.replace("\"beats\"", "\"reports\""),
+                        valid.replace("1,2,3,7", "1,2"),
+                        valid.replace("\"seq\":1", "\"seq\":\"1\""),
+                        valid.substring(0, 40))) {
             assertEquals(
                     Optional.empty(),
-                    PeerMessages.readBatch(Json.read(bad.getBytes(StandardCharsets.UTF_8))),
-                    bad);
+                    PeerMessages.readBatch(Json.read(malformed.getBytes(StandardCharsets.UTF_8))),
+                    malformed);
         }
     }
 
     @Test
-    void aHeartbeatInAnotherEncodingDoesNotSpoilTheOthers() {
+    void embeddedHeartbeatIsReencodedAsUtf8() {
         String text = "{\"host\":\"host-1\"}";
         assertEquals(
                 text, PeerMessages.embedded(text.getBytes(StandardCharsets.UTF_16BE)).rawValue());
--- a/src/test/java/io/pepperfield/peer/ReceiveFailureDetectorTest.java
+++ b/src/test/java/io/pepperfield/peer/ReceiveFailureDetectorTest.java
@@ -7,26 +7,30 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which controllers lose their partition because its heartbeats do not reach them. */
+/** Withdrawal of partitions from controllers that their heartbeats do not reach. */
 class ReceiveFailureDetectorTest {
 
-    private static final Set<String> FIVE =
+    private static final Set<String> FIVE_CONTROLLERS =
             Set.of("worker-0", "worker-1", "worker-2", "worker-3", "worker-4");
-    private static final Set<String> FOUR = Set.of("worker-0", "worker-1", "worker-2", "worker-4");
+    private static final Set<String> WITHOUT_WORKER_3 =
+            Set.of("worker-0", "worker-1", "worker-2", "worker-4");
 
     private static String machine(int number) {
         return String.format(Locale.ROOT, "host-%06d", number);
     }
 
-    /** Heartbeats of 30 machines, each to its partition owner unless that one is unreachable. */
+    /**
+     * Records heartbeats of 30 machines, each at its partition owner, or at worker-4 if the owner
+     * is unreachable.
+     */
     private static Set<String> sendHeartbeats(
-            ReceiveFailureDetector reachability, double from, double until, String unreachable) {
-        Set<String> owners = FIVE;
+            ReceiveFailureDetector detector, double from, double until, String unreachable) {
+        Set<String> owners = FIVE_CONTROLLERS;
         for (double now = from; now < until; now += 0.5) {
-            owners = reachability.eligibleOwners(FIVE, now);
+            owners = detector.eligibleOwners(FIVE_CONTROLLERS, now);
             for (int i = 0; i < 30; i++) {
                 String owner = Partitions.owner(machine(i), owners);
-                reachability.recordHeartbeat(
+                detector.recordHeartbeat(
                         machine(i), owner, owner.equals(unreachable) ? "worker-4" : owner, now);
             }
         }
@@ -34,60 +38,59 @@
     }
 
     @Test
-    void aControllerWithReceiveFailureLosesItsPartitionAndDoesNotOscillate() {
-        ReceiveFailureDetector reachability = new ReceiveFailureDetector(2, 12);
-        assertEquals(FIVE, sendHeartbeats(reachability, 0, 20, "nobody"));
+    void controllerWithReceiveFailureLosesItsPartitionWithoutOscillating() {
+        ReceiveFailureDetector detector = new ReceiveFailureDetector(2, 12);
+        assertEquals(FIVE_CONTROLLERS, sendHeartbeats(detector, 0, 20, "nobody"));
         assertEquals(
-                FIVE,
-                sendHeartbeats(reachability, 20, 25, "worker-3"),
-                "a period or two may pass without");
-        assertEquals(FOUR, sendHeartbeats(reachability, 25, 28, "worker-3"));
-        assertEquals(FOUR, sendHeartbeats(reachability, 28, 37, "worker-3"));
-        // Tried again after a lease, and again after two: each try costs its workers time.
-        int owned = 0;
+                FIVE_CONTROLLERS,
+                sendHeartbeats(detector, 20, 25, "worker-3"),
+                "no failure within two heartbeat intervals");
+        assertEquals(WITHOUT_WORKER_3, sendHeartbeats(detector, 25, 28, "worker-3"));
+        assertEquals(WITHOUT_WORKER_3, sendHeartbeats(detector, 28, 37, "worker-3"));
+        // The controller is given a partition again after one lease, then after two: each attempt
+        // costs its workers time.
+        int secondsOwned = 0;
         for (double now = 37; now < 157; now++) {
-            owned +=
-                    sendHeartbeats(reachability, now, now + 1, "worker-3").contains("worker-3")
-                            ? 1
-                            : 0;
+            secondsOwned +=
+                    sendHeartbeats(detector, now, now + 1, "worker-3").contains("worker-3") ? 1 : 0;
         }
-        assertTrue(owned > 0 && owned < 30, "owned for " + owned + " of 120 s");
-        assertEquals(FIVE, sendHeartbeats(reachability, 157, 300, "nobody"));
+        assertTrue(
+                secondsOwned > 0 && secondsOwned < 30, "owned for " + secondsOwned + " of 120 s");
+        assertEquals(FIVE_CONTROLLERS, sendHeartbeats(detector, 157, 300, "nobody"));
     }
 
     @Test
-    void newMachinesThatAreMisroutedAreNoReceiveFailure() {
-        ReceiveFailureDetector reachability = new ReceiveFailureDetector(2, 12);
-        // Nobody has a machine for long, as when the first ones of a day boot; then each is
-        // misrouted
-        // for a period and more.
+    void misroutedNewMachinesAreNoReceiveFailure() {
+        ReceiveFailureDetector detector = new ReceiveFailureDetector(2, 12);
+        // No controller has had a machine for long, as before the first machines of a day boot;
+        // then each new machine is misrouted for more than a heartbeat interval.
         for (double now = 0; now < 20; now++) {
-            reachability.eligibleOwners(FIVE, now);
+            detector.eligibleOwners(FIVE_CONTROLLERS, now);
         }
-        assertEquals(FIVE, sendHeartbeats(reachability, 20, 24.5, "worker-3"));
-        assertEquals(FIVE, sendHeartbeats(reachability, 24.5, 60, "nobody"));
+        assertEquals(FIVE_CONTROLLERS, sendHeartbeats(detector, 20, 24.5, "worker-3"));
+        assertEquals(FIVE_CONTROLLERS, sendHeartbeats(detector, 24.5, 60, "nobody"));
     }
 
     @Test
-    void whileTheLeaderRefusesAllWorkersThereIsNoReceiveFailure() {
-        ReceiveFailureDetector reachability = new ReceiveFailureDetector(2, 12);
-        sendHeartbeats(reachability, 0, 20, "nobody");
-        sendHeartbeats(reachability, 20, 24, "worker-3");
+    void noReceiveFailureIsDetectedWhileTheLeaderRefusesAllWorkers() {
+        ReceiveFailureDetector detector = new ReceiveFailureDetector(2, 12);
+        sendHeartbeats(detector, 0, 20, "nobody");
+        sendHeartbeats(detector, 20, 24, "worker-3");
         for (double now = 24; now < 34; now += 0.5) {
-            reachability.resetObservations();
-            assertEquals(FIVE, reachability.eligibleOwners(FIVE, now));
+            detector.resetObservations();
+            assertEquals(FIVE_CONTROLLERS, detector.eligibleOwners(FIVE_CONTROLLERS, now));
         }
-        assertEquals(FIVE, sendHeartbeats(reachability, 34, 38, "worker-3"));
-        assertEquals(FIVE, sendHeartbeats(reachability, 38, 60, "nobody"));
+        assertEquals(FIVE_CONTROLLERS, sendHeartbeats(detector, 34, 38, "worker-3"));
+        assertEquals(FIVE_CONTROLLERS, sendHeartbeats(detector, 38, 60, "nobody"));
     }
 
     @Test
-    void aRestartedControllerHasTimeToBeFound() {
-        ReceiveFailureDetector reachability = new ReceiveFailureDetector(2, 12);
-        sendHeartbeats(reachability, 0, 20, "nobody");
-        reachability.eligibleOwners(FOUR, 21);
-        // Its workers are where they were, for a period each.
-        assertEquals(FIVE, sendHeartbeats(reachability, 30, 35, "worker-3"));
-        assertEquals(FIVE, sendHeartbeats(reachability, 35, 80, "nobody"));
+    void restartedControllerHasTimeToBeDiscoveredByItsWorkers() {
+        ReceiveFailureDetector detector = new ReceiveFailureDetector(2, 12);
+        sendHeartbeats(detector, 0, 20, "nobody");
+        detector.eligibleOwners(WITHOUT_WORKER_3, 21);
+        // Its workers remain at their previous controllers for a heartbeat interval each.
+        assertEquals(FIVE_CONTROLLERS, sendHeartbeats(detector, 30, 35, "worker-3"));
+        assertEquals(FIVE_CONTROLLERS, sendHeartbeats(detector, 35, 80, "nobody"));
     }
 }
--- a/src/test/java/io/pepperfield/peer/VersionCompatibilityTest.java
+++ b/src/test/java/io/pepperfield/peer/VersionCompatibilityTest.java
@@ -29,41 +29,41 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What the version in production writes and says, kept as it did: this one must understand it, and
- * write and say the same, as the old version is there beside it while controllers are replaced one
- * by one.
+ * Compatibility with recorded stored values and messages of the version in production. During a
+ * rolling update both versions run side by side, so this version must read the recorded forms, and
+ * write the same forms itself.
  */
 class VersionCompatibilityTest {
 
     @Test
-    void bothUnderstandEachOther() throws IOException {
-        ReplayTrace.check("production-version.txt", VersionCompatibilityTest::play);
+    void recordedFormsAreReadAndWrittenUnchanged() throws IOException {
+        ReplayTrace.check("production-version.txt", VersionCompatibilityTest::replay);
     }
 
-    /** What is understood of it, and whether it would be written in the same way now. */
-    private static List<String> play(String[] words) {
-        String text = Arrays.stream(words).skip(1).collect(Collectors.joining(" "));
-        JsonNode said = Json.read(text.getBytes(StandardCharsets.UTF_8));
-        return switch (words[0]) {
+    /** Describes what is read from a recorded form, and whether this version writes it alike. */
+    private static List<String> replay(String[] event) {
+        String recordedText = Arrays.stream(event).skip(1).collect(Collectors.joining(" "));
+        JsonNode recorded = Json.read(recordedText.getBytes(StandardCharsets.UTF_8));
+        return switch (event[0]) {
             case "job" -> {
-                var job = JobCodec.decodeSpec("run-000001", said);
-                yield told(
+                var job = JobCodec.decodeSpec("run-000001", recorded);
+                yield compare(
                         job.tasks() + " tasks, needs " + job.dependencies(),
                         JobCodec.encodeSpec(job),
-                        text);
+                        recordedText);
             }
             case "end" ->
-                    told(
-                            JobCodec.decodeFinalStatus(said).wireName(),
+                    compare(
+                            JobCodec.decodeFinalStatus(recorded).wireName(),
                             JobCodec.encodeFinalStatus(
-                                    Status.valueOf(JobCodec.decodeFinalStatus(said).name())),
-                            text);
+                                    Status.valueOf(JobCodec.decodeFinalStatus(recorded).name())),
+                            recordedText);
             case "end-now" -> {
-                OptionalLong doneMs = JobCodec.decodeDoneMs(said);
-                List<String> lines =
+                OptionalLong doneMs = JobCodec.decodeDoneMs(recorded);
+                List<String> results =
                         new ArrayList<>(
-                                told(
-                                        JobCodec.decodeFinalStatus(said).wireName()
+                                compare(
+                                        JobCodec.decodeFinalStatus(recorded).wireName()
                                                 + " at "
                                                 + (doneMs.isPresent()
                                                         ? doneMs.getAsLong()
@@ -71,40 +71,42 @@
                                         doneMs.isPresent()
                                                 ? JobCodec.encodeDone(doneMs.getAsLong())
                                                 : JobCodec.encodeFinalStatus(Status.DONE),
-                                        text));
-                lines.add("the recorded version reads " + endAsRecorded(said).wireName());
-                yield lines;
+                                        recordedText));
+                results.add(
+                        "the recorded version reads "
+                                + decodeFinalStatusAsRecorded(recorded).wireName());
+                yield results;
             }
             case "run" ->
-                    told(
-                            TaskState.decode(said).stream()
-                                    .map(line -> line.task() + " " + line.phase())
+                    compare(
+                            TaskState.decode(recorded).stream()
+                                    .map(taskState -> taskState.task() + " " + taskState.phase())
                                     .toList()
                                     .toString(),
-                            TaskState.encode(TaskState.decode(said)),
-                            text);
-            case "shared" -> shared(said, text);
-            case "hire" -> hire(said);
-            case "types" -> machineTypes(said, text);
-            case "leader" -> leader(said);
-            case "relay" -> batch(said);
-            case "answer" -> batchReply(said, text);
-            case "orders" -> directOrders(said, text);
-            case "cancelled" -> cancelledJobs(said, text);
-            default -> throw new IllegalArgumentException(words[0]);
+                            TaskState.encode(TaskState.decode(recorded)),
+                            recordedText);
+            case "shared" -> sharedRunRecord(recorded, recordedText);
+            case "hire" -> restoreRental(recorded);
+            case "types" -> machineTypes(recorded, recordedText);
+            case "leader" -> leaderKey(recorded);
+            case "relay" -> batch(recorded);
+            case "answer" -> batchReply(recorded, recordedText);
+            case "orders" -> directOrders(recorded, recordedText);
+            case "cancelled" -> cancelledJobs(recorded, recordedText);
+            default -> throw new IllegalArgumentException(event[0]);
         };
     }
 
-    private static List<String> machineTypes(JsonNode said, String text) {
-        List<MachineType> types = MachineTypesRecord.decode(said);
-        return told(
+    private static List<String> machineTypes(JsonNode recorded, String recordedText) {
+        List<MachineType> types = MachineTypesRecord.decode(recorded);
+        return compare(
                 types.stream().map(type -> type.name() + " " + type.zones()).toList().toString(),
                 MachineTypesRecord.encode(types),
-                text);
+                recordedText);
     }
 
-    private static List<String> batch(JsonNode said) {
-        PeerMessages.HeartbeatBatch batch = PeerMessages.readBatch(said).orElseThrow();
+    private static List<String> batch(JsonNode recorded) {
+        PeerMessages.HeartbeatBatch batch = PeerMessages.readBatch(recorded).orElseThrow();
         return List.of(
                 batch.sender()
                         + " "
@@ -114,9 +116,10 @@
                         + " kept");
     }
 
-    private static List<String> batchReply(JsonNode said, String text) {
-        PeerMessages.HeartbeatBatchReply reply = PeerMessages.readBatchReply(said, 3).orElseThrow();
-        return told(
+    private static List<String> batchReply(JsonNode recorded, String recordedText) {
+        PeerMessages.HeartbeatBatchReply reply =
+                PeerMessages.readBatchReply(recorded, 3).orElseThrow();
+        return compare(
                 reply.fencingToken()
                         + " "
                         + reply.partitionOwners()
@@ -129,59 +132,67 @@
                                 reply.storeContactAgeS(),
                                 reply.partitionOwners(),
                                 reply.verdicts())),
-                text);
+                recordedText);
     }
 
-    private static List<String> directOrders(JsonNode said, String text) {
-        List<PeerMessages.DirectOrderMessage> orders = PeerMessages.readDirectOrders(said);
-        FencingToken token = new FencingToken(said.path("epoch").longValue());
-        return told(
+    private static List<String> directOrders(JsonNode recorded, String recordedText) {
+        List<PeerMessages.DirectOrderMessage> orders = PeerMessages.readDirectOrders(recorded);
+        FencingToken token = new FencingToken(recorded.path("epoch").longValue());
+        return compare(
                 orders.size() + " messages",
                 Json.read(PeerMessages.writeDirectOrders(token, orders)),
-                text);
+                recordedText);
     }
 
-    private static List<String> cancelledJobs(JsonNode said, String text) {
-        List<String> jobs = PeerMessages.readCancelledJobs(said);
-        return told(jobs.toString(), Json.read(PeerMessages.writeCancelledJobs(jobs)), text);
+    private static List<String> cancelledJobs(JsonNode recorded, String recordedText) {
+        List<String> jobs = PeerMessages.readCancelledJobs(recorded);
+        return compare(
+                jobs.toString(), Json.read(PeerMessages.writeCancelledJobs(jobs)), recordedText);
     }
 
-    /** As the catalog reads it, and as its jobs' lines are written again. */
-    private static List<String> shared(JsonNode said, String text) {
-        JobIndex catalog = new JobIndex(() -> 0);
-        ObjectNode again = Json.object();
+    /** Reads a shared run record into the job index, and encodes its jobs' task states again. */
+    private static List<String> sharedRunRecord(JsonNode recorded, String recordedText) {
+        JobIndex jobIndex = new JobIndex(() -> 0);
+        ObjectNode encoded = Json.object();
         List<String> read = new ArrayList<>();
-        said.fieldNames()
+        recorded.fieldNames()
                 .forEachRemaining(
                         id -> {
-                            catalog.changed(Keys.JOB_PREFIX + id, Json.object().put("n", 4));
-                            catalog.changed(Keys.SHARED_RUN_RECORD_PREFIX + "41-1", said);
-                            List<TaskState> lines = List.copyOf(catalog.get(id).taskStates());
-                            again.set(id, TaskState.encode(lines));
-                            lines.forEach(
-                                    line -> read.add(id + "/" + line.task() + " " + line.phase()));
+                            jobIndex.changed(Keys.JOB_PREFIX + id, Json.object().put("n", 4));
+                            jobIndex.changed(Keys.SHARED_RUN_RECORD_PREFIX + "41-1", recorded);
+                            List<TaskState> taskStates = List.copyOf(jobIndex.get(id).taskStates());
+                            encoded.set(id, TaskState.encode(taskStates));
+                            taskStates.forEach(
+                                    taskState ->
+                                            read.add(
+                                                    id
+                                                            + "/"
+                                                            + taskState.task()
+                                                            + " "
+                                                            + taskState.phase()));
                         });
-        return told(read.toString(), again, text);
+        return compare(read.toString(), encoded, recordedText);
     }
 
     /**
-     * An earlier leader's rental: asked for once more by its name, or its machines are expected.
+     * Restores an earlier leader's rental: it is requested again under its name, or its machines
+     * are expected.
      */
-    private static List<String> hire(JsonNode said) {
+    private static List<String> restoreRental(JsonNode recorded) {
         List<String> read = new ArrayList<>();
-        RecordingKeyValueStore state = new RecordingKeyValueStore();
+        RecordingKeyValueStore store = new RecordingKeyValueStore();
         Fleet fleet = new Fleet(null, new FencingToken(42), 1);
-        CloudProvider cloud = new AskedCloud(read);
-        InstanceLifecycle renting =
+        CloudProvider cloud = new RecordingCloud(read);
+        InstanceLifecycle instanceLifecycle =
                 new InstanceLifecycle(
-                        state, cloud, null, fleet, new FencingToken(42), 1, 1, () -> true);
-        renting.restore("p41-1", said);
+                        store, cloud, null, fleet, new FencingToken(42), 1, 1, () -> true);
+        instanceLifecycle.restore("p41-1", recorded);
         fleet.machines().forEach(m -> read.add("expects " + m.name + " " + m.type()));
         return read;
     }
 
-    /** Notes which rentals it is asked for, and answers nothing. */
-    private record AskedCloud(List<String> asked) implements CloudProvider {
+    /** Records the rental requests without answering them. */
+    private record RecordingCloud(List<String> requests) implements CloudProvider {
         @Override
         public void listMachineTypes(Consumer<Optional<List<MachineType>>> done) {}
 
@@ -193,7 +204,7 @@
                 boolean spot,
                 int count,
                 Consumer<RentalOutcome> done) {
-            asked.add(
+            requests.add(
                     "asks for "
                             + request
                             + ": "
@@ -213,11 +224,11 @@
         public void listInstances(Consumer<Optional<List<ListedInstance>>> done) {}
     }
 
-    /** Leads under the key that it wrote itself, and follows under another's. */
-    private static List<String> leader(JsonNode said) {
-        RecordingKeyValueStore state = new RecordingKeyValueStore();
-        Leadership leadership = new Leadership(state, state, "worker-9", 1, null);
-        leadership.leaderKeyChanged(said, 41);
+    /** Reads the leader key as a controller that follows the leader named in it. */
+    private static List<String> leaderKey(JsonNode recorded) {
+        RecordingKeyValueStore store = new RecordingKeyValueStore();
+        Leadership leadership = new Leadership(store, store, "worker-9", 1, null);
+        leadership.leaderKeyChanged(recorded, 41);
         return List.of(
                 "led by "
                         + leadership.leaderNode()
@@ -225,18 +236,23 @@
                         + leadership.highestFencingToken());
     }
 
-    /** As {@code JobMessages.end} of the recorded version c7a624d; nothing else reads the value. */
-    private static Status endAsRecorded(JsonNode durable) {
+    /**
+     * Decodes the final status like {@code JobMessages.end} of the recorded version c7a624d, the
+     * only reader of the value there.
+     */
+    private static Status decodeFinalStatusAsRecorded(JsonNode durable) {
         return durable.path("s").asText().equals(Status.DONE.wireName())
                 ? Status.DONE
                 : Status.CANCELLED;
     }
 
-    private static List<String> told(String what, JsonNode now, String then) {
+    private static List<String> compare(
+            String description, JsonNode encodedNow, String recordedText) {
         return List.of(
-                what
-                        + (new String(Json.write(now), StandardCharsets.UTF_8).equals(then)
+                description
+                        + (new String(Json.write(encodedNow), StandardCharsets.UTF_8)
+                                        .equals(recordedText)
                                 ? ", written alike"
-                                : ", now " + now));
+                                : ", now " + encodedNow));
     }
 }
