--- a/src/main/java/io/pepperfield/heartbeat/IsolationDetector.java
+++ b/src/main/java/io/pepperfield/heartbeat/IsolationDetector.java
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Whether there may currently be no leader, or this controller cannot determine the leader. A
-     * leader that answered within the last heartbeat interval may just have failed.
+     * Whether there may currently be no leader, or this controller cannot determine the leader.
+     * Always true within a heartbeat interval of the latest request that a leader has answered.
      */
     boolean leaderMayBeAbsent(double now) {
         return now - forwarder.leaderAnsweredAt()
