--- a/src/main/java/io/pepperfield/heartbeat/ForwardedBatchHandler.java
+++ b/src/main/java/io/pepperfield/heartbeat/ForwardedBatchHandler.java
@@ -22,7 +22,7 @@
     private final PauseDetector pauseDetector;
     private final PartitionAssignment partitions;
     private final LeaderRole leaderRole;
-    private final LogOnce logOnce;
+    private final WarnOnceLogger faultLogger;
 
     ForwardedBatchHandler(
             ClusterLinks links,
@@ -30,38 +30,38 @@
             PauseDetector pauseDetector,
             PartitionAssignment partitions,
             LeaderRole leaderRole,
-            LogOnce logOnce) {
+            WarnOnceLogger faultLogger) {
         this.leadership = links.leadership();
         this.synchronizer = links.synchronizer();
         this.membership = membership;
         this.pauseDetector = pauseDetector;
         this.partitions = partitions;
         this.leaderRole = leaderRole;
-        this.logOnce = logOnce;
+        this.faultLogger = faultLogger;
     }
 
-    /** The reply to a batch, with one verdict for each of its heartbeats. */
+    /** Returns the reply to a batch, with one verdict for each of its heartbeats. */
     HttpReply answer(HeartbeatBatch batch, double now) {
         if (batch.fencingToken().isNewerThan(leadership.fencingToken()) && leadership.isLeader()) {
             leadership.observeFencingToken(batch.fencingToken());
         }
-        if (pauseDetector.checkStale()
+        if (pauseDetector.updateAndCheckStale()
                 || !leadership.isLeader()
                 || leaderRole.leader().isEmpty()
                 || !leaderRole.mayAnswer(now)) {
             return HttpReply.error(503, "not leading");
         }
         if (!membership.recordMessage(batch.sender(), batch.incarnation(), batch.sequence(), now)) {
-            logOnce.warn(batch.sender(), "a message of its earlier process or a copy came");
+            faultLogger.warn(batch.sender(), "message is a duplicate or from an earlier process");
             return HttpReply.error(409, "a message of an earlier process");
         }
-        LeaderHeartbeats leader = leaderRole.leader().get();
+        LeaderHeartbeatReceiver leader = leaderRole.leader().get();
         batch.cachedHeartbeats().forEach(leader::restoreCachedHeartbeat);
         batch.directOrderReplies().forEach(leader::directOrderReplyReceived);
         Set<String> owners = partitions.owners(now);
         List<LeaderVerdict> verdicts = new ArrayList<>();
         for (ForwardedHeartbeat heartbeat : batch.heartbeats()) {
-            partitions.record(heartbeat.machine(), owners, batch.sender(), now);
+            partitions.recordHeartbeat(heartbeat.machine(), owners, batch.sender(), now);
             verdicts.add(leader.acceptForwardedHeartbeat(heartbeat, batch.sender()));
         }
         double storeContactAgeS = now - synchronizer.lastConfirmedAt();
--- a/src/main/java/io/pepperfield/heartbeat/HeartbeatHandler.java
+++ b/src/main/java/io/pepperfield/heartbeat/HeartbeatHandler.java
@@ -3,7 +3,7 @@
 import io.pepperfield.config.Settings;
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.WorkerProtocol;
-import io.pepperfield.health.LeaseRenewal;
+import io.pepperfield.health.LeaseRenewalPolicy;
 import io.pepperfield.health.PauseDetector;
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.InboundRequest;
@@ -16,9 +16,9 @@
 import java.util.function.Consumer;
 
 /**
- * Answers the heartbeats of workers in the role that this controller has at the time: as the
- * leader, as a partition owner with the leader's verdict, or without a reachable leader. Confined
- * to the event loop.
+ * Answers the heartbeats of workers according to this controller's current role: as the leader, as
+ * a partition owner with the leader's verdict, or without a reachable leader. Confined to the event
+ * loop.
  */
 public final class HeartbeatHandler {
 
@@ -32,15 +32,15 @@
     private final PartitionOwnerRole partitionOwnerRole;
     private final LeaderlessRole leaderlessRole;
     private final ForwardedBatchHandler forwardedBatches;
-    private final LogOnce logOnce = new LogOnce();
+    private final WarnOnceLogger faultLogger = new WarnOnceLogger();
 
-    /** Creates the handler of a controller that does not lead. */
+    /** Creates the handler; the controller does not lead initially. */
     public HeartbeatHandler(
             Loop loop,
             Settings settings,
             ClusterLinks links,
             Membership membership,
-            LeaseRenewal leaseRenewal,
+            LeaseRenewalPolicy leaseRenewal,
             PauseDetector pauseDetector) {
         this.loop = loop;
         this.leadership = links.leadership();
@@ -63,34 +63,34 @@
                         partitions,
                         misroutedMachines,
                         leaderlessRole,
-                        logOnce);
+                        faultLogger);
         this.forwardedBatches =
                 new ForwardedBatchHandler(
-                        links, membership, pauseDetector, partitions, leaderRole, logOnce);
+                        links, membership, pauseDetector, partitions, leaderRole, faultLogger);
     }
 
-    /** This controller leads and has recovered its state. */
-    public void leadershipBegins(LeaderHeartbeats leader) {
-        leaderRole.begin(leader);
+    /** Called when this controller has become the leader. */
+    public void leadershipStarted(LeaderHeartbeatReceiver leader) {
+        leaderRole.leadershipStarted(leader);
     }
 
-    /** This controller does not lead any more. */
-    public void leadershipEnds() {
-        leaderRole.end();
+    /** Called when this controller is no longer the leader. */
+    public void leadershipEnded() {
+        leaderRole.leadershipEnded();
     }
 
-    /** Takes a worker's heartbeat; {@code answer} is called once, perhaps later. */
+    /** Handles a worker's heartbeat; {@code answer} is called once, possibly later. */
     public void handle(InboundRequest request, Consumer<HttpReply> answer) {
         Optional<Heartbeat> parsed = WorkerProtocol.parseHeartbeat(Json.read(request.body()));
         if (parsed.isEmpty()) {
-            logOnce.warn("a worker", "sends what is no heartbeat");
+            faultLogger.warn("a worker", "request body is not a valid heartbeat");
             answer.accept(HeartbeatVerdict.Refused.MALFORMED.toReply());
             return;
         }
         Heartbeat heartbeat = parsed.get();
         double now = loop.now();
         isolation.recordHeartbeat(heartbeat.zone());
-        if (pauseDetector.checkStale()) {
+        if (pauseDetector.updateAndCheckStale()) {
             answer.accept(HeartbeatVerdict.Refused.PROCESS_PAUSED.toReply());
         } else if (leadership.isLeader()) {
             answer.accept(leaderRole.answer(heartbeat, request.body(), now).toReply());
@@ -102,26 +102,26 @@
         }
     }
 
-    /** Takes what a partition owner forwards; {@code answer} is called once. */
+    /** Handles a batch forwarded by a partition owner; {@code answer} is called once. */
     public void handleForwarded(PeerMessages.HeartbeatBatch batch, Consumer<HttpReply> answer) {
         answer.accept(forwardedBatches.answer(batch, loop.now()));
     }
 
-    /** Which controllers own a partition, as the leader sees them. */
+    /** The leader's assignment of partitions to controllers. */
     public PartitionAssignment partitions() {
         return partitions;
     }
 
     /**
-     * To be called often while leading: whether others reach the workers and this controller does
-     * not, so that another one should lead.
+     * Whether heartbeats of this leader's partition reach other controllers only, so that another
+     * controller should lead. Called on every tick while leading, since it updates the detection.
      */
     public boolean leaderHasReceiveFailure(double now) {
         return leaderRole.hasReceiveFailure(now);
     }
 
-    /** Forgets the misrouted machines that were first seen here before that loop time. */
-    public void forgetMisrouted(double before) {
-        misroutedMachines.forgetBefore(before);
+    /** Evicts the misrouted machines that were first seen here before the given loop time. */
+    public void evictMisroutedBefore(double time) {
+        misroutedMachines.evictBefore(time);
     }
 }
