--- a/src/main/java/io/pepperfield/controller/Controller.java
+++ b/src/main/java/io/pepperfield/controller/Controller.java
@@ -67,8 +67,8 @@
 
     /** Takes a request of a user, a worker or the load balancer. */
     public void handle(InboundRequest request, Consumer<HttpReply> answer) {
-        if (compatibility.handles(request)) {
-            compatibility.handle(request, answer);
+        if (compatibility.isRolloutRequest(request)) {
+            compatibility.handleRolloutRequest(request, answer);
         } else if (compatibility.mayServe()) {
             parts.router().handle(request, answer);
         } else {
--- a/src/main/java/io/pepperfield/controller/ControllerAssembly.java
+++ b/src/main/java/io/pepperfield/controller/ControllerAssembly.java
@@ -80,7 +80,7 @@
         this.partitionOrders =
                 new PartitionOrderRouter(external.workers(), external.peers(), settings);
         this.machineTypes = new MachineTypes(settings);
-        this.membership = new Membership(settings.node(), timings.livenessS());
+        this.membership = new Membership(settings.node(), timings.livenessTimeoutS());
         this.membershipLog = new MembershipLog(membership);
         this.replica = new Replica(this::replicaChanged);
         this.synchronizer = createSynchronizer();
@@ -89,11 +89,11 @@
                         loop,
                         external.store(),
                         settings.node(),
-                        timings.grantS(),
+                        timings.grantTtlS(),
                         new LateBoundTransitions());
         rollout.ifPresent(present -> present.attach(leadership, this::jobSpec));
         this.jobIndex = new JobIndex(synchronizer::lastConfirmedAt);
-        this.pauseDetector = new PauseDetector(loop, timings.grantS(), this::lastAnswerAt);
+        this.pauseDetector = new PauseDetector(loop, timings.grantTtlS(), this::lastAnswerAt);
         this.leaseRenewal =
                 new LeaseRenewal(
                         settings.deployment().workerTimings(),
@@ -142,7 +142,7 @@
                 replica,
                 synchronizer,
                 new LeaderFence(leadership, currentLeader),
-                compatibility.limits(),
+                compatibility.transactionLimits(),
                 timings.heartbeatIntervalS() / 10,
                 2 * timings.heartbeatIntervalS());
     }
@@ -284,7 +284,8 @@
                         rateLimits.setLiveControllers(
                                 liveControllers.estimate(), leadership.isLeader()));
         duties.add(supervisor::tick);
-        admission.ifPresent(present -> duties.add(new AdmissionDuty(present, currentLeader)::tick));
+        admission.ifPresent(
+                present -> duties.add(new AdmissionTicker(present, currentLeader)::tick));
         duties.add(
                 () ->
                         peers.tick(
@@ -304,7 +305,7 @@
                         replica,
                         jobIndex,
                         writer,
-                        compatibility.limits(),
+                        compatibility.transactionLimits(),
                         synchronizer::lastConfirmedAt);
         return new Leader(
                 loop,
--- a/src/main/java/io/pepperfield/controller/ControllerTimings.java
+++ b/src/main/java/io/pepperfield/controller/ControllerTimings.java
@@ -13,10 +13,10 @@
  */
 record ControllerTimings(
         double heartbeatIntervalS,
-        double grantS,
+        double grantTtlS,
         double tickS,
         double readIntervalS,
-        double livenessS) {
+        double livenessTimeoutS) {
 
     /** In heartbeat intervals: three messages are missed before a partition changes its owner. */
     private static final double LIVENESS_INTERVALS = 0.75;
--- a/src/main/java/io/pepperfield/controller/CurrentLeader.java
+++ b/src/main/java/io/pepperfield/controller/CurrentLeader.java
@@ -45,18 +45,18 @@
     }
 
     /** Creates the leader and recovers its state; the replica must be current. */
-    void begin() {
+    void start() {
         Leader started = factory.get();
         leader = Optional.of(started);
-        heartbeatHandler.leadershipBegins(started.heartbeats());
+        heartbeatHandler.leadershipBegins(started.heartbeatProcessor());
         started.recoverState();
         heartbeatForwarder
                 .cachedHeartbeats(loop.now())
-                .forEach(started.heartbeats()::restoreCachedHeartbeat);
+                .forEach(started.heartbeatProcessor()::restoreCachedHeartbeat);
     }
 
     /** The leadership has ended, whether or not its state had been recovered. */
-    void end() {
+    void stop() {
         membershipLog.reset();
         if (leader.isPresent()) {
             leader.get().stop();
--- a/src/main/java/io/pepperfield/controller/FleetEventRouter.java
+++ b/src/main/java/io/pepperfield/controller/FleetEventRouter.java
@@ -26,7 +26,7 @@
     private Dispatcher dispatcher;
     private Autoscaler autoscaler;
     private BootTracker bootTracker;
-    private QueueCounter queueCounter;
+    private QueuedTaskCounter queueCounter;
 
     FleetEventRouter(Loop loop) {
         this.loop = loop;
@@ -38,7 +38,7 @@
             Dispatcher itsDispatcher,
             Autoscaler itsAutoscaler,
             BootTracker boots,
-            QueueCounter counter) {
+            QueuedTaskCounter counter) {
         jobs = jobTracker;
         dispatcher = itsDispatcher;
         autoscaler = itsAutoscaler;
--- a/src/main/java/io/pepperfield/controller/Leader.java
+++ b/src/main/java/io/pepperfield/controller/Leader.java
@@ -55,7 +55,7 @@
     private final Dispatcher dispatcher;
     private final Autoscaler autoscaler;
     private final FailureDetector failureDetector;
-    private final QueueCounter queueCounter;
+    private final QueuedTaskCounter queueCounter;
     private final LeaderHeartbeatProcessor heartbeats;
     private final double heartbeatIntervalS;
     private final double leaseS;
@@ -98,7 +98,7 @@
         this.cluster = createClusterState();
         this.dispatcher = new Dispatcher(cluster, jobs);
         this.autoscaler = new Autoscaler(cluster);
-        this.queueCounter = new QueueCounter(loop, jobs.jobs());
+        this.queueCounter = new QueuedTaskCounter(loop, jobs.jobs());
         this.overview =
                 new LeaderOverview(cluster, dispatcher, durable.writer(), durable.jobIndex());
         this.failureDetector = new FailureDetector(cluster, dispatcher, workers, jobs);
@@ -217,7 +217,7 @@
     }
 
     /** Takes heartbeats, wherever workers have sent them. */
-    LeaderHeartbeats heartbeats() {
+    LeaderHeartbeats heartbeatProcessor() {
         return heartbeats;
     }
 
--- a/src/main/java/io/pepperfield/controller/LeadershipTransitions.java
+++ b/src/main/java/io/pepperfield/controller/LeadershipTransitions.java
@@ -65,7 +65,7 @@
             return;
         }
         if (current) {
-            currentLeader.begin();
+            currentLeader.start();
         } else {
             loop.after(retryS, () -> confirmReplica(elected));
         }
@@ -81,7 +81,7 @@
     public void leadershipLost(String why) {
         rateLimits.applyForRole(false);
         admission.ifPresent(Admission::deposed);
-        currentLeader.end();
+        currentLeader.stop();
         writer.reset();
     }
 }
--- a/src/main/java/io/pepperfield/controller/QueueCounter.java
+++ b/src/main/java/io/pepperfield/controller/QueuedTaskCounter.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 
 /** Tells admission which tasks of each team wait, and which are started. */
-final class QueueCounter {
+final class QueuedTaskCounter {
 
     private final Loop loop;
     private final Map<String, Job> jobs;
@@ -16,7 +16,7 @@
     /** Empty where admission is switched off, and before its first count. */
     private Optional<QueueWaitPredictor> predictor = Optional.empty();
 
-    QueueCounter(Loop loop, Map<String, Job> jobs) {
+    QueuedTaskCounter(Loop loop, Map<String, Job> jobs) {
         this.loop = loop;
         this.jobs = jobs;
     }
--- a/src/main/java/io/pepperfield/controller/StoredStateCompatibility.java
+++ b/src/main/java/io/pepperfield/controller/StoredStateCompatibility.java
@@ -52,7 +52,7 @@
     }
 
     /** What one of the leader's transactions may hold. */
-    TransactionLimits limits() {
+    TransactionLimits transactionLimits() {
         return limits;
     }
 
@@ -87,12 +87,12 @@
     }
 
     /** Whether the request is an operator's about the rollout. */
-    boolean handles(InboundRequest request) {
+    boolean isRolloutRequest(InboundRequest request) {
         return rollout.isPresent() && request.path().startsWith(Rollout.PATH);
     }
 
-    /** Answers a request that {@link #handles} has accepted. */
-    void handle(InboundRequest request, Consumer<HttpReply> answer) {
+    /** Answers a request that {@link #isRolloutRequest} has accepted. */
+    void handleRolloutRequest(InboundRequest request, Consumer<HttpReply> answer) {
         rollout.orElseThrow().handle(request, answer);
     }
 }
