--- a/src/main/java/io/pepperfield/controller/AdmissionTicker.java
+++ b/src/main/java/io/pepperfield/controller/AdmissionTicker.java
@@ -2,7 +2,10 @@
 
 import io.pepperfield.admission.Admission;
 
-/** Drives fair admission, and has the leader count the queues that it decides by. */
+/**
+ * Drives fair admission. When admission is due on the leader, first updates the counts of queued
+ * tasks that its decisions are based on.
+ */
 record AdmissionTicker(Admission admission, CurrentLeader currentLeader) {
 
     void tick() {
--- a/src/main/java/io/pepperfield/controller/BatchFlusher.java
+++ b/src/main/java/io/pepperfield/controller/BatchFlusher.java
@@ -4,7 +4,7 @@
 import io.pepperfield.jobs.UserRequests;
 import io.pepperfield.peer.HeartbeatForwarder;
 
-/** Sends, at the end of each batch of commands, what the batch has gathered. */
+/** Sends the requests and replies that one batch of commands has buffered. */
 final class BatchFlusher {
 
     private final PauseDetector pauseDetector;
--- a/src/main/java/io/pepperfield/controller/CancellationAnnouncer.java
+++ b/src/main/java/io/pepperfield/controller/CancellationAnnouncer.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Tells the other controllers which cancellations users have been told of here, in one message for
- * each batch of commands.
+ * Notifies the other controllers of cancellations that this controller has confirmed to users, in
+ * one message per batch of commands.
  */
 final class CancellationAnnouncer {
 
--- a/src/main/java/io/pepperfield/controller/Controller.java
+++ b/src/main/java/io/pepperfield/controller/Controller.java
@@ -10,74 +10,77 @@
 import java.util.function.Consumer;
 
 /**
- * One controller: every one answers users; the leading one also decides what runs where. All of it
- * runs on the event loop. {@link ControllerAssembly} creates its parts and connects them.
+ * One controller of the cluster. Every controller serves users' requests; the leader also schedules
+ * tasks onto machines. Confined to the event loop. {@link ControllerAssembly} creates the
+ * components and connects them.
  */
 public final class Controller {
 
-    /** Where users ask about jobs. */
+    /** Path prefix of users' requests about a job. */
     static final String JOBS_PATH = "/api/jobs/";
 
-    /** Where workers send heartbeats. */
+    /** Path of workers' heartbeats. */
     static final String HEARTBEAT_PATH = "/agent/beat";
 
-    private final ControllerAssembly parts;
+    private final ControllerAssembly components;
     private final StoredStateCompatibility compatibility;
     private final double heartbeatIntervalS;
 
     /**
-     * Creates a controller; {@link #start} begins its work.
+     * Creates a controller that does nothing until {@link #start}.
      *
-     * @param rollout the rollout of stored-state versions; empty where it is switched off
+     * @param rollout the rollout of stored-state versions; empty if it is disabled
      */
     public Controller(
             Loop loop, Settings settings, ExternalSystems external, Optional<Rollout> rollout) {
-        this.parts = new ControllerAssembly(loop, settings, external, rollout);
-        this.compatibility = parts.compatibility();
+        this.components = new ControllerAssembly(loop, settings, external, rollout);
+        this.compatibility = components.compatibility();
         this.heartbeatIntervalS = settings.deployment().workerTimings().heartbeatIntervalS();
     }
 
     /**
-     * Queries may hold an eighth of the sockets at once; each is answered in about a tenth of a
-     * second.
+     * Returns how many users' queries may be in progress at once: an eighth of the process's socket
+     * quota. A query takes about 0.1 s.
      */
     static int maxConcurrentQueries(Settings settings) {
         return settings.deployment().processQuota().maxSockets() / 8;
     }
 
-    /** Begins to follow the store, and from then on to stand for election. */
+    /** Starts watching the store and running the periodic tasks, which include leader election. */
     public void start() {
-        parts.rateLimits().applyForRole(false);
-        parts.synchronizer().start();
-        parts.ticker().tick();
+        components.rateLimits().applyForRole(false);
+        components.synchronizer().start();
+        components.ticker().tick();
     }
 
-    /** To be called at the end of each batch of commands. */
+    /** Sends buffered requests and replies; called at the end of each batch of commands. */
     public void flush() {
-        parts.batchFlusher().flush();
+        components.batchFlusher().flush();
     }
 
     /**
-     * A command threw: state that may be half-written is dropped, and whoever leads next recovers
-     * the durable one.
+     * Steps down after a command threw an exception: in-memory state may be inconsistent and is
+     * discarded. The next leader recovers the durable state from the store.
      */
     public void commandFailed() {
-        parts.leadership().stepDown("an internal error", heartbeatIntervalS);
+        components
+                .leadership()
+                .stepDown("internal error: a command threw an exception", heartbeatIntervalS);
     }
 
-    /** Takes a request of a user, a worker or the load balancer. */
+    /** Handles a request from a user, a worker or the load balancer. */
     public void handle(InboundRequest request, Consumer<HttpReply> answer) {
         if (compatibility.isRolloutRequest(request)) {
             compatibility.handleRolloutRequest(request, answer);
         } else if (compatibility.mayServe()) {
-            parts.router().handle(request, answer);
+            components.router().handle(request, answer);
         } else {
             answer.accept(HttpReply.unavailable(StoredStateCompatibility.NOT_SERVING));
         }
     }
 
-    /** Fair admission on this controller; empty where it is switched off. */
+    /** Returns fair admission on this controller; empty if it is disabled. */
     public Optional<Admission> admission() {
-        return parts.admission();
+        return components.admission();
     }
 }
--- a/src/main/java/io/pepperfield/controller/ControllerAssembly.java
+++ b/src/main/java/io/pepperfield/controller/ControllerAssembly.java
@@ -35,8 +35,9 @@
 import java.util.Optional;
 
 /**
- * Creates the parts of one controller and connects them; decides nothing. Parts that need each
- * other are connected through the private methods at the end, which are called once all exist.
+ * Creates the components of one controller and connects them; contains no scheduling logic.
+ * Components that depend on each other are connected through the callback methods below, which are
+ * called only after all components exist.
  */
 final class ControllerAssembly {
 
@@ -47,7 +48,7 @@
 
     private final StoredStateCompatibility compatibility;
     private final RoleRateLimits rateLimits;
-    private final PartitionOrderRouter partitionOrders;
+    private final PartitionOrderRouter partitionOrderRouter;
     private final MachineTypes machineTypes;
     private final Membership membership;
     private final MembershipLog membershipLog;
@@ -65,7 +66,7 @@
     private final UserRequests userRequests;
     private final RequestRouter router;
     private final LeadershipTransitions transitions;
-    private final ReplicaChangeRouter replicaChanges;
+    private final ReplicaChangeRouter replicaChangeRouter;
     private final BatchFlusher batchFlusher;
     private final ControllerTicker ticker;
 
@@ -77,7 +78,7 @@
         this.timings = ControllerTimings.of(settings);
         this.compatibility = new StoredStateCompatibility(rollout, settings);
         this.rateLimits = new RoleRateLimits(external.rateLimitSetter(), settings);
-        this.partitionOrders =
+        this.partitionOrderRouter =
                 new PartitionOrderRouter(external.workers(), external.peers(), settings);
         this.machineTypes = new MachineTypes(settings);
         this.membership = new Membership(settings.node(), timings.livenessTimeoutS());
@@ -91,9 +92,10 @@
                         settings.node(),
                         timings.grantTtlS(),
                         new LateBoundTransitions());
-        rollout.ifPresent(present -> present.attach(leadership, this::jobSpec));
+        rollout.ifPresent(enabled -> enabled.attach(leadership, this::jobSpec));
         this.jobIndex = new JobIndex(synchronizer::lastConfirmedAt);
-        this.pauseDetector = new PauseDetector(loop, timings.grantTtlS(), this::lastAnswerAt);
+        this.pauseDetector =
+                new PauseDetector(loop, timings.grantTtlS(), this::lastAnsweredRequestSentAt);
         this.leaseRenewal =
                 new LeaseRenewal(
                         settings.deployment().workerTimings(),
@@ -113,7 +115,7 @@
         this.userRequests = createUserRequests();
         this.router = createRouter();
         this.transitions = createTransitions();
-        this.replicaChanges = createReplicaChangeRouter();
+        this.replicaChangeRouter = createReplicaChangeRouter();
         this.batchFlusher = createBatchFlusher();
         this.ticker = createTicker();
         external.peers().setHandler(createPeerMessageReceiver());
@@ -226,7 +228,7 @@
                 heartbeatHandler,
                 external.workers(),
                 external.heartbeatForwarder(),
-                replicaChanges::cancelledByPeer);
+                replicaChangeRouter::cancelledByPeer);
     }
 
     private BatchFlusher createBatchFlusher() {
@@ -247,11 +249,11 @@
                 synchronizer,
                 compatibility,
                 leadership,
-                createDuties());
+                createPeriodicTasks());
     }
 
-    /** The periodic duties, in the order in which they are run. */
-    private List<Runnable> createDuties() {
+    /** Returns the periodic tasks in the order in which they run. */
+    private List<Runnable> createPeriodicTasks() {
         HeartbeatForwarder forwarder = external.heartbeatForwarder();
         Peers peers = external.peers();
         LiveControllerCount liveControllers =
@@ -278,27 +280,27 @@
                         router,
                         currentLeader,
                         heartbeatHandler);
-        List<Runnable> duties = new ArrayList<>();
-        duties.add(
+        List<Runnable> tasks = new ArrayList<>();
+        tasks.add(
                 () ->
                         rateLimits.setLiveControllers(
                                 liveControllers.estimate(), leadership.isLeader()));
-        duties.add(supervisor::tick);
+        tasks.add(supervisor::tick);
         admission.ifPresent(
-                present -> duties.add(new AdmissionTicker(present, currentLeader)::tick));
-        duties.add(
+                enabled -> tasks.add(new AdmissionTicker(enabled, currentLeader)::tick));
+        tasks.add(
                 () ->
                         peers.tick(
                                 loop.now(),
                                 synchronizer.lastConfirmedAt(),
                                 leadership.fencingToken()));
-        duties.add(forwarder::flush);
-        duties.add(() -> machineTypesPoller.tick(loop.now(), leadership.isLeader()));
-        duties.add(summaryLog::tick);
-        return duties;
+        tasks.add(forwarder::flush);
+        tasks.add(() -> machineTypesPoller.tick(loop.now(), leadership.isLeader()));
+        tasks.add(summaryLog::tick);
+        return tasks;
     }
 
-    /** The leader of a leadership that begins; called once the replica is current. */
+    /** Creates the leader of a new leadership term; called once the replica is current. */
     private Leader createLeader() {
         DurableState durable =
                 new DurableState(
@@ -312,25 +314,26 @@
                 settings,
                 leadership,
                 durable,
-                partitionOrders,
+                partitionOrderRouter,
                 external.cloud(),
                 machineTypes,
                 leaseRenewal);
     }
 
-    // ---- connections between parts of which one is created before the other
+    // ---- callbacks between components of which one is created before the other
 
     private void replicaChanged(String key, JsonNode value, long modRevision) {
-        replicaChanges.changed(key, value, modRevision);
+        replicaChangeRouter.changed(key, value, modRevision);
     }
 
-    /** The specification of an accepted job, or null. */
+    /** Returns the specification of an accepted job, or null if the job is unknown. */
     private JobSpec jobSpec(String id) {
         JobRecord job = jobIndex.get(id);
         return job == null ? null : job.spec();
     }
 
-    private double lastAnswerAt() {
+    /** Returns the latest send time of a request that the store or the leader has answered. */
+    private double lastAnsweredRequestSentAt() {
         return Math.max(
                 synchronizer.lastConfirmedAt(), external.heartbeatForwarder().leaderAnsweredAt());
     }
@@ -343,7 +346,10 @@
         return currentLeader.get().map(Leader::overview);
     }
 
-    /** Listens to the leadership, which is created before what changes with it. */
+    /**
+     * Forwards leadership changes to {@link LeadershipTransitions}, which is created after the
+     * leadership.
+     */
     private final class LateBoundTransitions implements Leadership.Listener {
         @Override
         public void elected(FencingToken token) {
@@ -356,12 +362,12 @@
         }
 
         @Override
-        public void leadershipLost(String why) {
-            transitions.leadershipLost(why);
+        public void leadershipLost(String reason) {
+            transitions.leadershipLost(reason);
         }
     }
 
-    // ---- the parts that the controller itself calls
+    // ---- components that the controller calls directly
 
     StoredStateCompatibility compatibility() {
         return compatibility;
--- a/src/main/java/io/pepperfield/controller/ControllerServer.java
+++ b/src/main/java/io/pepperfield/controller/ControllerServer.java
@@ -24,12 +24,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One controller process: its network thread, its event loop and its servers. */
+/** One controller process: its network thread, event loop and HTTP servers. */
 public final class ControllerServer {
 
     private static final Logger LOG = LoggerFactory.getLogger(ControllerServer.class);
 
-    /** A follow holds all changes at once; beyond this the keys are read in pages instead. */
+    /**
+     * Maximum size of a response body. A watch response contains all changes at once; if it would
+     * exceed this size, the keys are read in pages instead.
+     */
     private static final int MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
     private static final double BYTES_PER_MIB = 1048576.0;
@@ -42,15 +45,16 @@
     private HttpServer userServer;
     private HttpServer peerServer;
 
-    /** Creates a controller's process; it listens from {@link #start} on. */
+    /** Creates a controller process that listens only after {@link #start}. */
     public ControllerServer(Settings settings) {
         this(settings, Release.CURRENT);
     }
 
     /**
-     * Creates a controller's process of another release than this one.
+     * Creates a controller process that acts as the given release.
      *
-     * @param release what it reads and writes if the rollout is switched on; null for this release
+     * @param release the release whose stored-state versions are read and written if the rollout is
+     *     enabled; null for the current release
      */
     public ControllerServer(Settings settings, Release release) {
         this.settings = settings;
@@ -64,7 +68,7 @@
         return Optional.of(new Rollout(eventLoop, settings, store, release));
     }
 
-    /** Listens; gives the port for users and workers. */
+    /** Starts the servers and returns the port for users and workers. */
     public int start() throws InterruptedException {
         warnOfQuotaShortage();
         HttpClient client = new HttpClient(network, MAX_RESPONSE_BYTES);
@@ -91,7 +95,7 @@
                 QuotaShortage.warnings(settings.deployment().processQuota(), memoryMib);
         if (!shortage.isEmpty()) {
             LOG.warn(
-                    "starting with less than the deployment may need: {}",
+                    "process quotas may be too small for this controller: {}",
                     String.join("; ", shortage));
         }
     }
@@ -126,13 +130,13 @@
 
     private HttpServer createUserServer(Controller controller) {
         int sockets = settings.deployment().processQuota().maxSockets();
-        PendingQueryLimit requests =
+        PendingQueryLimit queryLimiter =
                 new PendingQueryLimit(
                         Controller.JOBS_PATH,
                         Controller.maxConcurrentQueries(settings),
                         (request, answer) ->
                                 eventLoop.post(() -> handle(controller, request, answer)));
-        return new HttpServer(network, sockets * 7 / 10, requests)
+        return new HttpServer(network, sockets * 7 / 10, queryLimiter)
                 .limitConnections(Controller.HEARTBEAT_PATH, sockets * 6 / 10);
     }
 
@@ -149,19 +153,19 @@
         try {
             controller.handle(request, answer);
         } catch (RuntimeException e) {
-            // Without an answer the client would wait in vain, and its place among the queries be
-            // lost.
+            // Without an answer the client would wait until its time-out, and the request would
+            // count against the limit of concurrent queries indefinitely.
             answer.accept(HttpReply.error(500, "an internal error"));
             throw e;
         }
     }
 
-    /** Works on the calling thread until stopped. */
+    /** Runs the event loop on the calling thread until {@link #stop} is called. */
     public void run() {
         eventLoop.run();
     }
 
-    /** Closes the servers, stops the owner and shuts the network down. */
+    /** Closes the servers, stops the event loop and shuts down the network thread. */
     public void stop() {
         userServer.close();
         peerServer.close();
--- a/src/main/java/io/pepperfield/controller/ControllerTicker.java
+++ b/src/main/java/io/pepperfield/controller/ControllerTicker.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * Runs the periodic duties of a controller, one after the other in a fixed order. While the
- * controller cannot read all that is stored it does nothing but give up the leadership.
+ * Runs the periodic tasks of a controller one after another in a fixed order. While the controller
+ * cannot read all stored records, it steps down if it leads and skips the tasks.
  */
 final class ControllerTicker {
 
@@ -20,7 +20,7 @@
     private final ReplicaSynchronizer synchronizer;
     private final StoredStateCompatibility compatibility;
     private final Leadership leadership;
-    private final List<Runnable> duties;
+    private final List<Runnable> tasks;
 
     ControllerTicker(
             Loop loop,
@@ -29,7 +29,7 @@
             ReplicaSynchronizer synchronizer,
             StoredStateCompatibility compatibility,
             Leadership leadership,
-            List<Runnable> duties) {
+            List<Runnable> tasks) {
         this.loop = loop;
         this.intervalS = ControllerTimings.of(settings).tickS();
         this.leaseS = settings.deployment().workerTimings().leaseS();
@@ -37,10 +37,10 @@
         this.synchronizer = synchronizer;
         this.compatibility = compatibility;
         this.leadership = leadership;
-        this.duties = duties;
+        this.tasks = tasks;
     }
 
-    /** Runs the duties now and at each interval from now on. */
+    /** Runs the tasks now, and again after each interval. */
     void tick() {
         loop.after(intervalS, this::tick);
         pauseDetector.checkStale();
@@ -51,6 +51,6 @@
             leadership.stepDown(StoredStateCompatibility.NOT_SERVING, leaseS);
             return;
         }
-        duties.forEach(Runnable::run);
+        tasks.forEach(Runnable::run);
     }
 }
--- a/src/main/java/io/pepperfield/controller/CurrentLeader.java
+++ b/src/main/java/io/pepperfield/controller/CurrentLeader.java
@@ -8,8 +8,8 @@
 import java.util.function.Supplier;
 
 /**
- * This controller's leader: present from the recovery of its state until the leadership ends.
- * Confined to the event loop.
+ * Holds the {@link Leader} of this controller, which exists from the recovery of its state until
+ * the end of the leadership term. Confined to the event loop.
  */
 final class CurrentLeader {
 
@@ -21,7 +21,7 @@
     private Optional<Leader> leader = Optional.empty();
 
     /**
-     * @param factory creates the leader of a leadership that begins
+     * @param factory creates the leader of a new leadership term
      */
     CurrentLeader(
             Loop loop,
@@ -44,7 +44,7 @@
         return leader.isPresent();
     }
 
-    /** Creates the leader and recovers its state; the replica must be current. */
+    /** Creates the leader and recovers its state. The replica must be current. */
     void start() {
         Leader started = factory.get();
         leader = Optional.of(started);
@@ -55,7 +55,7 @@
                 .forEach(started.heartbeatProcessor()::restoreCachedHeartbeat);
     }
 
-    /** The leadership has ended, whether or not its state had been recovered. */
+    /** Ends the leadership term, whether or not the leader had already recovered its state. */
     void stop() {
         membershipLog.reset();
         if (leader.isPresent()) {
--- a/src/main/java/io/pepperfield/controller/EventLoop.java
+++ b/src/main/java/io/pepperfield/controller/EventLoop.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one thread that owns all state of a controller: it runs commands in batches, and then once
- * what follows from a batch. Other threads only {@link #post} and {@link #stop}.
+ * The single thread that owns all state of a controller. Runs commands in batches, and a handler
+ * after each batch. Other threads may call only {@link #post} and {@link #stop}.
  */
 public final class EventLoop implements Loop {
 
@@ -19,7 +19,10 @@
     private static final int MAX_BATCH_SIZE = 256;
     private static final double NANOS_PER_S = 1e9;
 
-    /** A command to run at that time since the start; the sequence decides among equal times. */
+    /**
+     * A command that is due at a time since the start of the loop; timers that are due at the same
+     * time run in order of their sequence numbers.
+     */
     private record Timer(long dueNanos, long sequence, Runnable command)
             implements Comparable<Timer> {
         @Override
@@ -38,13 +41,15 @@
     private Runnable afterFailure = () -> {};
     private volatile boolean stopped;
 
-    /** The thread that runs commands; null before {@link #run}. */
+    /** The thread that runs the commands; null before {@link #run}. */
     private volatile Thread owner;
 
     /**
-     * Sets what follows a batch; called before {@link #run}.
+     * Sets the handlers. Must be called before {@link #run}.
      *
-     * @param afterFailure run when a command threw, so that state may be half-written
+     * @param afterBatch runs after each batch of commands
+     * @param afterFailure runs after a command threw an exception, which may have left state
+     *     inconsistent
      */
     public void setHandlers(Runnable afterBatch, Runnable afterFailure) {
         this.afterBatch = afterBatch;
@@ -66,21 +71,25 @@
         commands.add(command);
     }
 
-    /** Called on the owner thread only, and before it runs; other threads post. */
+    /**
+     * May be called only on the owner thread, or before {@link #run}; other threads use {@link
+     * #post}.
+     */
     @Override
     public void after(double seconds, Runnable command) {
-        assert owner == null || owner == Thread.currentThread() : "timer set on another thread";
+        assert owner == null || owner == Thread.currentThread()
+                : "timer set by a thread other than the event loop's";
         long delayNanos = (long) (Math.max(0, seconds) * NANOS_PER_S);
         timers.add(new Timer(elapsedNanos() + delayNanos, nextTimerSequence++, command));
     }
 
-    /** Ends {@link #run} after the current batch; may be called on any thread. */
+    /** Makes {@link #run} return after the current batch. May be called on any thread. */
     public void stop() {
         stopped = true;
         commands.add(() -> {});
     }
 
-    /** Runs commands and timers on the calling thread, the owner from now on, until stopped. */
+    /** Runs commands and timers until stopped. The calling thread becomes the owner thread. */
     public void run() {
         owner = Thread.currentThread();
         List<Runnable> batch = new ArrayList<>();
@@ -97,7 +106,10 @@
         }
     }
 
-    /** Waits for the first command until a timer is due, and takes what has come with it. */
+    /**
+     * Waits for a command, but no longer than until the next timer is due, and adds it and further
+     * queued commands to the batch.
+     */
     private void takeCommands(List<Runnable> batch) throws InterruptedException {
         long waitNanos =
                 timers.isEmpty() ? Long.MAX_VALUE : timers.peek().dueNanos - elapsedNanos();
@@ -124,11 +136,13 @@
         try {
             command.run();
         } catch (RuntimeException e) {
-            LOG.error("command failed", e);
+            LOG.error("command on the event loop threw an exception", e);
             try {
                 afterFailure.run();
-            } catch (RuntimeException again) {
-                LOG.error("stepping down after a failed command failed", again);
+            } catch (RuntimeException handlerFailure) {
+                LOG.error(
+                        "failure handler threw an exception after a failed command",
+                        handlerFailure);
             }
         }
     }
--- a/src/main/java/io/pepperfield/controller/ExternalSystems.java
+++ b/src/main/java/io/pepperfield/controller/ExternalSystems.java
@@ -7,10 +7,11 @@
 import io.pepperfield.store.KeyValueStore;
 
 /**
- * The clients through which a controller reaches everything outside its process.
+ * The clients with which a controller accesses systems outside its process.
  *
- * @param store where all state is kept, as the rollout shows it if there is one
- * @param rateLimitSetter sets how much of the store's rates this controller may use
+ * @param store the key-value store that holds all durable state; the rollout's view of it if the
+ *     rollout is enabled
+ * @param rateLimitSetter sets this controller's share of the store's rate limits
  */
 public record ExternalSystems(
         KeyValueStore store,
--- a/src/main/java/io/pepperfield/controller/FleetEventRouter.java
+++ b/src/main/java/io/pepperfield/controller/FleetEventRouter.java
@@ -13,42 +13,42 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Hands each event in the leader's fleet to those whom it concerns. The fleet is created before
- * them: {@link #connect} completes the router before the first event.
+ * Routes events of the leader's fleet to the components that handle them. The fleet is created
+ * before these components, so {@link #connect} must be called before the first event.
  */
 final class FleetEventRouter implements Fleet.Listener {
 
     private static final Logger LOG = LoggerFactory.getLogger(FleetEventRouter.class);
 
     private final Loop loop;
-    private final double leaderSince;
-    private JobTracker jobs;
+    private final double termStartedAt;
+    private JobTracker jobTracker;
     private Dispatcher dispatcher;
     private Autoscaler autoscaler;
     private BootTracker bootTracker;
-    private QueuedTaskCounter queueCounter;
+    private QueuedTaskCounter queuedTaskCounter;
 
     FleetEventRouter(Loop loop) {
         this.loop = loop;
-        this.leaderSince = loop.now();
+        this.termStartedAt = loop.now();
     }
 
     void connect(
             JobTracker jobTracker,
-            Dispatcher itsDispatcher,
-            Autoscaler itsAutoscaler,
-            BootTracker boots,
-            QueuedTaskCounter counter) {
-        jobs = jobTracker;
-        dispatcher = itsDispatcher;
-        autoscaler = itsAutoscaler;
-        bootTracker = boots;
-        queueCounter = counter;
+            Dispatcher dispatcher,
+            Autoscaler autoscaler,
+            BootTracker bootTracker,
+            QueuedTaskCounter queuedTaskCounter) {
+        this.jobTracker = jobTracker;
+        this.dispatcher = dispatcher;
+        this.autoscaler = autoscaler;
+        this.bootTracker = bootTracker;
+        this.queuedTaskCounter = queuedTaskCounter;
     }
 
     @Override
     public void attemptStarted(Attempt attempt) {
-        queueCounter.attemptStarted(attempt);
+        queuedTaskCounter.attemptStarted(attempt);
         if (LOG.isDebugEnabled()) {
             LOG.debug(
                     "attempt started: task={} attempt={} instance={} workload={}"
@@ -57,39 +57,40 @@
                     attempt.number,
                     attempt.machine.name,
                     attempt.job.spec.workload(),
-                    tenths(loop.now() - attempt.intendedAt),
-                    tenths(loop.now() - attempt.job.readyAt()));
+                    roundToTenths(loop.now() - attempt.intendedAt),
+                    roundToTenths(loop.now() - attempt.job.readyAt()));
         }
     }
 
-    private static double tenths(double seconds) {
+    private static double roundToTenths(double seconds) {
         return Math.round(seconds * 10) / 10.0;
     }
 
     @Override
     public void attemptCompleted(Attempt attempt, double ranS) {
-        if (jobs.attemptCompleted(attempt) && ranS > 0) {
+        if (jobTracker.attemptCompleted(attempt) && ranS > 0) {
             autoscaler.taskFinished(attempt.job, ranS);
         }
     }
 
     @Override
     public void attemptGone(Attempt attempt, Heartbeat.Cause cause) {
-        jobs.attemptGone(attempt, cause);
+        jobTracker.attemptGone(attempt, cause);
     }
 
     @Override
     public void machineAppeared(Machine machine) {
-        // At debug level: a line for each machine of a large fleet would fill the log at every
-        // failover.
+        // Logged at debug level because every failover logs this line for each machine of the
+        // fleet.
         LOG.debug(
                 "first heartbeat of machine: instance={} type={} zone={} sinceRentalS={}",
                 machine.name,
                 machine.type(),
                 machine.zone(),
                 Math.round(loop.now() - machine.rentedAt()));
-        // One from before this leader may have been ready for long already.
-        if (!machine.ready() && machine.rentedAt() >= leaderSince) {
+        // A machine rented before this leadership term may have been ready for a long time, so its
+        // boot time is unknown.
+        if (!machine.ready() && machine.rentedAt() >= termStartedAt) {
             bootTracker.machineBooted(machine, loop.now());
         }
         dispatcher.requestPass();
--- a/src/main/java/io/pepperfield/controller/HealthCheck.java
+++ b/src/main/java/io/pepperfield/controller/HealthCheck.java
@@ -4,12 +4,13 @@
 import io.pepperfield.peer.Peers;
 import io.pepperfield.store.ReplicaSynchronizer;
 
-/** Whether the load balancer is to send users' requests to this controller. */
+/** Decides whether the load balancer should send users' requests to this controller. */
 record HealthCheck(Loop loop, ReplicaSynchronizer synchronizer, Peers peers) {
 
     /**
-     * A controller that alone has lost the store leaves the load balancer; one among many in an
-     * outage stays.
+     * Returns false until the replica is loaded, and if only this controller has lost contact with
+     * the store, so that the load balancer removes it. During an outage that affects many
+     * controllers it remains healthy.
      */
     boolean isHealthy() {
         return synchronizer.loaded()
--- a/src/main/java/io/pepperfield/controller/Leader.java
+++ b/src/main/java/io/pepperfield/controller/Leader.java
@@ -32,9 +32,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leading controller, for as long as one leadership lasts: creates the parts that track jobs,
- * place tasks, rent machines and detect failures, and calls them in turn. Confined to the event
- * loop.
+ * The leader's work during one leadership term. Creates the components that track jobs, place
+ * tasks, rent machines and detect failures, and runs them in turn. Confined to the event loop.
  */
 final class Leader {
 
@@ -47,7 +46,7 @@
     private final MachineTypes machineTypes;
     private final Fleet fleet;
     private final InstanceLifecycle instanceLifecycle;
-    private final JobTracker jobs;
+    private final JobTracker jobTracker;
     private final DirectOrders directOrders;
     private final LeaderOverview overview;
     private final ClusterState cluster;
@@ -55,26 +54,26 @@
     private final Dispatcher dispatcher;
     private final Autoscaler autoscaler;
     private final FailureDetector failureDetector;
-    private final QueuedTaskCounter queueCounter;
-    private final LeaderHeartbeatProcessor heartbeats;
+    private final QueuedTaskCounter queuedTaskCounter;
+    private final LeaderHeartbeatProcessor heartbeatProcessor;
     private final double heartbeatIntervalS;
     private final double leaseS;
 
-    /** Loop times in seconds. */
+    /** Loop time in seconds, as are all fields whose names end in {@code At}. */
     private final double startedAt;
 
     private double fencingTokenRequestedAt;
-    private double bootsUpdatedAt = Double.NEGATIVE_INFINITY;
+    private double bootTrackerUpdatedAt = Double.NEGATIVE_INFINITY;
 
-    /** Whether the machines are known well enough to decide about them. */
-    private boolean acting;
+    /** Whether the fleet is known completely enough for scheduling decisions. */
+    private boolean schedulingEnabled;
 
     Leader(
             Loop loop,
             Settings settings,
             Leadership leadership,
             DurableState durable,
-            PartitionOrderRouter workers,
+            PartitionOrderRouter orderRouter,
             CloudProvider cloud,
             MachineTypes machineTypes,
             LeaseRenewal leaseRenewal) {
@@ -93,21 +92,22 @@
         StoreFreshness storeFreshness =
                 new StoreFreshness(loop, durable.lastConfirmedAt(), heartbeatIntervalS);
         this.directOrders =
-                new DirectOrders(loop, fleet, leadership, workers, storeFreshness::isFresh);
-        this.jobs = createJobTracker();
+                new DirectOrders(loop, fleet, leadership, orderRouter, storeFreshness::isFresh);
+        this.jobTracker = createJobTracker();
         this.cluster = createClusterState();
-        this.dispatcher = new Dispatcher(cluster, jobs);
+        this.dispatcher = new Dispatcher(cluster, jobTracker);
         this.autoscaler = new Autoscaler(cluster);
-        this.queueCounter = new QueuedTaskCounter(loop, jobs.jobs());
+        this.queuedTaskCounter = new QueuedTaskCounter(loop, jobTracker.jobs());
         this.overview =
                 new LeaderOverview(cluster, dispatcher, durable.writer(), durable.jobIndex());
-        this.failureDetector = new FailureDetector(cluster, dispatcher, workers, jobs);
+        this.failureDetector = new FailureDetector(cluster, dispatcher, orderRouter, jobTracker);
         this.inventory =
                 new InventoryReconciler(
                         loop, cloud, settings.deployment().cloudLimits(), fleet, instanceLifecycle);
-        this.heartbeats =
+        this.heartbeatProcessor =
                 new LeaderHeartbeatProcessor(loop, fleet, leadership, leaseRenewal, storeFreshness);
-        fleetEvents.connect(jobs, dispatcher, autoscaler, cluster.bootTracker(), queueCounter);
+        fleetEvents.connect(
+                jobTracker, dispatcher, autoscaler, cluster.bootTracker(), queuedTaskCounter);
     }
 
     private InstanceLifecycle createInstanceLifecycle(CloudProvider cloud) {
@@ -130,7 +130,7 @@
                 leadership.fencingToken(),
                 fleet,
                 directOrders,
-                this::wakeDispatcher);
+                this::requestDispatcherPass);
     }
 
     private ClusterState createClusterState() {
@@ -140,20 +140,20 @@
                 new Objectives(settings.deployment().objectives()),
                 machineTypes,
                 fleet,
-                jobs.liveAttempts(),
-                jobs.jobs(),
+                jobTracker.liveAttempts(),
+                jobTracker.jobs(),
                 instanceLifecycle,
                 new BootTracker(machineTypes, settings.operators().billingUnitS()),
                 new LatencyHistograms());
     }
 
-    private void wakeDispatcher() {
+    private void requestDispatcherPass() {
         dispatcher.requestPass();
     }
 
     /**
-     * Reads what earlier leaders have left in the replica, which must hold everything written
-     * before this leadership began.
+     * Restores the state that earlier leaders have stored from the replica, which must contain
+     * everything written before this leadership term.
      */
     void recoverState() {
         durable.replica()
@@ -162,33 +162,33 @@
                         (key, value) ->
                                 instanceLifecycle.restore(
                                         key.substring(Keys.RENTAL_PREFIX.length()), value));
-        jobs.restoreAll();
+        jobTracker.restoreAll();
         if (machineTypes.known()) {
             machineTypesReceived();
         }
         LOG.info(
                 "state recovered: fencingToken={} jobs={} attempts={} instances={}",
                 leadership.fencingToken(),
-                jobs.jobs().size(),
-                jobs.liveAttempts().size(),
+                jobTracker.jobs().size(),
+                jobTracker.liveAttempts().size(),
                 fleet.machines().size());
     }
 
-    /** The leadership has ended: what is still answered changes nothing. */
+    /** Stops the components at the end of the term; they ignore responses that arrive later. */
     void stop() {
-        jobs.stop();
+        jobTracker.stop();
         inventory.stop();
         instanceLifecycle.stop();
         failureDetector.stop();
         directOrders.stop();
     }
 
-    /** The replica brought a new job or a final state. */
+    /** Handles a replica change that added a job or a job's final state. */
     void jobChanged(String id) {
-        jobs.jobChanged(id);
+        jobTracker.jobChanged(id);
     }
 
-    /** Stores the machine types for controllers that cannot ask the cloud. */
+    /** Stores the machine types for controllers that cannot reach the cloud provider. */
     void machineTypesReceived() {
         boolean stored =
                 durable.replica()
@@ -205,75 +205,81 @@
         }
     }
 
-    /** Orders under an older token are refused from now on by whoever has seen the new one. */
+    /**
+     * Applies a renewed fencing token. Machines that have seen it refuse orders with an older
+     * token.
+     */
     void fencingTokenRenewed(FencingToken token) {
         fleet.renewFencingToken(token);
         fencingTokenRequestedAt = loop.now();
     }
 
-    /** Counts the waiting tasks of each team, for admission. */
-    void countQueuedTasks(QueueWaitPredictor queueWaits) {
-        queueCounter.count(queueWaits);
+    /** Counts the queued tasks of each team for admission. */
+    void countQueuedTasks(QueueWaitPredictor queueWaitPredictor) {
+        queuedTaskCounter.count(queueWaitPredictor);
     }
 
-    /** Takes heartbeats, wherever workers have sent them. */
+    /**
+     * Returns the processor of heartbeats, both received here and forwarded by other controllers.
+     */
     LeaderHeartbeats heartbeatProcessor() {
-        return heartbeats;
+        return heartbeatProcessor;
     }
 
-    /** What operators see of this leadership. */
+    /** Returns the overview of this leadership term for operators. */
     LeaderOverview overview() {
         return overview;
     }
 
-    /** To be called at the end of each batch of commands. */
+    /** Must be called at the end of each batch of commands. */
     void flush() {
-        if (acting && leadership.holdsValidLease()) {
+        if (schedulingEnabled && leadership.holdsValidLease()) {
             dispatcher.runPassIfDue();
         }
         durable.writer().flush();
         directOrders.flush();
     }
 
-    /** To be called several times in a heartbeat interval. */
+    /** Must be called several times per heartbeat interval. */
     void tick() {
         if (!leadership.holdsValidLease()) {
             return;
         }
         double now = loop.now();
-        if (acting) {
-            act(now);
+        if (schedulingEnabled) {
+            runPeriodicTasks(now);
         } else {
-            acting = mayAct(now);
+            schedulingEnabled = isFleetKnown(now);
         }
     }
 
     /**
-     * Whether all machines are known, or have had a heartbeat interval to make themselves known.
+     * Returns whether every machine has sent a heartbeat, or has had one heartbeat interval to do
+     * so.
      */
-    private boolean mayAct(double now) {
+    private boolean isFleetKnown(double now) {
         return now - startedAt >= heartbeatIntervalS
                 || fleet.machines().stream().allMatch(Machine::ready);
     }
 
-    private void act(double now) {
-        if (now - bootsUpdatedAt >= heartbeatIntervalS / 4) {
-            bootsUpdatedAt = now;
+    private void runPeriodicTasks(double now) {
+        if (now - bootTrackerUpdatedAt >= heartbeatIntervalS / 4) {
+            bootTrackerUpdatedAt = now;
             cluster.bootTracker().update(fleet, now);
         }
         if (!failureDetector.tick(now)) {
-            // All of them dead at once is less likely than this controller cut off, while another
-            // may reach them.
-            leadership.stepDown("no worker reports here", leaseS);
+            // It is less likely that all machines have failed at once than that this controller is
+            // disconnected, and another controller may still reach them.
+            leadership.stepDown("no worker's heartbeats reach this controller", leaseS);
             return;
         }
-        renewFencingTokenIfWanted(now);
+        renewFencingTokenIfNeeded(now);
         inventory.tick(now);
         autoscaler.tick(now);
         dispatcher.tick(now);
     }
 
-    private void renewFencingTokenIfWanted(double now) {
+    private void renewFencingTokenIfNeeded(double now) {
         if (fleet.needsNewerFencingToken() && now - fencingTokenRequestedAt >= leaseS / 4) {
             fencingTokenRequestedAt = now;
             leadership.renewFencingToken();
--- a/src/main/java/io/pepperfield/controller/LeaderFence.java
+++ b/src/main/java/io/pepperfield/controller/LeaderFence.java
@@ -4,7 +4,7 @@
 import io.pepperfield.store.FencedWriter;
 import io.pepperfield.store.KeyValueStore;
 
-/** The leadership that fences this controller's durable writes. */
+/** Fences this controller's durable writes with its leader lease and fencing token. */
 record LeaderFence(Leadership leadership, CurrentLeader currentLeader)
         implements FencedWriter.Fence {
 
--- a/src/main/java/io/pepperfield/controller/LeaderHeartbeatProcessor.java
+++ b/src/main/java/io/pepperfield/controller/LeaderHeartbeatProcessor.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Applies heartbeats to the leader's fleet, and decides whether they renew a lease. */
+/** Applies heartbeats to the leader's fleet and decides whether they renew the worker's lease. */
 final class LeaderHeartbeatProcessor implements LeaderHeartbeats {
 
     private final Loop loop;
@@ -53,9 +53,10 @@
     }
 
     /**
-     * Loop time up to which all cancellations are settled on a machine whose heartbeat is being
-     * answered. A run order on its way, whose job was cancelled since, could begin after the last
-     * stop that this leader can give.
+     * Returns the loop time up to which all cancellations have taken effect on the machine once it
+     * has processed the reply to its heartbeat. A run order that is still in flight limits it if
+     * its job has been cancelled in the meantime: the attempt could start after the last stop order
+     * that this leader can send.
      */
     private double cancellationWatermark(Machine machine) {
         return fleet.cancelledAttemptsThatMayStart(machine).stream()
@@ -67,7 +68,7 @@
     @Override
     public LeaderVerdict acceptForwardedHeartbeat(
             ForwardedHeartbeat forwarded, String reportingController) {
-        Optional<Heartbeat> heartbeat = fullHeartbeat(forwarded);
+        Optional<Heartbeat> heartbeat = expandHeartbeat(forwarded);
         if (heartbeat.isEmpty()) {
             return LeaderVerdict.FULL_HEARTBEAT_REQUIRED;
         }
@@ -82,8 +83,11 @@
         return new LeaderVerdict.Orders(WorkerProtocol.encodeOrders(orders.get()));
     }
 
-    /** Empty where it only refers to an earlier heartbeat that is not known here. */
-    private Optional<Heartbeat> fullHeartbeat(ForwardedHeartbeat forwarded) {
+    /**
+     * Returns the complete heartbeat; empty if the forwarded one only refers to an earlier
+     * heartbeat that is unknown to this leader.
+     */
+    private Optional<Heartbeat> expandHeartbeat(ForwardedHeartbeat forwarded) {
         if (forwarded instanceof ForwardedHeartbeat.Repeated repeated) {
             return fleet.expandRepeatedHeartbeat(
                     repeated.machine(),
--- a/src/main/java/io/pepperfield/controller/LeaderSupervisor.java
+++ b/src/main/java/io/pepperfield/controller/LeaderSupervisor.java
@@ -7,8 +7,8 @@
 import io.pepperfield.store.ReplicaSynchronizer;
 
 /**
- * Drives the election and this controller's leader, if there is one, and gives the leadership up
- * where workers reach other controllers but not this one.
+ * Drives leader election and this controller's leader, if there is one. Steps down if workers reach
+ * other controllers but not this one.
  */
 final class LeaderSupervisor {
 
@@ -21,7 +21,8 @@
     private final double leaseS;
 
     /**
-     * @param leaseS of a worker: how long this controller then does not stand for election
+     * @param leaseS a worker's lease in seconds, for which this controller does not stand for
+     *     election after stepping down
      */
     LeaderSupervisor(
             Loop loop,
@@ -46,7 +47,7 @@
         }
         leadership.tick();
         currentLeader.get().ifPresent(Leader::tick);
-        // That tick may have given the leadership up.
+        // The leader's tick may have stepped down.
         if (currentLeader.isPresent()) {
             checkMembership(loop.now());
         }
@@ -55,8 +56,9 @@
     private void checkMembership(double now) {
         membershipLog.update(now);
         if (heartbeatHandler.leaderHasReceiveFailure(now)) {
-            // Others reach the workers: whoever leads next sends its orders directly.
-            leadership.stepDown("no worker reaches this node, and others do", leaseS);
+            // Workers reach other controllers, so a leader elected among those can send them orders
+            // directly.
+            leadership.stepDown("workers reach other controllers but not this one", leaseS);
         }
     }
 }
--- a/src/main/java/io/pepperfield/controller/LeadershipTransitions.java
+++ b/src/main/java/io/pepperfield/controller/LeadershipTransitions.java
@@ -9,8 +9,8 @@
 import java.util.Optional;
 
 /**
- * What changes on this controller when it is elected or loses the leadership, in this order. The
- * leader begins once the replica holds everything that was written before the election.
+ * Applies changes of leadership to the components of this controller, in a fixed order. The leader
+ * starts once the replica contains everything that was written before the election.
  */
 final class LeadershipTransitions implements Leadership.Listener {
 
@@ -24,7 +24,8 @@
     private final CurrentLeader currentLeader;
 
     /**
-     * @param retryS seconds between two attempts to read what was written before the election
+     * @param retryS seconds between two attempts to confirm that the replica contains everything
+     *     written before the election
      */
     LeadershipTransitions(
             Loop loop,
@@ -49,7 +50,7 @@
     public void elected(FencingToken token) {
         rateLimits.applyForRole(true);
         writer.reset();
-        admission.ifPresent(present -> present.elected(token));
+        admission.ifPresent(enabled -> enabled.elected(token));
         confirmReplica(token);
     }
 
@@ -58,7 +59,8 @@
     }
 
     /**
-     * @param current whether the replica holds everything written before it was asked for
+     * @param elected the fencing token of the election that the confirmation was requested for
+     * @param current whether the replica contains everything written before the request
      */
     private void replicaConfirmed(FencingToken elected, boolean current) {
         if (leadership.fencingToken().isOlderThan(elected) || currentLeader.isPresent()) {
@@ -73,12 +75,12 @@
 
     @Override
     public void fencingTokenRenewed(FencingToken token) {
-        admission.ifPresent(present -> present.fencingTokenRenewed(token));
+        admission.ifPresent(enabled -> enabled.fencingTokenRenewed(token));
         currentLeader.get().ifPresent(leader -> leader.fencingTokenRenewed(token));
     }
 
     @Override
-    public void leadershipLost(String why) {
+    public void leadershipLost(String reason) {
         rateLimits.applyForRole(false);
         admission.ifPresent(Admission::deposed);
         currentLeader.stop();
--- a/src/main/java/io/pepperfield/controller/LiveControllerCount.java
+++ b/src/main/java/io/pepperfield/controller/LiveControllerCount.java
@@ -5,7 +5,7 @@
 import io.pepperfield.peer.HeartbeatForwarder;
 import io.pepperfield.peer.Membership;
 
-/** How many controllers are live, as far as this one knows. */
+/** Estimates how many controllers are live. */
 final class LiveControllerCount {
 
     private final Loop loop;
@@ -27,7 +27,11 @@
         this.currentLeader = currentLeader;
     }
 
-    /** By the leader's own view or its last reply; all that are configured where there is none. */
+    /**
+     * Returns the number of live controllers from the membership if this controller leads,
+     * otherwise from the leader's last reply. Returns the configured number if no leader is
+     * reachable.
+     */
     int estimate() {
         double now = loop.now();
         if (currentLeader.isPresent()) {
--- a/src/main/java/io/pepperfield/controller/PeerMessageReceiver.java
+++ b/src/main/java/io/pepperfield/controller/PeerMessageReceiver.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Takes the messages of other controllers. */
+/** Handles messages from other controllers. */
 final class PeerMessageReceiver implements Peers.Handler {
 
     private final StoredStateCompatibility compatibility;
@@ -22,7 +22,8 @@
     private final Consumer<String> onCancelledByPeer;
 
     /**
-     * @param onCancelledByPeer told of each job that users of another controller know is cancelled
+     * @param onCancelledByPeer called for each job that another controller has confirmed to users
+     *     as cancelled
      */
     PeerMessageReceiver(
             StoredStateCompatibility compatibility,
@@ -52,8 +53,8 @@
     @Override
     public void directOrdersReceived(FencingToken token, PeerMessages.DirectOrderMessage message) {
         if (pauseDetector.checkStale() || !compatibility.mayServe()) {
-            // Sent before a pause, perhaps: by now another controller may lead, and the machine
-            // have other orders.
+            // The message may have been sent before this process was paused. Another controller may
+            // have become leader since and sent the machine different orders.
             return;
         }
         workers.forwardOrders(
--- a/src/main/java/io/pepperfield/controller/QueuedTaskCounter.java
+++ b/src/main/java/io/pepperfield/controller/QueuedTaskCounter.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Tells admission which tasks of each team wait, and which are started. */
+/** Reports the queued tasks of each team, and their starts, to admission. */
 final class QueuedTaskCounter {
 
     private final Loop loop;
     private final Map<String, Job> jobs;
 
-    /** Empty where admission is switched off, and before its first count. */
+    /** Empty if admission is disabled, and before the first count. */
     private Optional<QueueWaitPredictor> predictor = Optional.empty();
 
     QueuedTaskCounter(Loop loop, Map<String, Job> jobs) {
@@ -21,24 +21,28 @@
         this.jobs = jobs;
     }
 
-    /** Counts all waiting tasks anew. */
-    void count(QueueWaitPredictor queueWaits) {
-        predictor = Optional.of(queueWaits);
+    /** Recounts all queued tasks. */
+    void count(QueueWaitPredictor queueWaitPredictor) {
+        predictor = Optional.of(queueWaitPredictor);
         double now = loop.now();
-        queueWaits.beginRecount();
+        queueWaitPredictor.beginRecount();
         for (Job job : jobs.values()) {
             if (isQueued(job)) {
-                queueWaits.addWaiting(
+                queueWaitPredictor.addWaiting(
                         job.spec.team(),
                         job.effectiveSpec().priority(),
                         job.pendingTaskCount(),
                         now - job.readyAt());
             }
         }
-        queueWaits.finishRecount(now);
+        queueWaitPredictor.finishRecount(now);
     }
 
-    /** What waits for other jobs, or fails wherever it is tried, tells nothing about the queue. */
+    /**
+     * Returns whether the job waits for resources. Jobs that wait for their dependencies, or whose
+     * tasks fail on every machine, are excluded: their waiting time does not depend on the length
+     * of the queue.
+     */
     private static boolean isQueued(Job job) {
         return job.finalStatus() == null
                 && !job.isAwaitingDependencies()
--- a/src/main/java/io/pepperfield/controller/ReplicaChangeRouter.java
+++ b/src/main/java/io/pepperfield/controller/ReplicaChangeRouter.java
@@ -13,8 +13,8 @@
 import java.util.List;
 
 /**
- * Hands each change of the replica to those whom it concerns, and to the leader what has changed
- * about jobs. Confined to the event loop.
+ * Routes each change of the replica to the components that handle it, and notifies the leader of
+ * changed jobs. Confined to the event loop.
  */
 final class ReplicaChangeRouter implements Replica.Listener {
 
@@ -73,8 +73,9 @@
     }
 
     /**
-     * The job index keeps specifications and run records in its own short form, the latter for as
-     * long as they say something; of their keys only the revisions are needed.
+     * Drops the values of job specifications and run records from the replica, which then keeps
+     * only the revisions of their keys. The job index holds them in a compact form, run records
+     * only while they are relevant.
      */
     private void compactReplica(String key) {
         if (key.startsWith(Keys.JOB_PREFIX)
@@ -85,8 +86,8 @@
     }
 
     /**
-     * Another controller has told a user that the job is cancelled, and thus it is durable: to be
-     * acted on before the store can be asked.
+     * Marks a job as cancelled after another controller has confirmed the cancellation to a user.
+     * The cancellation is durable by then, and is applied without waiting for the store.
      */
     void cancelledByPeer(String jobId) {
         jobIndex.changed(
@@ -94,7 +95,7 @@
         notifyLeader(jobId);
     }
 
-    /** Tells the leader which job has changed, and which dependents with it. */
+    /** Notifies the leader of the changed job and of the jobs that depend on it. */
     private void notifyLeader(String jobId) {
         List<String> affectedJobs = jobIndex.drainAffectedJobs();
         if (currentLeader.isPresent()) {
--- a/src/main/java/io/pepperfield/controller/RequestRouter.java
+++ b/src/main/java/io/pepperfield/controller/RequestRouter.java
@@ -13,8 +13,8 @@
 import java.util.function.Supplier;
 
 /**
- * Hands the requests of users, workers and the load balancer to those who answer them, and records
- * how long the answers took. Confined to the event loop.
+ * Routes requests from users, workers and the load balancer to their handlers, and records the
+ * latency of the replies. Confined to the event loop.
  */
 final class RequestRouter {
 
@@ -28,8 +28,8 @@
     private final LatencyHistograms latencies = new LatencyHistograms();
 
     /**
-     * @param healthy whether this controller is to get users' requests
-     * @param overview what operators see of it
+     * @param healthy whether the load balancer should send users' requests to this controller
+     * @param overview the body of {@code GET /api/nodes}
      */
     RequestRouter(
             Loop loop,
@@ -44,7 +44,7 @@
         this.overview = overview;
     }
 
-    /** Answers the request once, perhaps later. */
+    /** Handles the request. {@code answer} is called exactly once, possibly after this returns. */
     void handle(InboundRequest request, Consumer<HttpReply> answer) {
         String path = request.path();
         if (path.startsWith(Controller.JOBS_PATH)) {
@@ -86,7 +86,7 @@
                         ? jobPath.substring(0, jobPath.length() - CANCEL_SUFFIX.length())
                         : jobPath;
         if (!JobMessages.validId(jobId)) {
-            // No job of such a name can ever have been accepted.
+            // A job with an invalid id cannot have been accepted.
             answer.accept(HttpReply.error(404, "no such job"));
         } else if (cancellation) {
             requireMethod(
@@ -120,14 +120,14 @@
         double receivedAt = loop.now();
         return reply -> {
             latencies.record(operation, loop.now() - receivedAt);
-            // Open connections are never moved: a user on one to a controller that can answer
-            // nobody would ask there for ever.
+            // The load balancer does not move open connections. Without closing the connection, a
+            // client would keep sending its requests to a controller that cannot serve them.
             boolean close = reply.status() == 503 && !healthy.getAsBoolean();
             answer.accept(close ? reply.closingConnection() : reply);
         };
     }
 
-    /** How long requests took since the last summary; empty where there were none. */
+    /** Returns the latencies of requests since the last summary; empty if there were none. */
     String latencySummary() {
         return latencies.summarizeAndReset();
     }
--- a/src/main/java/io/pepperfield/controller/RoleRateLimits.java
+++ b/src/main/java/io/pepperfield/controller/RoleRateLimits.java
@@ -4,20 +4,27 @@
 import io.pepperfield.config.Settings;
 
 /**
- * This controller's share of the store's rates by its role. The leader writes most. Submissions and
- * cancellations come to all controllers, but seldom to all at once: each may use a quarter of the
- * writes for them, a single one left twice as many, and where that is too much together, the
- * store's own refusal is the limit.
+ * Sets this controller's share of the store's request and write rates according to its role. The
+ * leader writes most. Submissions and cancellations arrive at all controllers, but rarely at all of
+ * them at once, so each controller may use a quarter of the write rate for them, and the last live
+ * controller half of it. If the controllers together exceed the store's rate, the store rejects the
+ * excess.
  */
 public final class RoleRateLimits {
 
-    /** Applies this controller's share of the store's rates. */
+    /** Applies the rate limits to this controller's requests to the store. */
     public interface RateLimitSetter {
-        /** Sets requests per second, and writes per second of the leader and for users. */
+        /**
+         * Sets the limits.
+         *
+         * @param requestsPerS limit for all requests
+         * @param leaderWritesPerS limit for the leader's writes
+         * @param userWritesPerS limit for writes that users' requests cause
+         */
         void setRateLimits(double requestsPerS, double leaderWritesPerS, double userWritesPerS);
     }
 
-    /** Part of the store's writes for what comes from users to one controller. */
+    /** Fraction of the store's write rate that one controller may use for users' requests. */
     static final double USER_WRITE_SHARE = 0.25;
 
     private static final double LEADER_WRITE_SHARE = 0.75;
@@ -25,14 +32,16 @@
     private static final double FOLLOWERS_REQUEST_SHARE = 0.5;
     private static final double SINGLE_CONTROLLER_REQUEST_SHARE = 0.95;
 
-    /** With admission, a single controller may be allotted all that is for accepting jobs. */
+    /**
+     * With admission, the whole share for accepting jobs may be allotted to a single controller.
+     */
     private final boolean admissionEnabled;
 
     private final RateLimitSetter setter;
     private final Settings.StoreLimits storeLimits;
     private final int clusterSize;
 
-    /** Controllers that users may have come to, as far as this one knows. */
+    /** Number of controllers that currently receive users' requests, as last estimated. */
     private int liveControllers;
 
     RoleRateLimits(RateLimitSetter setter, Settings settings) {
@@ -43,7 +52,7 @@
         this.liveControllers = clusterSize;
     }
 
-    /** Applies a changed number of live controllers. */
+    /** Reapplies the limits if the number of live controllers has changed. */
     void setLiveControllers(int controllers, boolean leading) {
         if (controllers != liveControllers) {
             liveControllers = controllers;
@@ -51,7 +60,7 @@
         }
     }
 
-    /** Applies the rates of the leader, or of another controller. */
+    /** Applies the limits of the leader or of a follower. */
     void applyForRole(boolean leading) {
         double leaderWritesPerS = leading ? storeLimits.writesPerS() * LEADER_WRITE_SHARE : 0;
         setter.setRateLimits(
@@ -61,8 +70,9 @@
     }
 
     /**
-     * Part of the store's writes for what comes from users to this controller; where admission
-     * divides them between controllers, that and not this part is their limit.
+     * Returns the fraction of the store's write rate that this controller may use for users'
+     * requests. If admission is enabled, the effective limit is the share that admission allots to
+     * each controller, and this fraction is only an upper bound.
      */
     private double userWriteShare() {
         if (admissionEnabled) {
@@ -74,10 +84,10 @@
     }
 
     private double requestShare(boolean leading) {
-        int others = clusterSize - 1;
-        if (others == 0) {
+        int followers = clusterSize - 1;
+        if (followers == 0) {
             return SINGLE_CONTROLLER_REQUEST_SHARE;
         }
-        return leading ? LEADER_REQUEST_SHARE : FOLLOWERS_REQUEST_SHARE / others;
+        return leading ? LEADER_REQUEST_SHARE : FOLLOWERS_REQUEST_SHARE / followers;
     }
 }
--- a/src/main/java/io/pepperfield/controller/StoredStateCompatibility.java
+++ b/src/main/java/io/pepperfield/controller/StoredStateCompatibility.java
@@ -14,13 +14,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whether this controller can read all that is stored, with the rollout of stored-state versions or
- * without one. If it cannot, it serves nobody: what it knows of jobs and machines may lack what
- * others have written. Confined to the event loop.
+ * Checks whether this controller can read all stored records, both with the rollout of stored-state
+ * versions enabled and with it disabled. A controller that cannot read them rejects all requests,
+ * because its view of jobs and machines may be incomplete. Confined to the event loop.
  */
 final class StoredStateCompatibility {
 
-    /** The answer of a controller that serves nobody. */
+    /** Error text of a controller that cannot serve requests. */
     static final String NOT_SERVING = "this controller cannot read all that is stored";
 
     private static final Logger LOG = LoggerFactory.getLogger(StoredStateCompatibility.class);
@@ -28,11 +28,11 @@
     private final Optional<Rollout> rollout;
     private final TransactionLimits limits;
 
-    /** The rollout is switched off here, and records of a newer version exist. */
+    /** Whether the rollout is disabled although records of a newer version exist. */
     private boolean newerVersionInUse;
 
     /**
-     * @param rollout empty where operators have not switched it on
+     * @param rollout empty if operators have not enabled it
      */
     StoredStateCompatibility(Optional<Rollout> rollout, Settings settings) {
         this.rollout = rollout;
@@ -46,52 +46,58 @@
                                                         .maxTransactionOps()));
     }
 
-    /** Whether this controller may take part in the cluster. */
+    /** Returns whether this controller may serve requests and lead. */
     boolean mayServe() {
         return rollout.isPresent() ? rollout.get().gate().mayServe() : !newerVersionInUse;
     }
 
-    /** What one of the leader's transactions may hold. */
+    /** Returns the size limits of the leader's transactions. */
     TransactionLimits transactionLimits() {
         return limits;
     }
 
-    /** Tasks in a run record of a new job, given how many the first stored form takes. */
-    int tasksPerRunRecord(int inFirstForm) {
-        return rollout.isPresent() ? rollout.get().tasksPerRecord(inFirstForm) : inFirstForm;
+    /**
+     * Returns how many tasks a run record of a new job contains.
+     *
+     * @param tasksInFirstVersion the number in the first stored-state version
+     */
+    int tasksPerRunRecord(int tasksInFirstVersion) {
+        return rollout.isPresent()
+                ? rollout.get().tasksPerRecord(tasksInFirstVersion)
+                : tasksInFirstVersion;
     }
 
-    /** The replica brought a change of a key below {@link Keys#ROLLOUT_PREFIX}. */
+    /** Handles a replica change of a key with the prefix {@link Keys#ROLLOUT_PREFIX}. */
     void replicaChanged(String key, JsonNode value, long modRevision) {
         if (rollout.isPresent()) {
             rollout.get().changed(key, value, modRevision);
         } else if (key.equals(Keys.ROLLOUT_VERSION)) {
-            recordVersion(value);
+            versionRecordChanged(value);
         }
     }
 
-    private void recordVersion(JsonNode value) {
+    private void versionRecordChanged(JsonNode value) {
         boolean newer =
                 value != null
                         && value.path("highest").asInt(Integer.MAX_VALUE) > StoredVersions.FIRST;
         if (newer && !newerVersionInUse) {
             LOG.error(
-                    "not serving: reason=\"a newer stored-state version is in use, and rollout is off\"");
+                    "not serving: reason=\"a newer stored-state version is in use and rollout is disabled\"");
         }
         newerVersionInUse = newer;
     }
 
-    /** To be called a few times per grant, once the replica is loaded. */
+    /** Must be called a few times per grant TTL once the replica is loaded. */
     void tick() {
         rollout.ifPresent(Rollout::tick);
     }
 
-    /** Whether the request is an operator's about the rollout. */
+    /** Returns whether this is an operator's request about the rollout, and rollout is enabled. */
     boolean isRolloutRequest(InboundRequest request) {
         return rollout.isPresent() && request.path().startsWith(Rollout.PATH);
     }
 
-    /** Answers a request that {@link #isRolloutRequest} has accepted. */
+    /** Handles a request for which {@link #isRolloutRequest} is true. */
     void handleRolloutRequest(InboundRequest request, Consumer<HttpReply> answer) {
         rollout.orElseThrow().handle(request, answer);
     }
--- a/src/main/java/io/pepperfield/controller/SummaryLog.java
+++ b/src/main/java/io/pepperfield/controller/SummaryLog.java
@@ -5,7 +5,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Writes now and then to the log how requests were answered and, while leading, the fleet. */
+/** Periodically logs request latencies and, while this controller leads, a summary of the fleet. */
 final class SummaryLog {
 
     private static final Logger LOG = LoggerFactory.getLogger(SummaryLog.class);
@@ -15,7 +15,7 @@
     private final RequestRouter router;
     private final CurrentLeader currentLeader;
     private final HeartbeatHandler heartbeatHandler;
-    private double loggedAt;
+    private double lastLoggedAt;
 
     SummaryLog(
             Loop loop,
@@ -32,10 +32,10 @@
 
     void tick() {
         double now = loop.now();
-        if (now - loggedAt < intervalS) {
+        if (now - lastLoggedAt < intervalS) {
             return;
         }
-        loggedAt = now;
+        lastLoggedAt = now;
         log(now);
         heartbeatHandler.forgetMisrouted(now - intervalS);
     }
--- a/src/main/java/io/pepperfield/overview/ControllerOverview.java
+++ b/src/main/java/io/pepperfield/overview/ControllerOverview.java
@@ -12,7 +12,7 @@
 import io.pepperfield.store.ReplicaSynchronizer;
 import java.util.Optional;
 
-/** What operators see of one controller ({@code GET /api/nodes}). */
+/** Describes one controller to operators ({@code GET /api/nodes}). */
 public final class ControllerOverview {
 
     private final Settings settings;
@@ -21,12 +21,10 @@
     private final Membership membership;
     private final PartitionAssignment partitions;
 
-    /** Empty where it is switched off. */
+    /** Empty if admission is disabled. */
     private final Optional<Admission> admission;
 
-    /**
-     * Creates the overview of one controller; {@code admission} is empty where it is switched off.
-     */
+    /** Creates the overview of one controller; {@code admission} is empty if it is disabled. */
     public ControllerOverview(
             Settings settings,
             Leadership leadership,
@@ -43,9 +41,9 @@
     }
 
     /**
-     * Describes this controller and, where it leads, the cluster.
+     * Returns a description of this controller and, if it leads, of the cluster.
      *
-     * @param leader what this controller's leader shows; empty while another one leads
+     * @param leader overview of this controller's leadership term; empty if it does not lead
      */
     public JsonNode describe(Optional<LeaderOverview> leader, double now) {
         ObjectNode overview =
@@ -58,7 +56,7 @@
                         .put(
                                 "stateContactS",
                                 Math.round(100 * (now - synchronizer.lastConfirmedAt())) / 100.0);
-        admission.ifPresent(present -> present.describe(overview));
+        admission.ifPresent(enabled -> enabled.describe(overview));
         if (leader.isPresent()) {
             ArrayNode controllers = overview.putArray("controllers");
             settings.members().forEach(member -> describe(member, controllers.addObject(), now));
--- a/src/main/java/io/pepperfield/overview/LeaderOverview.java
+++ b/src/main/java/io/pepperfield/overview/LeaderOverview.java
@@ -14,19 +14,19 @@
 import java.util.Map;
 
 /**
- * What operators see of a term: machines, teams and the queue, and a line for the log. Confined to
- * the event loop.
+ * Describes a leadership term to operators: machines, teams and the queue. Also provides the
+ * summary line for the log. Confined to the event loop.
  */
 public final class LeaderOverview {
 
-    /** Heartbeat intervals without a sign of life after which a machine is shown as silent. */
+    /** Heartbeat intervals without contact after which a machine is reported as "silent". */
     private static final double SILENT_INTERVALS = 2;
 
     private final ClusterState cluster;
     private final FencedWriter writer;
     private final QueueOverview queueOverview;
 
-    /** Creates the overview of one term. */
+    /** Creates the overview of one leadership term. */
     public LeaderOverview(
             ClusterState cluster, Dispatcher dispatcher, FencedWriter writer, JobIndex jobIndex) {
         this.cluster = cluster;
@@ -35,8 +35,8 @@
     }
 
     /**
-     * A line for the log: machines, attempts, queues and what waits to be written. Starts the
-     * durations of passes anew.
+     * Returns the summary line for the log: machines, jobs, attempts, waiting tasks, pending writes
+     * and durations of passes. Resets the durations.
      */
     public String summary() {
         int waitingTasks =
@@ -63,18 +63,18 @@
     }
 
     /** Adds machines, teams and the queue to the body of {@code GET /api/nodes}. */
-    void describe(ObjectNode node) {
+    void describe(ObjectNode overview) {
         double now = cluster.loop().now();
-        describeMachines(node.putArray("machines"), now);
+        describeMachines(overview.putArray("machines"), now);
         Map<String, QuotaUsage> quotaUsages = cluster.quotaUsages();
-        describeTeams(node.putArray("teams"), quotaUsages);
-        queueOverview.describe(node.putArray("waiting"), quotaUsages, now);
+        describeTeams(overview.putArray("teams"), quotaUsages);
+        queueOverview.describe(overview.putArray("waiting"), quotaUsages, now);
     }
 
     private void describeMachines(ArrayNode machines, double now) {
         for (Machine machine : cluster.fleet().machines()) {
             MachineType type = cluster.machineTypes().get(machine.type());
-            ObjectNode line =
+            ObjectNode entry =
                     machines.addObject()
                             .put("name", machine.name)
                             .put("type", machine.type())
@@ -83,7 +83,7 @@
                             .put("state", state(machine, now))
                             .put("tasks", machine.liveAttemptCount());
             if (type != null) {
-                line.put("freeCpus", machine.freeCpus(type));
+                entry.put("freeCpus", machine.freeCpus(type));
             }
         }
     }
@@ -94,19 +94,19 @@
                 .forEach(name -> describeTeam(teams.addObject(), name, quotaUsages.get(name)));
     }
 
-    private void describeTeam(ObjectNode line, String name, QuotaUsage quotaUsage) {
+    private void describeTeam(ObjectNode entry, String name, QuotaUsage quotaUsage) {
         Settings.Team team = cluster.settings().deployment().teams().get(name);
         int waitingTasks =
                 cluster.jobs().values().stream()
                         .filter(job -> job.finalStatus() == null && job.spec.team().equals(name))
                         .mapToInt(Job::pendingTaskCount)
                         .sum();
-        line.put("name", name)
+        entry.put("name", name)
                 .put("cpus", quotaUsage.usedCpus())
                 .put("guaranteed", team.guaranteedCpus())
                 .put("waitingTasks", waitingTasks);
         if (Double.isFinite(team.cpuLimit())) {
-            line.put("most", team.cpuLimit());
+            entry.put("most", team.cpuLimit());
         }
     }
 
--- a/src/main/java/io/pepperfield/overview/QueueOverview.java
+++ b/src/main/java/io/pepperfield/overview/QueueOverview.java
@@ -13,10 +13,10 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What operators see of the jobs that wait, and why each does. Confined to the event loop. */
+/** Describes to operators which jobs wait, and for what reason. Confined to the event loop. */
 final class QueueOverview {
 
-    /** So many of a job's unfinished dependencies are named. */
+    /** Maximum number of unfinished dependencies that are listed for a job. */
     private static final int MAX_DEPENDENCIES_SHOWN = 16;
 
     private final ClusterState cluster;
@@ -29,16 +29,20 @@
         this.jobIndex = jobIndex;
     }
 
-    /** Adds an object for each job that waits: crash looping, with dependencies, pending. */
+    /**
+     * Adds an object for each waiting job: first crash-looping jobs, then jobs with unfinished
+     * dependencies, then pending jobs.
+     */
     void describe(ArrayNode queue, Map<String, QuotaUsage> quotaUsages, double now) {
         for (Job job : cluster.jobs().values()) {
             if (job.finalStatus() == null && job.isCrashLooping()) {
-                addJob(queue, job.spec, job.pendingTaskCount()).put("why", nextProbe(job, now));
+                addJob(queue, job.spec, job.pendingTaskCount())
+                        .put("why", describeNextProbe(job, now));
             }
         }
         for (Job job : cluster.jobs().values()) {
             if (job.finalStatus() == null && job.isAwaitingDependencies()) {
-                addJob(queue, job.spec, job.spec.tasks()).put("why", dependencies(job));
+                addJob(queue, job.spec, job.spec.tasks()).put("why", describeDependencies(job));
             }
         }
         for (PlacementRequest request : dispatcher.pendingRequests(now)) {
@@ -76,14 +80,17 @@
                 : "the machine types are not known";
     }
 
-    private static String nextProbe(Job job, double now) {
+    private static String describeNextProbe(Job job, double now) {
         return "its tasks fail wherever they are tried; the next try is due in "
                 + Math.max(0, Math.round(job.startNotBefore() - now))
                 + " s";
     }
 
-    /** Bounded, as a job may need as many others as its description holds. */
-    private String dependencies(Job job) {
+    /**
+     * Returns which jobs the job waits for. The list is bounded because a job may have a large
+     * number of dependencies.
+     */
+    private String describeDependencies(Job job) {
         List<String> unfinished = jobIndex.get(job.spec.id()).unfinishedDependencies();
         int shown = Math.min(MAX_DEPENDENCIES_SHOWN, unfinished.size());
         int more = unfinished.size() - shown;
--- a/src/main/java/io/pepperfield/overview/package-info.java
+++ b/src/main/java/io/pepperfield/overview/package-info.java
@@ -1,2 +1,4 @@
-/** What operators are shown of a controller and of the current term ({@code GET /api/nodes}). */
+/**
+ * Descriptions of a controller and of its leadership term for operators ({@code GET /api/nodes}).
+ */
 package io.pepperfield.overview;
