--- a/src/main/java/io/pepperfield/admission/Admission.java
+++ b/src/main/java/io/pepperfield/admission/Admission.java
@@ -74,7 +74,7 @@
     }
 
     /** Decides about submissions. */
-    public SubmissionPolicy policy() {
+    public SubmissionPolicy submissionPolicy() {
         return submissions;
     }
 
@@ -92,7 +92,7 @@
     }
 
     /** This node does not lead any more. */
-    public void deposed() {
+    public void leadershipLost() {
         issuer = null;
         queueWaitPredictor = null;
     }
--- a/src/main/java/io/pepperfield/admission/AdmissionLimits.java
+++ b/src/main/java/io/pepperfield/admission/AdmissionLimits.java
@@ -20,10 +20,10 @@
  */
 record AdmissionLimits(
         int fixedPerMinute,
-        int dividedPerMinute,
+        int allottablePerMinute,
         double allotmentDurationS,
         double requestIntervalS,
-        Map<String, Double> weights,
+        Map<String, Double> teamWeights,
         double maxPredictedWaitS,
         double fairnessBand) {
 
@@ -84,7 +84,7 @@
     }
 
     /** Weight of a team; one that the settings do not name is refused before it comes here. */
-    double weight(String team) {
-        return weights.getOrDefault(team, 1.0);
+    double teamWeight(String team) {
+        return teamWeights.getOrDefault(team, 1.0);
     }
 }
--- a/src/main/java/io/pepperfield/admission/AdmissionOverview.java
+++ b/src/main/java/io/pepperfield/admission/AdmissionOverview.java
@@ -35,7 +35,7 @@
         if (issuer == null) {
             return;
         }
-        node.put("divided", limits.dividedPerMinute());
+        node.put("divided", limits.allottablePerMinute());
         describeControllers(node.putArray("controllers"));
         describeClasses(node.putArray("classes"));
         describeQueues(node.putArray("queues"));
@@ -45,16 +45,18 @@
         for (String controller : issuer.reportingControllers()) {
             entries.addObject()
                     .put("node", controller)
-                    .put("allotted", issuer.outstandingAllotments().committed(controller, now))
+                    .put(
+                            "allotted",
+                            issuer.outstandingAllotments().committedPerMinute(controller, now))
                     .put(
                             "endsInS",
-                            tenths(issuer.outstandingAllotments().endsAt(controller) - now));
+                            tenths(issuer.outstandingAllotments().lastEndsAt(controller) - now));
         }
     }
 
     private void describeClasses(ArrayNode entries) {
         SortedMap<WorkloadClass, Double> entitled = issuer.entitlements();
-        for (Map.Entry<WorkloadClass, ClassDemand> entry : issuer.classes().entrySet()) {
+        for (Map.Entry<WorkloadClass, ClassDemand> entry : issuer.demandByClass().entrySet()) {
             WorkloadClass workloadClass = entry.getKey();
             ClassDemand figures = entry.getValue();
             double due = Math.min(entitled.get(workloadClass), figures.perMinute());
--- a/src/main/java/io/pepperfield/admission/AllotmentHolder.java
+++ b/src/main/java/io/pepperfield/admission/AllotmentHolder.java
@@ -96,7 +96,7 @@
 
     /** Lets go of an allotment that has ended; whether there was one. */
     boolean expire(double now) {
-        if (!isHolding() || now < endsAt) {
+        if (!hasAllotment() || now < endsAt) {
             return false;
         }
         endsAt = Double.NEGATIVE_INFINITY;
@@ -104,13 +104,13 @@
         return true;
     }
 
-    boolean isHolding() {
+    boolean hasAllotment() {
         return Double.isFinite(endsAt);
     }
 
     /** The allotment in use. */
     Optional<Allotment> current() {
-        return isHolding() ? Optional.of(allotment) : Optional.empty();
+        return hasAllotment() ? Optional.of(allotment) : Optional.empty();
     }
 
     /** The predicted wait of the queue that a job would join, where the leader has told it. */
--- a/src/main/java/io/pepperfield/admission/AllotmentIssuer.java
+++ b/src/main/java/io/pepperfield/admission/AllotmentIssuer.java
@@ -54,7 +54,7 @@
         this.members = new Membership(self, limits.allotmentDurationS());
         this.outstandingAllotments =
                 new OutstandingAllotments(
-                        limits.dividedPerMinute(), limits.allotmentDurationS(), electedAt);
+                        limits.allottablePerMinute(), limits.allotmentDurationS(), electedAt);
     }
 
     /** The same leadership has another fencing token. */
@@ -84,8 +84,8 @@
     private Allotment allot(DemandReport report, double now) {
         Division division = new Division();
         int wanted = division.extraPerMinute(report);
-        int extra = Math.min(wanted, outstandingAllotments.available(report.node(), now));
-        outstandingAllotments.issue(report.node(), ++serial, extra, now);
+        int extra = Math.min(wanted, outstandingAllotments.availablePerMinute(report.node(), now));
+        outstandingAllotments.recordIssued(report.node(), ++serial, extra, now);
         return new Allotment(
                 report.node(),
                 fencingToken,
@@ -106,7 +106,7 @@
 
         private final SortedMap<WorkloadClass, Double> demand = totalDemand();
         private final SortedMap<WorkloadClass, Double> shares =
-                FairDivision.divide(usable(), demand, limits::weight);
+                FairDivision.divide(usable(), demand, limits::teamWeight);
         private final double excess = totalExcess();
 
         /**
@@ -118,7 +118,7 @@
             for (ReceivedReport known : reports.values()) {
                 fixed += Math.min(limits.fixedPerMinute(), demandOf(known.report));
             }
-            return (limits.dividedPerMinute() + fixed) * (1 - NEW_CLASSES_SHARE);
+            return (limits.allottablePerMinute() + fixed) * (1 - NEW_CLASSES_SHARE);
         }
 
         private double totalExcess() {
@@ -146,12 +146,12 @@
 
         /** Part of the excess that can be given; the fixed shares of some may lie idle. */
         private double scale() {
-            return Math.min(1, excess > 0 ? limits.dividedPerMinute() / excess : 1);
+            return Math.min(1, excess > 0 ? limits.allottablePerMinute() / excess : 1);
         }
 
         /** A controller's part beyond its fixed share; what nobody is due is given evenly. */
         int extraPerMinute(DemandReport report) {
-            double evenly = limits.dividedPerMinute() - scale() * excess;
+            double evenly = limits.allottablePerMinute() - scale() * excess;
             return (int) Math.floor(scale() * excess(report) + evenly / reports.size());
         }
 
@@ -197,7 +197,7 @@
     // ---- what operators see
 
     /** The demand and the counts of each class on all controllers together. */
-    SortedMap<WorkloadClass, ClassDemand> classes() {
+    SortedMap<WorkloadClass, ClassDemand> demandByClass() {
         SortedMap<WorkloadClass, ClassDemand> sums = new TreeMap<>();
         for (ReceivedReport known : reports.values()) {
             known.report
@@ -222,8 +222,8 @@
         totalDemand()
                 .keySet()
                 .forEach(workloadClass -> unbounded.put(workloadClass, UNBOUNDED_DEMAND));
-        int all = limits.dividedPerMinute() + reports.size() * limits.fixedPerMinute();
-        return FairDivision.divide(all, unbounded, limits::weight);
+        int all = limits.allottablePerMinute() + reports.size() * limits.fixedPerMinute();
+        return FairDivision.divide(all, unbounded, limits::teamWeight);
     }
 
     List<QueueWait> queueWaits() {
--- a/src/main/java/io/pepperfield/admission/OutstandingAllotments.java
+++ b/src/main/java/io/pepperfield/admission/OutstandingAllotments.java
@@ -36,19 +36,19 @@
     }
 
     /** The most that may be given to that controller now. */
-    int available(String node, double now) {
+    int availablePerMinute(String node, double now) {
         if (now < issuingStartsAt) {
             return 0;
         }
         int others = 0;
         for (String other : issued.keySet()) {
-            others += other.equals(node) ? 0 : committed(other, now);
+            others += other.equals(node) ? 0 : committedPerMinute(other, now);
         }
         return Math.max(0, dividedPerMinute - others);
     }
 
     /** What that controller may be using at this moment. */
-    int committed(String node, double now) {
+    int committedPerMinute(String node, double now) {
         List<Issued> live = issued.getOrDefault(node, List.of());
         return live.stream()
                 .filter(allotment -> allotment.endsAt > now)
@@ -58,14 +58,14 @@
     }
 
     /** When the last of a controller's allotments has surely ended. */
-    double endsAt(String node) {
+    double lastEndsAt(String node) {
         return issued.getOrDefault(node, List.of()).stream()
                 .mapToDouble(Issued::endsAt)
                 .max()
                 .orElse(Double.NEGATIVE_INFINITY);
     }
 
-    void issue(String node, long serial, int extraPerMinute, double now) {
+    void recordIssued(String node, long serial, int extraPerMinute, double now) {
         List<Issued> live = issued.computeIfAbsent(node, key -> new ArrayList<>());
         live.removeIf(allotment -> allotment.endsAt <= now);
         live.add(new Issued(serial, extraPerMinute, now + durationS * CLOCK_DRIFT));
--- a/src/main/java/io/pepperfield/admission/RefusedSubmissions.java
+++ b/src/main/java/io/pepperfield/admission/RefusedSubmissions.java
@@ -52,13 +52,13 @@
     }
 
     /** When it was told to come back, or not a number. */
-    double retryAt(long fingerprint) {
+    double retryDueAt(long fingerprint) {
         double due = current.get(fingerprint);
         return Double.isNaN(due) ? previous.get(fingerprint) : due;
     }
 
     /** Keeps the time; false where there is no room for one more. */
-    boolean remember(long fingerprint, double dueAt) {
+    boolean tryRecord(long fingerprint, double dueAt) {
         if (current.size() >= maxPerGeneration && !current.containsKey(fingerprint)) {
             return false;
         }
@@ -67,7 +67,7 @@
         return true;
     }
 
-    void forget(long fingerprint) {
+    void remove(long fingerprint) {
         current.remove(fingerprint);
         previous.remove(fingerprint);
     }
--- a/src/main/java/io/pepperfield/admission/RetryAdvisor.java
+++ b/src/main/java/io/pepperfield/admission/RetryAfterScheduler.java
@@ -6,7 +6,7 @@
  * Tells refused jobs when to come back, and remembers what it has told them: who comes back when
  * told goes before who comes for the first time.
  */
-final class RetryAdvisor {
+final class RetryAfterScheduler {
 
     /** Users heed a time to come back up to so many seconds. */
     static final int MAX_RETRY_AFTER_S = 30;
@@ -23,7 +23,7 @@
      * @param seenIn whether it has been refused before
      * @param comesWhenTold whether it was told a time that has come
      */
-    record Attempt(long fingerprint, Generation seenIn, boolean comesWhenTold) {}
+    record SubmissionAttempt(long fingerprint, Generation refusedIn, boolean dueRetry) {}
 
     private final RefusedSubmissions refusedSubmissions =
             new RefusedSubmissions(MAX_REFUSED_PER_GENERATION);
@@ -35,22 +35,22 @@
     /**
      * @param allotmentDurationS within it another allotment is there
      */
-    RetryAdvisor(double allotmentDurationS, double now) {
+    RetryAfterScheduler(double allotmentDurationS, double now) {
         this.shortRetrySpreadS = (int) Math.ceil(allotmentDurationS + 1);
         this.rotatedAt = now;
     }
 
-    Attempt attempt(String jobId, double now) {
+    SubmissionAttempt lookUp(String jobId, double now) {
         long fingerprint = RefusedSubmissions.fingerprint(jobId);
         Generation seenIn = refusedSubmissions.generationOf(fingerprint);
         boolean told = seenIn != Generation.NONE;
-        return new Attempt(
-                fingerprint, seenIn, told && refusedSubmissions.retryAt(fingerprint) <= now);
+        return new SubmissionAttempt(
+                fingerprint, seenIn, told && refusedSubmissions.retryDueAt(fingerprint) <= now);
     }
 
     /** The job was admitted: nothing of it is kept. */
-    void forget(Attempt attempt) {
-        refusedSubmissions.forget(attempt.fingerprint());
+    void discard(SubmissionAttempt attempt) {
+        refusedSubmissions.remove(attempt.fingerprint());
     }
 
     /**
@@ -59,7 +59,7 @@
      *
      * @return seconds after which the job may come back
      */
-    double refuseForNow(ClassAdmission classAdmission, Attempt attempt) {
+    double retryAfterNextAllotment(WorkloadClassState classAdmission, SubmissionAttempt attempt) {
         remember(classAdmission, attempt, Double.POSITIVE_INFINITY);
         shortRetryOffsetS = (shortRetryOffsetS + 1) % shortRetrySpreadS;
         return 1 + shortRetryOffsetS;
@@ -71,23 +71,30 @@
      * @param totalRatePerS at which jobs of all classes are admitted
      * @return seconds after which the job may come back
      */
-    double refuseByShare(
-            ClassAdmission classAdmission, Attempt attempt, double totalRatePerS, double now) {
+    double scheduleRetry(
+            WorkloadClassState classAdmission,
+            SubmissionAttempt attempt,
+            double totalRatePerS,
+            double now) {
         double retryAt = retryAt(classAdmission, attempt, totalRatePerS, now);
         remember(classAdmission, attempt, retryAt);
         return Math.min(MAX_RETRY_AFTER_S, retryAt - now);
     }
 
-    private void remember(ClassAdmission classAdmission, Attempt attempt, double retryAt) {
-        if (refusedSubmissions.remember(attempt.fingerprint(), retryAt)) {
-            classAdmission.recordRefused(attempt.seenIn());
+    private void remember(
+            WorkloadClassState classAdmission, SubmissionAttempt attempt, double retryAt) {
+        if (refusedSubmissions.tryRecord(attempt.fingerprint(), retryAt)) {
+            classAdmission.recordRefused(attempt.refusedIn());
         }
     }
 
     /** The time that the job has been told before, or one after those that are told already. */
     private double retryAt(
-            ClassAdmission classAdmission, Attempt attempt, double totalRatePerS, double now) {
-        double toldBefore = refusedSubmissions.retryAt(attempt.fingerprint());
+            WorkloadClassState classAdmission,
+            SubmissionAttempt attempt,
+            double totalRatePerS,
+            double now) {
+        double toldBefore = refusedSubmissions.retryDueAt(attempt.fingerprint());
         if (toldBefore > now && Double.isFinite(toldBefore)) {
             return toldBefore;
         }
@@ -96,12 +103,12 @@
         boolean burst = refusedSubmissions.size() <= MAX_RETRY_AFTER_S * totalRatePerS;
         RetrySchedule schedule = burst ? burstRetries : classAdmission.retrySchedule;
         double ratePerS = burst ? totalRatePerS : classAdmission.bucket.ratePerS();
-        double free = schedule.nextFreeAt(now, ratePerS);
+        double free = schedule.nextSlotAt(now, ratePerS);
         if (free - now > MAX_RETRY_AFTER_S) {
             // So late nobody heeds: asked again then, it gets a time that can be kept.
             return Double.POSITIVE_INFINITY;
         }
-        schedule.reserveNext(now, ratePerS);
+        schedule.reserveNextSlot(now, ratePerS);
         return now + Math.ceil(free - now);
     }
 
--- a/src/main/java/io/pepperfield/admission/RetrySchedule.java
+++ b/src/main/java/io/pepperfield/admission/RetrySchedule.java
@@ -9,16 +9,16 @@
     private double lastReservedAt;
 
     /** The next free time, at that rate. */
-    double nextFreeAt(double now, double ratePerS) {
+    double nextSlotAt(double now, double ratePerS) {
         return ratePerS > 0
                 ? Math.max(now, lastReservedAt) + 1 / ratePerS
                 : Double.POSITIVE_INFINITY;
     }
 
     /** The next free time is taken. */
-    void reserveNext(double now, double ratePerS) {
+    void reserveNextSlot(double now, double ratePerS) {
         if (ratePerS > 0) {
-            lastReservedAt = nextFreeAt(now, ratePerS);
+            lastReservedAt = nextSlotAt(now, ratePerS);
         }
     }
 }
--- a/src/main/java/io/pepperfield/admission/StoreBackoff.java
+++ b/src/main/java/io/pepperfield/admission/StoreBackoff.java
@@ -22,7 +22,7 @@
     }
 
     /** Takes a refusal; whether the rate is lower now. */
-    boolean throttled(double now) {
+    boolean recordThrottled(double now) {
         if (now - throttledAt < intervalS) {
             return false;
         }
--- a/src/main/java/io/pepperfield/admission/SubmissionAdmission.java
+++ b/src/main/java/io/pepperfield/admission/SubmissionAdmission.java
@@ -32,9 +32,9 @@
     private final String node;
     private final DoubleSupplier lastConfirmedAt;
     private final double storeUnreachableAfterS;
-    private final ClassAdmissions classes = new ClassAdmissions();
+    private final WorkloadClassRegistry classes = new WorkloadClassRegistry();
     private final AllotmentHolder allotmentHolder;
-    private final RetryAdvisor retryAdvisor;
+    private final RetryAfterScheduler retryAdvisor;
     private final StoreBackoff storeBackoff;
     private final TokenBucket totalBucket;
     private double tickedAt;
@@ -58,7 +58,7 @@
         this.storeUnreachableAfterS = storeUnreachableAfterS;
         double now = loop.now();
         this.allotmentHolder = new AllotmentHolder(node);
-        this.retryAdvisor = new RetryAdvisor(limits.allotmentDurationS(), now);
+        this.retryAdvisor = new RetryAfterScheduler(limits.allotmentDurationS(), now);
         this.storeBackoff = new StoreBackoff(limits.requestIntervalS());
         this.totalBucket = new TokenBucket(now);
         this.tickedAt = now;
@@ -69,29 +69,29 @@
     public Decision decide(JobSpec job) {
         double now = loop.now();
         expireAllotment(now);
-        RetryAdvisor.Attempt attempt = retryAdvisor.attempt(job.id(), now);
-        ClassAdmission classAdmission = classes.of(WorkloadClass.of(job), now);
+        RetryAfterScheduler.SubmissionAttempt attempt = retryAdvisor.lookUp(job.id(), now);
+        WorkloadClassState classAdmission = classes.getOrCreate(WorkloadClass.of(job), now);
         Optional<QueueWait> longQueue =
                 allotmentHolder
                         .queueWait(job)
                         .filter(queue -> queue.waitS() > limits.maxPredictedWaitS());
         if (longQueue.isPresent()) {
             // Not counted as demand: a share of the rate would lie idle for it.
-            classAdmission.refusals.increment(now);
+            classAdmission.recentRefusals.increment(now);
             return refuseLongQueue(longQueue.get());
         }
-        classAdmission.recordRequest(attempt.seenIn());
+        classAdmission.recordRequest(attempt.refusedIn());
         if (now - lastConfirmedAt.getAsDouble() > storeUnreachableAfterS) {
             // What was saved up meanwhile would be spent by everybody's retries in one moment.
             discardTokens(now);
         }
-        if (tryAdmit(classAdmission, attempt.comesWhenTold(), now)) {
-            classAdmission.recordAdmitted(attempt.seenIn());
-            retryAdvisor.forget(attempt);
-            classAdmission.admissions.increment(now);
+        if (tryAdmit(classAdmission, attempt.dueRetry(), now)) {
+            classAdmission.recordAdmitted(attempt.refusedIn());
+            retryAdvisor.discard(attempt);
+            classAdmission.recentAdmissions.increment(now);
             return ADMITTED;
         }
-        classAdmission.refusals.increment(now);
+        classAdmission.recentRefusals.increment(now);
         return refuseOverShare(classAdmission, attempt, now);
     }
 
@@ -99,7 +99,7 @@
      * Takes a token of all, and of its own of a class that is limited; who comes back when told may
      * take one of its class that is still to come.
      */
-    private boolean tryAdmit(ClassAdmission classAdmission, boolean comesWhenTold, double now) {
+    private boolean tryAdmit(WorkloadClassState classAdmission, boolean comesWhenTold, double now) {
         // What nobody else uses would be lost a moment later.
         if (!classAdmission.limited || totalBucket.isFull(now)) {
             return totalBucket.tryTake(now, 0);
@@ -119,17 +119,19 @@
         double retryAfterS = Math.ceil(queue.waitS() - limits.maxPredictedWaitS());
         return refuse(
                 "the queue of team " + queue.team() + " is longer than the waiting limit",
-                Math.min(RetryAdvisor.MAX_RETRY_AFTER_S, retryAfterS));
+                Math.min(RetryAfterScheduler.MAX_RETRY_AFTER_S, retryAfterS));
     }
 
     private Decision refuseOverShare(
-            ClassAdmission classAdmission, RetryAdvisor.Attempt attempt, double now) {
-        boolean keepsToShare = classAdmission.limited && allotmentHolder.isHolding();
+            WorkloadClassState classAdmission,
+            RetryAfterScheduler.SubmissionAttempt attempt,
+            double now) {
+        boolean keepsToShare = classAdmission.limited && allotmentHolder.hasAllotment();
         double retryAfterS =
                 keepsToShare
-                        ? retryAdvisor.refuseByShare(
+                        ? retryAdvisor.scheduleRetry(
                                 classAdmission, attempt, totalBucket.ratePerS(), now)
-                        : retryAdvisor.refuseForNow(classAdmission, attempt);
+                        : retryAdvisor.retryAfterNextAllotment(classAdmission, attempt);
         return refuse("more is submitted than the share of its class and team", retryAfterS);
     }
 
@@ -141,7 +143,7 @@
     @Override
     public void storeThrottled() {
         double now = loop.now();
-        if (storeBackoff.throttled(now)) {
+        if (storeBackoff.recordThrottled(now)) {
             applyRates(now);
         }
     }
@@ -169,7 +171,7 @@
     private void applyRates(double now) {
         SortedMap<WorkloadClass, ClassShare> shares =
                 allotmentHolder.current().map(Allotment::classes).orElseGet(this::divideFixedShare);
-        shares.keySet().forEach(known -> classes.of(known, now));
+        shares.keySet().forEach(known -> classes.getOrCreate(known, now));
         double factor = storeBackoff.rateFactor(now) / AdmissionLimits.SECONDS_PER_MINUTE;
         classes.forEach(
                 (known, classAdmission) -> {
@@ -189,7 +191,7 @@
         SortedMap<WorkloadClass, Double> demand = classes.demandPerMinute();
         double rate = limits.fixedPerMinute() * (1 - AllotmentIssuer.NEW_CLASSES_SHARE);
         SortedMap<WorkloadClass, ClassShare> shares = new TreeMap<>();
-        FairDivision.divide(rate, demand, limits::weight)
+        FairDivision.divide(rate, demand, limits::teamWeight)
                 .forEach(
                         (known, share) ->
                                 shares.put(
@@ -228,7 +230,7 @@
                 sequence,
                 held.map(Allotment::fencingToken).orElse(FencingToken.NONE),
                 held.map(Allotment::serial).orElse(0L),
-                classes.demands(loop.now()));
+                classes.activeDemand(loop.now()));
     }
 
     /** Admissions per minute that this controller may use now. */
--- a/src/main/java/io/pepperfield/admission/ClassAdmissions.java
+++ b/src/main/java/io/pepperfield/admission/WorkloadClassRegistry.java
@@ -8,19 +8,19 @@
 import java.util.function.BiConsumer;
 
 /** The classes of jobs that one controller knows, a bounded number for each team. */
-final class ClassAdmissions {
+final class WorkloadClassRegistry {
 
     /** Classes of a team beyond these share one, or made-up names would fill the memory. */
     private static final int MAX_CLASSES_PER_TEAM = 16;
 
     private static final String OVERFLOW_WORKLOAD = "";
 
-    private final Map<WorkloadClass, ClassAdmission> classes = new HashMap<>();
+    private final Map<WorkloadClass, WorkloadClassState> classes = new HashMap<>();
     private final Map<String, Integer> classCountByTeam = new HashMap<>();
 
     /** What is kept of a class, or of the one that it shares with others. */
-    ClassAdmission of(WorkloadClass workloadClass, double now) {
-        ClassAdmission known = classes.get(workloadClass);
+    WorkloadClassState getOrCreate(WorkloadClass workloadClass, double now) {
+        WorkloadClassState known = classes.get(workloadClass);
         return known == null
                 ? classes.computeIfAbsent(counted(workloadClass), unknown -> add(unknown, now))
                 : known;
@@ -33,12 +33,12 @@
                 : new WorkloadClass(team, OVERFLOW_WORKLOAD, workloadClass.hasDependencies());
     }
 
-    private ClassAdmission add(WorkloadClass unknown, double now) {
+    private WorkloadClassState add(WorkloadClass unknown, double now) {
         classCountByTeam.merge(unknown.team(), 1, Integer::sum);
-        return new ClassAdmission(now);
+        return new WorkloadClassState(now);
     }
 
-    void forEach(BiConsumer<WorkloadClass, ClassAdmission> action) {
+    void forEach(BiConsumer<WorkloadClass, WorkloadClassState> action) {
         classes.forEach(action);
     }
 
@@ -50,7 +50,7 @@
     }
 
     /** The figures of the classes that are not idle. */
-    SortedMap<WorkloadClass, ClassDemand> demands(double now) {
+    SortedMap<WorkloadClass, ClassDemand> activeDemand(double now) {
         SortedMap<WorkloadClass, ClassDemand> demands = new TreeMap<>();
         classes.forEach(
                 (known, admission) -> {
@@ -63,7 +63,7 @@
 
     /** Ends a generation of refused jobs, and forgets idle classes. */
     void rotateGeneration(double now) {
-        classes.values().forEach(ClassAdmission::rotateGeneration);
+        classes.values().forEach(WorkloadClassState::rotateGeneration);
         classes.values().removeIf(admission -> admission.isIdle(now));
         classCountByTeam.clear();
         classes.keySet().forEach(known -> classCountByTeam.merge(known.team(), 1, Integer::sum));
--- a/src/main/java/io/pepperfield/admission/ClassAdmission.java
+++ b/src/main/java/io/pepperfield/admission/WorkloadClassState.java
@@ -4,7 +4,7 @@
 import io.pepperfield.admission.RefusedSubmissions.Generation;
 
 /** What one controller keeps of one class: its token bucket, its demand and its counts. */
-final class ClassAdmission {
+final class WorkloadClassState {
 
     /** Of demand seen before, in the running mean: four intervals. */
     private static final double DEMAND_SMOOTHING = 0.75;
@@ -17,8 +17,8 @@
 
     final TokenBucket bucket;
     final RetrySchedule retrySchedule = new RetrySchedule();
-    final MinuteCounter admissions = new MinuteCounter();
-    final MinuteCounter refusals = new MinuteCounter();
+    final MinuteCounter recentAdmissions = new MinuteCounter();
+    final MinuteCounter recentRefusals = new MinuteCounter();
 
     /** Its demand is not met by its share. */
     boolean limited;
@@ -28,7 +28,7 @@
     private int backlog;
     private int previousBacklog;
 
-    ClassAdmission(double now) {
+    WorkloadClassState(double now) {
         bucket = new TokenBucket(now);
     }
 
@@ -80,11 +80,14 @@
 
     /** The figures that the leader is told. */
     ClassDemand demand(double now) {
-        return new ClassDemand(demandPerMinute(), admissions.total(now), refusals.total(now));
+        return new ClassDemand(
+                demandPerMinute(), recentAdmissions.total(now), recentRefusals.total(now));
     }
 
     /** Nobody has asked for a while and nothing is counted. */
     boolean isIdle(double now) {
-        return demandPerMinute() < 0.01 && admissions.total(now) == 0 && refusals.total(now) == 0;
+        return demandPerMinute() < 0.01
+                && recentAdmissions.total(now) == 0
+                && recentRefusals.total(now) == 0;
     }
 }
--- a/src/main/java/io/pepperfield/controller/ControllerAssembly.java
+++ b/src/main/java/io/pepperfield/controller/ControllerAssembly.java
@@ -168,7 +168,7 @@
                 synchronizer,
                 external.store(),
                 machineTypes,
-                admission.map(Admission::policy).orElse(SubmissionPolicy.UNLIMITED),
+                admission.map(Admission::submissionPolicy).orElse(SubmissionPolicy.UNLIMITED),
                 new UserRequests.Limits(
                         limits.maxTransactionOps(),
                         limits.maxValueKib(),
--- a/src/main/java/io/pepperfield/controller/LeadershipTransitions.java
+++ b/src/main/java/io/pepperfield/controller/LeadershipTransitions.java
@@ -80,7 +80,7 @@
     @Override
     public void leadershipLost(String why) {
         rateLimits.applyForRole(false);
-        admission.ifPresent(Admission::deposed);
+        admission.ifPresent(Admission::leadershipLost);
         currentLeader.end();
         writer.reset();
     }
--- a/src/test/java/io/pepperfield/admission/AdmissionLoopbackTest.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionLoopbackTest.java
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void aFloodTakesNothingFromOthersWhileControllersFail() throws Exception {
+    void otherTeamsAreServedDuringAFloodWhileControllersFail() throws Exception {
         region = new LoopbackRegion(CONTROLLERS);
         for (int node = 0; node < CONTROLLERS; node++) {
             controllers.add(new ControllerProcess(region, node, directory));
--- a/src/test/java/io/pepperfield/admission/AdmissionSimulationTest.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionSimulationTest.java
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void aTeamThatFloodsHeedlesslyTakesNothingFromTheOthers() {
+    void floodThatIgnoresRetryAfterDoesNotDelayOtherTeams() {
         SimulatedRegion region = region(1, 3, 60, RED, BLUE, FLOOD);
         region.world.run(60);
         Map<String, Integer> accepted = region.admissionLoad.accepted(30, 60);
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void threeTeamsThatAllAskForMoreHaveWhatTheirWeightsSay() {
+    void threeOverloadingTeamsAreServedByTheirWeights() {
         SimulatedRegion region =
                 region(
                         2,
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void twoControllersThatEachSeeHalfOfTheDemandDivideAsOneWould() {
+    void demandSplitOverTwoControllersIsDividedAsOnOne() {
         SimulatedRegion region = region(3, 3, 60, RED, FLOOD);
         int[] turn = new int[1];
         region.admissionLoad.node = () -> turn[0]++ % 2;
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void allDemandMovesFromOneControllerToAnother() {
+    void allotmentFollowsDemandToAnotherController() {
         SimulatedRegion region = region(4, 3, 70, RED, FLOOD);
         region.admissionLoad.node = () -> 0;
         region.world.run(45);
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void aControllerCutOffFromTheLeaderKeepsToItsFixedShareAndServes() {
+    void controllerPartitionedFromTheLeaderAdmitsWithinItsFixedShare() {
         SimulatedRegion region = region(5, 3, 70, RED, FLOOD);
         region.world.run(35);
         int alone = (region.leaderIndex() + 1) % 3;
@@ -159,7 +159,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {6, 7, 8})
-    void theLeaderIsFrozenForLongerThanAnAllotment(long seed) {
+    void limitHoldsWhileTheLeaderIsPausedForLongerThanAnAllotment(long seed) {
         SimulatedRegion region = region(seed, 3, 60, RED, FLOOD);
         region.world.run(35);
         region.faults.pause(region.leaderIndex(), 35.0 + 4 + seed);
@@ -169,7 +169,7 @@
     }
 
     @Test
-    void aProcessThatIsBackAtOnceHasForgottenWhatItSpent() {
+    void limitHoldsAcrossImmediateRestartsThatLoseTokenCounts() {
         SimulatedRegion region = region(9, 3, 60, RED, FLOOD);
         region.world.run(30);
         for (int i = 0; i < 20; i++) {
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void anOutageEndsWithEverybodysRetriesAtOnce() {
+    void limitHoldsWhenAllUsersRetryAfterAStoreOutage() {
         SimulatedRegion region = region(10, 3, 80, RED, PATIENT_FLOOD);
         region.world.run(35);
         region.faults.storeOutage(45);
@@ -192,7 +192,7 @@
     }
 
     @Test
-    void theRateFallsByHalfWithoutNotice() {
+    void jobsAreAcceptedAfterTheStoreLimitIsHalved() {
         SimulatedRegion region =
                 region(11, 3, 70, new Stream("red", "batch", 2, false), PATIENT_FLOOD);
         region.world.run(35);
@@ -204,7 +204,7 @@
     }
 
     @Test
-    void besideControllersWithoutItEachKeepsToItsFixedShare() {
+    void controllersKeepToTheirFixedShareUnderALeaderWithoutAdmission() {
         SimulatedRegion region = SimulatedRegion.admitting(12, 3, 1);
         region.admissionLoad.watch(ALL_PER_MINUTE);
         region.world.run(FROM_S);
@@ -231,7 +231,7 @@
     /** Drawn days: who floods, where, and what fails. */
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23, 24, 25, 26})
-    void drawnDays(long first) {
+    void randomFaultsBreakNoInvariant(long first) {
         for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
             playDrawnDay(first + 100L * more);
         }
--- a/src/test/java/io/pepperfield/admission/AllotmentIssuerTest.java
+++ b/src/test/java/io/pepperfield/admission/AllotmentIssuerTest.java
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void twoControllersThatEachSeeHalfOfTheDemandGiveEachTeamItsShare() {
+    void demandSplitOverTwoControllersGivesEachTeamItsWeightedShare() {
         settle(4);
         int red = held.values().stream().mapToInt(one -> one.classes().get(RED).perMinute()).sum();
         int blue =
@@ -71,14 +71,14 @@
     }
 
     @Test
-    void aLeaderBeginsWithNothingUntilItsPredecessorsAllotmentsHaveEnded() {
+    void newLeaderIssuesNoExtraRateUntilEarlierAllotmentsHaveExpired() {
         assertEquals(0, ask("b", 200, 200, 0.1).extraPerMinute());
         assertEquals(0, ask("b", 200, 200, 3.0).extraPerMinute());
         assertEquals(70, ask("b", 200, 200, 3.1).extraPerMinute());
     }
 
     @Test
-    void whatMayStillBeInUseIsGivenToNobodyElse() {
+    void rateOfAnUnresponsiveHolderIsNotReissuedBeforeItsAllotmentExpires() {
         assertEquals(70, ask("b", 200, 200, 4).extraPerMinute());
         // It is silent from now on, and may use it to its end.
         assertEquals(0, ask("c", 200, 200, 4.1).extraPerMinute());
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void demandThatMovesTakesItsRoomAlongOnceTheOldHolderShowsTheNewAllotment() {
+    void rateFollowsDemandOnceTheOldHolderAcknowledgesItsNewAllotment() {
         settle(4);
         ask("b", 200, 200, 7);
         ask("b", 0, 0, 7.5);
@@ -99,12 +99,13 @@
     }
 
     @Test
-    void aLateCopyOfAReportChangesNothing() {
+    void duplicateReportOrReportOfAnEarlierProcessIsIgnored() {
         ask("b", 200, 0, 4);
         Allotment last = ask("b", 200, 0, 4.5);
         DemandReport copy = new DemandReport("b", "p", 1, FencingToken.NONE, 0, demand(0, 500));
         assertEquals(Optional.empty(), issuer.issue(copy, 5));
-        assertEquals(last.extraPerMinute(), issuer.outstandingAllotments().committed("b", 5));
+        assertEquals(
+                last.extraPerMinute(), issuer.outstandingAllotments().committedPerMinute("b", 5));
         // Nor one of the process before.
         issuer.issue(new DemandReport("b", "q", 1, FencingToken.NONE, 0, demand(1, 1)), 5.1);
         assertEquals(
@@ -114,7 +115,7 @@
     }
 
     @Test
-    void aHolderThatIsGivenLessMayUseTheOldAllotmentUntilItShowsTheNew() {
+    void reducedRateIsNotReissuedBeforeTheHolderAcknowledgesTheReduction() {
         ask("b", 200, 200, 4);
         assertEquals(70, ask("b", 200, 200, 4.5).extraPerMinute());
         ask("c", 200, 200, 4.6);
@@ -126,16 +127,16 @@
     }
 
     @Test
-    void aHolderOfAnotherLeadersAllotmentFreesNothing() {
+    void acknowledgementOfAnEarlierLeadersAllotmentFreesNoRate() {
         assertEquals(70, ask("b", 200, 0, 4).extraPerMinute());
         ask("c", 200, 200, 4.1);
         // Its serial is high, but of an earlier token.
         issuer.issue(new DemandReport("b", "p", 50, TOKEN.predecessor(), 99, demand(0, 0)), 4.2);
-        assertEquals(70, issuer.outstandingAllotments().committed("b", 4.3));
+        assertEquals(70, issuer.outstandingAllotments().committedPerMinute("b", 4.3));
     }
 
     @Test
-    void everySplitOfAnyDemandKeepsTheSum() {
+    void outstandingAllotmentsNeverExceedTheAllottableRate() {
         java.util.Random random = new java.util.Random(5);
         for (int step = 0; step < 3000; step++) {
             double now = 4 + step * 0.1;
@@ -145,9 +146,9 @@
             }
             int sum = 0;
             for (String each : issuer.reportingControllers()) {
-                sum += issuer.outstandingAllotments().committed(each, now);
+                sum += issuer.outstandingAllotments().committedPerMinute(each, now);
             }
-            assertTrue(sum <= LIMITS.dividedPerMinute(), sum + " at " + now);
+            assertTrue(sum <= LIMITS.allottablePerMinute(), sum + " at " + now);
             for (Allotment one : held.values()) {
                 int classes = one.classes().values().stream().mapToInt(s -> s.perMinute()).sum();
                 assertTrue(classes <= LIMITS.fixedPerMinute() + one.extraPerMinute());
--- a/src/test/java/io/pepperfield/admission/FairDivisionProperties.java
+++ b/src/test/java/io/pepperfield/admission/FairDivisionProperties.java
@@ -50,7 +50,7 @@
     }
 
     @Property(seed = "31")
-    void isFeasibleAndWastesNothing(
+    void sharesNeverExceedDemandAndUseAllUsableCapacity(
             @ForAll("claims") List<Claim> claims,
             @ForAll @DoubleRange(max = 3000) double capacity) {
         double[] shares = divide(capacity, claims);
@@ -62,7 +62,7 @@
     }
 
     @Property(seed = "32")
-    void everybodyHasItsEntitlementOrItsDemand(
+    void everyShareReachesItsEntitlementOrItsDemand(
             @ForAll("claims") List<Claim> claims,
             @ForAll @DoubleRange(max = 3000) double capacity) {
         double[] shares = divide(capacity, claims);
@@ -74,7 +74,7 @@
     }
 
     @Property(seed = "33")
-    void growsWithOnesOwnDemandAndWeight(
+    void shareDoesNotShrinkWhenItsDemandOrWeightGrows(
             @ForAll("claims") List<Claim> claims,
             @ForAll @DoubleRange(max = 3000) double capacity,
             @ForAll @IntRange(max = 11) int at) {
@@ -89,7 +89,7 @@
     }
 
     @Property(seed = "34")
-    void whoAsksForMoreTakesNothingFromWhoHasLessThanItsEntitlement(
+    void floodDoesNotReduceSharesBelowTheirEntitlement(
             @ForAll("claims") List<Claim> claims,
             @ForAll @DoubleRange(max = 3000) double capacity) {
         List<Claim> flooded = new ArrayList<>(claims);
@@ -103,7 +103,7 @@
     }
 
     @Property(seed = "35")
-    void theOrderOfTheInputHasNoEffect(
+    void inputOrderDoesNotAffectTheShares(
             @ForAll("claims") List<Claim> claims,
             @ForAll @DoubleRange(max = 3000) double capacity) {
         Map<WorkloadClass, Double> forward = new LinkedHashMap<>();
@@ -125,7 +125,7 @@
     }
 
     @Property(seed = "36", tries = 200)
-    void roundingKeepsTheSumAndOwesNobodyMoreThanOneInTheLongRun(
+    void roundingKeepsTheSumAndNoShareFallsBehindInTheLongRun(
             @ForAll("claims") List<Claim> claims) {
         SortedMap<Integer, Double> exact = new TreeMap<>();
         for (int i = 0; i < claims.size(); i++) {
--- a/src/test/java/io/pepperfield/admission/QueueWaitPredictorTest.java
+++ b/src/test/java/io/pepperfield/admission/QueueWaitPredictorTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void theQueueIsDividedByTheRateAtWhichItsTasksBegin() {
+    void predictedWaitIsTheQueueLengthDividedByTheStartRate() {
         for (int i = 0; i < 120; i++) {
             second(5, 600, 100);
         }
@@ -33,14 +33,14 @@
     }
 
     @Test
-    void whileMachinesBootNothingIsPredictedBeyondWhatTheOldestHasShown() {
+    void predictedWaitIsBoundedByTheOldestWaitBeforeAnyTaskStarts() {
         second(0, 5000, 10);
         assertEquals(40, queues.waitsOfAtLeast(1).get(0).waitS());
         assertEquals(List.of(), queues.waitsOfAtLeast(60));
     }
 
     @Test
-    void aRankWaitsForThoseAboveItAndNotForThoseBelow() {
+    void priorityWaitsForHigherPrioritiesAndNotForLowerOnes() {
         for (int i = 0; i < 60; i++) {
             second(5, 600, 100);
         }
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void aQueueThatIsOverIsForgotten() {
+    void emptiedQueueIsNotReported() {
         second(0, 10, 100);
         queues.beginRecount();
         queues.finishRecount(++now);
--- a/src/test/java/io/pepperfield/admission/SubmissionAdmissionTest.java
+++ b/src/test/java/io/pepperfield/admission/SubmissionAdmissionTest.java
@@ -66,14 +66,14 @@
     }
 
     @Test
-    void aProcessThatHasJustBegunHasNothingSavedUp() {
+    void newProcessStartsWithoutTokens() {
         assertEquals(0, admittedOf(RED, 50));
         loop.run(1);
         assertEquals(1, admittedOf(RED, 50));
     }
 
     @Test
-    void withoutAnAllotmentItKeepsToTheFixedShareHoweverMuchIsAsked() {
+    void admissionsWithoutAnAllotmentStayWithinTheFixedShare() {
         int admitted = 0;
         for (int second = 1; second <= 60; second++) {
             loop.run(second);
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void anAllotmentEndsByTheSendingOfItsRequest() {
+    void allotmentDurationCountsFromTheSendingOfItsRequest() {
         loop.run(5);
         admission.useAllotment(allotment(TOKEN, 1, 600, 60, 600), 0, TOKEN);
         assertEquals(660, admission.admissionsPerMinute());
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void whatIsOldForAnotherOrEndedIsNotUsed() {
+    void staleMisaddressedAndExpiredAllotmentsAreIgnored() {
         admission.useAllotment(allotment(TOKEN, 5, 100, 1, 1), 0, TOKEN);
         admission.useAllotment(allotment(TOKEN, 4, 600, 1, 1), 0, TOKEN);
         admission.useAllotment(allotment(TOKEN, 5, 600, 1, 1), 0, TOKEN);
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void aFloodLeavesTheShareOfTheOthersAlone() {
+    void floodDoesNotUseTheShareOfOtherClasses() {
         admission.useAllotment(allotment(TOKEN, 1, 600, 120, 480), 0, TOKEN);
         int red = 0;
         int flood = 0;
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void whoComesBackWhenToldGoesBeforeAFloodOfNewOnes() {
+    void dueRetryPrecedesNewSubmissionsDuringAFlood() {
         admission.useAllotment(allotment(TOKEN, 1, 600, 0, 60), 0, TOKEN);
         admittedOf(FLOOD, 3);
         Decision.Refused told = assertInstanceOf(Decision.Refused.class, decide(FLOOD, "run-1"));
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void timesToComeBackAreSpreadByTheRateAndWithinWhatUsersHeed() {
+    void retryTimesAreSpreadAtTheClassRateWithinTheMaximumRetryAfter() {
         admission.useAllotment(allotment(TOKEN, 1, 600, 0, 120), 0, TOKEN);
         // So many wait that the whole rate would not be through with them either.
         admittedOf(RED, 400);
@@ -167,7 +167,7 @@
     }
 
     @Test
-    void pipelinesAreAClassOfTheirOwn() {
+    void jobsWithDependenciesAreAClassOfTheirOwn() {
         JobSpec dependent =
                 new JobSpecBuilder()
                         .id("run-9")
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void aQueueBeyondTheLimitIsToldWhenItWillFit() {
+    void refusalForALongQueueGivesTheTimeUntilTheQueueIsWithinTheLimit() {
         Allotment full =
                 new Allotment(
                         "a",
@@ -200,7 +200,7 @@
     }
 
     @Test
-    void refusalsOfTheStateServiceDecreaseTheRateAndItRecovers() {
+    void storeThrottlingLowersTheRateWhichThenRecovers() {
         admission.useAllotment(allotment(TOKEN, 1, 600, 0, 600), 0, TOKEN);
         loop.run(1);
         int before = admittedOf(FLOOD, 100);
@@ -217,7 +217,7 @@
     }
 
     @Test
-    void afterAnOutageNothingSavedUpIsSpentAtOnce() {
+    void tokensAreDiscardedDuringAStoreOutage() {
         admission.useAllotment(allotment(TOKEN, 1, 600, 300, 300), 0, TOKEN);
         admission = new SubmissionAdmission(loop, LIMITS, "a", () -> lastConfirmedAt, 2);
         admission.useAllotment(allotment(TOKEN, 2, 600, 300, 300), 0, TOKEN);
@@ -229,7 +229,7 @@
     }
 
     @Test
-    void madeUpClassesShareOne() {
+    void classesBeyondTheLimitPerTeamShareOne() {
         for (int i = 0; i < 500; i++) {
             decide(new WorkloadClass("guests", "made-up-" + i, false), "run-" + (5000 + i));
         }
@@ -237,7 +237,7 @@
     }
 
     @Test
-    void messagesAreReadAsTheyWereWrittenAndOthersRefused() {
+    void messagesRoundTripAndMalformedMessagesAreRejected() {
         Allotment sent = allotment(TOKEN, 3, 40, 10, 20);
         assertEquals(
                 Optional.of(sent),
