--- a/src/main/java/io/pepperfield/admission/Admission.java
+++ b/src/main/java/io/pepperfield/admission/Admission.java
@@ -17,12 +17,13 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Fair admission on one controller: asks whoever leads for allotments, decides about submissions by
- * them, and answers the others while this controller leads.
+ * Fair admission on one controller: requests allotments from the leader, admits or refuses
+ * submissions within them, and issues allotments to the other controllers while this controller
+ * leads.
  */
 public final class Admission {
 
-    /** Where the leader is asked. */
+    /** Path of the leader's endpoint for demand reports. */
     public static final String PATH = "/peer/admission";
 
     private static final int OK = 200;
@@ -30,7 +31,7 @@
     private static final int NOT_FOUND = 404;
     private static final int CONFLICT = 409;
 
-    /** A leader without the feature is asked again after so many allotments' time. */
+    /** Delay before the next request to a leader without the feature, in allotment durations. */
     private static final double UNSUPPORTED_RETRY_DURATIONS = 4;
 
     private final Loop loop;
@@ -48,9 +49,9 @@
     private boolean requestInFlight;
 
     /**
-     * Creates the admission of one controller, which has its fixed share from now on.
+     * Creates the admission of one controller, which starts with its fixed share.
      *
-     * @param lastConfirmedAt when the state service last answered, a loop time
+     * @param lastConfirmedAt loop time at which the state service last answered
      */
     public Admission(
             Loop loop,
@@ -73,41 +74,41 @@
         peers.addEndpoint(PATH, this::handleDemandReport);
     }
 
-    /** Decides about submissions. */
+    /** Returns the policy that admits or refuses submissions. */
     public SubmissionPolicy submissionPolicy() {
         return submissions;
     }
 
-    /** This node leads from now on, with that fencing token. */
+    /** This node has become the leader, with this fencing token. */
     public void elected(FencingToken fencingToken) {
         issuer = new AllotmentIssuer(limits, settings.node(), fencingToken, loop.now());
         queueWaitPredictor = new QueueWaitPredictor(loop.now());
     }
 
-    /** This leadership has another fencing token. */
+    /** The fencing token of the current leadership term has been replaced. */
     public void fencingTokenRenewed(FencingToken renewed) {
         if (issuer != null) {
             issuer.renewFencingToken(renewed);
         }
     }
 
-    /** This node does not lead any more. */
+    /** This node is no longer the leader. */
     public void leadershipLost() {
         issuer = null;
         queueWaitPredictor = null;
     }
 
-    /** The queues of this node's leadership, or null while another node leads. */
+    /** Returns the queue wait predictor of this leader, or null while another node leads. */
     public QueueWaitPredictor queueWaitPredictor() {
         return queueWaitPredictor;
     }
 
-    /** Whether the next tick divides, or asks for an allotment. */
+    /** Whether the next call of {@link #tick} issues or requests an allotment. */
     public boolean isDue() {
         return loop.now() >= nextTickAt;
     }
 
-    /** To be called often. */
+    /** Issues or requests an allotment once per request interval; to be called more often. */
     public void tick() {
         if (!isDue()) {
             return;
@@ -149,7 +150,7 @@
             return;
         }
         if (answer.status() == NOT_FOUND) {
-            // A release without the feature leads, or one where it is off.
+            // The leader runs a release without the feature, or has it disabled.
             nextRequestAt = loop.now() + UNSUPPORTED_RETRY_DURATIONS * limits.allotmentDurationS();
             return;
         }
@@ -163,7 +164,7 @@
         submissions.useAllotment(allotment, sentAt, leadership.highestFencingToken());
     }
 
-    /** Answers another controller's report. */
+    /** Handles a demand report of another controller. */
     private void handleDemandReport(InboundRequest request, Consumer<HttpReply> answer) {
         answer.accept(
                 AdmissionMessages.readReport(Json.read(request.body()))
@@ -183,13 +184,13 @@
                                         CONFLICT, "a report of an earlier process, or a copy"));
     }
 
-    /** Adds what operators see to the overview of a node. */
+    /** Adds the state of admission to the overview of this node for operators. */
     public void describe(ObjectNode overview) {
         new AdmissionOverview(limits, submissions, issuer, loop.now())
                 .describe(overview.putObject("admission"));
     }
 
-    /** Admissions per minute that this controller may use now. */
+    /** Returns the admission rate that this controller may currently use, per minute. */
     public int admissionsPerMinute() {
         return submissions.admissionsPerMinute();
     }
--- a/src/main/java/io/pepperfield/admission/AdmissionLimits.java
+++ b/src/main/java/io/pepperfield/admission/AdmissionLimits.java
@@ -6,17 +6,18 @@
 import java.util.Map;
 
 /**
- * What there is to divide and by which weights, derived from the settings, which are the same on
- * every controller. Rates are admissions per minute, in whole numbers.
+ * The admission rates and team weights, derived from the settings, which are the same on every
+ * controller. Rates are admissions per minute, in whole numbers.
  *
- * @param fixedPerMinute what each controller may admit without anybody's word
- * @param dividedPerMinute what the leader hands out beyond the fixed shares of all controllers
- * @param allotmentDurationS how long an allotment lasts, counted by its holder from the sending of
- *     its request
+ * @param fixedPerMinute rate at which each controller may admit without an allotment
+ * @param allottablePerMinute rate that the leader allots beyond the fixed shares of all controllers
+ * @param allotmentDurationS duration of an allotment; its holder counts it from the sending of the
+ *     request
  * @param requestIntervalS time between two requests of a controller
- * @param weights the weight of each team
- * @param maxPredictedWaitS predicted waiting beyond which further work is refused
- * @param fairnessBand how far a team may be from its entitlement before it is marked
+ * @param teamWeights the weight of each team
+ * @param maxPredictedWaitS predicted queue wait above which further jobs are refused
+ * @param fairnessBand fraction by which admissions may fall below the entitlement, or below the
+ *     demand if that is smaller, before the overview shows the class as outside the band
  */
 record AdmissionLimits(
         int fixedPerMinute,
@@ -30,41 +31,46 @@
     static final double SECONDS_PER_MINUTE = 60;
 
     /**
-     * In heartbeat intervals: long enough for a lost message or two, short enough after a failure.
+     * Duration of an allotment in heartbeat intervals: long enough to survive one or two lost
+     * messages, short enough that a failed holder's rate is soon available again.
      */
     private static final double ALLOTMENT_HEARTBEAT_INTERVALS = 1.0;
 
+    /** Time between two requests of a controller, in heartbeat intervals. */
     private static final double REQUEST_HEARTBEAT_INTERVALS = 0.25;
 
     static AdmissionLimits of(Settings settings) {
         AdmissionSettings fairness = settings.operators().admission();
         Settings.Deployment deployment = settings.deployment();
-        double perMinute =
+        double totalPerMinute =
                 deployment.storeLimits().writesPerS()
                         * fairness.acceptanceShare()
                         * SECONDS_PER_MINUTE;
-        int fixed =
+        int fixedPerController =
                 (int)
                         Math.floor(
-                                perMinute * fairness.reserveShare() / deployment.controllerCount());
-        double reportS = deployment.workerTimings().heartbeatIntervalS();
+                                totalPerMinute
+                                        * fairness.reserveShare()
+                                        / deployment.controllerCount());
+        double heartbeatIntervalS = deployment.workerTimings().heartbeatIntervalS();
         return new AdmissionLimits(
-                fixed,
-                (int) Math.floor(perMinute) - fixed * deployment.controllerCount(),
-                ALLOTMENT_HEARTBEAT_INTERVALS * reportS,
-                REQUEST_HEARTBEAT_INTERVALS * reportS,
+                fixedPerController,
+                (int) Math.floor(totalPerMinute)
+                        - fixedPerController * deployment.controllerCount(),
+                ALLOTMENT_HEARTBEAT_INTERVALS * heartbeatIntervalS,
+                REQUEST_HEARTBEAT_INTERVALS * heartbeatIntervalS,
                 weights(deployment.teams(), fairness.weights()),
                 fairness.maxPredictedWaitS(),
                 fairness.fairnessBand());
     }
 
     /**
-     * By guarantee unless operators give another weight; a team without a guarantee weighs as much
-     * as the least that has one.
+     * Returns the weight of each team: the operators' setting if there is one, otherwise the team's
+     * guaranteed CPUs. A team without a guarantee has the weight of the smallest guarantee.
      */
     private static Map<String, Double> weights(
-            Map<String, Settings.Team> teams, Map<String, Double> given) {
-        double least =
+            Map<String, Settings.Team> teams, Map<String, Double> configured) {
+        double smallestGuarantee =
                 teams.values().stream()
                         .mapToDouble(Settings.Team::guaranteedCpus)
                         .filter(cpus -> cpus > 0)
@@ -75,15 +81,15 @@
                 (name, team) ->
                         weights.put(
                                 name,
-                                given.getOrDefault(
+                                configured.getOrDefault(
                                         name,
                                         team.guaranteedCpus() > 0
                                                 ? team.guaranteedCpus()
-                                                : least)));
+                                                : smallestGuarantee)));
         return weights;
     }
 
-    /** Weight of a team; one that the settings do not name is refused before it comes here. */
+    /** Returns the weight of a team. Jobs of teams outside the settings are refused earlier. */
     double teamWeight(String team) {
         return teamWeights.getOrDefault(team, 1.0);
     }
--- a/src/main/java/io/pepperfield/admission/AdmissionMessages.java
+++ b/src/main/java/io/pepperfield/admission/AdmissionMessages.java
@@ -16,12 +16,13 @@
 import java.util.TreeMap;
 
 /**
- * What controllers and the leader tell each other about admission; the only place that knows its
- * field names. A class is an array of its team, its workload, whether its jobs wait for others, and
+ * The JSON encoding of demand reports and allotments; the only place with their field names. A
+ * workload class is an array of its team, its workload, whether its jobs wait for other jobs, and
  * its figures.
  */
 final class AdmissionMessages {
 
+    /** Reports with a larger demand are rejected as malformed. */
     private static final double MAX_PER_MINUTE = 1e9;
 
     private AdmissionMessages() {}
@@ -37,15 +38,15 @@
         ArrayNode classes = node.putArray("classes");
         report.classes()
                 .forEach(
-                        (workloadClass, asked) ->
-                                addClass(classes.addArray(), workloadClass)
-                                        .add(Math.round(asked.perMinute() * 100) / 100.0)
-                                        .add(asked.admitted())
-                                        .add(asked.refused()));
+                        (workloadClass, demand) ->
+                                addWorkloadClass(classes.addArray(), workloadClass)
+                                        .add(Math.round(demand.perMinute() * 100) / 100.0)
+                                        .add(demand.admitted())
+                                        .add(demand.refused()));
         return Json.write(node);
     }
 
-    /** Empty where it is no such message. */
+    /** Reads a demand report; empty if the message is malformed. */
     static Optional<DemandReport> readReport(JsonNode message) {
         if (!message.path("node").isTextual()
                 || !message.path("process").isTextual()
@@ -58,11 +59,11 @@
         SortedMap<WorkloadClass, ClassDemand> classes = new TreeMap<>();
         for (JsonNode entry : message.path("classes")) {
             double perMinute = entry.path(3).asDouble(-1);
-            if (!isClass(entry) || !(perMinute >= 0 && perMinute <= MAX_PER_MINUTE)) {
+            if (!isWorkloadClass(entry) || !(perMinute >= 0 && perMinute <= MAX_PER_MINUTE)) {
                 return Optional.empty();
             }
             classes.put(
-                    readClass(entry),
+                    readWorkloadClass(entry),
                     new ClassDemand(perMinute, entry.path(4).asInt(), entry.path(5).asInt()));
         }
         return Optional.of(
@@ -88,7 +89,7 @@
                 .classes()
                 .forEach(
                         (workloadClass, share) ->
-                                addClass(classes.addArray(), workloadClass)
+                                addWorkloadClass(classes.addArray(), workloadClass)
                                         .add(share.perMinute())
                                         .add(share.limited()));
         ArrayNode waits = node.putArray("waits");
@@ -103,7 +104,7 @@
         return Json.write(node);
     }
 
-    /** Empty where it is no such message. */
+    /** Reads an allotment; empty if the message is malformed. */
     static Optional<Allotment> readAllotment(JsonNode message) {
         if (!message.path("node").isTextual()
                 || !message.path("epoch").isIntegralNumber()
@@ -115,11 +116,11 @@
         }
         SortedMap<WorkloadClass, ClassShare> classes = new TreeMap<>();
         for (JsonNode entry : message.path("classes")) {
-            if (!isClass(entry) || entry.path(3).asInt(-1) < 0) {
+            if (!isWorkloadClass(entry) || entry.path(3).asInt(-1) < 0) {
                 return Optional.empty();
             }
             classes.put(
-                    readClass(entry),
+                    readWorkloadClass(entry),
                     new ClassShare(entry.path(3).asInt(), entry.path(4).asBoolean()));
         }
         List<QueueWait> waits = new ArrayList<>();
@@ -150,17 +151,17 @@
                 .findFirst();
     }
 
-    private static ArrayNode addClass(ArrayNode entry, WorkloadClass workloadClass) {
+    private static ArrayNode addWorkloadClass(ArrayNode entry, WorkloadClass workloadClass) {
         return entry.add(workloadClass.team())
                 .add(workloadClass.workload())
                 .add(workloadClass.hasDependencies());
     }
 
-    private static boolean isClass(JsonNode entry) {
+    private static boolean isWorkloadClass(JsonNode entry) {
         return entry.path(0).isTextual() && entry.path(1).isTextual() && entry.path(2).isBoolean();
     }
 
-    private static WorkloadClass readClass(JsonNode entry) {
+    private static WorkloadClass readWorkloadClass(JsonNode entry) {
         return new WorkloadClass(
                 entry.path(0).textValue(), entry.path(1).textValue(), entry.path(2).booleanValue());
     }
--- a/src/main/java/io/pepperfield/admission/AdmissionOverview.java
+++ b/src/main/java/io/pepperfield/admission/AdmissionOverview.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.SortedMap;
 
-/** What operators see of admission on one node; all rates are per minute. */
+/** The state of admission on one node as shown to operators; all rates are per minute. */
 final class AdmissionOverview {
 
     private final AdmissionLimits limits;
@@ -19,9 +19,12 @@
      * @param issuer null while another node leads
      */
     AdmissionOverview(
-            AdmissionLimits limits, SubmissionAdmission own, AllotmentIssuer issuer, double now) {
+            AdmissionLimits limits,
+            SubmissionAdmission submissions,
+            AllotmentIssuer issuer,
+            double now) {
         this.limits = limits;
-        this.submissions = own;
+        this.submissions = submissions;
         this.issuer = issuer;
         this.now = now;
     }
@@ -30,7 +33,7 @@
         node.put("fixed", limits.fixedPerMinute())
                 .put("mayAdmit", submissions.admissionsPerMinute());
         if (Double.isFinite(submissions.allotmentEndsInS())) {
-            node.put("allotmentEndsInS", tenths(submissions.allotmentEndsInS()));
+            node.put("allotmentEndsInS", roundToTenths(submissions.allotmentEndsInS()));
         }
         if (issuer == null) {
             return;
@@ -50,25 +53,28 @@
                             issuer.outstandingAllotments().committedPerMinute(controller, now))
                     .put(
                             "endsInS",
-                            tenths(issuer.outstandingAllotments().lastEndsAt(controller) - now));
+                            roundToTenths(
+                                    issuer.outstandingAllotments().lastEndsAt(controller) - now));
         }
     }
 
     private void describeClasses(ArrayNode entries) {
-        SortedMap<WorkloadClass, Double> entitled = issuer.entitlements();
+        SortedMap<WorkloadClass, Double> entitlements = issuer.entitlements();
         for (Map.Entry<WorkloadClass, ClassDemand> entry : issuer.demandByClass().entrySet()) {
             WorkloadClass workloadClass = entry.getKey();
-            ClassDemand figures = entry.getValue();
-            double due = Math.min(entitled.get(workloadClass), figures.perMinute());
+            ClassDemand demand = entry.getValue();
+            double entitledDemand = Math.min(entitlements.get(workloadClass), demand.perMinute());
             entries.addObject()
                     .put("team", workloadClass.team())
                     .put("class", workloadClass.workload())
                     .put("dependent", workloadClass.hasDependencies())
-                    .put("entitled", tenths(entitled.get(workloadClass)))
-                    .put("demand", tenths(figures.perMinute()))
-                    .put("admitted", figures.admitted())
-                    .put("refused", figures.refused())
-                    .put("withinBand", figures.admitted() >= due * (1 - limits.fairnessBand()));
+                    .put("entitled", roundToTenths(entitlements.get(workloadClass)))
+                    .put("demand", roundToTenths(demand.perMinute()))
+                    .put("admitted", demand.admitted())
+                    .put("refused", demand.refused())
+                    .put(
+                            "withinBand",
+                            demand.admitted() >= entitledDemand * (1 - limits.fairnessBand()));
         }
     }
 
@@ -77,12 +83,12 @@
             entries.addObject()
                     .put("team", wait.team())
                     .put("rank", wait.priority().name().toLowerCase(Locale.ROOT))
-                    .put("predictedWaitS", tenths(wait.waitS()))
+                    .put("predictedWaitS", roundToTenths(wait.waitS()))
                     .put("beyondLimit", wait.waitS() > limits.maxPredictedWaitS());
         }
     }
 
-    private static double tenths(double value) {
+    private static double roundToTenths(double value) {
         return Math.round(value * 10) / 10.0;
     }
 }
--- a/src/main/java/io/pepperfield/admission/Allotment.java
+++ b/src/main/java/io/pepperfield/admission/Allotment.java
@@ -5,16 +5,16 @@
 import java.util.SortedMap;
 
 /**
- * What the leader lets one controller admit for a while: a lease on a part of the rate.
+ * A lease on a part of the admission rate that the leader issues to one controller.
  *
- * @param node the controller that it is for
+ * @param node the controller that it is issued to
  * @param fencingToken the leader's fencing token
- * @param serial grows with each allotment of a leader
- * @param durationS how long it lasts; its holder counts from the sending of the request that it
- *     answers, and so ends before the leader takes it for ended
+ * @param serial increases with each allotment of a leader
+ * @param durationS time until it expires; the holder counts it from the sending of the request, so
+ *     that the allotment expires at the holder before it expires at the leader
  * @param extraPerMinute admissions per minute beyond the holder's fixed share
- * @param classes each class's part of the fixed share and of that together
- * @param queueWaits the queues whose predicted waiting is worth knowing
+ * @param classes share of each class in the sum of the fixed share and the extra rate
+ * @param queueWaits the queues whose predicted wait is close to or above the limit
  */
 record Allotment(
         String node,
@@ -26,16 +26,17 @@
         List<QueueWait> queueWaits) {
 
     /**
-     * One class's part.
+     * The share of one workload class.
      *
-     * @param limited its demand is not met: it may not use what nobody else asked for
+     * @param limited whether the share does not meet the demand of the class; a limited class does
+     *     not use the capacity that other classes leave unused
      */
     record ClassShare(int perMinute, boolean limited) {
-        /** What a class has that the division does not know. */
+        /** Share of a class that was not part of the division. */
         static final ClassShare NONE = new ClassShare(0, false);
     }
 
-    /** Whether another allotment is the later one. */
+    /** Whether this allotment was issued before another one. */
     boolean isBefore(Allotment other) {
         return fencingToken.isOlderThan(other.fencingToken)
                 || fencingToken.equals(other.fencingToken) && serial < other.serial;
--- a/src/main/java/io/pepperfield/admission/AllotmentHolder.java
+++ b/src/main/java/io/pepperfield/admission/AllotmentHolder.java
@@ -10,20 +10,23 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The allotment that one controller uses, from its arrival until it ends. */
+/** The allotment that one controller uses, from its receipt until it expires. */
 final class AllotmentHolder {
 
     private static final Logger LOG = LoggerFactory.getLogger(AllotmentHolder.class);
 
-    /** The holder's margin on an allotment's end, as on a grant's. */
-    private static final double HOLDER_MARGIN = 0.9;
+    /**
+     * Fraction of an allotment's duration for which its holder uses it, as for the leader's grant;
+     * the remainder is a safety margin.
+     */
+    private static final double USABLE_DURATION_FRACTION = 0.9;
 
-    /** Why an allotment is not used. */
+    /** Why a received allotment is ignored. */
     private enum IgnoreReason {
-        OTHER_CONTROLLER("for another controller"),
-        EARLIER_LEADER("of an earlier leader"),
-        NOT_LATER("that is not later than the one in use"),
-        ENDED("that has ended");
+        WRONG_CONTROLLER("addressed to another controller"),
+        EARLIER_LEADER("issued by an earlier leader"),
+        NOT_NEWER("not newer than the last accepted allotment"),
+        EXPIRED("already expired");
 
         private final String description;
 
@@ -32,14 +35,14 @@
         }
     }
 
-    /** Whose queue a new job joins. */
+    /** Identifies the queue that a new job joins. */
     private record TeamPriority(String team, JobSpec.Priority priority) {}
 
     private final String node;
     private final Map<TeamPriority, QueueWait> queueWaits = new HashMap<>();
     private final Set<IgnoreReason> loggedIgnoreReasons = EnumSet.noneOf(IgnoreReason.class);
 
-    /** The last one that was used; kept after its end, as an older one must not follow it. */
+    /** The last accepted allotment; kept after its expiry, so that no older one is accepted. */
     private Allotment allotment;
 
     private double endsAt = Double.NEGATIVE_INFINITY;
@@ -49,14 +52,14 @@
     }
 
     /**
-     * Holds an allotment from now on, unless it is of no use.
+     * Replaces the current allotment by a received one, unless that one must be ignored.
      *
-     * @param sentAt when the request that it answers was sent, a loop time
-     * @param leaderToken the highest fencing token of a leader that is known here
-     * @return whether it is held
+     * @param sentAt loop time at which the request for this allotment was sent
+     * @param leaderToken the highest fencing token that this controller has seen
+     * @return whether the allotment is now in use
      */
     boolean offer(Allotment offered, double sentAt, FencingToken leaderToken, double now) {
-        double offeredEndsAt = sentAt + offered.durationS() * HOLDER_MARGIN;
+        double offeredEndsAt = sentAt + offered.durationS() * USABLE_DURATION_FRACTION;
         Optional<IgnoreReason> reason = ignoreReason(offered, offeredEndsAt, leaderToken, now);
         if (reason.isPresent()) {
             logOnce(reason.get());
@@ -74,15 +77,15 @@
     private Optional<IgnoreReason> ignoreReason(
             Allotment offered, double offeredEndsAt, FencingToken leaderToken, double now) {
         if (!offered.node().equals(node)) {
-            return Optional.of(IgnoreReason.OTHER_CONTROLLER);
+            return Optional.of(IgnoreReason.WRONG_CONTROLLER);
         }
         if (offered.fencingToken().isOlderThan(leaderToken)) {
             return Optional.of(IgnoreReason.EARLIER_LEADER);
         }
         if (allotment != null && !allotment.isBefore(offered)) {
-            return Optional.of(IgnoreReason.NOT_LATER);
+            return Optional.of(IgnoreReason.NOT_NEWER);
         }
-        return offeredEndsAt <= now ? Optional.of(IgnoreReason.ENDED) : Optional.empty();
+        return offeredEndsAt <= now ? Optional.of(IgnoreReason.EXPIRED) : Optional.empty();
     }
 
     private void logOnce(IgnoreReason reason) {
@@ -94,7 +97,7 @@
         }
     }
 
-    /** Lets go of an allotment that has ended; whether there was one. */
+    /** Drops the allotment in use if it has expired; returns whether it did so. */
     boolean expire(double now) {
         if (!hasAllotment() || now < endsAt) {
             return false;
@@ -108,17 +111,17 @@
         return Double.isFinite(endsAt);
     }
 
-    /** The allotment in use. */
+    /** Returns the allotment in use, if any. */
     Optional<Allotment> current() {
         return hasAllotment() ? Optional.of(allotment) : Optional.empty();
     }
 
-    /** The predicted wait of the queue that a job would join, where the leader has told it. */
+    /** Returns the predicted wait of the queue that a job would join, if the leader sent one. */
     Optional<QueueWait> queueWait(JobSpec job) {
         return Optional.ofNullable(queueWaits.get(new TeamPriority(job.team(), job.priority())));
     }
 
-    /** Seconds until the allotment in use ends; not finite without one. */
+    /** Returns the seconds until the allotment in use expires; not finite without one. */
     double endsInS(double now) {
         return endsAt - now;
     }
--- a/src/main/java/io/pepperfield/admission/AllotmentIssuer.java
+++ b/src/main/java/io/pepperfield/admission/AllotmentIssuer.java
@@ -12,24 +12,25 @@
 import java.util.TreeMap;
 
 /**
- * The leader's side, for as long as one leadership lasts: divides the rate by the demand that the
- * controllers report, and answers each report with that controller's allotment.
+ * The leader's side of admission, for one leadership term: divides the rate by the demand that the
+ * controllers report, and answers each report with an allotment for that controller.
  */
 final class AllotmentIssuer {
 
     /**
-     * Of the rate, what no class is given, for classes that nobody has reported yet: they have a
-     * share before the leader knows them.
+     * Fraction of the rate that is not assigned to any class. It is left for classes that no
+     * controller has reported yet, so that their jobs are admitted before the leader learns of
+     * them.
      */
     static final double NEW_CLASSES_SHARE = 0.05;
 
-    /** Below this part of its demand a class's share does not meet it. */
+    /** Fraction of a class's demand below which its share counts as not meeting the demand. */
     private static final double MET_DEMAND_RATIO = 0.99;
 
-    /** Beyond any rate, to see what each class would get if all asked for more than there is. */
+    /** A demand above any rate, to compute the shares as if every class exceeded its own. */
     private static final double UNBOUNDED_DEMAND = 1e12;
 
-    /** A report and when it came. */
+    /** A demand report and the loop time of its receipt. */
     private record ReceivedReport(DemandReport report, double receivedAt) {}
 
     private final AdmissionLimits limits;
@@ -43,8 +44,8 @@
     private List<QueueWait> queueWaits = List.of();
 
     /**
-     * @param fencingToken this leadership's token
-     * @param electedAt when this leader learnt that it leads
+     * @param fencingToken the fencing token of this leadership term
+     * @param electedAt loop time at which this leader learned of its election
      */
     AllotmentIssuer(
             AdmissionLimits limits, String self, FencingToken fencingToken, double electedAt) {
@@ -57,17 +58,20 @@
                         limits.allottablePerMinute(), limits.allotmentDurationS(), electedAt);
     }
 
-    /** The same leadership has another fencing token. */
+    /** Replaces the fencing token within the same leadership term. */
     void renewFencingToken(FencingToken renewed) {
         fencingToken = renewed;
     }
 
-    /** The queues whose waiting the controllers are to know. */
+    /** Sets the predicted queue waits that are sent with each allotment. */
     void setQueueWaits(List<QueueWait> predicted) {
         queueWaits = predicted;
     }
 
-    /** The answer to a controller's report; empty where the report is a late copy. */
+    /**
+     * Returns the allotment that answers a controller's report; empty if the report is a duplicate,
+     * out of order, or from an earlier process of the controller.
+     */
     Optional<Allotment> issue(DemandReport report, double now) {
         if (!members.recordMessage(
                 report.node(), report.processIncarnation(), report.sequence(), now)) {
@@ -76,15 +80,17 @@
         if (report.heldFencingToken().isAtLeast(firstFencingToken)) {
             outstandingAllotments.acknowledge(report.node(), report.heldSerial());
         }
-        reports.values().removeIf(known -> now - known.receivedAt > limits.allotmentDurationS());
+        reports.values()
+                .removeIf(received -> now - received.receivedAt > limits.allotmentDurationS());
         reports.put(report.node(), new ReceivedReport(report, now));
-        return Optional.of(allot(report, now));
+        return Optional.of(createAllotment(report, now));
     }
 
-    private Allotment allot(DemandReport report, double now) {
+    private Allotment createAllotment(DemandReport report, double now) {
         Division division = new Division();
-        int wanted = division.extraPerMinute(report);
-        int extra = Math.min(wanted, outstandingAllotments.availablePerMinute(report.node(), now));
+        int targetExtra = division.extraPerMinute(report);
+        int extra =
+                Math.min(targetExtra, outstandingAllotments.availablePerMinute(report.node(), now));
         outstandingAllotments.recordIssued(report.node(), ++serial, extra, now);
         return new Allotment(
                 report.node(),
@@ -92,43 +98,48 @@
                 serial,
                 limits.allotmentDurationS(),
                 extra,
-                division.classes(report, extra),
+                division.classShares(report, extra),
                 queueWaits);
     }
 
-    /** Whether a share leaves demand unmet. */
+    /** Whether a share does not meet the demand. */
     static boolean isUnmet(double share, double demand) {
         return share < MET_DEMAND_RATIO * demand;
     }
 
-    /** The division of the whole rate by the demand that is known now. */
+    /** The division of the whole rate by the currently reported demand. */
     private final class Division {
 
         private final SortedMap<WorkloadClass, Double> demand = totalDemand();
         private final SortedMap<WorkloadClass, Double> shares =
-                FairDivision.divide(usable(), demand, limits::teamWeight);
-        private final double excess = totalExcess();
+                FairDivision.divide(divisibleRate(), demand, limits::teamWeight);
+        private final double totalExcess = totalExcess();
 
         /**
-         * What is divided: all that the leader hands out, and of the fixed shares what their
-         * controllers have demand for.
+         * Returns the rate to divide: the whole allottable rate, and the part of each fixed share
+         * that its controller has demand for.
          */
-        private double usable() {
-            double fixed = 0;
-            for (ReceivedReport known : reports.values()) {
-                fixed += Math.min(limits.fixedPerMinute(), demandOf(known.report));
+        private double divisibleRate() {
+            double usedFixed = 0;
+            for (ReceivedReport received : reports.values()) {
+                usedFixed += Math.min(limits.fixedPerMinute(), demandOf(received.report));
             }
-            return (limits.allottablePerMinute() + fixed) * (1 - NEW_CLASSES_SHARE);
+            return (limits.allottablePerMinute() + usedFixed) * (1 - NEW_CLASSES_SHARE);
         }
 
         private double totalExcess() {
-            return reports.values().stream().mapToDouble(known -> excess(known.report)).sum();
+            return reports.values().stream().mapToDouble(received -> excess(received.report)).sum();
         }
 
-        /** What a controller is due of one class: the class's share by where its demand is. */
+        /**
+         * Returns the entitlement of a controller for one class: the share of the class, split
+         * between controllers in proportion to their demand.
+         */
         private double entitlement(WorkloadClass workloadClass, ClassDemand localDemand) {
-            double all = demand.get(workloadClass);
-            return all > 0 ? shares.get(workloadClass) * localDemand.perMinute() / all : 0;
+            double classDemand = demand.get(workloadClass);
+            return classDemand > 0
+                    ? shares.get(workloadClass) * localDemand.perMinute() / classDemand
+                    : 0;
         }
 
         private double entitlement(DemandReport report) {
@@ -139,37 +150,50 @@
             return sum;
         }
 
-        /** What a controller is due beyond its fixed share. */
+        /** Returns the entitlement of a controller beyond its fixed share. */
         private double excess(DemandReport report) {
             return Math.max(0, entitlement(report) - limits.fixedPerMinute());
         }
 
-        /** Part of the excess that can be given; the fixed shares of some may lie idle. */
-        private double scale() {
-            return Math.min(1, excess > 0 ? limits.allottablePerMinute() / excess : 1);
+        /**
+         * Returns the fraction of the total excess that can be allotted; below 1 where some
+         * controllers are entitled to less than their fixed share.
+         */
+        private double excessScale() {
+            return Math.min(1, totalExcess > 0 ? limits.allottablePerMinute() / totalExcess : 1);
         }
 
-        /** A controller's part beyond its fixed share; what nobody is due is given evenly. */
+        /**
+         * Returns the rate to allot to a controller beyond its fixed share. The part of the
+         * allottable rate that is not needed for entitlements is divided evenly.
+         */
         int extraPerMinute(DemandReport report) {
-            double evenly = limits.allottablePerMinute() - scale() * excess;
-            return (int) Math.floor(scale() * excess(report) + evenly / reports.size());
+            double unassigned = limits.allottablePerMinute() - excessScale() * totalExcess;
+            return (int) Math.floor(excessScale() * excess(report) + unassigned / reports.size());
         }
 
-        SortedMap<WorkloadClass, ClassShare> classes(DemandReport report, int extra) {
-            double most = (limits.fixedPerMinute() + extra) * (1 - NEW_CLASSES_SHARE);
-            double due = entitlement(report);
-            double factor = due > most ? most / due : 1;
+        /**
+         * Returns the share of each reported class in the controller's fixed share and extra rate.
+         */
+        SortedMap<WorkloadClass, ClassShare> classShares(DemandReport report, int extra) {
+            double usable = (limits.fixedPerMinute() + extra) * (1 - NEW_CLASSES_SHARE);
+            double entitled = entitlement(report);
+            double scale = entitled > usable ? usable / entitled : 1;
             SortedMap<WorkloadClass, Double> exact = new TreeMap<>();
             report.classes()
                     .forEach(
-                            (known, asked) -> exact.put(known, factor * entitlement(known, asked)));
+                            (workloadClass, localDemand) ->
+                                    exact.put(
+                                            workloadClass,
+                                            scale * entitlement(workloadClass, localDemand)));
             SortedMap<WorkloadClass, ClassShare> rounded = new TreeMap<>();
             rounding.computeIfAbsent(report.node(), node -> new LargestRemainder<>())
                     .round(exact)
                     .forEach(
-                            (known, perMinute) ->
+                            (workloadClass, perMinute) ->
                                     rounded.put(
-                                            known, new ClassShare(perMinute, isLimited(known))));
+                                            workloadClass,
+                                            new ClassShare(perMinute, isLimited(workloadClass))));
             return rounded;
         }
 
@@ -180,12 +204,13 @@
 
     private SortedMap<WorkloadClass, Double> totalDemand() {
         SortedMap<WorkloadClass, Double> demand = new TreeMap<>();
-        for (ReceivedReport known : reports.values()) {
-            known.report
+        for (ReceivedReport received : reports.values()) {
+            received.report
                     .classes()
                     .forEach(
-                            (workloadClass, asked) ->
-                                    demand.merge(workloadClass, asked.perMinute(), Double::sum));
+                            (workloadClass, localDemand) ->
+                                    demand.merge(
+                                            workloadClass, localDemand.perMinute(), Double::sum));
         }
         return demand;
     }
@@ -194,17 +219,17 @@
         return report.classes().values().stream().mapToDouble(ClassDemand::perMinute).sum();
     }
 
-    // ---- what operators see
+    // ---- state for the overview
 
-    /** The demand and the counts of each class on all controllers together. */
+    /** Returns the demand and the counts of each class, summed over all reporting controllers. */
     SortedMap<WorkloadClass, ClassDemand> demandByClass() {
         SortedMap<WorkloadClass, ClassDemand> sums = new TreeMap<>();
-        for (ReceivedReport known : reports.values()) {
-            known.report
+        for (ReceivedReport received : reports.values()) {
+            received.report
                     .classes()
                     .forEach(
-                            (workloadClass, asked) ->
-                                    sums.merge(workloadClass, asked, AllotmentIssuer::sum));
+                            (workloadClass, localDemand) ->
+                                    sums.merge(workloadClass, localDemand, AllotmentIssuer::sum));
         }
         return sums;
     }
@@ -216,14 +241,14 @@
                 first.refused() + second.refused());
     }
 
-    /** What each class is entitled to if all classes known now ask for more than there is. */
+    /** Returns the share of each reported class if the demand of all of them exceeded the rate. */
     SortedMap<WorkloadClass, Double> entitlements() {
         SortedMap<WorkloadClass, Double> unbounded = new TreeMap<>();
         totalDemand()
                 .keySet()
                 .forEach(workloadClass -> unbounded.put(workloadClass, UNBOUNDED_DEMAND));
-        int all = limits.allottablePerMinute() + reports.size() * limits.fixedPerMinute();
-        return FairDivision.divide(all, unbounded, limits::teamWeight);
+        int total = limits.allottablePerMinute() + reports.size() * limits.fixedPerMinute();
+        return FairDivision.divide(total, unbounded, limits::teamWeight);
     }
 
     List<QueueWait> queueWaits() {
@@ -234,7 +259,7 @@
         return outstandingAllotments;
     }
 
-    /** The controllers whose reports are counted. */
+    /** Returns the names of the controllers with a recent report. */
     List<String> reportingControllers() {
         return reports.keySet().stream().sorted().toList();
     }
--- a/src/main/java/io/pepperfield/admission/DemandReport.java
+++ b/src/main/java/io/pepperfield/admission/DemandReport.java
@@ -4,13 +4,13 @@
 import java.util.SortedMap;
 
 /**
- * What a controller asks the leader for.
+ * A controller's request for an allotment, with its demand by class.
  *
  * @param node the controller
- * @param processIncarnation its process; another one after each start
- * @param sequence grows with each report of a process
- * @param heldFencingToken the fencing token of the allotment that it uses, if it has one
- * @param heldSerial the serial of that allotment
+ * @param processIncarnation identifies its process; different after each start
+ * @param sequence increases with each report of a process
+ * @param heldFencingToken the fencing token of the allotment in use, if any
+ * @param heldSerial the serial of the allotment in use, or 0
  */
 record DemandReport(
         String node,
@@ -21,11 +21,11 @@
         SortedMap<WorkloadClass, ClassDemand> classes) {
 
     /**
-     * One class's figures on one controller.
+     * The demand and counts of one class on one controller.
      *
-     * @param perMinute distinct jobs that ask for admission, those refused included
+     * @param perMinute distinct jobs per minute that request admission, refused jobs included
      * @param admitted jobs admitted within the last minute
-     * @param refused refusals within the last minute, repeated ones included
+     * @param refused refusals within the last minute, repeated refusals of a job included
      */
     record ClassDemand(double perMinute, int admitted, int refused) {}
 }
--- a/src/main/java/io/pepperfield/admission/FairDivision.java
+++ b/src/main/java/io/pepperfield/admission/FairDivision.java
@@ -9,14 +9,14 @@
 
 /**
  * Divides a rate hierarchically: between teams by their weights, then the share of each team
- * between its classes, which weigh the same. Pure: the order of the input has no effect.
+ * between its classes with equal weights. The result does not depend on the order of the input.
  */
 final class FairDivision {
 
     private FairDivision() {}
 
     /**
-     * Divides a rate between all classes that ask for some.
+     * Divides a rate between all classes with demand.
      *
      * @param teamWeight the weight of a team, positive
      */
@@ -24,9 +24,9 @@
             double rate, Map<WorkloadClass, Double> demand, ToDoubleFunction<String> teamWeight) {
         SortedMap<String, SortedMap<WorkloadClass, Double>> byTeam = new TreeMap<>();
         demand.forEach(
-                (workloadClass, asked) ->
+                (workloadClass, perMinute) ->
                         byTeam.computeIfAbsent(workloadClass.team(), team -> new TreeMap<>())
-                                .put(workloadClass, asked));
+                                .put(workloadClass, perMinute));
         List<String> teams = new ArrayList<>(byTeam.keySet());
         double[] demands = new double[teams.size()];
         double[] weights = new double[teams.size()];
@@ -37,12 +37,12 @@
         double[] shares = MaxMinFairness.divide(rate, demands, weights);
         SortedMap<WorkloadClass, Double> divided = new TreeMap<>();
         for (int i = 0; i < shares.length; i++) {
-            divided.putAll(amongClasses(shares[i], byTeam.get(teams.get(i))));
+            divided.putAll(divideAmongClasses(shares[i], byTeam.get(teams.get(i))));
         }
         return divided;
     }
 
-    private static SortedMap<WorkloadClass, Double> amongClasses(
+    private static SortedMap<WorkloadClass, Double> divideAmongClasses(
             double rate, SortedMap<WorkloadClass, Double> demand) {
         List<WorkloadClass> classes = new ArrayList<>(demand.keySet());
         double[] demands = new double[classes.size()];
--- a/src/main/java/io/pepperfield/admission/MaxMinFairness.java
+++ b/src/main/java/io/pepperfield/admission/MaxMinFairness.java
@@ -5,37 +5,37 @@
 import java.util.stream.IntStream;
 
 /**
- * Weighted max-min fairness by progressive filling: everybody's share grows in proportion to its
- * weight until its demand is met, and what it leaves goes to those whose demand is not.
+ * Weighted max-min fairness by progressive filling: each share grows in proportion to its weight
+ * until its demand is met, and the remaining capacity goes to the shares with unmet demand.
  */
 final class MaxMinFairness {
 
     private MaxMinFairness() {}
 
     /**
-     * Divides a capacity.
+     * Divides a capacity between claimants.
      *
-     * @param demands what each asks for, none negative
-     * @param weights in the same order, all positive
-     * @return each one's share: at most its demand, and at most the capacity in all
+     * @param demands the demand of each claimant, not negative
+     * @param weights the weight of each claimant, in the same order, all positive
+     * @return the share of each claimant: at most its demand, and in total at most the capacity
      */
     static double[] divide(double capacity, double[] demands, double[] weights) {
         double[] shares = new double[demands.length];
-        double weightLeft = 0;
+        double remainingWeight = 0;
         for (double weight : weights) {
-            weightLeft += weight;
+            remainingWeight += weight;
         }
-        double left = capacity;
+        double remaining = capacity;
         for (int next : byDemandPerWeight(demands, weights)) {
-            double entitled = left * (weights[next] / weightLeft);
-            shares[next] = Math.max(0, Math.min(demands[next], entitled));
-            left -= shares[next];
-            weightLeft -= weights[next];
+            double entitlement = remaining * (weights[next] / remainingWeight);
+            shares[next] = Math.max(0, Math.min(demands[next], entitlement));
+            remaining -= shares[next];
+            remainingWeight -= weights[next];
         }
         return shares;
     }
 
-    /** Those that are satisfied first come first, so that each of them is looked at once. */
+    /** Orders claimants by when their demand is met, so that a single pass is enough. */
     private static List<Integer> byDemandPerWeight(double[] demands, double[] weights) {
         return IntStream.range(0, demands.length)
                 .boxed()
--- a/src/main/java/io/pepperfield/admission/MinuteCounter.java
+++ b/src/main/java/io/pepperfield/admission/MinuteCounter.java
@@ -1,6 +1,6 @@
 package io.pepperfield.admission;
 
-/** Counts events of the last minute, in slots of ten seconds. */
+/** Counts the events of the last minute in six slots of ten seconds. */
 final class MinuteCounter {
 
     private static final double SLOT_S = 10;
@@ -25,8 +25,8 @@
     private void advance(double now) {
         long current = (long) Math.floor(Math.max(0, now) / SLOT_S);
         long first = Math.max(slot + 1, current - slots.length + 1);
-        for (long passed = first; passed <= current; passed++) {
-            slots[(int) (passed % slots.length)] = 0;
+        for (long expired = first; expired <= current; expired++) {
+            slots[(int) (expired % slots.length)] = 0;
         }
         slot = Math.max(slot, current);
     }
--- a/src/main/java/io/pepperfield/admission/OutstandingAllotments.java
+++ b/src/main/java/io/pepperfield/admission/OutstandingAllotments.java
@@ -6,58 +6,60 @@
 import java.util.Map;
 
 /**
- * What the leader has handed out and may be in use.
+ * The allotments that this leader has issued and that may still be in use.
  *
  * <p>Invariant: the extra rates of all allotments that may be in use at any moment never exceed the
- * divided rate. An allotment counts until its holder has shown a later one, or until it has surely
- * ended by the leader's clock; a holder uses one at a time, so it counts with its largest. A leader
- * cannot know what the one before it gave away and begins with nothing until all of that has ended.
+ * allottable rate. An allotment counts until its holder has acknowledged a later one, or until it
+ * must have expired by the leader's clock. A holder uses one allotment at a time, so only the
+ * largest of its allotments counts. A new leader does not know the allotments of earlier leaders
+ * and issues no extra rate until all of those have expired.
  */
 final class OutstandingAllotments {
 
-    /** Steady clocks differ by at most 0.05%; the holder's margin is far larger. */
-    private static final double CLOCK_DRIFT = 1.001;
+    /** Monotonic clocks drift by at most 0.05%; the holder's safety margin is far larger. */
+    private static final double CLOCK_DRIFT_FACTOR = 1.001;
 
-    /** An allotment that may be in use until then. */
+    /** An issued allotment, which may be in use until {@code endsAt}. */
     private record Issued(long serial, int extraPerMinute, double endsAt) {}
 
-    private final int dividedPerMinute;
+    private final int allottablePerMinute;
     private final double durationS;
     private final double issuingStartsAt;
     private final Map<String, List<Issued>> issued = new HashMap<>();
 
     /**
-     * @param electedAt when this leader learnt that it leads: no earlier one answers from then on
+     * @param electedAt loop time at which this leader learned of its election; earlier leaders
+     *     issue nothing after it
      */
-    OutstandingAllotments(int dividedPerMinute, double durationS, double electedAt) {
-        this.dividedPerMinute = dividedPerMinute;
+    OutstandingAllotments(int allottablePerMinute, double durationS, double electedAt) {
+        this.allottablePerMinute = allottablePerMinute;
         this.durationS = durationS;
-        this.issuingStartsAt = electedAt + durationS * CLOCK_DRIFT;
+        this.issuingStartsAt = electedAt + durationS * CLOCK_DRIFT_FACTOR;
     }
 
-    /** The most that may be given to that controller now. */
+    /** Returns the largest extra rate that may be issued to a controller now. */
     int availablePerMinute(String node, double now) {
         if (now < issuingStartsAt) {
             return 0;
         }
-        int others = 0;
+        int committedToOthers = 0;
         for (String other : issued.keySet()) {
-            others += other.equals(node) ? 0 : committedPerMinute(other, now);
+            committedToOthers += other.equals(node) ? 0 : committedPerMinute(other, now);
         }
-        return Math.max(0, dividedPerMinute - others);
+        return Math.max(0, allottablePerMinute - committedToOthers);
     }
 
-    /** What that controller may be using at this moment. */
+    /** Returns the largest extra rate that a controller may be using now. */
     int committedPerMinute(String node, double now) {
-        List<Issued> live = issued.getOrDefault(node, List.of());
-        return live.stream()
+        List<Issued> outstanding = issued.getOrDefault(node, List.of());
+        return outstanding.stream()
                 .filter(allotment -> allotment.endsAt > now)
                 .mapToInt(Issued::extraPerMinute)
                 .max()
                 .orElse(0);
     }
 
-    /** When the last of a controller's allotments has surely ended. */
+    /** Returns the time at which all allotments of a controller must have expired. */
     double lastEndsAt(String node) {
         return issued.getOrDefault(node, List.of()).stream()
                 .mapToDouble(Issued::endsAt)
@@ -66,12 +68,12 @@
     }
 
     void recordIssued(String node, long serial, int extraPerMinute, double now) {
-        List<Issued> live = issued.computeIfAbsent(node, key -> new ArrayList<>());
-        live.removeIf(allotment -> allotment.endsAt <= now);
-        live.add(new Issued(serial, extraPerMinute, now + durationS * CLOCK_DRIFT));
+        List<Issued> outstanding = issued.computeIfAbsent(node, key -> new ArrayList<>());
+        outstanding.removeIf(allotment -> allotment.endsAt <= now);
+        outstanding.add(new Issued(serial, extraPerMinute, now + durationS * CLOCK_DRIFT_FACTOR));
     }
 
-    /** The controller uses the allotment of that serial, and never one before it again. */
+    /** Releases the allotments before a serial, as the controller no longer uses them. */
     void acknowledge(String node, long serial) {
         issued.getOrDefault(node, new ArrayList<>())
                 .removeIf(allotment -> allotment.serial < serial);
--- a/src/main/java/io/pepperfield/admission/QueueWait.java
+++ b/src/main/java/io/pepperfield/admission/QueueWait.java
@@ -2,5 +2,5 @@
 
 import io.pepperfield.jobs.JobSpec;
 
-/** How long new work of a team and priority is predicted to wait before it begins, in seconds. */
+/** Predicted wait of new tasks of a team and priority before they start, in seconds. */
 public record QueueWait(String team, JobSpec.Priority priority, double waitS) {}
--- a/src/main/java/io/pepperfield/admission/QueueWaitPredictor.java
+++ b/src/main/java/io/pepperfield/admission/QueueWaitPredictor.java
@@ -8,20 +8,20 @@
 import java.util.Map;
 
 /**
- * Predicts how long new work of a team waits before it begins: the tasks that wait before it,
- * divided by the rate at which the team's tasks begin. What the queue has shown so far bounds it:
- * while nothing of it has waited long, machines may still be booting for it, and a rate that has
- * only just begun to be measured says little.
+ * Predicts how long new tasks of a team wait before they start: the number of queued tasks divided
+ * by the rate at which the team's tasks start. The prediction is bounded by a multiple of the
+ * oldest wait in the queue: while no task has waited long, machines may still be booting, and a
+ * start rate that has been measured only briefly is unreliable.
  */
 public final class QueueWaitPredictor {
 
-    /** Of the starts measured before, in the running mean of their rate. */
+    /** Weight of earlier measurements in the moving average of the start rate, per second. */
     private static final double RATE_SMOOTHING = 0.9;
 
-    /** A queue's wait may be predicted at most as so many times what its oldest task has waited. */
+    /** Upper bound of a predicted wait, as a multiple of the oldest task's wait so far. */
     private static final double MAX_OLDEST_WAIT_MULTIPLE = 4;
 
-    /** The tasks that wait of one team and priority. */
+    /** The pending tasks of one team and priority. */
     private static final class Queue {
         int waitingTasks;
         double oldestWaitS;
@@ -32,17 +32,17 @@
     private final Map<String, Map<JobSpec.Priority, Queue>> queuesByTeam = new HashMap<>();
     private double updatedAt;
 
-    /** Begins without a queue; {@code now} is a loop time. */
+    /** Creates a predictor without queues; {@code now} is a loop time. */
     public QueueWaitPredictor(double now) {
         updatedAt = now;
     }
 
-    /** A task of that team and priority has begun to run. */
+    /** Counts the start of a task of a team and priority. */
     public void recordStart(String team, JobSpec.Priority priority) {
         queue(team, priority).starts++;
     }
 
-    /** Forgets which tasks wait, so that they can be counted anew. */
+    /** Clears the counts of pending tasks before a recount. */
     public void beginRecount() {
         queuesByTeam
                 .values()
@@ -56,45 +56,47 @@
         queue.oldestWaitS = 0;
     }
 
-    /** So many tasks of a job wait, the first of them for so many seconds. */
+    /**
+     * Adds the pending tasks of a job, the oldest of which has waited for {@code waitedS} seconds.
+     */
     public void addWaiting(String team, JobSpec.Priority priority, int tasks, double waitedS) {
         Queue queue = queue(team, priority);
         queue.waitingTasks += tasks;
         queue.oldestWaitS = Math.max(queue.oldestWaitS, waitedS);
     }
 
-    /** All that waits has been counted; the rates of starts are measured up to now. */
+    /** Ends a recount and updates the start rates up to now. */
     public void finishRecount(double now) {
         double seconds = now - updatedAt;
         if (seconds <= 0) {
             return;
         }
         updatedAt = now;
-        double kept = Math.pow(RATE_SMOOTHING, seconds);
+        double decay = Math.pow(RATE_SMOOTHING, seconds);
         for (Map<JobSpec.Priority, Queue> queuesByPriority : queuesByTeam.values()) {
             for (Queue queue : queuesByPriority.values()) {
-                queue.startsPerS = kept * queue.startsPerS + (1 - kept) * queue.starts / seconds;
+                queue.startsPerS = decay * queue.startsPerS + (1 - decay) * queue.starts / seconds;
                 queue.starts = 0;
             }
         }
     }
 
-    /** The queues whose predicted waiting is at least that long. */
-    public List<QueueWait> waitsOfAtLeast(double leastS) {
+    /** Returns the queues whose predicted wait is at least {@code minWaitS}. */
+    public List<QueueWait> waitsOfAtLeast(double minWaitS) {
         List<QueueWait> waits = new ArrayList<>();
         queuesByTeam.forEach(
-                (team, queuesByPriority) -> addWaits(team, queuesByPriority, leastS, waits));
+                (team, queuesByPriority) -> addWaits(team, queuesByPriority, minWaitS, waits));
         return waits;
     }
 
     /**
-     * What has a higher priority begins first: a priority waits for its own queue and for those
-     * above.
+     * Adds the predicted waits of a team's queues. Tasks of a higher priority start first, so a
+     * task waits for its own queue and for those of higher priorities.
      */
     private static void addWaits(
             String team,
             Map<JobSpec.Priority, Queue> queuesByPriority,
-            double leastS,
+            double minWaitS,
             List<QueueWait> waits) {
         int tasks = 0;
         double startsPerS = 0;
@@ -106,7 +108,7 @@
             oldestS = Math.max(oldestS, queue.oldestWaitS);
             double drainS = startsPerS > 0 ? tasks / startsPerS : Double.MAX_VALUE;
             double waitS = Math.min(drainS, MAX_OLDEST_WAIT_MULTIPLE * oldestS);
-            if (tasks > 0 && waitS >= leastS) {
+            if (tasks > 0 && waitS >= minWaitS) {
                 waits.add(new QueueWait(team, entry.getKey(), waitS));
             }
         }
--- a/src/main/java/io/pepperfield/admission/RefusedSubmissions.java
+++ b/src/main/java/io/pepperfield/admission/RefusedSubmissions.java
@@ -4,15 +4,15 @@
 import it.unimi.dsi.fastutil.longs.Long2DoubleOpenHashMap;
 
 /**
- * Jobs that have been refused of late, each with the time at which it was told to come back: so
- * that a job counts once as demand however often it is retried, and that who comes back when told
- * goes before who comes for the first time. Kept as fingerprints in two generations; a job that was
- * not seen for two of them is forgotten. Bounded: a flood of distinct ids beyond it is not
- * remembered, and counts again with each retry, which earns its class nothing beyond its share.
+ * Recently refused jobs with their retry times. With them a job counts once as demand however often
+ * it is retried, and a retry that is due is admitted before first submissions. Jobs are stored as
+ * fingerprints in two generations; a job that is not refused again in two generations is evicted.
+ * The size is bounded: further ids of a flood are not recorded and count as demand again with each
+ * retry, which does not give their class more than its share.
  */
 final class RefusedSubmissions {
 
-    /** What is kept of a job. */
+    /** The generation in which a job was last refused; {@code NONE} if it is not recorded. */
     enum Generation {
         NONE,
         CURRENT,
@@ -35,11 +35,11 @@
         return map;
     }
 
-    /** A number that two jobs hardly ever share. */
-    static long fingerprint(String job) {
+    /** Returns a 64-bit hash of a job id; collisions are rare. */
+    static long fingerprint(String jobId) {
         long hash = 0;
-        for (int i = 0; i < job.length(); i++) {
-            hash = hash * 1_000_003 + job.charAt(i);
+        for (int i = 0; i < jobId.length(); i++) {
+            hash = hash * 1_000_003 + jobId.charAt(i);
         }
         return HashCommon.mix(hash);
     }
@@ -51,19 +51,19 @@
         return previous.containsKey(fingerprint) ? Generation.PREVIOUS : Generation.NONE;
     }
 
-    /** When it was told to come back, or not a number. */
+    /** Returns the retry time of a job, or NaN if the job is not recorded. */
     double retryDueAt(long fingerprint) {
-        double due = current.get(fingerprint);
-        return Double.isNaN(due) ? previous.get(fingerprint) : due;
+        double retryAt = current.get(fingerprint);
+        return Double.isNaN(retryAt) ? previous.get(fingerprint) : retryAt;
     }
 
-    /** Keeps the time; false where there is no room for one more. */
-    boolean tryRecord(long fingerprint, double dueAt) {
+    /** Records the retry time of a refused job; returns false if the generation is full. */
+    boolean tryRecord(long fingerprint, double retryAt) {
         if (current.size() >= maxPerGeneration && !current.containsKey(fingerprint)) {
             return false;
         }
         previous.remove(fingerprint);
-        current.put(fingerprint, dueAt);
+        current.put(fingerprint, retryAt);
         return true;
     }
 
@@ -72,7 +72,7 @@
         previous.remove(fingerprint);
     }
 
-    /** Begins another generation; what was not seen since the last but one is forgotten. */
+    /** Starts a new generation and evicts the previous one. */
     void rotate() {
         previous = current;
         current = newGeneration();
--- a/src/main/java/io/pepperfield/admission/RetryAfterScheduler.java
+++ b/src/main/java/io/pepperfield/admission/RetryAfterScheduler.java
@@ -3,25 +3,25 @@
 import io.pepperfield.admission.RefusedSubmissions.Generation;
 
 /**
- * Tells refused jobs when to come back, and remembers what it has told them: who comes back when
- * told goes before who comes for the first time.
+ * Computes the Retry-After times of refused jobs and records them, so that a job that is retried at
+ * its time is admitted before first submissions.
  */
 final class RetryAfterScheduler {
 
-    /** Users heed a time to come back up to so many seconds. */
+    /** Longest Retry-After in seconds that clients comply with. */
     static final int MAX_RETRY_AFTER_S = 30;
 
-    /** A generation of refused jobs: longer than the longest time that a user is told. */
+    /** Duration of a generation of refused jobs: longer than the longest Retry-After. */
     private static final double GENERATION_S = MAX_RETRY_AFTER_S + 5;
 
-    /** About a megabyte in all: the heap of a controller is bounded. */
+    /** Bounds the heap used by refused jobs to about 1 MB in total. */
     private static final int MAX_REFUSED_PER_GENERATION = 16_384;
 
     /**
-     * A job that asks for admission.
+     * A request for the admission of a job.
      *
-     * @param seenIn whether it has been refused before
-     * @param comesWhenTold whether it was told a time that has come
+     * @param refusedIn the generation in which the job was last refused
+     * @param dueRetry whether this is a retry of a refused job whose retry time has been reached
      */
     record SubmissionAttempt(long fingerprint, Generation refusedIn, boolean dueRetry) {}
 
@@ -33,86 +33,91 @@
     private double rotatedAt;
 
     /**
-     * @param allotmentDurationS within it another allotment is there
+     * @param allotmentDurationS time within which the next allotment is expected
      */
     RetryAfterScheduler(double allotmentDurationS, double now) {
         this.shortRetrySpreadS = (int) Math.ceil(allotmentDurationS + 1);
         this.rotatedAt = now;
     }
 
+    /** Looks up whether a job has been refused before and whether its retry is due. */
     SubmissionAttempt lookUp(String jobId, double now) {
         long fingerprint = RefusedSubmissions.fingerprint(jobId);
-        Generation seenIn = refusedSubmissions.generationOf(fingerprint);
-        boolean told = seenIn != Generation.NONE;
+        Generation refusedIn = refusedSubmissions.generationOf(fingerprint);
+        boolean refusedBefore = refusedIn != Generation.NONE;
         return new SubmissionAttempt(
-                fingerprint, seenIn, told && refusedSubmissions.retryDueAt(fingerprint) <= now);
+                fingerprint,
+                refusedIn,
+                refusedBefore && refusedSubmissions.retryDueAt(fingerprint) <= now);
     }
 
-    /** The job was admitted: nothing of it is kept. */
+    /** Removes the record of a job that has been admitted. */
     void discard(SubmissionAttempt attempt) {
         refusedSubmissions.remove(attempt.fingerprint());
     }
 
     /**
-     * Without a leader's word, or for a class whose demand is about to be met, what is refused now
-     * fits once the next allotment is there; spread over that time.
+     * Records the refusal of a job that can probably be admitted under the next allotment: this
+     * controller holds none, or the share of the class meets its demand. Retries are spread over
+     * the time within which the next allotment is expected.
      *
-     * @return seconds after which the job may come back
+     * @return Retry-After in seconds
      */
-    double retryAfterNextAllotment(WorkloadClassState classAdmission, SubmissionAttempt attempt) {
-        remember(classAdmission, attempt, Double.POSITIVE_INFINITY);
+    double retryAfterNextAllotment(WorkloadClassState classState, SubmissionAttempt attempt) {
+        recordRefused(classState, attempt, Double.POSITIVE_INFINITY);
         shortRetryOffsetS = (shortRetryOffsetS + 1) % shortRetrySpreadS;
         return 1 + shortRetryOffsetS;
     }
 
     /**
-     * Refuses a job of a class that keeps to its share.
+     * Records the refusal of a job of a limited class and reserves a retry time for the job.
      *
-     * @param totalRatePerS at which jobs of all classes are admitted
-     * @return seconds after which the job may come back
+     * @param totalRatePerS rate at which jobs of all classes are admitted
+     * @return Retry-After in seconds
      */
     double scheduleRetry(
-            WorkloadClassState classAdmission,
+            WorkloadClassState classState,
             SubmissionAttempt attempt,
             double totalRatePerS,
             double now) {
-        double retryAt = retryAt(classAdmission, attempt, totalRatePerS, now);
-        remember(classAdmission, attempt, retryAt);
+        double retryAt = retryAt(classState, attempt, totalRatePerS, now);
+        recordRefused(classState, attempt, retryAt);
         return Math.min(MAX_RETRY_AFTER_S, retryAt - now);
     }
 
-    private void remember(
-            WorkloadClassState classAdmission, SubmissionAttempt attempt, double retryAt) {
+    private void recordRefused(
+            WorkloadClassState classState, SubmissionAttempt attempt, double retryAt) {
         if (refusedSubmissions.tryRecord(attempt.fingerprint(), retryAt)) {
-            classAdmission.recordRefused(attempt.refusedIn());
+            classState.recordRefused(attempt.refusedIn());
         }
     }
 
-    /** The time that the job has been told before, or one after those that are told already. */
+    /** Returns the pending retry time of the job if it has one, otherwise the next free time. */
     private double retryAt(
-            WorkloadClassState classAdmission,
+            WorkloadClassState classState,
             SubmissionAttempt attempt,
             double totalRatePerS,
             double now) {
-        double toldBefore = refusedSubmissions.retryDueAt(attempt.fingerprint());
-        if (toldBefore > now && Double.isFinite(toldBefore)) {
-            return toldBefore;
+        double pendingRetryAt = refusedSubmissions.retryDueAt(attempt.fingerprint());
+        if (pendingRetryAt > now && Double.isFinite(pendingRetryAt)) {
+            return pendingRetryAt;
         }
-        // A burst is over as soon as all of it could have been admitted, however small the share of
-        // each class is until then: its jobs come back one after the other at the whole rate.
+        // If all refused jobs can be admitted at the total rate within the longest Retry-After,
+        // they are a short burst and are retried at that rate, however small the share of their
+        // class is.
         boolean burst = refusedSubmissions.size() <= MAX_RETRY_AFTER_S * totalRatePerS;
-        RetrySchedule schedule = burst ? burstRetries : classAdmission.retrySchedule;
-        double ratePerS = burst ? totalRatePerS : classAdmission.bucket.ratePerS();
-        double free = schedule.nextSlotAt(now, ratePerS);
-        if (free - now > MAX_RETRY_AFTER_S) {
-            // So late nobody heeds: asked again then, it gets a time that can be kept.
+        RetrySchedule schedule = burst ? burstRetries : classState.retrySchedule;
+        double ratePerS = burst ? totalRatePerS : classState.bucket.ratePerS();
+        double slotAt = schedule.nextSlotAt(now, ratePerS);
+        if (slotAt - now > MAX_RETRY_AFTER_S) {
+            // Clients do not wait that long: the job gets a retry time at its next submission.
             return Double.POSITIVE_INFINITY;
         }
         schedule.reserveNextSlot(now, ratePerS);
-        return now + Math.ceil(free - now);
+        return now + Math.ceil(slotAt - now);
     }
 
-    /** Begins another generation of refused jobs where it is time to; whether it has. */
+    /** Starts a new generation of refused jobs if one is due; returns whether it did so. */
     boolean rotateIfDue(double now) {
         if (now - rotatedAt < GENERATION_S) {
             return false;
--- a/src/main/java/io/pepperfield/admission/RetrySchedule.java
+++ b/src/main/java/io/pepperfield/admission/RetrySchedule.java
@@ -1,21 +1,21 @@
 package io.pepperfield.admission;
 
 /**
- * Times at which refused jobs may come back: one after the other, at the rate at which they can be
- * admitted, so that they neither crowd at one moment nor leave the rate unused.
+ * Assigns retry times to refused jobs, spaced at the rate at which jobs can be admitted, so that
+ * retries neither arrive all at once nor leave the rate unused.
  */
 final class RetrySchedule {
 
     private double lastReservedAt;
 
-    /** The next free time, at that rate. */
+    /** Returns the next free retry time at the given rate. */
     double nextSlotAt(double now, double ratePerS) {
         return ratePerS > 0
                 ? Math.max(now, lastReservedAt) + 1 / ratePerS
                 : Double.POSITIVE_INFINITY;
     }
 
-    /** The next free time is taken. */
+    /** Reserves the next free retry time. */
     void reserveNextSlot(double now, double ratePerS) {
         if (ratePerS > 0) {
             lastReservedAt = nextSlotAt(now, ratePerS);
--- a/src/main/java/io/pepperfield/admission/SubmissionAdmission.java
+++ b/src/main/java/io/pepperfield/admission/SubmissionAdmission.java
@@ -11,20 +11,23 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * One controller's decisions about new jobs, in constant time for each. A class whose demand is not
- * met by its share keeps to that share; one whose demand is met, or that the leader has not heard
- * of, uses what the limited ones leave. All together never exceed the controller's fixed share and
- * its allotment.
+ * One controller's admission decisions, each in constant time. A class whose share does not meet
+ * its demand is limited to that share. All other classes, including those that the leader has no
+ * report of, use the capacity that the limited classes leave. All classes together never exceed the
+ * controller's fixed share and its allotment.
  */
 public final class SubmissionAdmission implements SubmissionPolicy {
 
-    /** What a bucket may save up, in seconds of its rate. */
+    /** Capacity of a token bucket, in seconds of its rate. */
     private static final double BURST_S = 1;
 
-    /** And at least so much, or what arrives in steps longer than a token's time would be lost. */
-    private static final double MIN_BURST = 2;
+    /**
+     * Minimum capacity of a token bucket; with less, tokens would be lost if the loop time advances
+     * in steps longer than the time between two tokens.
+     */
+    private static final double MIN_BURST_TOKENS = 2;
 
-    /** Of what may be saved up, the part that limited classes leave alone. */
+    /** Fraction of the total bucket that limited classes leave for bursts of other classes. */
     private static final double BURST_RESERVE_SHARE = 0.25;
 
     private final Loop loop;
@@ -34,16 +37,17 @@
     private final double storeUnreachableAfterS;
     private final WorkloadClassRegistry classes = new WorkloadClassRegistry();
     private final AllotmentHolder allotmentHolder;
-    private final RetryAfterScheduler retryAdvisor;
+    private final RetryAfterScheduler retryAfterScheduler;
     private final StoreBackoff storeBackoff;
     private final TokenBucket totalBucket;
     private double tickedAt;
 
     /**
-     * Creates the admission of one controller, which has its fixed share from now on.
+     * Creates the admission of one controller, which starts with its fixed share.
      *
-     * @param lastConfirmedAt when the state service last answered, a loop time
-     * @param storeUnreachableAfterS after so many seconds without an answer it counts as out
+     * @param lastConfirmedAt loop time at which the state service last answered
+     * @param storeUnreachableAfterS seconds without an answer after which the state service counts
+     *     as unreachable
      */
     SubmissionAdmission(
             Loop loop,
@@ -58,7 +62,7 @@
         this.storeUnreachableAfterS = storeUnreachableAfterS;
         double now = loop.now();
         this.allotmentHolder = new AllotmentHolder(node);
-        this.retryAdvisor = new RetryAfterScheduler(limits.allotmentDurationS(), now);
+        this.retryAfterScheduler = new RetryAfterScheduler(limits.allotmentDurationS(), now);
         this.storeBackoff = new StoreBackoff(limits.requestIntervalS());
         this.totalBucket = new TokenBucket(now);
         this.tickedAt = now;
@@ -69,49 +73,49 @@
     public Decision decide(JobSpec job) {
         double now = loop.now();
         expireAllotment(now);
-        RetryAfterScheduler.SubmissionAttempt attempt = retryAdvisor.lookUp(job.id(), now);
-        WorkloadClassState classAdmission = classes.getOrCreate(WorkloadClass.of(job), now);
-        Optional<QueueWait> longQueue =
+        RetryAfterScheduler.SubmissionAttempt attempt = retryAfterScheduler.lookUp(job.id(), now);
+        WorkloadClassState classState = classes.getOrCreate(WorkloadClass.of(job), now);
+        Optional<QueueWait> queueBeyondLimit =
                 allotmentHolder
                         .queueWait(job)
                         .filter(queue -> queue.waitS() > limits.maxPredictedWaitS());
-        if (longQueue.isPresent()) {
-            // Not counted as demand: a share of the rate would lie idle for it.
-            classAdmission.recentRefusals.increment(now);
-            return refuseLongQueue(longQueue.get());
+        if (queueBeyondLimit.isPresent()) {
+            // Not counted as demand: the class would get a share of the rate that it could not use.
+            classState.recentRefusals.increment(now);
+            return refuseLongQueue(queueBeyondLimit.get());
         }
-        classAdmission.recordRequest(attempt.refusedIn());
+        classState.recordRequest(attempt.refusedIn());
         if (now - lastConfirmedAt.getAsDouble() > storeUnreachableAfterS) {
-            // What was saved up meanwhile would be spent by everybody's retries in one moment.
+            // Otherwise the retries of all clients would spend the accumulated tokens at once.
             discardTokens(now);
         }
-        if (tryAdmit(classAdmission, attempt.dueRetry(), now)) {
-            classAdmission.recordAdmitted(attempt.refusedIn());
-            retryAdvisor.discard(attempt);
-            classAdmission.recentAdmissions.increment(now);
+        if (tryAdmit(classState, attempt.dueRetry(), now)) {
+            classState.recordAdmitted(attempt.refusedIn());
+            retryAfterScheduler.discard(attempt);
+            classState.recentAdmissions.increment(now);
             return ADMITTED;
         }
-        classAdmission.recentRefusals.increment(now);
-        return refuseOverShare(classAdmission, attempt, now);
+        classState.recentRefusals.increment(now);
+        return refuseOverShare(classState, attempt, now);
     }
 
     /**
-     * Takes a token of all, and of its own of a class that is limited; who comes back when told may
-     * take one of its class that is still to come.
+     * Takes a token from the total bucket and, for a limited class, one from the class's bucket. A
+     * retry that is due may overdraw the class's bucket by up to its capacity.
      */
-    private boolean tryAdmit(WorkloadClassState classAdmission, boolean comesWhenTold, double now) {
-        // What nobody else uses would be lost a moment later.
-        if (!classAdmission.limited || totalBucket.isFull(now)) {
+    private boolean tryAdmit(WorkloadClassState classState, boolean dueRetry, double now) {
+        // A full total bucket would lose its next tokens, so a limited class may take one as well.
+        if (!classState.limited || totalBucket.isFull(now)) {
             return totalBucket.tryTake(now, 0);
         }
-        // What is saved up is for the others' bursts: a flood would always have used it up.
+        // Without the reserve a flood would leave no tokens for bursts of other classes.
         double reserve =
                 Math.min(totalBucket.capacity() - 1, BURST_RESERVE_SHARE * totalBucket.capacity());
-        double debt = comesWhenTold ? classAdmission.bucket.capacity() : 0;
-        if (!classAdmission.bucket.hasToken(now, debt) || !totalBucket.tryTake(now, -reserve)) {
+        double debt = dueRetry ? classState.bucket.capacity() : 0;
+        if (!classState.bucket.hasToken(now, debt) || !totalBucket.tryTake(now, -reserve)) {
             return false;
         }
-        classAdmission.bucket.tryTake(now, debt);
+        classState.bucket.tryTake(now, debt);
         return true;
     }
 
@@ -123,15 +127,15 @@
     }
 
     private Decision refuseOverShare(
-            WorkloadClassState classAdmission,
+            WorkloadClassState classState,
             RetryAfterScheduler.SubmissionAttempt attempt,
             double now) {
-        boolean keepsToShare = classAdmission.limited && allotmentHolder.hasAllotment();
+        boolean limitedByAllotment = classState.limited && allotmentHolder.hasAllotment();
         double retryAfterS =
-                keepsToShare
-                        ? retryAdvisor.scheduleRetry(
-                                classAdmission, attempt, totalBucket.ratePerS(), now)
-                        : retryAdvisor.retryAfterNextAllotment(classAdmission, attempt);
+                limitedByAllotment
+                        ? retryAfterScheduler.scheduleRetry(
+                                classState, attempt, totalBucket.ratePerS(), now)
+                        : retryAfterScheduler.retryAfterNextAllotment(classState, attempt);
         return refuse("more is submitted than the share of its class and team", retryAfterS);
     }
 
@@ -139,7 +143,7 @@
         return new Decision.Refused(reason, (int) Math.max(1, Math.ceil(retryAfterS)));
     }
 
-    /** A job was to be created and the state service refused it as beyond its rate. */
+    /** Lowers the admission rate after the state service has throttled the creation of a job. */
     @Override
     public void storeThrottled() {
         double now = loop.now();
@@ -149,10 +153,10 @@
     }
 
     /**
-     * Uses an allotment from now on.
+     * Starts to use an allotment, unless it must be ignored.
      *
-     * @param sentAt when the request that it answers was sent, a loop time
-     * @param leaderToken the highest fencing token of a leader that is known here
+     * @param sentAt loop time at which the request for this allotment was sent
+     * @param leaderToken the highest fencing token that this controller has seen
      */
     void useAllotment(Allotment offered, double sentAt, FencingToken leaderToken) {
         double now = loop.now();
@@ -161,7 +165,7 @@
         }
     }
 
-    /** An allotment that has ended leaves the fixed share. */
+    /** Falls back to the fixed share if the allotment in use has expired. */
     private void expireAllotment(double now) {
         if (allotmentHolder.expire(now)) {
             applyRates(now);
@@ -171,57 +175,57 @@
     private void applyRates(double now) {
         SortedMap<WorkloadClass, ClassShare> shares =
                 allotmentHolder.current().map(Allotment::classes).orElseGet(this::divideFixedShare);
-        shares.keySet().forEach(known -> classes.getOrCreate(known, now));
+        shares.keySet().forEach(workloadClass -> classes.getOrCreate(workloadClass, now));
         double factor = storeBackoff.rateFactor(now) / AdmissionLimits.SECONDS_PER_MINUTE;
         classes.forEach(
-                (known, classAdmission) -> {
-                    ClassShare share = shares.getOrDefault(known, ClassShare.NONE);
-                    classAdmission.limited = share.limited();
-                    setRate(classAdmission.bucket, share.perMinute() * factor, now);
+                (workloadClass, classState) -> {
+                    ClassShare share = shares.getOrDefault(workloadClass, ClassShare.NONE);
+                    classState.limited = share.limited();
+                    setRate(classState.bucket, share.perMinute() * factor, now);
                 });
         setRate(totalBucket, usablePerMinute() * factor, now);
     }
 
     private static void setRate(TokenBucket bucket, double ratePerS, double now) {
-        bucket.setRate(ratePerS, Math.max(MIN_BURST, ratePerS * BURST_S), now);
+        bucket.setRate(ratePerS, Math.max(MIN_BURST_TOKENS, ratePerS * BURST_S), now);
     }
 
-    /** Without the leader's word the fixed share is divided by what is asked for here alone. */
+    /** Divides the fixed share by the local demand, for the time without an allotment. */
     private SortedMap<WorkloadClass, ClassShare> divideFixedShare() {
         SortedMap<WorkloadClass, Double> demand = classes.demandPerMinute();
         double rate = limits.fixedPerMinute() * (1 - AllotmentIssuer.NEW_CLASSES_SHARE);
         SortedMap<WorkloadClass, ClassShare> shares = new TreeMap<>();
         FairDivision.divide(rate, demand, limits::teamWeight)
                 .forEach(
-                        (known, share) ->
+                        (workloadClass, share) ->
                                 shares.put(
-                                        known,
+                                        workloadClass,
                                         new ClassShare(
                                                 (int) Math.floor(share),
                                                 AllotmentIssuer.isUnmet(
-                                                        share, demand.get(known)))));
+                                                        share, demand.get(workloadClass)))));
         return shares;
     }
 
     private void discardTokens(double now) {
         totalBucket.discardTokens(now);
-        classes.forEach((known, classAdmission) -> classAdmission.bucket.discardTokens(now));
+        classes.forEach((workloadClass, classState) -> classState.bucket.discardTokens(now));
     }
 
-    /** To be called once an interval. */
+    /** Updates demand and rates; to be called once per request interval. */
     void tick() {
         double now = loop.now();
         expireAllotment(now);
         double seconds = Math.max(limits.requestIntervalS() / 2, now - tickedAt);
         tickedAt = now;
-        classes.forEach((known, classAdmission) -> classAdmission.endInterval(seconds));
-        if (retryAdvisor.rotateIfDue(now)) {
+        classes.forEach((workloadClass, classState) -> classState.endInterval(seconds));
+        if (retryAfterScheduler.rotateIfDue(now)) {
             classes.rotateGeneration(now);
         }
         applyRates(now);
     }
 
-    /** What the leader is told. */
+    /** Returns the demand report for the leader. */
     DemandReport demandReport(String processIncarnation, long sequence) {
         Optional<Allotment> held = allotmentHolder.current();
         return new DemandReport(
@@ -233,7 +237,7 @@
                 classes.activeDemand(loop.now()));
     }
 
-    /** Admissions per minute that this controller may use now. */
+    /** Returns the admission rate that this controller may currently use, per minute. */
     int admissionsPerMinute() {
         expireAllotment(loop.now());
         return usablePerMinute();
@@ -244,7 +248,7 @@
                 + allotmentHolder.current().map(Allotment::extraPerMinute).orElse(0);
     }
 
-    /** Seconds until the allotment in use ends; not finite without one. */
+    /** Returns the seconds until the allotment in use expires; not finite without one. */
     double allotmentEndsInS() {
         return allotmentHolder.endsInS(loop.now());
     }
--- a/src/main/java/io/pepperfield/admission/TokenBucket.java
+++ b/src/main/java/io/pepperfield/admission/TokenBucket.java
@@ -1,8 +1,8 @@
 package io.pepperfield.admission;
 
 /**
- * A token bucket that begins empty and fills by the clock, without a timer: a process that is back
- * within a moment has forgotten what it spent before.
+ * A token bucket that is refilled from the clock, without a timer. It starts empty, as a process
+ * that restarts quickly no longer has the token counts of its predecessor.
  */
 final class TokenBucket {
 
@@ -15,30 +15,32 @@
         filledAt = now;
     }
 
-    /** Sets the rate from now on, and how many tokens may be saved up. */
-    void setRate(double newRatePerS, double maxTokens, double now) {
+    /** Sets the refill rate and the capacity. */
+    void setRate(double newRatePerS, double newCapacity, double now) {
         refill(now);
         ratePerS = newRatePerS;
-        capacity = maxTokens;
+        capacity = newCapacity;
         tokens = Math.min(tokens, capacity);
     }
 
     /**
-     * Whether a token is there; with {@code debt} so many may be taken before they are, and with a
-     * negative one so many are left.
+     * Whether a token may be taken.
+     *
+     * @param debt number of tokens by which the bucket may be overdrawn; if negative, the number of
+     *     tokens that must be left
      */
     boolean hasToken(double now, double debt) {
         refill(now);
         return tokens + debt >= 1;
     }
 
-    /** Whether no more can be saved up. */
+    /** Whether the bucket holds as many tokens as its capacity. */
     boolean isFull(double now) {
         refill(now);
         return tokens >= capacity && capacity >= 1;
     }
 
-    /** Takes a token where {@link #hasToken} says that there is one. */
+    /** Takes a token if {@link #hasToken} allows it; returns whether it did so. */
     boolean tryTake(double now, double debt) {
         if (!hasToken(now, debt)) {
             return false;
@@ -47,7 +49,10 @@
         return true;
     }
 
-    /** Tokens saved up for a state service that was out would be spent all at once. */
+    /**
+     * Drops all tokens but keeps a debt. Tokens accumulated during an outage of the state service
+     * would otherwise be spent at once when it ends.
+     */
     void discardTokens(double now) {
         refill(now);
         tokens = Math.min(tokens, 0);
--- a/src/main/java/io/pepperfield/admission/WorkloadClass.java
+++ b/src/main/java/io/pepperfield/admission/WorkloadClass.java
@@ -4,10 +4,11 @@
 import java.util.Comparator;
 
 /**
- * What shares of the admission rate are counted by: one class of jobs of one team.
+ * The unit between which the admission rate is divided: one class of jobs of one team.
  *
- * @param hasDependencies whether its jobs wait for others. They are a class of their own, so that a
- *     flood of the same name does not hold up a pipeline that has begun.
+ * @param hasDependencies whether its jobs wait for other jobs. Such jobs are a class of their own,
+ *     so that a flood with the same workload name does not delay a pipeline that has already
+ *     started.
  */
 public record WorkloadClass(String team, String workload, boolean hasDependencies)
         implements Comparable<WorkloadClass> {
@@ -17,7 +18,7 @@
                     .thenComparing(WorkloadClass::workload)
                     .thenComparing(WorkloadClass::hasDependencies);
 
-    /** The class that a job belongs to. */
+    /** Returns the class of a job. */
     static WorkloadClass of(JobSpec job) {
         return new WorkloadClass(job.team(), job.workload(), !job.dependencies().isEmpty());
     }
--- a/src/main/java/io/pepperfield/admission/WorkloadClassRegistry.java
+++ b/src/main/java/io/pepperfield/admission/WorkloadClassRegistry.java
@@ -7,10 +7,10 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 
-/** The classes of jobs that one controller knows, a bounded number for each team. */
+/** The workload classes that one controller tracks, a bounded number for each team. */
 final class WorkloadClassRegistry {
 
-    /** Classes of a team beyond these share one, or made-up names would fill the memory. */
+    /** Further classes of a team share one, so that arbitrary names cannot exhaust the heap. */
     private static final int MAX_CLASSES_PER_TEAM = 16;
 
     private static final String OVERFLOW_WORKLOAD = "";
@@ -18,23 +18,23 @@
     private final Map<WorkloadClass, WorkloadClassState> classes = new HashMap<>();
     private final Map<String, Integer> classCountByTeam = new HashMap<>();
 
-    /** What is kept of a class, or of the one that it shares with others. */
+    /** Returns the state of a class, or of the overflow class of its team beyond the limit. */
     WorkloadClassState getOrCreate(WorkloadClass workloadClass, double now) {
-        WorkloadClassState known = classes.get(workloadClass);
-        return known == null
-                ? classes.computeIfAbsent(counted(workloadClass), unknown -> add(unknown, now))
-                : known;
+        WorkloadClassState tracked = classes.get(workloadClass);
+        return tracked == null
+                ? classes.computeIfAbsent(orOverflow(workloadClass), added -> add(added, now))
+                : tracked;
     }
 
-    private WorkloadClass counted(WorkloadClass workloadClass) {
+    private WorkloadClass orOverflow(WorkloadClass workloadClass) {
         String team = workloadClass.team();
         return classCountByTeam.getOrDefault(team, 0) < MAX_CLASSES_PER_TEAM
                 ? workloadClass
                 : new WorkloadClass(team, OVERFLOW_WORKLOAD, workloadClass.hasDependencies());
     }
 
-    private WorkloadClassState add(WorkloadClass unknown, double now) {
-        classCountByTeam.merge(unknown.team(), 1, Integer::sum);
+    private WorkloadClassState add(WorkloadClass added, double now) {
+        classCountByTeam.merge(added.team(), 1, Integer::sum);
         return new WorkloadClassState(now);
     }
 
@@ -42,30 +42,32 @@
         classes.forEach(action);
     }
 
-    /** Distinct jobs a minute that ask for admission, of each class. */
+    /** Returns the distinct jobs per minute that request admission, by class. */
     SortedMap<WorkloadClass, Double> demandPerMinute() {
         SortedMap<WorkloadClass, Double> demand = new TreeMap<>();
-        classes.forEach((known, admission) -> demand.put(known, admission.demandPerMinute()));
+        classes.forEach(
+                (workloadClass, state) -> demand.put(workloadClass, state.demandPerMinute()));
         return demand;
     }
 
-    /** The figures of the classes that are not idle. */
+    /** Returns the demand and counts of the classes that are not idle. */
     SortedMap<WorkloadClass, ClassDemand> activeDemand(double now) {
         SortedMap<WorkloadClass, ClassDemand> demands = new TreeMap<>();
         classes.forEach(
-                (known, admission) -> {
-                    if (!admission.isIdle(now)) {
-                        demands.put(known, admission.demand(now));
+                (workloadClass, state) -> {
+                    if (!state.isIdle(now)) {
+                        demands.put(workloadClass, state.demand(now));
                     }
                 });
         return demands;
     }
 
-    /** Ends a generation of refused jobs, and forgets idle classes. */
+    /** Starts a new generation of refused jobs, and evicts idle classes. */
     void rotateGeneration(double now) {
         classes.values().forEach(WorkloadClassState::rotateGeneration);
-        classes.values().removeIf(admission -> admission.isIdle(now));
+        classes.values().removeIf(state -> state.isIdle(now));
         classCountByTeam.clear();
-        classes.keySet().forEach(known -> classCountByTeam.merge(known.team(), 1, Integer::sum));
+        classes.keySet()
+                .forEach(remaining -> classCountByTeam.merge(remaining.team(), 1, Integer::sum));
     }
 }
--- a/src/main/java/io/pepperfield/admission/WorkloadClassState.java
+++ b/src/main/java/io/pepperfield/admission/WorkloadClassState.java
@@ -3,16 +3,19 @@
 import io.pepperfield.admission.DemandReport.ClassDemand;
 import io.pepperfield.admission.RefusedSubmissions.Generation;
 
-/** What one controller keeps of one class: its token bucket, its demand and its counts. */
+/** One controller's state of one workload class: token bucket, demand and counts. */
 final class WorkloadClassState {
 
-    /** Of demand seen before, in the running mean: four intervals. */
+    /**
+     * Weight of earlier intervals in the moving average of demand, which spans about four
+     * intervals.
+     */
     private static final double DEMAND_SMOOTHING = 0.75;
 
-    /** Arrivals come unevenly: what is asked for beyond their mean. */
-    private static final double BURST_HEADROOM = 1.5;
+    /** Factor by which demand is reported above the mean arrival rate, as arrivals are bursty. */
+    private static final double BURST_HEADROOM_FACTOR = 1.5;
 
-    /** Jobs that have been refused are to be admitted within so many seconds. */
+    /** Time in seconds within which the backlog of refused jobs is to be admitted. */
     private static final double BACKLOG_DRAIN_S = 10;
 
     final TokenBucket bucket;
@@ -20,71 +23,77 @@
     final MinuteCounter recentAdmissions = new MinuteCounter();
     final MinuteCounter recentRefusals = new MinuteCounter();
 
-    /** Its demand is not met by its share. */
+    /** Whether the share of the class does not meet its demand. */
     boolean limited;
 
     private int newJobs;
     private double newJobsPerMinute;
     private int backlog;
-    private int previousBacklog;
+    private int previousGenerationBacklog;
 
     WorkloadClassState(double now) {
         bucket = new TokenBucket(now);
     }
 
-    /** A job of it asks; how it is remembered says whether it has asked before. */
-    void recordRequest(Generation seenIn) {
-        if (seenIn == Generation.NONE) {
+    /**
+     * Counts a submission of this class as new demand unless the job was refused before.
+     *
+     * @param refusedIn the generation in which the job was last refused
+     */
+    void recordRequest(Generation refusedIn) {
+        if (refusedIn == Generation.NONE) {
             newJobs++;
         }
     }
 
-    /** A job of it was refused and is remembered from now on. */
-    void recordRefused(Generation seenIn) {
-        if (seenIn != Generation.CURRENT) {
+    /** Adds a refused job, recorded in the current generation, to the backlog. */
+    void recordRefused(Generation refusedIn) {
+        if (refusedIn != Generation.CURRENT) {
             backlog++;
         }
-        if (seenIn == Generation.PREVIOUS) {
-            previousBacklog--;
+        if (refusedIn == Generation.PREVIOUS) {
+            previousGenerationBacklog--;
         }
     }
 
-    /** A job of it was admitted, and is not remembered any more. */
-    void recordAdmitted(Generation seenIn) {
-        if (seenIn == Generation.CURRENT) {
+    /** Removes an admitted job from the backlog. */
+    void recordAdmitted(Generation refusedIn) {
+        if (refusedIn == Generation.CURRENT) {
             backlog--;
-        } else if (seenIn == Generation.PREVIOUS) {
-            previousBacklog--;
+        } else if (refusedIn == Generation.PREVIOUS) {
+            previousGenerationBacklog--;
         }
     }
 
-    /** Those that were not seen again for a generation are forgotten. */
+    /**
+     * Starts a new generation; drops the jobs that were not refused again for a whole generation.
+     */
     void rotateGeneration() {
-        previousBacklog = backlog;
+        previousGenerationBacklog = backlog;
         backlog = 0;
     }
 
-    /** An interval has ended. */
+    /** Updates the moving average of demand at the end of an interval. */
     void endInterval(double seconds) {
         double perMinute = newJobs * AdmissionLimits.SECONDS_PER_MINUTE / seconds;
         newJobsPerMinute = DEMAND_SMOOTHING * newJobsPerMinute + (1 - DEMAND_SMOOTHING) * perMinute;
         newJobs = 0;
     }
 
-    /** Distinct jobs a minute that ask for admission. */
+    /** Returns the distinct jobs per minute that request admission. */
     double demandPerMinute() {
-        int waiting = Math.max(0, backlog + previousBacklog);
-        return BURST_HEADROOM * newJobsPerMinute
-                + waiting * AdmissionLimits.SECONDS_PER_MINUTE / BACKLOG_DRAIN_S;
+        int refusedJobs = Math.max(0, backlog + previousGenerationBacklog);
+        return BURST_HEADROOM_FACTOR * newJobsPerMinute
+                + refusedJobs * AdmissionLimits.SECONDS_PER_MINUTE / BACKLOG_DRAIN_S;
     }
 
-    /** The figures that the leader is told. */
+    /** Returns the demand and counts to report to the leader. */
     ClassDemand demand(double now) {
         return new ClassDemand(
                 demandPerMinute(), recentAdmissions.total(now), recentRefusals.total(now));
     }
 
-    /** Nobody has asked for a while and nothing is counted. */
+    /** Whether the class has neither demand nor admissions or refusals in the last minute. */
     boolean isIdle(double now) {
         return demandPerMinute() < 0.01
                 && recentAdmissions.total(now) == 0
