--- a/src/test/java/io/pepperfield/admission/AdmissionForms.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionForms.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import java.util.stream.Stream;
 
-/** What controllers and the leader say to each other about admission. */
+/** Golden forms of the messages between controllers and the leader about admission. */
 public final class AdmissionForms {
 
     private static final WorkloadClass RECON = new WorkloadClass("red", "recon", false);
@@ -20,7 +20,7 @@
 
     private AdmissionForms() {}
 
-    /** Adds them. */
+    /** Adds the path and the messages to a file of forms. */
     public static void write(FormFile file) {
         file.add("path", Admission.PATH);
         file.addRewrittenByField(
@@ -58,17 +58,17 @@
                 AdmissionForms::rewriteAllotment);
     }
 
-    private static String rewriteReport(JsonNode form) {
-        DemandReport report = AdmissionMessages.readReport(form).orElse(null);
-        return report == null ? null : text(AdmissionMessages.write(report));
+    private static String rewriteReport(JsonNode message) {
+        DemandReport report = AdmissionMessages.readReport(message).orElse(null);
+        return report == null ? null : toText(AdmissionMessages.write(report));
     }
 
-    private static String rewriteAllotment(JsonNode form) {
-        Allotment allotment = AdmissionMessages.readAllotment(form).orElse(null);
-        return allotment == null ? null : text(AdmissionMessages.write(allotment));
+    private static String rewriteAllotment(JsonNode message) {
+        Allotment allotment = AdmissionMessages.readAllotment(message).orElse(null);
+        return allotment == null ? null : toText(AdmissionMessages.write(allotment));
     }
 
-    private static String text(byte[] form) {
-        return new String(form, StandardCharsets.UTF_8);
+    private static String toText(byte[] message) {
+        return new String(message, StandardCharsets.UTF_8);
     }
 }
--- a/src/test/java/io/pepperfield/admission/AdmissionLoopbackTest.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionLoopbackTest.java
@@ -19,34 +19,34 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Three controllers as processes on this machine under a flood of one team; one is killed and one
- * frozen in it, and another team is served all the while. A longer soak with {@code
- * -Dpepperfield.rounds=100}.
+ * Runs three controllers as local processes under a flood of one team, while controllers are killed
+ * and frozen. Guards against a flood that starves another team, and against controllers that
+ * together admit more than the rate. {@code -Dpepperfield.rounds=100} gives a longer soak.
  */
 class AdmissionLoopbackTest {
 
     private static final int CONTROLLERS = 3;
 
-    /** Half of 200 changes a second. */
-    private static final double ALL_PER_S = 100;
+    /** Half of 200 writes per second. */
+    private static final double TOTAL_PER_S = 100;
 
-    private static final int JOBS_A_ROUND = 6;
+    private static final int JOBS_PER_ROUND = 6;
 
     @TempDir private Path directory;
 
     private final List<ControllerProcess> controllers = new ArrayList<>();
-    private final List<Thread> flood = new ArrayList<>();
-    private final AtomicInteger ids = new AtomicInteger(500_000);
+    private final List<Thread> floodThreads = new ArrayList<>();
+    private final AtomicInteger lastFloodId = new AtomicInteger(500_000);
     private final AtomicInteger admitted = new AtomicInteger();
     private final AtomicInteger refused = new AtomicInteger();
     private volatile boolean flooding = true;
     private LoopbackRegion region;
-    private int jobs;
+    private int submittedJobs;
 
     @AfterEach
     void stop() throws InterruptedException {
         flooding = false;
-        for (Thread thread : flood) {
+        for (Thread thread : floodThreads) {
             thread.join();
         }
         for (ControllerProcess controller : controllers) {
@@ -55,12 +55,12 @@
         region.close();
     }
 
-    private void floodNode(int node) {
+    private void startFlood(int node) {
         Thread thread =
                 new Thread(
                         () -> {
                             while (flooding) {
-                                ObjectNode job = LoopbackRegion.job(ids.incrementAndGet());
+                                ObjectNode job = LoopbackRegion.job(lastFloodId.incrementAndGet());
                                 job.put("owner", "guests").put("workload", "flood");
                                 job.put("rank", "best_effort").put("shards", 1).put("vcpus", 0.1);
                                 byte[] body = Json.write(job);
@@ -69,32 +69,37 @@
                                 refused.addAndGet(status == 503 ? 1 : 0);
                             }
                         });
-        flood.add(thread);
+        floodThreads.add(thread);
         thread.start();
     }
 
-    /** Each job is accepted by whichever controller answers, within the patience of a user. */
-    private void submitSome() throws Exception {
-        for (int i = 0; i < JOBS_A_ROUND; i++) {
-            byte[] body = Json.write(LoopbackRegion.job(++jobs));
+    /**
+     * Submits jobs and checks that some controller accepts each of them within 60 s, which is as
+     * long as a user waits.
+     */
+    private void submitJobs() throws Exception {
+        for (int i = 0; i < JOBS_PER_ROUND; i++) {
+            byte[] body = Json.write(LoopbackRegion.job(++submittedJobs));
             long from = System.nanoTime();
             region.untilAny(
                     "POST",
                     "/api/jobs",
                     body,
                     answer -> answer.status() == 201 || answer.status() == 200);
-            assertTrue(System.nanoTime() - from < 60e9, "job " + jobs);
+            assertTrue(
+                    System.nanoTime() - from < 60e9,
+                    "not accepted within 60 s: job " + submittedJobs);
         }
     }
 
-    private JsonNode admission(int node) throws Exception {
+    private JsonNode admissionOverview(int node) throws Exception {
         return region.until(
                         node, "GET", "/api/nodes", null, answer -> answer.json().has("admission"))
                 .path("admission");
     }
 
-    /** The overview of whoever leads. */
-    private JsonNode leadersAdmission() throws Exception {
+    /** Returns the admission overview of the leader, once it lists at least two classes. */
+    private JsonNode leaderAdmissionOverview() throws Exception {
         return region.untilAny(
                         "GET",
                         "/api/nodes",
@@ -110,34 +115,36 @@
             controllers.add(new ControllerProcess(region, node, directory));
             controllers.get(node).start(Version.CURRENT, Feature.ADMISSION);
         }
-        submitSome();
+        submitJobs();
         long from = System.nanoTime();
         for (int node = 0; node < CONTROLLERS; node++) {
-            floodNode(node);
-            floodNode(node);
+            startFlood(node);
+            startFlood(node);
         }
         for (int round = 0; round < Integer.getInteger("pepperfield.rounds", 3); round++) {
-            submitSome();
+            submitJobs();
             controllers.get(round % CONTROLLERS).kill();
-            submitSome();
+            submitJobs();
             controllers.get(round % CONTROLLERS).start(Version.CURRENT, Feature.ADMISSION);
             controllers.get((round + 1) % CONTROLLERS).freeze(true);
-            submitSome();
+            submitJobs();
             controllers.get((round + 1) % CONTROLLERS).freeze(false);
-            submitSome();
+            submitJobs();
         }
-        JsonNode seen = leadersAdmission();
+        JsonNode overview = leaderAdmissionOverview();
         double seconds = (System.nanoTime() - from) / 1e9;
-        assertTrue(refused.get() > 0, "the flood asked for no more than there is");
-        // A second's worth of each process saved up, of which some began anew.
-        double most = ALL_PER_S * (seconds + 2);
-        assertTrue(admitted.get() <= most, admitted + " in " + seconds + " s");
+        assertTrue(refused.get() > 0, "no submission of the flood was refused");
+        // Each process accumulates up to one second's worth of tokens; restarted ones do so again.
+        double maxAdmitted = TOTAL_PER_S * (seconds + 2);
+        assertTrue(
+                admitted.get() <= maxAdmitted,
+                admitted + " submissions of the flood admitted in " + seconds + " s");
         int allotted = 0;
-        for (JsonNode controller : seen.path("controllers")) {
+        for (JsonNode controller : overview.path("controllers")) {
             allotted += controller.path("allotted").asInt();
         }
-        assertTrue(allotted <= seen.path("divided").asInt(), seen.toString());
+        assertTrue(allotted <= overview.path("divided").asInt(), overview.toString());
         assertEquals(List.of(), region.violations);
-        assertTrue(admission(0).path("fixed").asInt() > 0);
+        assertTrue(admissionOverview(0).path("fixed").asInt() > 0);
     }
 }
--- a/src/test/java/io/pepperfield/admission/AdmissionMeasurement.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionMeasurement.java
@@ -10,8 +10,8 @@
 import java.util.TreeMap;
 
 /**
- * Figures for {@code docs/design/admission.md}, not part of the tests: what one decision and one
- * allotment cost. Run its {@code main} with the test class path.
+ * Measures the time taken by one admission decision and by one allotment, for {@code
+ * docs/design/admission.md}. Not part of the tests: run its {@code main} with the test class path.
  */
 final class AdmissionMeasurement {
 
@@ -19,7 +19,7 @@
             new AdmissionLimits(600, 6000, 5, 1, Map.of(), 60, 0.25);
     private static final int CONTROLLERS = 7;
     private static final int TEAMS = 100;
-    private static final int CLASSES = 10;
+    private static final int CLASSES_PER_TEAM = 10;
     private static final int DECISIONS = 2_000_000;
     private static final int ALLOTMENTS = 2_000;
 
@@ -27,13 +27,15 @@
 
     public static void main(String[] arguments) {
         for (int round = 0; round < 3; round++) {
-            System.out.println(Math.round(nanosOfDecision()) + " ns a decision");
-            System.out.println(Math.round(microsOfAllotment()) + " us an allotment");
+            System.out.println(Math.round(measureDecisionNanos()) + " ns per decision");
+            System.out.println(Math.round(measureAllotmentMicros()) + " us per allotment");
         }
     }
 
-    /** Ids that are new, as in a flood, of a class at its share. */
-    private static double nanosOfDecision() {
+    /**
+     * Measures decisions about new job ids, as in a flood, of a class that has used up its share.
+     */
+    private static double measureDecisionNanos() {
         SimulatedLoop loop = new SimulatedLoop();
         SubmissionAdmission admission =
                 new SubmissionAdmission(loop, LIMITS, "a", loop::now, 1_000_000);
@@ -52,12 +54,13 @@
         return (System.nanoTime() - from) / (double) DECISIONS;
     }
 
-    private static double microsOfAllotment() {
+    private static double measureAllotmentMicros() {
         AllotmentIssuer issuer = new AllotmentIssuer(LIMITS, "0", new FencingToken(1), -10);
         SortedMap<WorkloadClass, ClassDemand> demand = new TreeMap<>();
-        for (int i = 0; i < TEAMS * CLASSES; i++) {
+        for (int i = 0; i < TEAMS * CLASSES_PER_TEAM; i++) {
             demand.put(
-                    new WorkloadClass("team-" + i / CLASSES, "class-" + i % CLASSES, false),
+                    new WorkloadClass(
+                            "team-" + i / CLASSES_PER_TEAM, "class-" + i % CLASSES_PER_TEAM, false),
                     new ClassDemand(i % 37, 0, 0));
         }
         long from = System.nanoTime();
--- a/src/test/java/io/pepperfield/admission/AdmissionSimulationTest.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionSimulationTest.java
@@ -16,64 +16,72 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Three and five controllers that divide admission under a flood while they fail, with every rule
- * of the protocol checked as things happen. More days with {@code -Dpepperfield.seeds=100}.
+ * Simulates three or five controllers that divide the admission rate under a flood while
+ * controllers, the network or the state service fail. Every rule of the protocol is checked
+ * throughout a run. Guards against controllers that together admit more than the rate, and against
+ * a flood that starves other teams. {@code -Dpepperfield.seeds=100} runs more random scenarios.
  */
 class AdmissionSimulationTest {
 
-    /** Of 60 changes a second one half, in admissions a minute, less what rounding leaves. */
-    private static final int ALL_PER_MINUTE = 1800;
+    /** Half of 60 writes per second, in admissions per minute, rounded down. */
+    private static final int TOTAL_PER_MINUTE = 1800;
 
-    /** Each team's admitted share is within it of its entitlement: as operators are promised. */
-    private static final double BAND = AdmissionSettings.DEFAULTS.fairnessBand();
+    /**
+     * Largest deviation of a team's admissions from its entitlement that operators are promised.
+     */
+    private static final double FAIRNESS_BAND = AdmissionSettings.DEFAULTS.fairnessBand();
 
     private static final Stream RED = new Stream("red", "batch", 4, false);
     private static final Stream BLUE = new Stream("blue", "batch", 4, false);
     private static final Stream FLOOD = new Stream("guests", "flood", 60, true);
     private static final Stream PATIENT_FLOOD = new Stream("guests", "flood", 45, false);
-    private static final double FROM_S = 20;
+    private static final double LOAD_START_S = 20;
 
-    /** A region whose machines are up and whose users submit from the twentieth second on. */
+    /** Creates a region with running machines, whose users submit jobs from second 20 on. */
     private static SimulatedRegion region(long seed, int nodes, double untilS, Stream... streams) {
         SimulatedRegion region = SimulatedRegion.admitting(seed, nodes, 0);
-        region.admissionLoad.watch(ALL_PER_MINUTE);
-        region.world.run(FROM_S);
+        region.admissionLoad.watch(TOTAL_PER_MINUTE);
+        region.world.run(LOAD_START_S);
         for (Stream stream : streams) {
             region.admissionLoad.submit(stream, untilS);
         }
         return region;
     }
 
-    private static void checkEnd(SimulatedRegion region, double calmAt, String day) {
-        region.world.run(calmAt + 100);
-        assertEquals(List.of(), region.admissionLoad.overAllotted(), day);
-        assertEquals(List.of(), region.violations, day);
-        assertEquals(List.of(), region.unansweredQueries(), day);
-        assertEquals(List.of(), region.leftoverJobs(), day);
-        // A second's worth saved up and one of debt, and one admission for each node's rounding.
-        double mostIn10 = ALL_PER_MINUTE / 60.0 * 12 + 10;
+    private static void checkInvariants(SimulatedRegion region, double settledAt, String scenario) {
+        region.world.run(settledAt + 100);
+        assertEquals(List.of(), region.admissionLoad.overAllotted(), scenario);
+        assertEquals(List.of(), region.violations, scenario);
+        assertEquals(List.of(), region.unansweredQueries(), scenario);
+        assertEquals(List.of(), region.leftoverJobs(), scenario);
+        // Adds a second's worth of accumulated tokens, one of debt, and the rounding on each node.
+        double maxIn10S = TOTAL_PER_MINUTE / 60.0 * 12 + 10;
         assertTrue(
-                region.admissionLoad.mostAcceptedWithin(10) <= mostIn10,
-                day + ": " + region.admissionLoad.mostAcceptedWithin(10) + " within 10 s");
+                region.admissionLoad.mostAcceptedWithin(10) <= maxIn10S,
+                scenario
+                        + ": "
+                        + region.admissionLoad.mostAcceptedWithin(10)
+                        + " accepted within 10 s");
     }
 
-    /** Every job of the team was accepted within that time. */
+    /** Checks that every job of the team was accepted within {@code maxS}; returns the times. */
     private static double[] checkAccepted(
-            SimulatedRegion region, String team, double mostS, String day) {
+            SimulatedRegion region, String team, double maxS, String scenario) {
         region.world.run(region.world.now() + 15);
         List<Submission> all = region.admissionLoad.of(team);
         assertFalse(all.isEmpty());
-        double[] took = all.stream().mapToDouble(Submission::tookS).sorted().toArray();
-        double longest = took[took.length - 1];
-        assertTrue(longest <= mostS, day + ": " + team + " " + longest);
-        return took;
+        double[] times = all.stream().mapToDouble(Submission::tookS).sorted().toArray();
+        double longest = times[times.length - 1];
+        assertTrue(longest <= maxS, scenario + ": " + team + " job accepted after " + longest);
+        return times;
     }
 
-    /** And almost all of them at once. */
-    private static void checkServed(SimulatedRegion region, String team, double mostS, String day) {
-        double[] took = checkAccepted(region, team, mostS, day);
-        double ninth = took[took.length * 9 / 10];
-        assertTrue(ninth <= 3, day + ": 90% of " + team + " within " + ninth);
+    /** Checks also that 90% of the jobs were accepted within 3 s. */
+    private static void checkAcceptedPromptly(
+            SimulatedRegion region, String team, double maxS, String scenario) {
+        double[] times = checkAccepted(region, team, maxS, scenario);
+        double percentile90 = times[times.length * 9 / 10];
+        assertTrue(percentile90 <= 3, scenario + ": 90% of " + team + " within " + percentile90);
     }
 
     @Test
@@ -81,11 +89,11 @@
         SimulatedRegion region = region(1, 3, 60, RED, BLUE, FLOOD);
         region.world.run(60);
         Map<String, Integer> accepted = region.admissionLoad.accepted(30, 60);
-        // What the others leave of 30 a second is the flood's, less a twentieth for newcomers.
+        // The flood gets what the others leave of 30 per second, less 5% for unreported classes.
         assertTrue(accepted.get("guests") >= 0.75 * 30 * (30 - 8 - 6), "" + accepted);
-        checkServed(region, "red", 6, "flood");
-        checkServed(region, "blue", 6, "flood");
-        checkEnd(region, 60, "flood");
+        checkAcceptedPromptly(region, "red", 6, "flood");
+        checkAcceptedPromptly(region, "blue", 6, "flood");
+        checkInvariants(region, 60, "flood");
     }
 
     @Test
@@ -100,26 +108,30 @@
                         PATIENT_FLOOD);
         region.world.run(70);
         Map<String, Integer> accepted = region.admissionLoad.accepted(30, 70);
-        // All three weigh the same: the guests as the least that has a guarantee. The leader's own
-        // writes leave the state service less than the rate at times.
+        // All three have the same weight: a team without a guarantee has the smallest weight. The
+        // leader's own writes at times leave less of the store limit than the admission rate.
         int all = accepted.values().stream().mapToInt(count -> count).sum();
-        assertTrue(all >= 0.6 * 40 * ALL_PER_MINUTE / 60, "" + accepted);
+        assertTrue(all >= 0.6 * 40 * TOTAL_PER_MINUTE / 60, "" + accepted);
         accepted.forEach(
                 (team, count) ->
-                        assertEquals(all / 3.0, count, BAND * all / 3.0, () -> team + accepted));
-        checkEnd(region, 70, "three floods");
+                        assertEquals(
+                                all / 3.0,
+                                count,
+                                FAIRNESS_BAND * all / 3.0,
+                                () -> team + accepted));
+        checkInvariants(region, 70, "three floods");
     }
 
     @Test
     void demandSplitOverTwoControllersIsDividedAsOnOne() {
         SimulatedRegion region = region(3, 3, 60, RED, FLOOD);
-        int[] turn = new int[1];
-        region.admissionLoad.node = () -> turn[0]++ % 2;
+        int[] nextNode = new int[1];
+        region.admissionLoad.node = () -> nextNode[0]++ % 2;
         region.world.run(60);
         Map<String, Integer> accepted = region.admissionLoad.accepted(30, 60);
         assertTrue(accepted.get("guests") >= 0.75 * 30 * (30 - 4 - 4), "" + accepted);
-        checkServed(region, "red", 6, "two halves");
-        checkEnd(region, 60, "two halves");
+        checkAcceptedPromptly(region, "red", 6, "split demand");
+        checkInvariants(region, 60, "split demand");
     }
 
     @Test
@@ -128,33 +140,33 @@
         region.admissionLoad.node = () -> 0;
         region.world.run(45);
         int before = region.admissionLoad.perMinute(0);
-        assertTrue(before > ALL_PER_MINUTE * 0.6, "before " + before);
+        assertTrue(before > TOTAL_PER_MINUTE * 0.6, "before " + before);
         region.admissionLoad.node = () -> 1;
         region.world.run(49);
         assertTrue(
-                region.admissionLoad.perMinute(1) > ALL_PER_MINUTE * 0.6,
+                region.admissionLoad.perMinute(1) > TOTAL_PER_MINUTE * 0.6,
                 "" + region.admissionLoad.perMinute(1));
         region.world.run(70);
-        checkServed(region, "red", 8, "moved");
-        checkEnd(region, 70, "moved");
+        checkAcceptedPromptly(region, "red", 8, "moved demand");
+        checkInvariants(region, 70, "moved demand");
     }
 
     @Test
     void controllerPartitionedFromTheLeaderAdmitsWithinItsFixedShare() {
         SimulatedRegion region = region(5, 3, 70, RED, FLOOD);
         region.world.run(35);
-        int alone = (region.leaderIndex() + 1) % 3;
-        region.networkPartitions.peers(alone, 50);
+        int partitioned = (region.leaderIndex() + 1) % 3;
+        region.networkPartitions.peers(partitioned, 50);
         region.world.run(35 + 1.5);
-        assertEquals(ALL_PER_MINUTE * 0.5 / 3, region.admissionLoad.perMinute(alone), 1);
-        // The cut flaps afterwards.
+        assertEquals(TOTAL_PER_MINUTE * 0.5 / 3, region.admissionLoad.perMinute(partitioned), 1);
+        // The partition flaps afterwards.
         for (int i = 0; i < 5; i++) {
             double from = 51 + 3 * i;
-            region.world.at(from, () -> region.networkPartitions.peers(alone, from + 1.6));
+            region.world.at(from, () -> region.networkPartitions.peers(partitioned, from + 1.6));
         }
         region.world.run(70);
-        checkServed(region, "red", 12, "cut off");
-        checkEnd(region, 70, "cut off");
+        checkAcceptedPromptly(region, "red", 12, "partitioned");
+        checkInvariants(region, 70, "partitioned");
     }
 
     @ParameterizedTest
@@ -164,8 +176,8 @@
         region.world.run(35);
         region.faults.pause(region.leaderIndex(), 35.0 + 4 + seed);
         region.world.run(60);
-        checkAccepted(region, "red", 20, "frozen");
-        checkEnd(region, 60, "frozen leader " + seed);
+        checkAccepted(region, "red", 20, "paused leader");
+        checkInvariants(region, 60, "paused leader " + seed);
     }
 
     @Test
@@ -177,8 +189,8 @@
             region.world.at(30 + i, () -> region.faults.crash(node, 0.1));
         }
         region.world.run(60);
-        checkAccepted(region, "red", 20, "back at once");
-        checkEnd(region, 60, "back at once");
+        checkAccepted(region, "red", 20, "immediate restarts");
+        checkInvariants(region, 60, "immediate restarts");
     }
 
     @Test
@@ -188,7 +200,7 @@
         region.faults.storeOutage(45);
         region.world.run(80);
         checkAccepted(region, "red", 30, "outage");
-        checkEnd(region, 80, "outage");
+        checkInvariants(region, 80, "outage");
     }
 
     @Test
@@ -198,7 +210,7 @@
         region.world.run(35);
         region.faults.reduceStoreLimits();
         region.world.run(70);
-        checkAccepted(region, "red", 30, "limits fell");
+        checkAccepted(region, "red", 30, "store limit halved");
         region.world.run(170);
         assertEquals(List.of(), region.violations);
     }
@@ -206,9 +218,9 @@
     @Test
     void controllersKeepToTheirFixedShareUnderALeaderWithoutAdmission() {
         SimulatedRegion region = SimulatedRegion.admitting(12, 3, 1);
-        region.admissionLoad.watch(ALL_PER_MINUTE);
-        region.world.run(FROM_S);
-        // The one without the feature leads.
+        region.admissionLoad.watch(TOTAL_PER_MINUTE);
+        region.world.run(LOAD_START_S);
+        // Crashes leaders until the controller without the feature leads.
         for (int i = 0; i < 8 && region.leaderIndex() != 2; i++) {
             region.faults.crash(region.leaderIndex(), 6);
             region.world.run(region.world.now() + 5);
@@ -216,68 +228,70 @@
         assertEquals("node-2", region.leader());
         double from = region.world.now() + 7;
         region.world.run(from);
-        int[] turn = new int[1];
-        region.admissionLoad.node = () -> turn[0]++ % 2;
+        int[] nextNode = new int[1];
+        region.admissionLoad.node = () -> nextNode[0]++ % 2;
         region.admissionLoad.submit(FLOOD, from + 30);
         region.world.run(from + 30);
         for (int i = 0; i < 2; i++) {
-            assertEquals(ALL_PER_MINUTE * 0.5 / 3, region.admissionLoad.perMinute(i), 1);
+            assertEquals(TOTAL_PER_MINUTE * 0.5 / 3, region.admissionLoad.perMinute(i), 1);
         }
         int accepted = region.admissionLoad.accepted(from + 10, from + 30).get("guests");
         assertEquals(20 * 2 * 4.75, accepted, 20);
-        checkEnd(region, from + 30, "without");
+        checkInvariants(region, from + 30, "leader without admission");
     }
 
-    /** Drawn days: who floods, where, and what fails. */
+    /** Random scenarios: the kind of flood, the nodes it reaches, and the faults. */
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23, 24, 25, 26})
-    void randomFaultsBreakNoInvariant(long first) {
-        for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
-            playDrawnDay(first + 100L * more);
+    void randomFaultsBreakNoInvariant(long firstSeed) {
+        for (int round = 0; round <= Integer.getInteger("pepperfield.seeds", 0); round++) {
+            runRandomScenario(firstSeed + 100L * round);
         }
     }
 
-    private static void playDrawnDay(long seed) {
+    private static void runRandomScenario(long seed) {
         Random random = new Random(seed);
         int nodes = seed % 2 == 0 ? 3 : 5;
         SimulatedRegion region =
                 region(seed, nodes, 70, RED, BLUE, random.nextBoolean() ? FLOOD : PATIENT_FLOOD);
-        int few = 1 + random.nextInt(nodes);
+        int receivingNodes = 1 + random.nextInt(nodes);
         if (random.nextBoolean()) {
-            region.admissionLoad.node = () -> random.nextInt(few);
+            region.admissionLoad.node = () -> random.nextInt(receivingNodes);
         }
         region.world.messageLossShare = random.nextBoolean() ? 0.02 : 0;
         for (int i = 0; i < 4; i++) {
             double at = 28 + 8 * i + 4 * random.nextDouble();
             int node = random.nextInt(nodes);
-            double forS = 0.1 + 5 * random.nextDouble();
+            double durationS = 0.1 + 5 * random.nextDouble();
             int kind = random.nextInt(5);
-            region.world.at(at, () -> injectFault(region, kind, node, forS));
+            region.world.at(at, () -> injectFault(region, kind, node, durationS));
         }
         region.world.run(70);
         region.world.messageLossShare = 0;
         region.world.run(85);
-        String day = "seed " + seed;
-        assertTrue(region.admissionLoad.accepted(60, 70).get("red") > 0, day);
-        double mostS = 45;
+        String scenario = "seed " + seed;
+        assertTrue(region.admissionLoad.accepted(60, 70).get("red") > 0, scenario);
+        double maxS = 45;
         for (String team : List.of("red", "blue")) {
-            for (Submission one : region.admissionLoad.of(team)) {
-                assertTrue(one.tookS() <= mostS, () -> day + ": " + team + " at " + one.firstAt);
+            for (Submission submission : region.admissionLoad.of(team)) {
+                assertTrue(
+                        submission.tookS() <= maxS,
+                        () -> scenario + ": " + team + " job submitted at " + submission.firstAt);
             }
         }
-        checkEnd(region, 85, day);
+        checkInvariants(region, 85, scenario);
     }
 
-    private static void injectFault(SimulatedRegion region, int kind, int node, double forS) {
-        double until = region.world.now() + forS;
+    private static void injectFault(SimulatedRegion region, int kind, int node, double durationS) {
+        double until = region.world.now() + durationS;
         switch (kind) {
-            case 0 -> region.faults.crash(node, forS);
+            case 0 -> region.faults.crash(node, durationS);
             case 1 -> region.faults.pause(node, until);
             case 2 -> region.networkPartitions.peers(node, until);
             case 3 -> region.faults.storeOutage(until);
             default -> {
                 if (!region.leader().isEmpty()) {
-                    region.faults.crash(region.leaderIndex(), Math.min(forS, 0.3));
+                    region.faults.crash(region.leaderIndex(), Math.min(durationS, 0.3));
                 }
             }
         }
--- a/src/test/java/io/pepperfield/admission/FairDivisionProperties.java
+++ b/src/test/java/io/pepperfield/admission/FairDivisionProperties.java
@@ -19,12 +19,12 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
 
-/** Properties of the division that hold for every demand and every weight. */
+/** Properties that the division has for all demands and weights. */
 class FairDivisionProperties {
 
-    private static final double CLOSE = 1e-6;
+    private static final double TOLERANCE = 1e-6;
 
-    /** A demand, and the weight of whoever has it. */
+    /** A demand and the weight of its claimant. */
     record Claim(double demand, double weight) {}
 
     @Provide
@@ -56,9 +56,9 @@
         double[] shares = divide(capacity, claims);
         double demand = claims.stream().mapToDouble(Claim::demand).sum();
         for (int i = 0; i < shares.length; i++) {
-            assertTrue(shares[i] >= 0 && shares[i] <= claims.get(i).demand + CLOSE);
+            assertTrue(shares[i] >= 0 && shares[i] <= claims.get(i).demand + TOLERANCE);
         }
-        assertEquals(Math.min(capacity, demand), sum(shares), CLOSE);
+        assertEquals(Math.min(capacity, demand), sum(shares), TOLERANCE);
     }
 
     @Property(seed = "32")
@@ -69,7 +69,7 @@
         double weights = claims.stream().mapToDouble(Claim::weight).sum();
         for (int i = 0; i < shares.length; i++) {
             double entitled = capacity * claims.get(i).weight / weights;
-            assertTrue(shares[i] >= Math.min(entitled, claims.get(i).demand) - CLOSE);
+            assertTrue(shares[i] >= Math.min(entitled, claims.get(i).demand) - TOLERANCE);
         }
     }
 
@@ -77,15 +77,15 @@
     void shareDoesNotShrinkWhenItsDemandOrWeightGrows(
             @ForAll("claims") List<Claim> claims,
             @ForAll @DoubleRange(max = 3000) double capacity,
-            @ForAll @IntRange(max = 11) int at) {
-        int mine = at % claims.size();
-        Claim claim = claims.get(mine);
-        double before = divide(capacity, claims)[mine];
-        List<Claim> more = new ArrayList<>(claims);
-        more.set(mine, new Claim(claim.demand * 2, claim.weight));
-        assertTrue(divide(capacity, more)[mine] >= before - CLOSE);
-        more.set(mine, new Claim(claim.demand, claim.weight * 2));
-        assertTrue(divide(capacity, more)[mine] >= before - CLOSE);
+            @ForAll @IntRange(max = 11) int position) {
+        int index = position % claims.size();
+        Claim claim = claims.get(index);
+        double before = divide(capacity, claims)[index];
+        List<Claim> changed = new ArrayList<>(claims);
+        changed.set(index, new Claim(claim.demand * 2, claim.weight));
+        assertTrue(divide(capacity, changed)[index] >= before - TOLERANCE);
+        changed.set(index, new Claim(claim.demand, claim.weight * 2));
+        assertTrue(divide(capacity, changed)[index] >= before - TOLERANCE);
     }
 
     @Property(seed = "34")
@@ -98,7 +98,7 @@
         double weights = claims.stream().mapToDouble(Claim::weight).sum() + 1;
         for (int i = 0; i < claims.size(); i++) {
             double entitled = capacity * claims.get(i).weight / weights;
-            assertTrue(shares[i] >= Math.min(entitled, claims.get(i).demand) - CLOSE);
+            assertTrue(shares[i] >= Math.min(entitled, claims.get(i).demand) - TOLERANCE);
         }
     }
 
@@ -111,16 +111,16 @@
         Map<String, Double> weights = new HashMap<>();
         for (int i = 0; i < claims.size(); i++) {
             weights.put("team-" + i % 4, claims.get(i % 4 % claims.size()).weight);
-            forward.put(of(i), claims.get(i).demand);
+            forward.put(workloadClass(i), claims.get(i).demand);
             int last = claims.size() - 1 - i;
-            backward.put(of(last), claims.get(last).demand);
+            backward.put(workloadClass(last), claims.get(last).demand);
         }
         assertEquals(
                 FairDivision.divide(capacity, forward, weights::get),
                 FairDivision.divide(capacity, backward, weights::get));
     }
 
-    private static WorkloadClass of(int number) {
+    private static WorkloadClass workloadClass(int number) {
         return new WorkloadClass("team-" + number % 4, "class-" + number / 4, false);
     }
 
@@ -131,23 +131,28 @@
         for (int i = 0; i < claims.size(); i++) {
             exact.put(i, claims.get(i).demand / 100);
         }
-        int total = (int) Math.floor(exact.values().stream().mapToDouble(x -> x).sum() + CLOSE);
+        int total = (int) Math.floor(exact.values().stream().mapToDouble(x -> x).sum() + TOLERANCE);
         LargestRemainder<Integer> rounding = new LargestRemainder<>();
         int rounds = 40;
-        Map<Integer, Integer> given = new HashMap<>();
+        Map<Integer, Integer> assigned = new HashMap<>();
         for (int round = 0; round < rounds; round++) {
             SortedMap<Integer, Integer> rounded = rounding.round(exact);
             assertEquals(total, rounded.values().stream().mapToInt(x -> x).sum());
-            rounded.forEach((key, whole) -> given.merge(key, whole, Integer::sum));
+            rounded.forEach((key, whole) -> assigned.merge(key, whole, Integer::sum));
         }
         if (total >= 1) {
-            // What the sum loses by rounding down is shared by all; beyond that nobody is behind.
-            double lostARound = exact.values().stream().mapToDouble(x -> x).sum() - total;
+            // Rounding the sum down may cost each share that loss; no share falls further behind.
+            double lostPerRound = exact.values().stream().mapToDouble(x -> x).sum() - total;
             exact.forEach(
                     (key, share) ->
                             assertTrue(
-                                    given.get(key) >= rounds * (share - lostARound) - 3,
-                                    () -> key + ": " + given.get(key) + " of " + rounds * share));
+                                    assigned.get(key) >= rounds * (share - lostPerRound) - 3,
+                                    () ->
+                                            key
+                                                    + ": "
+                                                    + assigned.get(key)
+                                                    + " of "
+                                                    + rounds * share));
         }
     }
 }
--- a/src/test/java/io/pepperfield/admission/SubmissionAdmissionTest.java
+++ b/src/test/java/io/pepperfield/admission/SubmissionAdmissionTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** One controller's decisions: a fixed share of 60 a minute, allotments of up to 600 more. */
+/**
+ * Tests the decisions of one controller with a fixed share of 60 per minute and allotments of up to
+ * 600 more.
+ */
 class SubmissionAdmissionTest {
 
     private static final AdmissionLimits LIMITS =
@@ -32,44 +35,50 @@
     private final SimulatedLoop loop = new SimulatedLoop();
     private double lastConfirmedAt;
     private SubmissionAdmission admission;
-    private int ids;
+    private int nextId;
 
     @BeforeEach
-    void begin() {
+    void setUp() {
         admission =
                 new SubmissionAdmission(
                         loop, LIMITS, "a", () -> Math.max(lastConfirmedAt, loop.now() - 0.1), 2);
     }
 
-    private Decision decide(WorkloadClass of, String id) {
-        JobSpec job = new JobSpecBuilder().id(id).team(of.team()).workload(of.workload()).build();
+    private Decision decide(WorkloadClass workloadClass, String id) {
+        JobSpec job =
+                new JobSpecBuilder()
+                        .id(id)
+                        .team(workloadClass.team())
+                        .workload(workloadClass.workload())
+                        .build();
         return admission.decide(job);
     }
 
-    private boolean admits(WorkloadClass of) {
-        return decide(of, "run-" + (100_000 + ids++)) instanceof Decision.Admitted;
+    private boolean isAdmitted(WorkloadClass workloadClass) {
+        return decide(workloadClass, "run-" + (100_000 + nextId++)) instanceof Decision.Admitted;
     }
 
-    private int admittedOf(WorkloadClass of, int offered) {
+    private int countAdmitted(WorkloadClass workloadClass, int submissions) {
         int admitted = 0;
-        for (int i = 0; i < offered; i++) {
-            admitted += admits(of) ? 1 : 0;
+        for (int i = 0; i < submissions; i++) {
+            admitted += isAdmitted(workloadClass) ? 1 : 0;
         }
         return admitted;
     }
 
-    private Allotment allotment(FencingToken token, long serial, int extra, int red, int flood) {
+    private Allotment allotment(
+            FencingToken token, long serial, int extra, int redShare, int floodShare) {
         SortedMap<WorkloadClass, ClassShare> classes = new TreeMap<>();
-        classes.put(RED, new ClassShare(red, false));
-        classes.put(FLOOD, new ClassShare(flood, true));
+        classes.put(RED, new ClassShare(redShare, false));
+        classes.put(FLOOD, new ClassShare(floodShare, true));
         return new Allotment("a", token, serial, 10, extra, classes, List.of());
     }
 
     @Test
     void newProcessStartsWithoutTokens() {
-        assertEquals(0, admittedOf(RED, 50));
+        assertEquals(0, countAdmitted(RED, 50));
         loop.run(1);
-        assertEquals(1, admittedOf(RED, 50));
+        assertEquals(1, countAdmitted(RED, 50));
     }
 
     @Test
@@ -78,9 +87,9 @@
         for (int second = 1; second <= 60; second++) {
             loop.run(second);
             admission.tick();
-            admitted += admittedOf(FLOOD, 20);
+            admitted += countAdmitted(FLOOD, 20);
         }
-        // All of a minute's 60 but the twentieth that is kept for classes not seen yet.
+        // 60 per minute, less the 5% that is left for unreported classes.
         assertEquals(57, admitted, 3);
     }
 
@@ -91,7 +100,7 @@
         assertEquals(660, admission.admissionsPerMinute());
         loop.run(8.99);
         assertEquals(660, admission.admissionsPerMinute());
-        // Nine tenths of ten seconds from 0, though it came at 5.
+        // The holder uses it for 90% of 10 s, counted from its request at 0, not its receipt at 5.
         loop.run(9);
         assertEquals(60, admission.admissionsPerMinute());
     }
@@ -111,45 +120,46 @@
     @Test
     void floodDoesNotUseTheShareOfOtherClasses() {
         admission.useAllotment(allotment(TOKEN, 1, 600, 120, 480), 0, TOKEN);
-        int red = 0;
-        int flood = 0;
+        int redAdmitted = 0;
+        int floodAdmitted = 0;
         for (int step = 1; step <= 80; step++) {
             loop.run(step * 0.1);
-            flood += admittedOf(FLOOD, 30);
-            red += step % 5 == 0 && admits(RED) ? 1 : 0;
+            floodAdmitted += countAdmitted(FLOOD, 30);
+            redAdmitted += step % 5 == 0 && isAdmitted(RED) ? 1 : 0;
         }
-        assertEquals(16, red);
-        assertTrue(flood >= 55 && flood <= 80, "flood " + flood);
+        assertEquals(16, redAdmitted);
+        assertTrue(floodAdmitted >= 55 && floodAdmitted <= 80, "flood " + floodAdmitted);
     }
 
     @Test
     void dueRetryPrecedesNewSubmissionsDuringAFlood() {
         admission.useAllotment(allotment(TOKEN, 1, 600, 0, 60), 0, TOKEN);
-        admittedOf(FLOOD, 3);
-        Decision.Refused told = assertInstanceOf(Decision.Refused.class, decide(FLOOD, "run-1"));
-        loop.run(told.retryAfterS() - 0.5);
-        admittedOf(FLOOD, 100);
-        // Asked too early it is told what is left of its time, and no later one.
-        Decision.Refused again = assertInstanceOf(Decision.Refused.class, decide(FLOOD, "run-1"));
-        assertEquals(1, again.retryAfterS());
-        loop.run(told.retryAfterS());
-        admittedOf(FLOOD, 100);
+        countAdmitted(FLOOD, 3);
+        Decision.Refused refusal = assertInstanceOf(Decision.Refused.class, decide(FLOOD, "run-1"));
+        loop.run(refusal.retryAfterS() - 0.5);
+        countAdmitted(FLOOD, 100);
+        // A retry that is too early gets the time until its original retry time, not a later one.
+        Decision.Refused earlyRefusal =
+                assertInstanceOf(Decision.Refused.class, decide(FLOOD, "run-1"));
+        assertEquals(1, earlyRefusal.retryAfterS());
+        loop.run(refusal.retryAfterS());
+        countAdmitted(FLOOD, 100);
         assertInstanceOf(Decision.Admitted.class, decide(FLOOD, "run-1"));
     }
 
     @Test
     void retryTimesAreSpreadAtTheClassRateWithinTheMaximumRetryAfter() {
         admission.useAllotment(allotment(TOKEN, 1, 600, 0, 120), 0, TOKEN);
-        // So many wait that the whole rate would not be through with them either.
-        admittedOf(RED, 400);
+        // More refused jobs than the total rate can admit within the longest Retry-After.
+        countAdmitted(RED, 400);
         int[] atSecond = new int[31];
         for (int i = 0; i < 200; i++) {
-            Decision.Refused told =
+            Decision.Refused refusal =
                     assertInstanceOf(Decision.Refused.class, decide(FLOOD, "run-" + (1000 + i)));
-            atSecond[told.retryAfterS()]++;
+            atSecond[refusal.retryAfterS()]++;
         }
         for (int second = 1; second < 30; second++) {
-            assertEquals(2, atSecond[second], 1, "at " + second);
+            assertEquals(2, atSecond[second], 1, "retries at second " + second);
         }
     }
 
@@ -161,8 +171,8 @@
         }
         loop.run(1);
         admission.tick();
-        double once = admission.demandReport("p", 1).classes().get(FLOOD).perMinute();
-        assertTrue(once < 50, "demand " + once);
+        double demandPerMinute = admission.demandReport("p", 1).classes().get(FLOOD).perMinute();
+        assertTrue(demandPerMinute < 50, "demand " + demandPerMinute);
         assertEquals(50, admission.demandReport("p", 2).classes().get(FLOOD).refused());
     }
 
@@ -177,13 +187,13 @@
                         .build();
         admission.useAllotment(allotment(TOKEN, 1, 600, 0, 480), 0, TOKEN);
         loop.run(2);
-        admittedOf(FLOOD, 200);
+        countAdmitted(FLOOD, 200);
         assertInstanceOf(Decision.Admitted.class, admission.decide(dependent));
     }
 
     @Test
     void refusalForALongQueueGivesTheTimeUntilTheQueueIsWithinTheLimit() {
-        Allotment full =
+        Allotment allotmentWithLongQueue =
                 new Allotment(
                         "a",
                         TOKEN,
@@ -192,28 +202,28 @@
                         600,
                         new TreeMap<>(),
                         List.of(new QueueWait("guests", JobSpec.Priority.STANDARD, 75)));
-        admission.useAllotment(full, 0, TOKEN);
+        admission.useAllotment(allotmentWithLongQueue, 0, TOKEN);
         loop.run(1);
-        Decision.Refused told = assertInstanceOf(Decision.Refused.class, decide(FLOOD, "run-1"));
-        assertEquals(15, told.retryAfterS());
-        assertTrue(admits(RED));
+        Decision.Refused refusal = assertInstanceOf(Decision.Refused.class, decide(FLOOD, "run-1"));
+        assertEquals(15, refusal.retryAfterS());
+        assertTrue(isAdmitted(RED));
     }
 
     @Test
     void storeThrottlingLowersTheRateWhichThenRecovers() {
         admission.useAllotment(allotment(TOKEN, 1, 600, 0, 600), 0, TOKEN);
         loop.run(1);
-        int before = admittedOf(FLOOD, 100);
+        int before = countAdmitted(FLOOD, 100);
         admission.storeThrottled();
-        // Once an interval, however many are refused.
+        // A further refusal within the same interval has no effect.
         admission.storeThrottled();
         loop.run(2);
-        int after = admittedOf(FLOOD, 100);
+        int after = countAdmitted(FLOOD, 100);
         assertTrue(after >= 5 && after <= before - 2, before + ", then " + after);
         loop.run(8);
         admission.tick();
         loop.run(8.9);
-        assertTrue(admittedOf(FLOOD, 100) >= before - 1);
+        assertTrue(countAdmitted(FLOOD, 100) >= before - 1);
     }
 
     @Test
@@ -222,10 +232,10 @@
         admission = new SubmissionAdmission(loop, LIMITS, "a", () -> lastConfirmedAt, 2);
         admission.useAllotment(allotment(TOKEN, 2, 600, 300, 300), 0, TOKEN);
         loop.run(8);
-        assertEquals(0, admittedOf(RED, 50));
+        assertEquals(0, countAdmitted(RED, 50));
         lastConfirmedAt = 8;
         loop.run(8.1);
-        assertTrue(admittedOf(RED, 50) <= 2);
+        assertTrue(countAdmitted(RED, 50) <= 2);
     }
 
     @Test
