--- a/src/main/java/io/pepperfield/admission/Allotment.java
+++ b/src/main/java/io/pepperfield/admission/Allotment.java
@@ -14,7 +14,7 @@
  *     that the allotment expires at the holder before it expires at the leader
  * @param extraPerMinute admissions per minute beyond the holder's fixed share
  * @param classes share of each class in the sum of the fixed share and the extra rate
- * @param queueWaits the queues whose predicted wait is close to or above the limit
+ * @param queueWaits the queues whose predicted wait is at least half of the limit
  */
 record Allotment(
         String node,
