--- a/src/main/java/io/pepperfield/controller/StoredStateCompatibility.java
+++ b/src/main/java/io/pepperfield/controller/StoredStateCompatibility.java
@@ -64,7 +64,7 @@
     /** The replica brought a change of a key below {@link Keys#ROLLOUT_PREFIX}. */
     void replicaChanged(String key, JsonNode value, long modRevision) {
         if (rollout.isPresent()) {
-            rollout.get().changed(key, value, modRevision);
+            rollout.get().onKeyChanged(key, value, modRevision);
         } else if (key.equals(Keys.ROLLOUT_VERSION)) {
             recordVersion(value);
         }
--- a/src/main/java/io/pepperfield/recovery/ArchiveItemsCodec.java
+++ b/src/main/java/io/pepperfield/recovery/ArchiveItemsCodec.java
@@ -14,7 +14,7 @@
 
     private ArchiveItemsCodec() {}
 
-    static byte[] write(List<KeyValue> items) {
+    static byte[] encode(List<KeyValue> items) {
         ArrayNode all = Json.array();
         for (KeyValue item : items) {
             ObjectNode node = all.addObject().put("k", item.key()).put("stamp", item.modRevision());
@@ -26,7 +26,7 @@
     }
 
     /** Reads an entry; a key without data was deleted. */
-    static List<KeyValue> read(String entry, byte[] bytes) throws ArchiveException {
+    static List<KeyValue> decode(String entry, byte[] bytes) throws ArchiveException {
         JsonNode all = Json.read(bytes);
         if (all == null || !all.isArray()) {
             throw new ArchiveException(entry + ": no list of keys");
--- a/src/main/java/io/pepperfield/recovery/ArchiveManifest.java
+++ b/src/main/java/io/pepperfield/recovery/ArchiveManifest.java
@@ -25,7 +25,7 @@
     /** An entry before the manifest, with its length and checksum. */
     record Entry(String name, long bytes, String sha256) {}
 
-    byte[] write() {
+    byte[] encode() {
         ObjectNode root =
                 Json.object().put("kind", KIND).put("format", FORMAT).put("revision", revision);
         controllers.forEach(root.putArray("controllers")::add);
@@ -39,7 +39,7 @@
         return Json.write(root);
     }
 
-    static ArchiveManifest read(byte[] bytes) throws ArchiveException {
+    static ArchiveManifest decode(byte[] bytes) throws ArchiveException {
         JsonNode root = Json.read(bytes);
         if (root == null || !root.path("kind").asText().equals(KIND)) {
             throw new ArchiveException(NAME + ": not of a pepperfield archive");
--- a/src/main/java/io/pepperfield/recovery/ArchiveWriter.java
+++ b/src/main/java/io/pepperfield/recovery/ArchiveWriter.java
@@ -97,11 +97,11 @@
         List<ArchiveManifest.Entry> entries = new ArrayList<>();
         long firstRevision = writePages(tar, entries);
         Page changes = source.changesSince(firstRevision);
-        entries.add(addEntry(tar, CHANGES_ENTRY, ArchiveItemsCodec.write(changes.items())));
+        entries.add(addEntry(tar, CHANGES_ENTRY, ArchiveItemsCodec.encode(changes.items())));
         addEntry(
                 tar,
                 ArchiveManifest.NAME,
-                new ArchiveManifest(changes.revision(), controllers, entries).write());
+                new ArchiveManifest(changes.revision(), controllers, entries).encode());
         tar.finish();
         return changes.revision();
     }
@@ -116,7 +116,7 @@
         Page page = source.readPage("");
         long firstRevision = page.revision();
         addPage(tar, page, entries);
-        while (page.more() && !page.items().isEmpty()) {
+        while (page.hasMore() && !page.items().isEmpty()) {
             String lastKey = page.items().get(page.items().size() - 1).key();
             page = source.readPage(lastKey);
             addPage(tar, page, entries);
@@ -128,7 +128,7 @@
             TarArchiveOutputStream tar, Page page, List<ArchiveManifest.Entry> entries)
             throws IOException {
         String name = pageName(entries.size() + 1);
-        entries.add(addEntry(tar, name, ArchiveItemsCodec.write(page.items())));
+        entries.add(addEntry(tar, name, ArchiveItemsCodec.encode(page.items())));
     }
 
     private static ArchiveManifest.Entry addEntry(
--- a/src/main/java/io/pepperfield/recovery/SnapshotSource.java
+++ b/src/main/java/io/pepperfield/recovery/SnapshotSource.java
@@ -8,7 +8,7 @@
 public interface SnapshotSource {
 
     /** A part of the keys in their order, as of one revision. */
-    record Page(List<KeyValue> items, boolean more, long revision) {}
+    record Page(List<KeyValue> items, boolean hasMore, long revision) {}
 
     /** The state service has not kept the changes that were asked for. */
     final class ChangesCompactedException extends IOException {
--- a/src/main/java/io/pepperfield/recovery/StateArchive.java
+++ b/src/main/java/io/pepperfield/recovery/StateArchive.java
@@ -30,10 +30,10 @@
     /** Receives the keys of an archive in their order, and then the changes. */
     public interface Visitor {
         /** A key as a page holds it. */
-        void item(KeyValue item);
+        void visitItem(KeyValue item);
 
         /** A change since the first page; null data deletes the key. */
-        void change(KeyValue item);
+        void visitChange(KeyValue item);
     }
 
     /**
@@ -58,7 +58,7 @@
                     entry = tar.getNextEntry()) {
                 byte[] content = readContent(tar, entry);
                 if (entry.getName().equals(ArchiveManifest.NAME)) {
-                    ArchiveManifest manifest = ArchiveManifest.read(content);
+                    ArchiveManifest manifest = ArchiveManifest.decode(content);
                     verifyEntries(manifest.entries(), seen);
                     return manifest;
                 }
@@ -93,9 +93,9 @@
     private static void visitEntry(String name, byte[] content, int number, Visitor visitor)
             throws ArchiveException {
         if (name.equals(ArchiveWriter.CHANGES_ENTRY)) {
-            ArchiveItemsCodec.read(name, content).forEach(visitor::change);
+            ArchiveItemsCodec.decode(name, content).forEach(visitor::visitChange);
         } else if (name.equals(ArchiveWriter.pageName(number))) {
-            ArchiveItemsCodec.read(name, content).forEach(visitor::item);
+            ArchiveItemsCodec.decode(name, content).forEach(visitor::visitItem);
         } else {
             throw new ArchiveException(name + ": not an entry of a pepperfield archive");
         }
@@ -119,10 +119,10 @@
         private final Map<String, Boolean> exists = new HashMap<>();
 
         @Override
-        public void item(KeyValue item) {}
+        public void visitItem(KeyValue item) {}
 
         @Override
-        public void change(KeyValue item) {
+        public void visitChange(KeyValue item) {
             exists.put(item.key(), item.value() != null);
         }
     }
@@ -143,14 +143,14 @@
         }
 
         @Override
-        public void item(KeyValue item) {
+        public void visitItem(KeyValue item) {
             if (!changed.containsKey(item.key())) {
                 count(item.key());
             }
         }
 
         @Override
-        public void change(KeyValue item) {}
+        public void visitChange(KeyValue item) {}
 
         private void count(String key) {
             keyCounts.merge(key.split("/", 3)[1], 1, Integer::sum);
--- a/src/main/java/io/pepperfield/rollout/ClusterVersion.java
+++ b/src/main/java/io/pepperfield/rollout/ClusterVersion.java
@@ -20,7 +20,7 @@
         int writeVersion,
         int highestVersion,
         int finalizedVersion,
-        List<String> removedControllers) {
+        List<String> excludedControllers) {
 
     /** Where a cluster stands between two versions. */
     public enum Phase {
@@ -39,7 +39,7 @@
 
     /** Copies the names. */
     public ClusterVersion {
-        removedControllers = List.copyOf(removedControllers);
+        excludedControllers = List.copyOf(excludedControllers);
     }
 
     /** Where the cluster stands. */
@@ -57,13 +57,13 @@
 
     /** The active version becomes the only one. */
     ClusterVersion asFinalized() {
-        return new ClusterVersion(writeVersion, highestVersion, writeVersion, removedControllers);
+        return new ClusterVersion(writeVersion, highestVersion, writeVersion, excludedControllers);
     }
 
     /** The final version is written again, and what is newer is to be rewritten. */
     ClusterVersion rollingBack() {
         return new ClusterVersion(
-                finalizedVersion, highestVersion, finalizedVersion, removedControllers);
+                finalizedVersion, highestVersion, finalizedVersion, excludedControllers);
     }
 
     /** Nothing is left of the newer version. */
@@ -71,18 +71,18 @@
         return new ClusterVersion(finalizedVersion, finalizedVersion, finalizedVersion, List.of());
     }
 
-    JsonNode write() {
+    JsonNode toJson() {
         ObjectNode data =
                 Json.object()
                         .put("writes", writeVersion)
                         .put("highest", highestVersion)
                         .put("finalized", finalizedVersion);
-        removedControllers.forEach(data.putArray("removed")::add);
+        excludedControllers.forEach(data.putArray("removed")::add);
         return data;
     }
 
     /** The record, or empty where it is none that this release understands. */
-    static Optional<ClusterVersion> read(JsonNode data) {
+    static Optional<ClusterVersion> fromJson(JsonNode data) {
         int writes = data.path("writes").asInt(0);
         int highest = data.path("highest").asInt(0);
         int finalized = data.path("finalized").asInt(0);
--- a/src/main/java/io/pepperfield/rollout/CompactRunRecords.java
+++ b/src/main/java/io/pepperfield/rollout/CompactRunRecordCodec.java
@@ -17,7 +17,7 @@
  * incarnation of its agent, and neighbouring tasks of the same attempt are one run of three
  * numbers: first task, count, attempt. A machine's name stands once, however many tasks it has.
  */
-final class CompactRunRecords {
+final class CompactRunRecordCodec {
 
     /** So many times as many tasks are kept in a record as in the first form. */
     static final int TASKS_PER_RECORD_FACTOR = 2;
@@ -33,10 +33,10 @@
     private static final int MAX_TASKS = 100_000;
 
     /** A value that is no record of this form. */
-    static final class UnreadableRecord extends Exception {
+    static final class UnreadableRecordException extends Exception {
         private static final long serialVersionUID = 1;
 
-        UnreadableRecord(String reason) {
+        UnreadableRecordException(String reason) {
             super(reason);
         }
     }
@@ -44,7 +44,7 @@
     /** A live task's machine, and the incarnation of its agent. */
     private record AgentIncarnation(String machine, long incarnation) {}
 
-    private CompactRunRecords() {}
+    private CompactRunRecordCodec() {}
 
     /** Encodes a record of the first form. */
     static JsonNode encode(JsonNode first) {
@@ -93,9 +93,9 @@
     }
 
     /** Decodes to the first form, with the tasks in their order. */
-    static JsonNode decode(JsonNode record) throws UnreadableRecord {
+    static JsonNode decode(JsonNode record) throws UnreadableRecordException {
         if (record.path(VERSION).asInt(0) != StoredVersions.COMPACT_RUN_RECORDS) {
-            throw new UnreadableRecord("version " + record.path(VERSION));
+            throw new UnreadableRecordException("version " + record.path(VERSION));
         }
         List<TaskState> taskStates = new ArrayList<>();
         for (Phase phase : Phase.values()) {
@@ -109,7 +109,7 @@
             }
             for (JsonNode group : groups) {
                 if (!group.path(0).isTextual() || !group.path(1).isIntegralNumber()) {
-                    throw new UnreadableRecord("a live group without machine and session");
+                    throw new UnreadableRecordException("a live group without machine and session");
                 }
                 AgentIncarnation agent =
                         new AgentIncarnation(group.get(0).asText(), group.get(1).longValue());
@@ -126,16 +126,16 @@
             Phase phase,
             AgentIncarnation agent,
             List<TaskState> taskStates)
-            throws UnreadableRecord {
+            throws UnreadableRecordException {
         if (!group.isArray() || (group.size() - headerFields) % RUN_FIELDS != 0) {
-            throw new UnreadableRecord("a run that is cut off");
+            throw new UnreadableRecordException("a run that is cut off");
         }
         for (int i = headerFields; i < group.size(); i += RUN_FIELDS) {
             int first = readCount(group.get(i));
             int count = readCount(group.get(i + 1));
             int attempt = readCount(group.get(i + 2));
             if (taskStates.size() + count > MAX_TASKS) {
-                throw new UnreadableRecord("a run of " + count + " tasks");
+                throw new UnreadableRecordException("a run of " + count + " tasks");
             }
             for (int task = first; task < first + count; task++) {
                 taskStates.add(
@@ -144,9 +144,9 @@
         }
     }
 
-    private static int readCount(JsonNode value) throws UnreadableRecord {
+    private static int readCount(JsonNode value) throws UnreadableRecordException {
         if (!value.isInt() || value.intValue() < 0) {
-            throw new UnreadableRecord("a run with " + value);
+            throw new UnreadableRecordException("a run with " + value);
         }
         return value.intValue();
     }
--- a/src/main/java/io/pepperfield/rollout/MemberDeclaration.java
+++ b/src/main/java/io/pepperfield/rollout/MemberDeclaration.java
@@ -42,7 +42,7 @@
     }
 
     /** News of this node's key: perhaps of an earlier process, whose write came late. */
-    void changed(JsonNode data, long newModRevision) {
+    void onDeclarationChanged(JsonNode data, long newModRevision) {
         modRevision = data == null ? 0 : newModRevision;
         declared =
                 data != null && data.path("incarnation").asText().equals(ownRelease.incarnation());
@@ -83,7 +83,7 @@
         store.compareAndSwap(
                 RequestPriority.SUBMISSION,
                 List.of(new Precondition(key, modRevision)),
-                List.of(new Mutation(key, ownRelease.write(), grant)),
+                List.of(new Mutation(key, ownRelease.toJson(), grant)),
                 result -> {
                     requestInFlight = false;
                     if (result instanceof CompareAndSwapOutcome.Refused) {
--- a/src/main/java/io/pepperfield/rollout/MemberRegistry.java
+++ b/src/main/java/io/pepperfield/rollout/MemberRegistry.java
@@ -23,11 +23,11 @@
     }
 
     /** News of a controller's key. */
-    void changed(String node, JsonNode data, long modRevision) {
+    void onMemberChanged(String node, JsonNode data, long modRevision) {
         if (members.containsKey(node)) {
             Optional<MemberRelease> declared =
                     Optional.ofNullable(data)
-                            .flatMap(value -> MemberRelease.read(value, modRevision));
+                            .flatMap(value -> MemberRelease.fromJson(value, modRevision));
             members.put(node, declared);
         }
     }
@@ -73,7 +73,7 @@
      *
      * @throws java.util.NoSuchElementException if one of them has declared nothing
      */
-    List<Precondition> preconditions(Collection<String> without) {
+    List<Precondition> declarationPreconditions(Collection<String> without) {
         List<Precondition> preconditions = new ArrayList<>();
         members.forEach(
                 (node, member) -> {
--- a/src/main/java/io/pepperfield/rollout/MemberRelease.java
+++ b/src/main/java/io/pepperfield/rollout/MemberRelease.java
@@ -12,7 +12,7 @@
  */
 record MemberRelease(Release release, String incarnation, long modRevision) {
 
-    JsonNode write() {
+    JsonNode toJson() {
         return Json.object()
                 .put("release", release.name())
                 .put("oldestRead", release.oldestRead())
@@ -22,7 +22,7 @@
     }
 
     /** The declaration, or empty where it is none. */
-    static Optional<MemberRelease> read(JsonNode data, long modRevision) {
+    static Optional<MemberRelease> fromJson(JsonNode data, long modRevision) {
         try {
             Release release =
                     new Release(
--- a/src/main/java/io/pepperfield/rollout/RollbackRewriter.java
+++ b/src/main/java/io/pepperfield/rollout/RollbackRewriter.java
@@ -4,7 +4,7 @@
 import io.pepperfield.jobs.JobSpec;
 import io.pepperfield.jobs.TaskState;
 import io.pepperfield.loop.Loop;
-import io.pepperfield.rollout.CompactRunRecords.UnreadableRecord;
+import io.pepperfield.rollout.CompactRunRecordCodec.UnreadableRecordException;
 import io.pepperfield.store.KeyValueStore;
 import io.pepperfield.store.KeyValueStore.CompareAndSwapOutcome;
 import io.pepperfield.store.KeyValueStore.KeyValue;
@@ -169,7 +169,7 @@
         for (KeyValue record : records) {
             try {
                 addRewrite(record, preconditions, mutations);
-            } catch (UnreadableRecord e) {
+            } catch (UnreadableRecordException e) {
                 // Neither guessed nor lost.
                 LOG.warn(
                         "run record not rewritten: key={} reason=\"{}\"",
@@ -196,9 +196,9 @@
 
     private void addRewrite(
             KeyValue record, List<Precondition> preconditions, List<Mutation> mutations)
-            throws UnreadableRecord {
-        String key = VersionedKeyValueStore.firstFormKey(record.key());
-        JsonNode taskStates = CompactRunRecords.decode(record.value());
+            throws UnreadableRecordException {
+        String key = VersionedKeyValueStore.versionOneKey(record.key());
+        JsonNode taskStates = CompactRunRecordCodec.decode(record.value());
         if (batching == Batching.SPLIT_RECORD) {
             addSplitRecords(key, taskStates, preconditions, mutations);
         } else {
@@ -214,7 +214,7 @@
      */
     private void addSplitRecords(
             String key, JsonNode record, List<Precondition> preconditions, List<Mutation> mutations)
-            throws UnreadableRecord {
+            throws UnreadableRecordException {
         int slash = key.lastIndexOf('/');
         String jobId = key.substring(Keys.RUN_RECORD_PREFIX.length(), slash);
         int recordIndex = Integer.parseInt(key.substring(slash + 1));
@@ -223,7 +223,7 @@
                         .filter(known -> recordIndex < known.runRecordCount())
                         .orElseThrow(
                                 () ->
-                                        new UnreadableRecord(
+                                        new UnreadableRecordException(
                                                 "too large for the first form, and not to be divided"));
         int part = 0;
         for (List<TaskState> taskStates :
--- a/src/main/java/io/pepperfield/rollout/Rollout.java
+++ b/src/main/java/io/pepperfield/rollout/Rollout.java
@@ -101,26 +101,26 @@
     /** Tasks in a run record of a new job, where the first form has so many. */
     public int tasksPerRecord(int first) {
         return gate.writesCompactRunRecords()
-                ? CompactRunRecords.TASKS_PER_RECORD_FACTOR * first
+                ? CompactRunRecordCodec.TASKS_PER_RECORD_FACTOR * first
                 : first;
     }
 
     /** The replica's news of a key below {@link Keys#ROLLOUT_PREFIX}. */
-    public void changed(String key, JsonNode data, long modRevision) {
+    public void onKeyChanged(String key, JsonNode data, long modRevision) {
         if (key.equals(Keys.ROLLOUT_VERSION)) {
-            gate.changed(data, modRevision);
+            gate.onVersionChanged(data, modRevision);
         } else if (key.startsWith(Keys.ROLLOUT_MEMBER_PREFIX)) {
             String node = key.substring(Keys.ROLLOUT_MEMBER_PREFIX.length());
-            memberRegistry.changed(node, data, modRevision);
+            memberRegistry.onMemberChanged(node, data, modRevision);
             if (node.equals(settings.node())) {
-                memberDeclaration.changed(data, modRevision);
+                memberDeclaration.onDeclarationChanged(data, modRevision);
             }
         }
     }
 
     /** To be called a few times per grant, once the replica is loaded. */
     public void tick() {
-        gate.replicaLoaded();
+        gate.markReplicaLoaded();
         memberDeclaration.tick();
         if (gate.mayServe()
                 && gate.version().phase() == Phase.ROLLING_BACK
--- a/src/main/java/io/pepperfield/rollout/RolloutRequestHandler.java
+++ b/src/main/java/io/pepperfield/rollout/RolloutRequestHandler.java
@@ -116,13 +116,13 @@
         if (!gate.mayServe()) {
             status.put("servesNobody", gate.refusalReason());
         }
-        version.removedControllers().forEach(status.putArray("removed")::add);
+        version.excludedControllers().forEach(status.putArray("removed")::add);
         ArrayNode members = status.putArray("controllers");
         registry.members().forEach((node, member) -> members.add(describe(node, member)));
         int next = gate.release().newestWritten();
         if (next > version.writeVersion()) {
             ArrayNode waiting = status.putArray("waitsFor");
-            registry.activationBlockers(next, version.removedControllers()).forEach(waiting::add);
+            registry.activationBlockers(next, version.excludedControllers()).forEach(waiting::add);
         }
         return status;
     }
@@ -132,7 +132,7 @@
         if (member.isEmpty()) {
             return described.put("release", "not declared");
         }
-        described.set("release", member.get().write());
+        described.set("release", member.get().toJson());
         return described;
     }
 }
--- a/src/main/java/io/pepperfield/rollout/VersionGate.java
+++ b/src/main/java/io/pepperfield/rollout/VersionGate.java
@@ -21,7 +21,7 @@
     private boolean replicaLoaded;
     private String refusalReason = "";
 
-    /** Creates a gate that is closed until the replica is {@link #replicaLoaded}. */
+    /** Creates a gate that is closed until the replica is {@link #markReplicaLoaded}. */
     public VersionGate(Release release) {
         this.release = release;
     }
@@ -32,13 +32,14 @@
     }
 
     /** The replica holds all keys: a version record that is not there does not exist. */
-    void replicaLoaded() {
+    void markReplicaLoaded() {
         replicaLoaded = true;
     }
 
     /** The replica's news of the version record. */
-    void changed(JsonNode data, long newModRevision) {
-        Optional<ClusterVersion> known = Optional.ofNullable(data).flatMap(ClusterVersion::read);
+    void onVersionChanged(JsonNode data, long newModRevision) {
+        Optional<ClusterVersion> known =
+                Optional.ofNullable(data).flatMap(ClusterVersion::fromJson);
         if (known.isEmpty()) {
             // Never deleted by anybody: without it records of a newer form could be taken for none.
             refuseService("the stored-state version record is gone or cannot be read");
--- a/src/main/java/io/pepperfield/rollout/VersionTransitions.java
+++ b/src/main/java/io/pepperfield/rollout/VersionTransitions.java
@@ -61,7 +61,7 @@
             return;
         }
         List<Precondition> preconditions = leaderPreconditions();
-        preconditions.addAll(registry.preconditions(without));
+        preconditions.addAll(registry.declarationPreconditions(without));
         List<Mutation> mutations = new ArrayList<>();
         mutations.add(versionMutation(now.activated(target, List.copyOf(without))));
         if (!gate.fencesOlderReleases()) {
@@ -160,7 +160,7 @@
     }
 
     private static Mutation versionMutation(ClusterVersion version) {
-        return Mutation.set(Keys.ROLLOUT_VERSION, version.write());
+        return Mutation.set(Keys.ROLLOUT_VERSION, version.toJson());
     }
 
     /** The preconditions of every change of the version. */
--- a/src/main/java/io/pepperfield/rollout/VersionedKeyValueStore.java
+++ b/src/main/java/io/pepperfield/rollout/VersionedKeyValueStore.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.pepperfield.http.Json;
 import io.pepperfield.jobs.TaskState;
-import io.pepperfield.rollout.CompactRunRecords.UnreadableRecord;
+import io.pepperfield.rollout.CompactRunRecordCodec.UnreadableRecordException;
 import io.pepperfield.store.KeyValueStore;
 import io.pepperfield.store.Keys;
 import java.util.ArrayList;
@@ -70,7 +70,7 @@
     }
 
     /** The key of the first form of what is stored under a key of the second. */
-    static String firstFormKey(String compactKey) {
+    static String versionOneKey(String compactKey) {
         return Keys.RUN_RECORD_PREFIX + compactKey.substring(Keys.V2_RUN_RECORD_PREFIX.length());
     }
 
@@ -162,7 +162,7 @@
     }
 
     private static Mutation compactMutation(Mutation first) {
-        return Mutation.set(compactKey(first.key()), CompactRunRecords.encode(first.value()));
+        return Mutation.set(compactKey(first.key()), CompactRunRecordCodec.encode(first.value()));
     }
 
     private CompareAndSwapOutcome toFirstFormOutcome(
@@ -186,13 +186,13 @@
             return Keys.LEADER;
         }
         return storedKey.startsWith(Keys.V2_RUN_RECORD_PREFIX)
-                ? firstFormKey(storedKey)
+                ? versionOneKey(storedKey)
                 : storedKey;
     }
 
     private void recordCompactForm(String storedKey, long modRevision) {
         if (storedKey.startsWith(Keys.V2_RUN_RECORD_PREFIX)) {
-            compactRecordRevisions.merge(firstFormKey(storedKey), modRevision, Math::max);
+            compactRecordRevisions.merge(versionOneKey(storedKey), modRevision, Math::max);
         }
     }
 
@@ -257,15 +257,15 @@
         } else if (key.startsWith(Keys.V2_RUN_RECORD_PREFIX) && item.value() != null) {
             recordCompactForm(key, item.modRevision());
             JsonNode taskStates = decodeRunRecord(key, item.value());
-            items.add(new KeyValue(firstFormKey(key), taskStates, item.modRevision()));
+            items.add(new KeyValue(versionOneKey(key), taskStates, item.modRevision()));
         }
     }
 
     /** What cannot be read is passed on as such, so that nobody takes the job for one not begun. */
     private JsonNode decodeRunRecord(String key, JsonNode data) {
         try {
-            return CompactRunRecords.decode(data);
-        } catch (UnreadableRecord e) {
+            return CompactRunRecordCodec.decode(data);
+        } catch (UnreadableRecordException e) {
             if (unreadableKeys.add(key)) {
                 LOG.error(
                         "run record unreadable, its job is left alone: key={} reason=\"{}\"",
--- a/src/test/java/io/pepperfield/forms/HttpForms.java
+++ b/src/test/java/io/pepperfield/forms/HttpForms.java
@@ -162,7 +162,10 @@
     private void add(SnapshotSource.Page page) {
         file.add(
                 "page",
-                page.items().size() + " up to " + page.revision() + (page.more() ? ", more" : ""));
+                page.items().size()
+                        + " up to "
+                        + page.revision()
+                        + (page.hasMore() ? ", more" : ""));
     }
 
     private void commands() throws Exception {
--- a/src/test/java/io/pepperfield/recovery/ArchiveForms.java
+++ b/src/test/java/io/pepperfield/recovery/ArchiveForms.java
@@ -15,7 +15,7 @@
     /** Adds them. */
     public static void write(FormFile file) {
         byte[] page =
-                ArchiveItemsCodec.write(
+                ArchiveItemsCodec.encode(
                         List.of(
                                 new KeyValue(
                                         "pepperfield/leader", Json.object().put("node", "a"), 41),
@@ -36,12 +36,12 @@
                                         ArchiveWriter.sha256(page))));
         file.addRewrittenByField(
                 "manifest",
-                manifest.write(),
-                form -> text(ArchiveManifest.read(Json.write(form)).write()));
+                manifest.encode(),
+                form -> text(ArchiveManifest.decode(Json.write(form)).encode()));
     }
 
     private static String rewriteItems(JsonNode form) throws ArchiveException {
-        return text(ArchiveItemsCodec.write(ArchiveItemsCodec.read("page", Json.write(form))));
+        return text(ArchiveItemsCodec.encode(ArchiveItemsCodec.decode("page", Json.write(form))));
     }
 
     private static String text(byte[] form) {
--- a/src/test/java/io/pepperfield/recovery/StateArchiveTest.java
+++ b/src/test/java/io/pepperfield/recovery/StateArchiveTest.java
@@ -100,12 +100,12 @@
                 archive,
                 new StateArchive.Visitor() {
                     @Override
-                    public void item(KeyValue item) {
+                    public void visitItem(KeyValue item) {
                         modRevisions.put(item.key(), item.modRevision());
                     }
 
                     @Override
-                    public void change(KeyValue item) {
+                    public void visitChange(KeyValue item) {
                         if (item.value() == null) {
                             modRevisions.remove(item.key());
                         } else {
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void holdsOneRevisionAlthoughKeysChangeBetweenPages() throws Exception {
+    void archiveIsConsistentWhenKeysChangeBetweenPages() throws Exception {
         betweenPages.add(() -> set("job/run-000000", "again"));
         betweenPages.add(
                 () -> {
@@ -141,14 +141,14 @@
     }
 
     @Test
-    void readsOnceMoreWhereTheChangesAreForgotten() throws Exception {
+    void exportRetriesWhenChangesWereCompacted() throws Exception {
         forgotten = 1;
         export();
         assertEquals(now(), content(file));
     }
 
     @Test
-    void isWrittenWholeOrNotAtAll() throws Exception {
+    void exportIsAtomicAndDoesNotOverwrite() throws Exception {
         fails = true;
         assertThrows(IOException.class, this::export);
         try (var left = Files.list(directory)) {
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void namesTheFirstFault() throws Exception {
+    void inspectReportsTheFirstFault() throws Exception {
         export();
         byte[] whole = Files.readAllBytes(file);
         for (int length = 0; length < lengthWithManifest(whole); length += 97) {
--- a/src/test/java/io/pepperfield/rollout/CompactRunRecordsTest.java
+++ b/src/test/java/io/pepperfield/rollout/CompactRunRecordCodecTest.java
@@ -8,7 +8,7 @@
 import io.pepperfield.http.Json;
 import io.pepperfield.jobs.TaskState;
 import io.pepperfield.jobs.TaskState.Phase;
-import io.pepperfield.rollout.CompactRunRecords.UnreadableRecord;
+import io.pepperfield.rollout.CompactRunRecordCodec.UnreadableRecordException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -18,14 +18,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The compact form says the same as the first, and nothing else is taken for it. */
-class CompactRunRecordsTest {
+class CompactRunRecordCodecTest {
 
     private static JsonNode json(String text) {
         return Json.read(text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void groupsByStateAndMachine() {
+    void encodeGroupsTasksByPhaseAndMachine() {
         JsonNode first =
                 json(
                         "[[0,1,2],[1,1,2],[2,2,2],[3,1,1,\"m-1\",4],[4,1,1,\"m-1\",4],"
@@ -35,16 +35,16 @@
                         json(
                                 "{\"v\":2,\"done\":[0,2,1,2,1,2],\"gone\":[6,1,1],\"failed\":[8,1,3],"
                                         + "\"live\":[[\"m-1\",4,3,2,1],[\"m-2\",1,5,1,1]]}")),
-                String.valueOf(CompactRunRecords.encode(first)));
+                String.valueOf(CompactRunRecordCodec.encode(first)));
     }
 
     @Test
-    void anyRecordComesBackAsItWas() throws UnreadableRecord {
+    void decodeRestoresTheEncodedRecord() throws UnreadableRecordException {
         Random random = new Random(1);
         for (int round = 0; round < 500; round++) {
             JsonNode first = TaskState.encode(lines(random));
-            JsonNode second = Json.read(Json.write(CompactRunRecords.encode(first)));
-            assertEquals(first, CompactRunRecords.decode(second));
+            JsonNode second = Json.read(Json.write(CompactRunRecordCodec.encode(first)));
+            assertEquals(first, CompactRunRecordCodec.decode(second));
         }
     }
 
@@ -65,12 +65,12 @@
     }
 
     @Test
-    void aFullRecordOfManyMachinesIsSmallerThanTheFirstFormOfHalfAsManyTasks() {
+    void fullCompactRecordIsSmallerThanVersionOneRecordOfHalfTheTasks() {
         List<TaskState> lines = new ArrayList<>();
         for (int task = 0; task < 136; task++) {
             lines.add(new TaskState(task, 1, Phase.LIVE, "host-" + (100_000 + task / 4), 1));
         }
-        int second = Json.write(CompactRunRecords.encode(TaskState.encode(lines))).length;
+        int second = Json.write(CompactRunRecordCodec.encode(TaskState.encode(lines))).length;
         int first = Json.write(TaskState.encode(lines.subList(0, 68))).length;
         assertTrue(second < first, second + " bytes, and " + first);
     }
@@ -91,7 +91,8 @@
                 "{\"v\":2,\"live\":[[7,1,0,1,1]]}",
                 "{\"v\":2,\"live\":[\"m-1\"]}"
             })
-    void whatHasAnotherFormIsRefused(String text) {
-        assertThrows(UnreadableRecord.class, () -> CompactRunRecords.decode(json(text)));
+    void decodeRejectsMalformedRecords(String text) {
+        assertThrows(
+                UnreadableRecordException.class, () -> CompactRunRecordCodec.decode(json(text)));
     }
 }
--- a/src/test/java/io/pepperfield/rollout/RecordedVersionFencedTest.java
+++ b/src/test/java/io/pepperfield/rollout/RecordedVersionFencedTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void writesNothingAndLeadsNobody() throws IOException {
+    void recordedVersionNeitherWritesNorLeadsBesideANewerStoredVersion() throws IOException {
         ReplayTrace.check("recorded-version-fenced.txt", RecordedVersionFencedTest::play);
     }
 
--- a/src/test/java/io/pepperfield/rollout/RollbackRecordsTest.java
+++ b/src/test/java/io/pepperfield/rollout/RollbackRecordsTest.java
@@ -18,57 +18,59 @@
 class RollbackRecordsTest extends RolloutFixture {
 
     @Test
-    void aRecordIsInOneFormAndComesBackAsItWas() {
-        leader.write(LINES);
-        leader.hear();
+    void recordIsStoredInOneFormatAndRestoredByRollback() {
+        leader.writeRunRecord(TASK_STATES);
+        leader.sync();
         activate();
-        leader.hear();
-        leader.write(LATER);
-        assertNull(state.get(RECORD));
-        assertEquals(2, state.get(VersionedKeyValueStore.compactKey(RECORD)).path("v").asInt());
-        hearAll();
-        assertEquals(LATER, other.seen.get(RECORD));
-        leader.command("rollback", "{}");
-        passTime();
-        assertEquals(LATER, state.get(RECORD));
-        assertEquals(0, state.count(Keys.V2_RUN_RECORD_PREFIX));
+        leader.sync();
+        leader.writeRunRecord(UPDATED_TASK_STATES);
+        assertNull(store.get(RUN_RECORD_KEY));
+        assertEquals(
+                2, store.get(VersionedKeyValueStore.compactKey(RUN_RECORD_KEY)).path("v").asInt());
+        syncAll();
+        assertEquals(UPDATED_TASK_STATES, follower.values.get(RUN_RECORD_KEY));
+        leader.sendCommand("rollback", "{}");
+        advanceTime();
+        assertEquals(UPDATED_TASK_STATES, store.get(RUN_RECORD_KEY));
+        assertEquals(0, store.count(Keys.V2_RUN_RECORD_PREFIX));
         assertEquals(ClusterVersion.INITIAL, version());
-        assertEquals(LATER, other.seen.get(RECORD));
+        assertEquals(UPDATED_TASK_STATES, follower.values.get(RUN_RECORD_KEY));
     }
 
     @Test
-    void aRecordOfAnotherVersionIsPassedOnAsSuchAndNeverRewritten() {
+    void recordOfUnknownVersionIsReportedUnreadableAndNotRewritten() {
         activate();
         JsonNode unknown = Json.object().put("v", 3);
-        state.put(VersionedKeyValueStore.compactKey(RECORD), unknown);
-        hearAll();
-        assertEquals(TaskState.UNREADABLE_RECORD, leader.seen.get(RECORD));
-        leader.command("rollback", "{}");
-        passTime();
-        assertEquals(unknown, state.get(VersionedKeyValueStore.compactKey(RECORD)));
+        store.put(VersionedKeyValueStore.compactKey(RUN_RECORD_KEY), unknown);
+        syncAll();
+        assertEquals(TaskState.UNREADABLE_RECORD, leader.values.get(RUN_RECORD_KEY));
+        leader.sendCommand("rollback", "{}");
+        advanceTime();
+        assertEquals(unknown, store.get(VersionedKeyValueStore.compactKey(RUN_RECORD_KEY)));
         assertEquals(ClusterVersion.Phase.ROLLING_BACK, version().phase());
     }
 
     @Test
-    void recordsWrittenSinceAnUnfinishedRollbackAreFoundByTheNext() {
+    void rollbackRewritesRecordsWrittenAfterAnInterruptedRollback() {
         activate();
         for (int job = 1; job <= 6; job++) {
             assertInstanceOf(
                     CompareAndSwapOutcome.Committed.class,
-                    leader.write(Keys.runRecord("run-00000" + job, 0), LINES));
+                    leader.writeRunRecord(Keys.runRecord("run-00000" + job, 0), TASK_STATES));
         }
-        hearAll();
-        leader.command("rollback", "{}");
-        leader.hear();
-        assertEquals(2, state.count(Keys.V2_RUN_RECORD_PREFIX), "not rewritten yet");
-        assertEquals(200, leader.command("activate", ACTIVATE).status());
-        hearAll();
+        syncAll();
+        leader.sendCommand("rollback", "{}");
+        leader.sync();
+        assertEquals(2, store.count(Keys.V2_RUN_RECORD_PREFIX), "not rewritten yet");
+        assertEquals(200, leader.sendCommand("activate", ACTIVATE_BODY).status());
+        syncAll();
         // Compact once more, before the place that the rewriting had reached.
-        assertInstanceOf(CompareAndSwapOutcome.Committed.class, leader.write(LATER));
-        leader.command("rollback", "{}");
-        passTime();
-        assertEquals(0, state.count(Keys.V2_RUN_RECORD_PREFIX));
-        assertEquals(LATER, state.get(RECORD));
+        assertInstanceOf(
+                CompareAndSwapOutcome.Committed.class, leader.writeRunRecord(UPDATED_TASK_STATES));
+        leader.sendCommand("rollback", "{}");
+        advanceTime();
+        assertEquals(0, store.count(Keys.V2_RUN_RECORD_PREFIX));
+        assertEquals(UPDATED_TASK_STATES, store.get(RUN_RECORD_KEY));
         assertEquals(ClusterVersion.INITIAL, version());
     }
 
@@ -81,39 +83,40 @@
     }
 
     @Test
-    void aRecordThatNoLongerFitsInTheFirstFormIsDivided() {
-        spec = new JobSpecBuilder().id("run-000001").tasks(100).chunk(100).build();
+    void rollbackSplitsRecordTooLargeForVersionOne() {
+        jobSpec = new JobSpecBuilder().id("run-000001").tasks(100).chunk(100).build();
         List<TaskState> lines = longLines();
         activate();
-        leader.write(TaskState.encode(lines));
-        leader.hear();
-        leader.write(Keys.runRecord("run-000002", 0), LINES);
-        leader.hear();
-        state.maxValueBytes = 1024;
-        leader.command("rollback", "{}");
-        passTime();
+        leader.writeRunRecord(TaskState.encode(lines));
+        leader.sync();
+        leader.writeRunRecord(Keys.runRecord("run-000002", 0), TASK_STATES);
+        leader.sync();
+        store.maxValueBytes = 1024;
+        leader.sendCommand("rollback", "{}");
+        advanceTime();
         assertEquals(ClusterVersion.INITIAL, version());
         List<TaskState> found = new ArrayList<>();
         for (int part = 0; part < TaskState.SPLIT_PARTS; part++) {
-            found.addAll(TaskState.decode(state.get(spec.splitRecordKey(0, part))));
+            found.addAll(TaskState.decode(store.get(jobSpec.splitRecordKey(0, part))));
         }
         assertEquals(lines, found);
-        assertEquals(LINES.toString(), state.get(Keys.runRecord("run-000002", 0)).toString());
+        assertEquals(TASK_STATES.toString(), store.get(Keys.runRecord("run-000002", 0)).toString());
     }
 
     @Test
-    void aRecordThatCannotBeRewrittenKeepsNoOtherFromIt() {
+    void recordThatCannotBeRewrittenDoesNotBlockOtherRecords() {
         activate();
-        leader.write(TaskState.encode(longLines()));
-        leader.hear();
-        leader.write(Keys.runRecord("run-000002", 0), LINES);
-        leader.hear();
+        leader.writeRunRecord(TaskState.encode(longLines()));
+        leader.sync();
+        leader.writeRunRecord(Keys.runRecord("run-000002", 0), TASK_STATES);
+        leader.sync();
         // It does not fit any more, and its job, which says how to divide it, is not known.
-        state.maxValueBytes = 1024;
-        leader.command("rollback", "{}");
-        passTime();
-        assertEquals(LINES.toString(), String.valueOf(state.get(Keys.runRecord("run-000002", 0))));
-        assertEquals(1, state.count(Keys.V2_RUN_RECORD_PREFIX));
+        store.maxValueBytes = 1024;
+        leader.sendCommand("rollback", "{}");
+        advanceTime();
+        assertEquals(
+                TASK_STATES.toString(), String.valueOf(store.get(Keys.runRecord("run-000002", 0))));
+        assertEquals(1, store.count(Keys.V2_RUN_RECORD_PREFIX));
         assertEquals(ClusterVersion.Phase.ROLLING_BACK, version().phase());
     }
 }
--- a/src/test/java/io/pepperfield/rollout/RolloutCommandForms.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutCommandForms.java
@@ -27,12 +27,12 @@
     private RolloutCommandForms() {
         Settings settings = RegionSettings.of(0, 3, new Settings.StoreLimits(150, 60, 8, 32));
         MemberRegistry registry = new MemberRegistry(settings);
-        registry.changed("node-0", new MemberRelease(NEWER, "a-process", 0).write(), 9);
+        registry.onMemberChanged("node-0", new MemberRelease(NEWER, "a-process", 0).toJson(), 9);
         NoOpKeyValueStore state = new NoOpKeyValueStore() {};
         VersionedKeyValueStore forms = new VersionedKeyValueStore(state, gate);
         VersionTransitions versions = new VersionTransitions(state, gate, forms, registry, this);
         requests = new RolloutRequestHandler(gate, forms, registry, versions, this);
-        gate.replicaLoaded();
+        gate.markReplicaLoaded();
     }
 
     /** Adds them. */
@@ -46,10 +46,11 @@
         RolloutCommandForms forms = new RolloutCommandForms();
         forms.requests.handle(
                 forms.call("GET", "", new byte[0]), reply -> file.add("status", reply));
-        forms.gate.changed(ClusterVersion.INITIAL.activated(2, List.of("node-2")).write(), 17);
+        forms.gate.onVersionChanged(
+                ClusterVersion.INITIAL.activated(2, List.of("node-2")).toJson(), 17);
         forms.requests.handle(
                 forms.call("GET", "", new byte[0]), reply -> file.add("status once active", reply));
-        forms.gate.changed(new ClusterVersion(3, 3, 3, List.of()).write(), 18);
+        forms.gate.onVersionChanged(new ClusterVersion(3, 3, 3, List.of()).toJson(), 18);
         forms.requests.handle(
                 forms.call("GET", "", new byte[0]), reply -> file.add("status beyond", reply));
     }
--- a/src/test/java/io/pepperfield/rollout/RolloutCommandsTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutCommandsTest.java
@@ -14,93 +14,100 @@
 class RolloutCommandsTest extends RolloutFixture {
 
     @Test
-    void commandsMayBeRepeatedAfterALostAnswer() {
-        state.losesAnswers = true;
-        assertEquals(503, leader.command("activate", ACTIVATE).status());
-        state.losesAnswers = false;
+    void commandsCanBeRepeatedAfterALostResponse() {
+        store.losesAnswers = true;
+        assertEquals(503, leader.sendCommand("activate", ACTIVATE_BODY).status());
+        store.losesAnswers = false;
         // Not heard of yet: neither done nor refused for good.
-        assertEquals(503, leader.command("activate", ACTIVATE).status());
-        hearAll();
-        assertEquals(200, leader.command("activate", ACTIVATE).status());
-        assertEquals(200, leader.command("rollback", "{}").status());
-        hearAll();
-        hearAll();
-        assertEquals(200, leader.command("rollback", "{}").status());
-        passTime();
-        assertEquals(200, leader.command("rollback", "{}").status());
+        assertEquals(503, leader.sendCommand("activate", ACTIVATE_BODY).status());
+        syncAll();
+        assertEquals(200, leader.sendCommand("activate", ACTIVATE_BODY).status());
+        assertEquals(200, leader.sendCommand("rollback", "{}").status());
+        syncAll();
+        syncAll();
+        assertEquals(200, leader.sendCommand("rollback", "{}").status());
+        advanceTime();
+        assertEquals(200, leader.sendCommand("rollback", "{}").status());
         assertEquals(ClusterVersion.INITIAL, version());
     }
 
     @Test
-    void isNotCalledActiveByWhoHasNotHeardOfARollback() {
+    void activateIsUnavailableToLeaderWithStaleVersionDuringRollback() {
         activate();
-        state.put(Keys.ROLLOUT_VERSION, version().rollingBack().write());
-        assertEquals(503, leader.command("activate", ACTIVATE).status());
+        store.put(Keys.ROLLOUT_VERSION, version().rollingBack().toJson());
+        assertEquals(503, leader.sendCommand("activate", ACTIVATE_BODY).status());
     }
 
     @Test
-    void isNotCalledTheOnlyOneByWhoHasNotHeardOfAnActivation() {
-        state.put(Keys.ROLLOUT_VERSION, ClusterVersion.INITIAL.activated(2, List.of()).write());
-        assertEquals(503, leader.command("rollback", "{}").status());
+    void rollbackIsUnavailableToLeaderWithStaleVersionAfterActivation() {
+        store.put(Keys.ROLLOUT_VERSION, ClusterVersion.INITIAL.activated(2, List.of()).toJson());
+        assertEquals(503, leader.sendCommand("rollback", "{}").status());
     }
 
     @Test
-    void refusesWhatCannotBeAndWritesNothing() {
-        int before = state.mutations;
+    void invalidCommandsAreRejectedWithoutWrites() {
+        int before = store.mutations;
         assertEquals(
                 "version 3 is not known to this release, which writes 2",
-                why(leader.command("activate", "{\"to\":3,\"olderReleasesRetired\":true}")));
+                errorText(
+                        leader.sendCommand(
+                                "activate", "{\"to\":3,\"olderReleasesRetired\":true}")));
         assertEquals(
                 "version 0 cannot follow version 1",
-                why(leader.command("activate", "{\"to\":0,\"olderReleasesRetired\":true}")));
-        assertEquals(400, leader.command("activate", "{\"to\":\"two\"}").status());
-        assertEquals(400, leader.command("activate", "{").status());
+                errorText(
+                        leader.sendCommand(
+                                "activate", "{\"to\":0,\"olderReleasesRetired\":true}")));
+        assertEquals(400, leader.sendCommand("activate", "{\"to\":\"two\"}").status());
+        assertEquals(400, leader.sendCommand("activate", "{").status());
         assertEquals(
                 "node-7 is no configured controller",
-                why(
-                        leader.command(
+                errorText(
+                        leader.sendCommand(
                                 "activate",
                                 "{\"without\":[\"node-7\"],\"olderReleasesRetired\":true}")));
         assertTrue(
-                why(leader.command("activate", "{}")).contains("--older-releases-retired"),
+                errorText(leader.sendCommand("activate", "{}"))
+                        .contains("--older-releases-retired"),
                 "an operator's word");
-        assertEquals(404, leader.command("frob", "{}").status());
-        assertEquals("not the leader, which is node-0", why(other.command("activate", ACTIVATE)));
-        assertEquals(before, state.mutations);
+        assertEquals(404, leader.sendCommand("frob", "{}").status());
+        assertEquals(
+                "not the leader, which is node-0",
+                errorText(follower.sendCommand("activate", ACTIVATE_BODY)));
+        assertEquals(before, store.mutations);
     }
 
     @Test
-    void aControllerThatNeverComesBackIsLeftOutByName() {
+    void activationProceedsOnceMissingControllerIsExcluded() {
         Node alone = new Node(0, Release.CURRENT);
-        alone.leads = true;
-        alone.hear();
-        state.put(Keys.ROLLOUT_MEMBER_PREFIX + "node-1", Json.object());
-        alone.hear();
+        alone.isLeader = true;
+        alone.sync();
+        store.put(Keys.ROLLOUT_MEMBER_PREFIX + "node-1", Json.object());
+        alone.sync();
         assertEquals(
                 "waits for: node-1 has declared no release",
-                why(alone.command("activate", ACTIVATE)));
+                errorText(alone.sendCommand("activate", ACTIVATE_BODY)));
         String without = "{\"without\":[\"node-1\"],\"olderReleasesRetired\":true}";
-        assertEquals(200, alone.command("activate", without).status());
-        assertEquals(List.of("node-1"), version().removedControllers());
+        assertEquals(200, alone.sendCommand("activate", without).status());
+        assertEquals(List.of("node-1"), version().excludedControllers());
     }
 
     @Test
-    void aVersionRecordThatIsGoneOrUnreadableLetsNobodyServe() {
+    void controllerStopsServingIfVersionRecordIsDeletedOrUnreadable() {
         activate();
-        leader.rollout.changed(Keys.ROLLOUT_VERSION, null, 90);
+        leader.rollout.onKeyChanged(Keys.ROLLOUT_VERSION, null, 90);
         assertFalse(leader.rollout.gate().mayServe());
-        other.rollout.changed(Keys.ROLLOUT_VERSION, Json.object().put("writes", 1), 90);
-        assertFalse(other.rollout.gate().mayServe());
+        follower.rollout.onKeyChanged(Keys.ROLLOUT_VERSION, Json.object().put("writes", 1), 90);
+        assertFalse(follower.rollout.gate().mayServe());
     }
 
     @Test
-    void whoLooksAtTheKeysWithoutAGateFindsAnotherLeader() {
+    void versionOneLeaderKeyHoldsFenceUntilRollbackCompletes() {
         activate();
         KeyValue fence =
-                new KeyValue(Keys.LEADER, state.get(Keys.LEADER), state.modRevision(Keys.LEADER));
+                new KeyValue(Keys.LEADER, store.get(Keys.LEADER), store.modRevision(Keys.LEADER));
         assertEquals("stored-version-fence", fence.value().path("node").asText());
-        leader.command("rollback", "{}");
-        passTime();
-        assertEquals("node-0", state.get(Keys.LEADER).path("node").asText());
+        leader.sendCommand("rollback", "{}");
+        advanceTime();
+        assertEquals("node-0", store.get(Keys.LEADER).path("node").asText());
     }
 }
--- a/src/test/java/io/pepperfield/rollout/RolloutFixture.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutFixture.java
@@ -31,42 +31,42 @@
  */
 abstract class RolloutFixture {
 
-    static final String RECORD = Keys.runRecord("run-000001", 0);
-    static final String ACTIVATE = "{\"olderReleasesRetired\":true}";
-    static final JsonNode LINES = Json.read(bytes("[[0,1,1,\"host-1\",1],[1,1,2]]"));
-    static final JsonNode LATER = Json.read(bytes("[[0,1,2],[1,1,2]]"));
-    static final Release GATED = new Release("gated", 1, 1, 1);
+    static final String RUN_RECORD_KEY = Keys.runRecord("run-000001", 0);
+    static final String ACTIVATE_BODY = "{\"olderReleasesRetired\":true}";
+    static final JsonNode TASK_STATES = Json.read(bytes("[[0,1,1,\"host-1\",1],[1,1,2]]"));
+    static final JsonNode UPDATED_TASK_STATES = Json.read(bytes("[[0,1,2],[1,1,2]]"));
+    static final Release GATED_RELEASE = new Release("gated", 1, 1, 1);
     private static final double SECONDS = 20;
 
-    JobSpec spec;
-    final InMemoryKeyValueStore state = new InMemoryKeyValueStore();
+    JobSpec jobSpec;
+    final InMemoryKeyValueStore store = new InMemoryKeyValueStore();
     Node leader;
-    Node other;
+    Node follower;
     private final SimulatedLoop loop = new SimulatedLoop();
 
     /** A controller as far as the rollout is concerned; it leads if it is told that it does. */
     final class Node implements LeadershipView {
         final Rollout rollout;
         final Map<String, Long> modRevisions = new HashMap<>();
-        final Map<String, JsonNode> seen = new HashMap<>();
+        final Map<String, JsonNode> values = new HashMap<>();
         final Replica replica = new Replica(this::changed);
-        boolean leads;
+        boolean isLeader;
 
         Node(int index, Release release) {
-            rollout = new Rollout(loop, settings(index), state, release);
-            rollout.attach(this, id -> spec);
+            rollout = new Rollout(loop, settings(index), store, release);
+            rollout.attach(this, id -> jobSpec);
         }
 
         private void changed(String key, JsonNode data, long modRevision) {
             modRevisions.put(key, modRevision);
-            seen.put(key, data);
+            values.put(key, data);
             if (key.startsWith(Keys.ROLLOUT_PREFIX)) {
-                rollout.changed(key, data, modRevision);
+                rollout.onKeyChanged(key, data, modRevision);
             }
         }
 
         /** Hears all that has been written, and does what is due. */
-        void hear() {
+        void sync() {
             rollout.keyValueStore()
                     .watch(
                             replica.revision(),
@@ -78,11 +78,11 @@
             rollout.tick();
         }
 
-        CompareAndSwapOutcome write(JsonNode lines) {
-            return write(RECORD, lines);
+        CompareAndSwapOutcome writeRunRecord(JsonNode lines) {
+            return writeRunRecord(RUN_RECORD_KEY, lines);
         }
 
-        CompareAndSwapOutcome write(String record, JsonNode lines) {
+        CompareAndSwapOutcome writeRunRecord(String record, JsonNode lines) {
             CompareAndSwapOutcome[] got = new CompareAndSwapOutcome[1];
             rollout.keyValueStore()
                     .compareAndSwap(
@@ -96,7 +96,7 @@
             return got[0];
         }
 
-        HttpReply command(String name, String body) {
+        HttpReply sendCommand(String name, String body) {
             HttpReply[] got = new HttpReply[1];
             rollout.handle(
                     SimWorld.call("POST", "/api/rollout/" + name, bytes(body)),
@@ -106,7 +106,7 @@
 
         @Override
         public boolean holdsValidLease() {
-            return leads;
+            return isLeader;
         }
 
         @Override
@@ -139,38 +139,38 @@
     }
 
     @BeforeEach
-    void start() {
-        state.put(Keys.LEADER, Json.object().put("node", "node-0").put("grant", 1));
+    void setUp() {
+        store.put(Keys.LEADER, Json.object().put("node", "node-0").put("grant", 1));
         leader = new Node(0, Release.CURRENT);
-        leader.leads = true;
-        other = new Node(1, Release.CURRENT);
-        hearAll();
-        hearAll();
+        leader.isLeader = true;
+        follower = new Node(1, Release.CURRENT);
+        syncAll();
+        syncAll();
     }
 
-    void hearAll() {
-        leader.hear();
-        other.hear();
+    void syncAll() {
+        leader.sync();
+        follower.sync();
     }
 
-    void passTime() {
+    void advanceTime() {
         double until = loop.now() + SECONDS;
         while (loop.now() < until) {
             loop.run(loop.now() + 0.5);
-            hearAll();
+            syncAll();
         }
     }
 
     void activate() {
-        assertEquals(200, leader.command("activate", ACTIVATE).status());
-        hearAll();
+        assertEquals(200, leader.sendCommand("activate", ACTIVATE_BODY).status());
+        syncAll();
     }
 
-    static String why(HttpReply reply) {
+    static String errorText(HttpReply reply) {
         return Json.read(reply.body()).path("error").asText();
     }
 
     ClusterVersion version() {
-        return ClusterVersion.read(state.get(Keys.ROLLOUT_VERSION)).orElseThrow();
+        return ClusterVersion.fromJson(store.get(Keys.ROLLOUT_VERSION)).orElseThrow();
     }
 }
--- a/src/test/java/io/pepperfield/rollout/RolloutForms.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutForms.java
@@ -25,7 +25,7 @@
     /** Adds them. */
     public static void write(FormFile file) {
         file.add("path", Rollout.PATH);
-        file.add("this release", new MemberRelease(Release.CURRENT, "a-process", 9).write());
+        file.add("this release", new MemberRelease(Release.CURRENT, "a-process", 9).toJson());
         for (ClusterVersion version :
                 List.of(
                         ClusterVersion.INITIAL,
@@ -34,27 +34,27 @@
                         ACTIVE.rollingBack(),
                         ACTIVE.rolledBack())) {
             file.add("phase", version.phase().name());
-            file.addRewritten("version", version.write(), RolloutForms::rewriteVersion);
+            file.addRewritten("version", version.toJson(), RolloutForms::rewriteVersion);
         }
-        file.addRead("version", ACTIVE.write(), RolloutForms::rewriteVersion);
+        file.addRead("version", ACTIVE.toJson(), RolloutForms::rewriteVersion);
         MemberRelease member = new MemberRelease(new Release("9.1.0", 1, 3, 2), "a-process", 9);
-        file.addRewrittenByField("member", member.write(), RolloutForms::rewriteMember);
+        file.addRewrittenByField("member", member.toJson(), RolloutForms::rewriteMember);
         file.add("fence", VersionedKeyValueStore.fenceValue());
         String key = Keys.runRecord("run-000412", 3);
         file.add("key of a compact run record", VersionedKeyValueStore.compactKey(key));
         file.add(
                 "and back",
-                VersionedKeyValueStore.firstFormKey(VersionedKeyValueStore.compactKey(key)));
+                VersionedKeyValueStore.versionOneKey(VersionedKeyValueStore.compactKey(key)));
         JsonNode first = TaskState.encode(lines());
         file.add("run record", first);
         file.addRewritten(
                 "compact run record",
-                CompactRunRecords.encode(first),
-                form -> text(CompactRunRecords.encode(CompactRunRecords.decode(form))));
+                CompactRunRecordCodec.encode(first),
+                form -> text(CompactRunRecordCodec.encode(CompactRunRecordCodec.decode(form))));
         file.addRead(
                 "compact run record decoded",
-                CompactRunRecords.encode(first),
-                form -> text(CompactRunRecords.decode(form)));
+                CompactRunRecordCodec.encode(first),
+                form -> text(CompactRunRecordCodec.decode(form)));
         writeTransactions(file);
         file.add("done", new RolloutResult.Completed("version 2 is active").toReply());
         file.add("refused", new RolloutResult.Refused("a rollback is under way").toReply());
@@ -74,13 +74,13 @@
     }
 
     private static String rewriteVersion(JsonNode form) {
-        ClusterVersion version = ClusterVersion.read(form).orElse(null);
-        return version == null ? null : text(version.write());
+        ClusterVersion version = ClusterVersion.fromJson(form).orElse(null);
+        return version == null ? null : text(version.toJson());
     }
 
     private static String rewriteMember(JsonNode form) {
-        MemberRelease member = MemberRelease.read(form, 9).orElse(null);
-        return member == null ? null : text(member.write());
+        MemberRelease member = MemberRelease.fromJson(form, 9).orElse(null);
+        return member == null ? null : text(member.toJson());
     }
 
     /** How the transactions of the rest of the program are stored in each version. */
@@ -88,8 +88,8 @@
         KeyValueStore raw = new RecordingStateService(file);
         for (ClusterVersion version : List.of(ClusterVersion.INITIAL, ACTIVE)) {
             VersionGate gate = new VersionGate(Release.CURRENT);
-            gate.changed(version.write(), 17);
-            gate.replicaLoaded();
+            gate.onVersionChanged(version.toJson(), 17);
+            gate.markReplicaLoaded();
             new VersionedKeyValueStore(raw, gate)
                     .compareAndSwap(
                             RequestPriority.LEADER_WRITE,
--- a/src/test/java/io/pepperfield/rollout/RolloutLoopbackTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutLoopbackTest.java
@@ -83,7 +83,7 @@
     }
 
     private ClusterVersion version() throws Exception {
-        return ClusterVersion.read(region.durable("pepperfield/rollout/version")).orElseThrow();
+        return ClusterVersion.fromJson(region.durable("pepperfield/rollout/version")).orElseThrow();
     }
 
     private void untilDeclared(int node, String release) throws Exception {
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void noRecordIsMisreadAndNoJobLostWhateverTheOrder() throws Exception {
+    void jobsAndRecordsSurviveUpgradesCrashesAndRollback() throws Exception {
         region = new LoopbackRegion(CONTROLLERS);
         region.checkRollout();
         List<Integer> order = new ArrayList<>();
@@ -160,6 +160,6 @@
                 null,
                 answer -> answer.json().path("highest").asInt() == StoredVersions.FIRST);
         assertEquals(List.of(), region.violations);
-        assertTrue(version().removedControllers().isEmpty());
+        assertTrue(version().excludedControllers().isEmpty());
     }
 }
--- a/src/test/java/io/pepperfield/rollout/RolloutMeasurement.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutMeasurement.java
@@ -75,7 +75,7 @@
     private static void rollback() {
         SimulatedLoop loop = new SimulatedLoop();
         InMemoryKeyValueStore state = new InMemoryKeyValueStore();
-        JsonNode record = CompactRunRecords.encode(TaskState.encode(lines()));
+        JsonNode record = CompactRunRecordCodec.encode(TaskState.encode(lines()));
         for (int job = 0; job < RECORDS; job++) {
             state.put(
                     Keys.V2_RUN_RECORD_PREFIX + String.format(Locale.ROOT, "run-%06d/0", job),
@@ -83,11 +83,11 @@
         }
         ClusterVersion active = ClusterVersion.INITIAL.activated(2, List.of());
         state.put(Keys.V2_LEADER, new Lead(state).leaderKeyValue());
-        state.put(Keys.ROLLOUT_VERSION, active.rollingBack().write());
+        state.put(Keys.ROLLOUT_VERSION, active.rollingBack().toJson());
         Settings settings = RegionSettings.of(0, 1, new Settings.StoreLimits(150, 50, 8, 40));
         Rollout rollout = new Rollout(loop, settings, state, Release.CURRENT);
         rollout.attach(new Lead(state), id -> null);
-        rollout.changed(
+        rollout.onKeyChanged(
                 Keys.ROLLOUT_VERSION,
                 state.get(Keys.ROLLOUT_VERSION),
                 state.modRevision(Keys.ROLLOUT_VERSION));
--- a/src/test/java/io/pepperfield/rollout/RolloutSimulationTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutSimulationTest.java
@@ -56,7 +56,9 @@
 
     private static ClusterVersion version(SimulatedRegion region) {
         JsonNode record = region.durable("pepperfield/rollout/version");
-        return record == null ? ClusterVersion.INITIAL : ClusterVersion.read(record).orElseThrow();
+        return record == null
+                ? ClusterVersion.INITIAL
+                : ClusterVersion.fromJson(record).orElseThrow();
     }
 
     private static void playEach(Scenario scenario, long seed, Phase phase) {
@@ -76,7 +78,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void activationWaitsForTheLastControllerAndTheWayBackLeavesNothing(long seed) {
+    void activationWaitsForAllControllersAndRollbackLeavesNoNewerRecords(long seed) {
         playEach(
                 upgraded(40)
                         .at(60, new LargeArrays(3, 150, 6))
@@ -88,7 +90,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void processesEndAndComeBackOldWhileVersionsChange(long seed) {
+    void versionChangesSurviveCrashesAndDowngrades(long seed) {
         Scenario day =
                 upgraded(50)
                         .at(25, new ControllerCrash(ControllerSelector.LEADER, 0.2))
@@ -109,7 +111,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void theLimitsFallAndTheStateServiceIsAwayMidway(long seed) {
+    void rollbackSurvivesLimitReductionAndStoreOutage(long seed) {
         playEach(
                 upgraded(40)
                         .at(45, new StoreLimitsReduction())
@@ -124,7 +126,7 @@
     /** Records as large as the recorded version makes them, which fit any more only if compact. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void whatNoLongerFitsInTheFirstFormIsDividedOnTheWayBack(long seed) {
+    void rollbackSplitsRecordsTooLargeForVersionOne(long seed) {
         for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
             SimulatedRegion region =
                     SimulatedRegion.beforeRollout(seed + 1000L * more, Version.RECORDED);
@@ -151,7 +153,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14, 15, 16})
-    void noRuleBreaksWhateverFailsDuringARollout(long seed) {
+    void invariantsHoldUnderRandomFaultsDuringARollout(long seed) {
         for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
             troubledRollout(seed + 1000L * more);
         }
@@ -193,7 +195,7 @@
     }
 
     @Test
-    void aControllerOnOldCodeHoldsUpTheActivationUntilItIsNamed() {
+    void controllerOnOldReleaseBlocksActivation() {
         SimulatedRegion region = SimulatedRegion.beforeRollout(7, Version.ROLLOUT);
         Scenario day = Scenario.jobs(10, 2).at(20, new OperatorCommand(Command.ACTIVATE, 5));
         region.play(day);
@@ -209,7 +211,7 @@
     }
 
     @Test
-    void finalLeavesNoWayBack() {
+    void rollbackIsRefusedAfterFinalization() {
         SimulatedRegion region =
                 play(
                         Scenario.jobs(10, 2)
@@ -230,7 +232,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void theRecordedVersionIsKeptFromLeadingOnceAnotherIsActive(long seed) {
+    void recordedVersionCannotLeadWhileNewerVersionIsActive(long seed) {
         SimulatedRegion region = SimulatedRegion.beforeRollout(seed, Version.ROLLOUT);
         Scenario day =
                 Scenario.jobs(30, 2)
--- a/src/test/java/io/pepperfield/rollout/RolloutWritesTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutWritesTest.java
@@ -20,90 +20,90 @@
 class RolloutWritesTest extends RolloutFixture {
 
     @Test
-    void aWriteOfBeforeTheActivationIsRefusedWheneverItArrives() {
-        state.holdsTransactions = true;
-        leader.write(LINES);
-        state.holdsTransactions = false;
+    void delayedWriteFromBeforeActivationConflicts() {
+        store.holdsTransactions = true;
+        leader.writeRunRecord(TASK_STATES);
+        store.holdsTransactions = false;
         activate();
-        assertInstanceOf(CompareAndSwapOutcome.Conflict.class, state.carryOutHeld().get(0));
-        assertNull(state.get(RECORD));
+        assertInstanceOf(CompareAndSwapOutcome.Conflict.class, store.carryOutHeld().get(0));
+        assertNull(store.get(RUN_RECORD_KEY));
     }
 
     @Test
-    void aWriterThatHasNotHeardOfTheActivationIsToldToTryAgain() {
-        assertEquals(200, leader.command("activate", ACTIVATE).status());
-        assertEquals(new CompareAndSwapOutcome.Refused(409), other.write(LINES));
-        hearAll();
-        assertInstanceOf(CompareAndSwapOutcome.Committed.class, leader.write(LINES));
+    void writeWithStaleVersionIsRefusedAsRetryable() {
+        assertEquals(200, leader.sendCommand("activate", ACTIVATE_BODY).status());
+        assertEquals(new CompareAndSwapOutcome.Refused(409), follower.writeRunRecord(TASK_STATES));
+        syncAll();
+        assertInstanceOf(CompareAndSwapOutcome.Committed.class, leader.writeRunRecord(TASK_STATES));
     }
 
     @Test
-    void anOldProcessThatDeclaresItselfInTheLastMomentHoldsUpTheActivation() {
+    void oldReleaseDeclaredJustBeforeActivationBlocksIt() {
         // The leader has not heard of it yet.
-        state.put(
+        store.put(
                 Keys.ROLLOUT_MEMBER_PREFIX + "node-1",
-                new MemberRelease(GATED, "another", 0).write());
-        assertEquals(503, leader.command("activate", ACTIVATE).status());
-        assertNull(state.get(Keys.ROLLOUT_VERSION));
-        leader.hear();
+                new MemberRelease(GATED_RELEASE, "another", 0).toJson());
+        assertEquals(503, leader.sendCommand("activate", ACTIVATE_BODY).status());
+        assertNull(store.get(Keys.ROLLOUT_VERSION));
+        leader.sync();
         assertEquals(
                 "waits for: node-1 runs gated, which writes 1",
-                why(leader.command("activate", ACTIVATE)));
+                errorText(leader.sendCommand("activate", ACTIVATE_BODY)));
     }
 
     @Test
-    void aReplacedLeaderChangesNothing() {
-        state.put(Keys.LEADER, Json.object().put("node", "node-1").put("grant", 2));
-        assertEquals(503, leader.command("activate", ACTIVATE).status());
-        assertNull(state.get(Keys.ROLLOUT_VERSION));
+    void replacedLeaderCannotActivate() {
+        store.put(Keys.LEADER, Json.object().put("node", "node-1").put("grant", 2));
+        assertEquals(503, leader.sendCommand("activate", ACTIVATE_BODY).status());
+        assertNull(store.get(Keys.ROLLOUT_VERSION));
     }
 
     @Test
-    void aReleaseThatLacksTheVersionWritesNothingAndSaysWhy() {
+    void incompatibleReleaseRefusesWritesAndReportsTheReason() {
         activate();
-        Node old = new Node(1, GATED);
-        old.hear();
+        Node old = new Node(1, GATED_RELEASE);
+        old.sync();
         assertFalse(old.rollout.gate().mayServe());
-        assertEquals(new CompareAndSwapOutcome.Refused(503), old.write(LINES));
-        old.leads = true;
+        assertEquals(new CompareAndSwapOutcome.Refused(503), old.writeRunRecord(TASK_STATES));
+        old.isLeader = true;
         assertEquals(
                 "serving nobody: stored-state version 2 is in use, and release gated reads 1 to 1",
-                why(old.command("rollback", "{}")));
+                errorText(old.sendCommand("rollback", "{}")));
     }
 
     @Test
-    void aReleaseThatLacksTheVersionServesNobodyBeforeARollbackHasEnded() {
+    void incompatibleReleaseServesOnlyAfterRollbackCompletes() {
         activate();
-        leader.write(LINES);
-        leader.command("rollback", "{}");
-        Node old = new Node(1, GATED);
-        old.hear();
+        leader.writeRunRecord(TASK_STATES);
+        leader.sendCommand("rollback", "{}");
+        Node old = new Node(1, GATED_RELEASE);
+        old.sync();
         assertFalse(old.rollout.gate().mayServe());
-        passTime();
-        old.hear();
+        advanceTime();
+        old.sync();
         assertTrue(old.rollout.gate().mayServe());
-        assertEquals(LINES.toString(), old.seen.get(RECORD).toString());
+        assertEquals(TASK_STATES.toString(), old.values.get(RUN_RECORD_KEY).toString());
     }
 
     @Test
-    void aFullTransactionThatChangesTheFormOfAllItsRecordsIsNotTooLarge() {
-        state.maxMutations = 8;
+    void transactionAtTheLimitFitsWhenAllItsRecordsChangeFormat() {
+        store.maxMutations = 8;
         assertEquals(8, leader.rollout.transactionLimits().maxMutations());
         assertEquals(4 * 8 - 1, leader.rollout.transactionLimits().maxPreconditions());
         List<Precondition> guards =
                 new ArrayList<>(
                         List.of(new Precondition(Keys.LEADER, leader.fencingToken().value())));
         for (int job = 1; job <= 4; job++) {
-            leader.write(Keys.runRecord("run-00000" + job, 0), LINES);
+            leader.writeRunRecord(Keys.runRecord("run-00000" + job, 0), TASK_STATES);
         }
-        leader.hear();
+        leader.sync();
         activate();
         int most = leader.rollout.transactionLimits().maxMutations();
         List<Mutation> changes = new ArrayList<>();
         for (int job = 1; job <= most; job++) {
             String key = Keys.runRecord("run-00000" + job, 0);
             guards.add(new Precondition(key, leader.modRevisions.getOrDefault(key, 0L)));
-            changes.add(Mutation.set(key, LATER));
+            changes.add(Mutation.set(key, UPDATED_TASK_STATES));
         }
         guards.set(0, new Precondition(Keys.LEADER, leader.fencingToken().value()));
         CompareAndSwapOutcome[] got = new CompareAndSwapOutcome[1];
@@ -116,18 +116,19 @@
     }
 
     @Test
-    void aRecordThatWasRewrittenMeanwhileKeepsTheNewerLines() {
+    void rollbackRewriteDoesNotOverwriteNewerTaskStates() {
         activate();
-        leader.write(LINES);
-        leader.hear();
-        leader.command("rollback", "{}");
+        leader.writeRunRecord(TASK_STATES);
+        leader.sync();
+        leader.sendCommand("rollback", "{}");
         // The rewriting reads the record, and its transaction is carried out late.
-        state.holdsTransactions = true;
-        leader.hear();
-        state.holdsTransactions = false;
-        assertInstanceOf(CompareAndSwapOutcome.Committed.class, leader.write(LATER));
-        assertInstanceOf(CompareAndSwapOutcome.Conflict.class, state.carryOutHeld().get(0));
-        passTime();
-        assertEquals(LATER, state.get(RECORD));
+        store.holdsTransactions = true;
+        leader.sync();
+        store.holdsTransactions = false;
+        assertInstanceOf(
+                CompareAndSwapOutcome.Committed.class, leader.writeRunRecord(UPDATED_TASK_STATES));
+        assertInstanceOf(CompareAndSwapOutcome.Conflict.class, store.carryOutHeld().get(0));
+        advanceTime();
+        assertEquals(UPDATED_TASK_STATES, store.get(RUN_RECORD_KEY));
     }
 }
