--- a/src/main/java/io/pepperfield/recovery/ArchiveException.java
+++ b/src/main/java/io/pepperfield/recovery/ArchiveException.java
@@ -1,11 +1,11 @@
 package io.pepperfield.recovery;
 
-/** The first thing found wrong with an archive. */
+/** Thrown for an archive that is incomplete, damaged or unknown; describes the first fault. */
 public final class ArchiveException extends Exception {
 
     private static final long serialVersionUID = 1;
 
-    ArchiveException(String what) {
-        super(what);
+    ArchiveException(String fault) {
+        super(fault);
     }
 }
--- a/src/main/java/io/pepperfield/recovery/ArchiveItemsCodec.java
+++ b/src/main/java/io/pepperfield/recovery/ArchiveItemsCodec.java
@@ -9,30 +9,31 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Keys with their values and revisions, as an entry of an archive holds them. */
+/** Encodes and decodes an archive entry: keys with their values and modification revisions. */
 final class ArchiveItemsCodec {
 
     private ArchiveItemsCodec() {}
 
     static byte[] encode(List<KeyValue> items) {
-        ArrayNode all = Json.array();
+        ArrayNode keys = Json.array();
         for (KeyValue item : items) {
-            ObjectNode node = all.addObject().put("k", item.key()).put("stamp", item.modRevision());
+            ObjectNode node =
+                    keys.addObject().put("k", item.key()).put("stamp", item.modRevision());
             if (item.value() != null) {
                 node.set("data", item.value());
             }
         }
-        return Json.write(all);
+        return Json.write(keys);
     }
 
-    /** Reads an entry; a key without data was deleted. */
+    /** Decodes an entry; a key without data was deleted. */
     static List<KeyValue> decode(String entry, byte[] bytes) throws ArchiveException {
-        JsonNode all = Json.read(bytes);
-        if (all == null || !all.isArray()) {
-            throw new ArchiveException(entry + ": no list of keys");
+        JsonNode keys = Json.read(bytes);
+        if (keys == null || !keys.isArray()) {
+            throw new ArchiveException(entry + ": expected a JSON array of keys");
         }
         List<KeyValue> items = new ArrayList<>();
-        for (JsonNode node : all) {
+        for (JsonNode node : keys) {
             String key = node.path("k").asText();
             if (!key.startsWith(Keys.ROOT) || !node.path("stamp").isIntegralNumber()) {
                 throw new ArchiveException(
--- a/src/main/java/io/pepperfield/recovery/ArchiveManifest.java
+++ b/src/main/java/io/pepperfield/recovery/ArchiveManifest.java
@@ -8,31 +8,33 @@
 import java.util.List;
 
 /**
- * The last entry of an archive: what the others must be.
+ * The last entry of an archive, against which the others are verified.
  *
- * @param revision of the state service that the pages with the changes amount to
- * @param controllers of the cluster, by name
- * @param entries in their order
+ * @param revision revision of the state service that the archive represents once the changes are
+ *     applied to the pages
+ * @param controllers names of the cluster's controllers
+ * @param entries the other entries, in the order in which they are stored
  */
 record ArchiveManifest(long revision, List<String> controllers, List<Entry> entries) {
 
-    /** Name of the manifest's own entry. */
+    /** Name of the manifest's entry. */
     static final String NAME = "manifest.json";
 
     private static final String KIND = "pepperfield-state";
     private static final int FORMAT = 1;
 
-    /** An entry before the manifest, with its length and checksum. */
+    /** Name, length and checksum of an entry before the manifest. */
     record Entry(String name, long bytes, String sha256) {}
 
     byte[] encode() {
         ObjectNode root =
                 Json.object().put("kind", KIND).put("format", FORMAT).put("revision", revision);
         controllers.forEach(root.putArray("controllers")::add);
-        ArrayNode all = root.putArray("entries");
+        ArrayNode entryNodes = root.putArray("entries");
         entries.forEach(
                 entry ->
-                        all.addObject()
+                        entryNodes
+                                .addObject()
                                 .put("name", entry.name)
                                 .put("bytes", entry.bytes)
                                 .put("sha256", entry.sha256));
--- a/src/main/java/io/pepperfield/recovery/ArchiveWriter.java
+++ b/src/main/java/io/pepperfield/recovery/ArchiveWriter.java
@@ -20,10 +20,10 @@
 import org.apache.commons.compress.archivers.tar.TarArchiveOutputStream;
 
 /**
- * Writes all keys into an archive, a page at a time. Later pages may be newer than the first one;
- * the changes since the first, read after the last, make of them what the state service held at one
- * revision: a key that has not changed since the first page is as it was then, and every other one
- * is among the changes.
+ * Writes all keys into an archive, a page at a time. Later pages may be of newer revisions than the
+ * first one, so the changes since the first page are read after the last one. Applied to the pages,
+ * they give the state service's content at a single revision: a key that has not changed since the
+ * first page has its value of then, and every other key is among the changes.
  */
 public final class ArchiveWriter {
 
@@ -38,35 +38,35 @@
     /**
      * Creates a writer that reads from this source.
      *
-     * @param controllers of the cluster, by name, for the manifest
+     * @param controllers names of the cluster's controllers, for the manifest
      */
     public ArchiveWriter(SnapshotSource source, List<String> controllers) {
         this.source = source;
         this.controllers = List.copyOf(controllers);
     }
 
-    /** The name of the entry with that page. */
+    /** The name of the entry of the page with this number, which starts at 1. */
     static String pageName(int number) {
         return String.format(Locale.ROOT, "pages/%06d.json", number);
     }
 
-    /** The checksum that the manifest holds of an entry. */
+    /** The checksum of an entry's content as recorded in the manifest. */
     static String sha256(byte[] bytes) {
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available on this Java platform", e);
         }
     }
 
     /**
-     * Writes the archive; the file appears only once it is whole.
+     * Writes the archive; the file appears only once it is complete.
      *
-     * @return the revision that it amounts to
+     * @return the revision that the archive represents
      */
     public long write(Path file) throws IOException {
         if (Files.exists(file)) {
-            throw new FileAlreadyExistsException(file.toString(), null, "is there already");
+            throw new FileAlreadyExistsException(file.toString(), null, "file already exists");
         }
         Path partialFile = file.resolveSibling(file.getFileName() + ".part");
         try {
@@ -85,7 +85,8 @@
                     TarArchiveOutputStream tar = new TarArchiveOutputStream(out)) {
                 return writeEntries(tar);
             } catch (ChangesCompactedException e) {
-                // Too much has changed while the pages were read: they are read once more.
+                // The changes since the first page were compacted before they were read: starts
+                // again with the first page.
                 if (attempt == MAX_ATTEMPTS) {
                     throw e;
                 }
@@ -109,7 +110,7 @@
     /**
      * Writes all keys, a page at a time.
      *
-     * @return the revision of the first page; later ones may be newer
+     * @return the revision of the first page; later pages may be newer
      */
     private long writePages(TarArchiveOutputStream tar, List<ArchiveManifest.Entry> entries)
             throws IOException {
@@ -141,7 +142,10 @@
         return new ArchiveManifest.Entry(name, content.length, sha256(content));
     }
 
-    /** A file that is moved into place before its content is on the disk may come back empty. */
+    /**
+     * Without this, a file that is renamed before its content is on disk may be empty after a
+     * crash.
+     */
     private static void flushToDisk(Path file) throws IOException {
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.WRITE)) {
             channel.force(true);
--- a/src/main/java/io/pepperfield/recovery/HttpSnapshotSource.java
+++ b/src/main/java/io/pepperfield/recovery/HttpSnapshotSource.java
@@ -10,7 +10,7 @@
 import java.io.IOException;
 import java.util.concurrent.locks.LockSupport;
 
-/** The state service itself, read from a console with a small part of its request rate. */
+/** Reads from the state service over HTTP, using a small fraction of its request rate limit. */
 public final class HttpSnapshotSource implements SnapshotSource {
 
     private static final int PAGE_SIZE = 500;
@@ -20,23 +20,24 @@
     private static final int OK = 200;
     private static final int GONE = 410;
 
-    /** The part of the service's requests per second that reading may use. */
-    private static final double RATE_SHARE = 0.05;
+    /** Fraction of the state service's requests per second that reading may use. */
+    private static final double REQUEST_RATE_FRACTION = 0.05;
 
     private final BlockingHttpClient client;
     private final Settings.Address address;
-    private final long spacingNanos;
+    private final long requestIntervalNanos;
 
     /**
      * Creates a source that reads with this client.
      *
-     * @param requestsPerS what the state service allows all its users together
+     * @param requestsPerS the state service's rate limit for all clients together
      */
     public HttpSnapshotSource(
             BlockingHttpClient client, Settings.Address address, double requestsPerS) {
         this.client = client;
         this.address = address;
-        this.spacingNanos = Math.round(NANOS_PER_S / (RATE_SHARE * requestsPerS));
+        this.requestIntervalNanos =
+                Math.round(NANOS_PER_S / (REQUEST_RATE_FRACTION * requestsPerS));
     }
 
     @Override
@@ -60,16 +61,16 @@
 
     private static long revision(JsonNode body) throws IOException {
         if (!body.path("generation").isIntegralNumber()) {
-            throw new IOException("the state service answers without a revision");
+            throw new IOException("response of the state service has no revision");
         }
         return body.path("generation").longValue();
     }
 
-    /** Outages and refusals pass: each request is tried a few times. */
+    /** Sends the request, with retries since outages and rejections may be temporary. */
     private HttpOutcome.Answered get(String path) throws IOException {
         String failure = "";
         for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
-            LockSupport.parkNanos(spacingNanos);
+            LockSupport.parkNanos(requestIntervalNanos);
             OutboundRequest request =
                     new OutboundRequest(
                             address.host(), address.port(), 1, "GET", path, null, DEADLINE_MS);
@@ -77,7 +78,7 @@
                 if (answer.status() == OK || answer.status() == GONE) {
                     return answer;
                 }
-                failure = "answers " + answer.status();
+                failure = "answered with HTTP status " + answer.status();
             } else {
                 failure = "does not answer";
             }
--- a/src/main/java/io/pepperfield/recovery/SnapshotSource.java
+++ b/src/main/java/io/pepperfield/recovery/SnapshotSource.java
@@ -4,25 +4,25 @@
 import java.io.IOException;
 import java.util.List;
 
-/** Where the keys for an archive are read; every call waits for its answer. */
+/** The source of the keys of an archive; every call blocks until it has the response. */
 public interface SnapshotSource {
 
-    /** A part of the keys in their order, as of one revision. */
+    /** A range of the keys in ascending order, as of one revision. */
     record Page(List<KeyValue> items, boolean hasMore, long revision) {}
 
-    /** The state service has not kept the changes that were asked for. */
+    /** Thrown if the state service no longer keeps the requested changes. */
     final class ChangesCompactedException extends IOException {
         private static final long serialVersionUID = 1;
 
-        /** Says since when. */
+        /** Creates the exception for changes since this revision. */
         public ChangesCompactedException(long since) {
             super("the changes since revision " + since + " are no longer kept");
         }
     }
 
-    /** The keys behind {@code after}. */
+    /** Reads a page of the keys after {@code after}; an empty string means from the start. */
     Page readPage(String after) throws IOException;
 
-    /** All changes since a revision, in their order; deleted keys have null data. */
+    /** Reads all changes since a revision, in order; deleted keys have a null value. */
     Page changesSince(long revision) throws IOException;
 }
--- a/src/main/java/io/pepperfield/recovery/StateArchive.java
+++ b/src/main/java/io/pepperfield/recovery/StateArchive.java
@@ -15,42 +15,42 @@
 import org.apache.commons.compress.archivers.tar.TarArchiveInputStream;
 
 /**
- * Reads and checks an archive, an entry at a time.
+ * The summary of an archive, which is read and verified an entry at a time.
  *
- * @param revision of the state service that it amounts to
- * @param controllers of the cluster that it is of
- * @param keyCounts how many there are of each kind
+ * @param revision revision of the state service that the archive represents
+ * @param controllers names of the cluster's controllers
+ * @param keyCounts number of keys by the path segment after the service's prefix
  */
 public record StateArchive(
         long revision, List<String> controllers, Map<String, Integer> keyCounts) {
 
-    /** Far more than any entry has: what a damaged header names must not fill the memory. */
+    /** Far larger than any entry, so that a damaged header cannot exhaust the memory. */
     private static final long MAX_ENTRY_BYTES = 64L * 1024 * 1024;
 
-    /** Receives the keys of an archive in their order, and then the changes. */
+    /** Receives the keys of an archive in the order of its pages, and then the changes. */
     public interface Visitor {
-        /** A key as a page holds it. */
+        /** Visits a key in a page. */
         void visitItem(KeyValue item);
 
-        /** A change since the first page; null data deletes the key. */
+        /** Visits a change since the first page; a null value deletes the key. */
         void visitChange(KeyValue item);
     }
 
     /**
-     * Checks an archive and counts what it holds. It is read twice, since the changes come last and
-     * the pages do not fit into memory.
+     * Verifies an archive and counts its keys. The file is read twice, since the changes come last
+     * and the pages may not fit into memory.
      */
     public static StateArchive inspect(Path file) throws ArchiveException {
-        LastChanges changes = new LastChanges();
-        visit(file, changes);
-        KeyCounter census = new KeyCounter(changes.exists);
-        ArchiveManifest manifest = visit(file, census);
-        return new StateArchive(manifest.revision(), manifest.controllers(), census.keyCounts);
+        LastChangeCollector lastChanges = new LastChangeCollector();
+        visit(file, lastChanges);
+        KeyCounter counter = new KeyCounter(lastChanges.exists);
+        ArchiveManifest manifest = visit(file, counter);
+        return new StateArchive(manifest.revision(), manifest.controllers(), counter.keyCounts);
     }
 
-    /** Reads an archive; what was visited counts only once this has returned. */
+    /** Reads an archive; the visited keys are verified only once this method has returned. */
     static ArchiveManifest visit(Path file, Visitor visitor) throws ArchiveException {
-        List<ArchiveManifest.Entry> seen = new ArrayList<>();
+        List<ArchiveManifest.Entry> entriesRead = new ArrayList<>();
         try (InputStream in = new BufferedInputStream(Files.newInputStream(file));
                 TarArchiveInputStream tar = new TarArchiveInputStream(in)) {
             for (TarArchiveEntry entry = tar.getNextEntry();
@@ -59,33 +59,34 @@
                 byte[] content = readContent(tar, entry);
                 if (entry.getName().equals(ArchiveManifest.NAME)) {
                     ArchiveManifest manifest = ArchiveManifest.decode(content);
-                    verifyEntries(manifest.entries(), seen);
+                    verifyEntries(manifest.entries(), entriesRead);
                     return manifest;
                 }
-                visitEntry(entry.getName(), content, seen.size() + 1, visitor);
-                seen.add(
+                visitEntry(entry.getName(), content, entriesRead.size() + 1, visitor);
+                entriesRead.add(
                         new ArchiveManifest.Entry(
                                 entry.getName(), content.length, ArchiveWriter.sha256(content)));
             }
         } catch (IOException | IllegalArgumentException e) {
             throw new ArchiveException(
                     "after "
-                            + seen.size()
-                            + " entries: not a whole archive ("
+                            + entriesRead.size()
+                            + " entries: archive is damaged or cannot be read ("
                             + e.getMessage()
                             + ")");
         }
-        throw new ArchiveException("cut off: no " + ArchiveManifest.NAME);
+        throw new ArchiveException("archive truncated: no " + ArchiveManifest.NAME);
     }
 
     private static byte[] readContent(TarArchiveInputStream tar, TarArchiveEntry entry)
             throws IOException, ArchiveException {
         if (entry.getSize() > MAX_ENTRY_BYTES) {
-            throw new ArchiveException(entry.getName() + ": " + entry.getSize() + " bytes");
+            throw new ArchiveException(
+                    entry.getName() + ": entry too large, " + entry.getSize() + " bytes");
         }
         byte[] content = tar.readNBytes((int) entry.getSize());
         if (content.length < entry.getSize()) {
-            throw new ArchiveException(entry.getName() + ": cut off");
+            throw new ArchiveException(entry.getName() + ": entry truncated");
         }
         return content;
     }
@@ -102,20 +103,23 @@
     }
 
     private static void verifyEntries(
-            List<ArchiveManifest.Entry> expected, List<ArchiveManifest.Entry> seen)
+            List<ArchiveManifest.Entry> expected, List<ArchiveManifest.Entry> entriesRead)
             throws ArchiveException {
-        for (int i = 0; i < Math.max(expected.size(), seen.size()); i++) {
-            if (i >= seen.size()) {
-                throw new ArchiveException(expected.get(i).name() + ": is missing");
+        for (int i = 0; i < Math.max(expected.size(), entriesRead.size()); i++) {
+            if (i >= entriesRead.size()) {
+                throw new ArchiveException(
+                        expected.get(i).name()
+                                + ": entry in the manifest is missing from the archive");
             }
-            if (i >= expected.size() || !expected.get(i).equals(seen.get(i))) {
-                throw new ArchiveException(seen.get(i).name() + ": not as the manifest says");
+            if (i >= expected.size() || !expected.get(i).equals(entriesRead.get(i))) {
+                throw new ArchiveException(
+                        entriesRead.get(i).name() + ": entry does not match the manifest");
             }
         }
     }
 
-    /** The changes, of which only the last of each key counts. */
-    private static final class LastChanges implements Visitor {
+    /** Collects whether each changed key exists after its last change. */
+    private static final class LastChangeCollector implements Visitor {
         private final Map<String, Boolean> exists = new HashMap<>();
 
         @Override
@@ -127,14 +131,14 @@
         }
     }
 
-    /** Counts keys by what stands between the service's prefix and the next slash. */
+    /** Counts keys by the path segment after the service's prefix. */
     private static final class KeyCounter implements Visitor {
         private final Map<String, Integer> keyCounts = new TreeMap<>();
-        private final Map<String, Boolean> changed;
+        private final Map<String, Boolean> existsAfterChanges;
 
-        KeyCounter(Map<String, Boolean> changed) {
-            this.changed = changed;
-            changed.forEach(
+        KeyCounter(Map<String, Boolean> existsAfterChanges) {
+            this.existsAfterChanges = existsAfterChanges;
+            existsAfterChanges.forEach(
                     (key, exists) -> {
                         if (exists) {
                             count(key);
@@ -144,7 +148,7 @@
 
         @Override
         public void visitItem(KeyValue item) {
-            if (!changed.containsKey(item.key())) {
+            if (!existsAfterChanges.containsKey(item.key())) {
                 count(item.key());
             }
         }
--- a/src/main/java/io/pepperfield/recovery/package-info.java
+++ b/src/main/java/io/pepperfield/recovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Copies of all that the state service holds, as archives on an operator's console: written whole
- * or not at all, checked entry by entry. Controllers themselves keep nothing on disk.
+ * Exports the state service's content to archive files on an operator's console and verifies them.
+ * An archive is written atomically and verified entry by entry. Controllers store nothing on disk.
  */
 package io.pepperfield.recovery;
--- a/src/main/java/io/pepperfield/rollout/ClusterVersion.java
+++ b/src/main/java/io/pepperfield/rollout/ClusterVersion.java
@@ -8,13 +8,14 @@
 import java.util.Optional;
 
 /**
- * The cluster's stored-state version: the one durable record that all writes are guarded by.
+ * The cluster's stored-state version. It is a single durable record, and all durable writes to the
+ * state service have a precondition on it.
  *
- * @param writeVersion version that records are written in
- * @param highestVersion newest version in which a record may exist
- * @param finalizedVersion version below which there is no way back
- * @param removedControllers controllers that the activation did not wait for, by an operator's
- *     decision
+ * @param writeVersion version in which records are written
+ * @param highestVersion newest version in which records may exist
+ * @param finalizedVersion oldest version to which the cluster can still be rolled back
+ * @param excludedControllers controllers that an operator excluded from the activation, which did
+ *     not wait for them
  */
 public record ClusterVersion(
         int writeVersion,
@@ -22,27 +23,27 @@
         int finalizedVersion,
         List<String> excludedControllers) {
 
-    /** Where a cluster stands between two versions. */
+    /** The state of a transition between two versions. */
     public enum Phase {
-        /** One version only, with nothing to go back to. */
+        /** A single version is in use; a rollback is not possible. */
         FINALIZED,
-        /** A newer version is written, and the way back is open. */
+        /** A newer version is written; it can be finalized or rolled back. */
         ACTIVE,
-        /** The earlier version is written again while records of the newer one are rewritten. */
+        /** The finalized version is written again while records of the newer one are converted. */
         ROLLING_BACK
     }
 
-    /** The version of a cluster that has never activated another. */
+    /** The version of a cluster that has never activated another one. */
     public static final ClusterVersion INITIAL =
             new ClusterVersion(
                     StoredVersions.FIRST, StoredVersions.FIRST, StoredVersions.FIRST, List.of());
 
-    /** Copies the names. */
+    /** Copies the list of controller names. */
     public ClusterVersion {
         excludedControllers = List.copyOf(excludedControllers);
     }
 
-    /** Where the cluster stands. */
+    /** The state of the transition that this record describes. */
     public Phase phase() {
         if (writeVersion < highestVersion) {
             return Phase.ROLLING_BACK;
@@ -50,23 +51,23 @@
         return writeVersion > finalizedVersion ? Phase.ACTIVE : Phase.FINALIZED;
     }
 
-    /** The next version is written from now on. */
-    ClusterVersion activated(int target, List<String> without) {
-        return new ClusterVersion(target, target, finalizedVersion, without);
+    /** Returns the record that makes {@code target} the version to write. */
+    ClusterVersion activated(int target, List<String> excluded) {
+        return new ClusterVersion(target, target, finalizedVersion, excluded);
     }
 
-    /** The active version becomes the only one. */
+    /** Returns the record that rules out a rollback from the active version. */
     ClusterVersion asFinalized() {
         return new ClusterVersion(writeVersion, highestVersion, writeVersion, excludedControllers);
     }
 
-    /** The final version is written again, and what is newer is to be rewritten. */
+    /** Returns the record that starts a rollback: newer records have to be rewritten. */
     ClusterVersion rollingBack() {
         return new ClusterVersion(
                 finalizedVersion, highestVersion, finalizedVersion, excludedControllers);
     }
 
-    /** Nothing is left of the newer version. */
+    /** Returns the record that ends a rollback, when no newer records are left. */
     ClusterVersion rolledBack() {
         return new ClusterVersion(finalizedVersion, finalizedVersion, finalizedVersion, List.of());
     }
@@ -81,7 +82,7 @@
         return data;
     }
 
-    /** The record, or empty where it is none that this release understands. */
+    /** Parses the record; empty if this release cannot interpret it. */
     static Optional<ClusterVersion> fromJson(JsonNode data) {
         int writes = data.path("writes").asInt(0);
         int highest = data.path("highest").asInt(0);
--- a/src/main/java/io/pepperfield/rollout/CompactRunRecordCodec.java
+++ b/src/main/java/io/pepperfield/rollout/CompactRunRecordCodec.java
@@ -13,26 +13,27 @@
 import java.util.Map;
 
 /**
- * The compact form of a job's run record. Tasks are grouped by phase, live ones by machine and the
- * incarnation of its agent, and neighbouring tasks of the same attempt are one run of three
- * numbers: first task, count, attempt. A machine's name stands once, however many tasks it has.
+ * Converts a job's run record between the version 1 format and the compact format of version 2. The
+ * compact format groups tasks by phase, and live tasks also by machine and the incarnation of its
+ * agent. Consecutive tasks with the same attempt number are run-length encoded as three numbers:
+ * first task, count, attempt. Each machine name is stored once, however many tasks the machine has.
  */
 final class CompactRunRecordCodec {
 
-    /** So many times as many tasks are kept in a record as in the first form. */
+    /** Ratio of the tasks in a compact record to those in a version 1 record. */
     static final int TASKS_PER_RECORD_FACTOR = 2;
 
     private static final String VERSION = "v";
     private static final String LIVE = "live";
     private static final int RUN_FIELDS = 3;
 
-    /** In a group of live tasks: machine and incarnation stand before the runs. */
+    /** A group of live tasks starts with the machine and the incarnation of its agent. */
     private static final int LIVE_GROUP_HEADER_FIELDS = 2;
 
-    /** More tasks than any job has: a damaged count must not fill the heap. */
+    /** More tasks than any job has, so that a corrupted count cannot exhaust the heap. */
     private static final int MAX_TASKS = 100_000;
 
-    /** A value that is no record of this form. */
+    /** Thrown for a value that is not a valid compact record. */
     static final class UnreadableRecordException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -41,14 +42,14 @@
         }
     }
 
-    /** A live task's machine, and the incarnation of its agent. */
+    /** The machine of a live task and the incarnation of the agent there. */
     private record AgentIncarnation(String machine, long incarnation) {}
 
     private CompactRunRecordCodec() {}
 
-    /** Encodes a record of the first form. */
-    static JsonNode encode(JsonNode first) {
-        List<TaskState> taskStates = new ArrayList<>(TaskState.decode(first));
+    /** Converts a version 1 record to the compact format. */
+    static JsonNode encode(JsonNode versionOneRecord) {
+        List<TaskState> taskStates = new ArrayList<>(TaskState.decode(versionOneRecord));
         taskStates.sort(Comparator.comparingInt(TaskState::task));
         Map<AgentIncarnation, ArrayNode> live = new LinkedHashMap<>();
         ObjectNode record = Json.object().put(VERSION, StoredVersions.COMPACT_RUN_RECORDS);
@@ -80,7 +81,7 @@
         };
     }
 
-    /** Lengthens the last run by the task, or begins another. */
+    /** Extends the last run by the task if it continues that run, or else starts a new run. */
     private static void appendTask(ArrayNode group, TaskState taskState, int headerFields) {
         int last = group.size() - RUN_FIELDS;
         if (last >= headerFields
@@ -92,7 +93,7 @@
         }
     }
 
-    /** Decodes to the first form, with the tasks in their order. */
+    /** Converts a compact record to the version 1 format, with the tasks in ascending order. */
     static JsonNode decode(JsonNode record) throws UnreadableRecordException {
         if (record.path(VERSION).asInt(0) != StoredVersions.COMPACT_RUN_RECORDS) {
             throw new UnreadableRecordException("version " + record.path(VERSION));
@@ -109,7 +110,8 @@
             }
             for (JsonNode group : groups) {
                 if (!group.path(0).isTextual() || !group.path(1).isIntegralNumber()) {
-                    throw new UnreadableRecordException("a live group without machine and session");
+                    throw new UnreadableRecordException(
+                            "live group does not start with a machine name and an agent incarnation");
                 }
                 AgentIncarnation agent =
                         new AgentIncarnation(group.get(0).asText(), group.get(1).longValue());
@@ -135,7 +137,8 @@
             int count = readCount(group.get(i + 1));
             int attempt = readCount(group.get(i + 2));
             if (taskStates.size() + count > MAX_TASKS) {
-                throw new UnreadableRecordException("a run of " + count + " tasks");
+                throw new UnreadableRecordException(
+                        "too many tasks: a run has " + count + " of them");
             }
             for (int task = first; task < first + count; task++) {
                 taskStates.add(
@@ -146,7 +149,8 @@
 
     private static int readCount(JsonNode value) throws UnreadableRecordException {
         if (!value.isInt() || value.intValue() < 0) {
-            throw new UnreadableRecordException("a run with " + value);
+            throw new UnreadableRecordException(
+                    "run field is not a non-negative integer: " + value);
         }
         return value.intValue();
     }
--- a/src/main/java/io/pepperfield/rollout/MemberDeclaration.java
+++ b/src/main/java/io/pepperfield/rollout/MemberDeclaration.java
@@ -13,12 +13,13 @@
 import java.util.UUID;
 
 /**
- * Keeps this process's release declared under a grant of its own, so that the declaration ends with
- * the process. It is not guarded by the version: one that cannot serve is to be seen, too.
+ * Declares this process's release under a key that is attached to a grant of its own, so that the
+ * declaration expires after the process ends. The write has no precondition on the version record:
+ * a controller that cannot serve the current version has to be visible to operators too.
  */
 final class MemberDeclaration {
 
-    /** Part of its time to live after which a grant is renewed. */
+    /** Fraction of the grant's time to live after which it is renewed. */
     private static final double RENEWAL_FRACTION = 0.25;
 
     private final Loop loop;
@@ -41,14 +42,19 @@
         this.ownRelease = new MemberRelease(release, UUID.randomUUID().toString(), 0);
     }
 
-    /** News of this node's key: perhaps of an earlier process, whose write came late. */
+    /**
+     * Handles a change of this node's key. The change may come from an earlier process on this node
+     * whose write was delayed.
+     */
     void onDeclarationChanged(JsonNode data, long newModRevision) {
         modRevision = data == null ? 0 : newModRevision;
         declared =
                 data != null && data.path("incarnation").asText().equals(ownRelease.incarnation());
     }
 
-    /** To be called often, once the replica is loaded. */
+    /**
+     * Renews the grant and the declaration if due; called periodically once the replica is loaded.
+     */
     void tick() {
         if (requestInFlight || loop.now() < nextRenewalAt) {
             return;
@@ -87,7 +93,7 @@
                 result -> {
                     requestInFlight = false;
                     if (result instanceof CompareAndSwapOutcome.Refused) {
-                        // Also where the grant has ended: the next one is asked for.
+                        // The grant may have expired: the next renewal creates a new one.
                         grant = 0;
                     }
                 });
--- a/src/main/java/io/pepperfield/rollout/MemberRegistry.java
+++ b/src/main/java/io/pepperfield/rollout/MemberRegistry.java
@@ -11,10 +11,10 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** The releases that the configured controllers have declared, as the replica shows them. */
+/** The releases that the configured controllers have declared, according to the local replica. */
 final class MemberRegistry {
 
-    /** All configured controllers; empty is one that has declared nothing. */
+    /** All configured controllers; empty for a controller without a declaration. */
     private final Map<String, Optional<MemberRelease>> members = new TreeMap<>();
 
     MemberRegistry(Settings settings) {
@@ -22,7 +22,7 @@
         settings.members().forEach(member -> members.put(member.node(), Optional.empty()));
     }
 
-    /** News of a controller's key. */
+    /** Handles a change of a controller's declaration; null data means that it was deleted. */
     void onMemberChanged(String node, JsonNode data, long modRevision) {
         if (members.containsKey(node)) {
             Optional<MemberRelease> declared =
@@ -32,7 +32,7 @@
         }
     }
 
-    /** By name, in its order. */
+    /** The declarations by controller name, in the order of the names. */
     Map<String, Optional<MemberRelease>> members() {
         return members;
     }
@@ -41,13 +41,15 @@
         return members.containsKey(node);
     }
 
-    /** Why the version cannot be activated yet, a line for each controller that holds it up. */
-    List<String> activationBlockers(int target, Collection<String> without) {
+    /**
+     * Why the version cannot be activated yet, one line per controller that blocks the activation.
+     */
+    List<String> activationBlockers(int target, Collection<String> excluded) {
         List<String> blockers = new ArrayList<>();
         members.forEach(
                 (node, member) -> {
-                    if (!without.contains(node) && !supports(member, target)) {
-                        blockers.add(node + whyNotReady(member));
+                    if (!excluded.contains(node) && !supports(member, target)) {
+                        blockers.add(node + blockerReason(member));
                     }
                 });
         return blockers;
@@ -57,7 +59,7 @@
         return member.isPresent() && member.get().supports(target);
     }
 
-    private static String whyNotReady(Optional<MemberRelease> member) {
+    private static String blockerReason(Optional<MemberRelease> member) {
         return member.map(MemberRelease::release)
                 .map(
                         release ->
@@ -69,15 +71,16 @@
     }
 
     /**
-     * The preconditions that these declarations still stand, each by the same process.
+     * The preconditions that the declarations of all controllers that are not excluded are
+     * unchanged, and thus still come from the same processes.
      *
-     * @throws java.util.NoSuchElementException if one of them has declared nothing
+     * @throws java.util.NoSuchElementException if one of these controllers has no declaration
      */
-    List<Precondition> declarationPreconditions(Collection<String> without) {
+    List<Precondition> declarationPreconditions(Collection<String> excluded) {
         List<Precondition> preconditions = new ArrayList<>();
         members.forEach(
                 (node, member) -> {
-                    if (!without.contains(node)) {
+                    if (!excluded.contains(node)) {
                         preconditions.add(
                                 new Precondition(
                                         Keys.ROLLOUT_MEMBER_PREFIX + node,
--- a/src/main/java/io/pepperfield/rollout/MemberRelease.java
+++ b/src/main/java/io/pepperfield/rollout/MemberRelease.java
@@ -5,10 +5,10 @@
 import java.util.Optional;
 
 /**
- * What a controller's process has declared about its release.
+ * The release that a controller process has declared.
  *
- * @param incarnation drawn by the process when it began
- * @param modRevision revision that wrote the declaration
+ * @param incarnation random identifier of the process, generated when it starts
+ * @param modRevision modification revision of the declaration's key
  */
 record MemberRelease(Release release, String incarnation, long modRevision) {
 
@@ -21,7 +21,7 @@
                 .put("incarnation", incarnation);
     }
 
-    /** The declaration, or empty where it is none. */
+    /** Parses a declaration; empty if it is invalid. */
     static Optional<MemberRelease> fromJson(JsonNode data, long modRevision) {
         try {
             Release release =
@@ -33,12 +33,12 @@
             String incarnation = data.path("incarnation").asText();
             return Optional.of(new MemberRelease(release, incarnation, modRevision));
         } catch (IllegalArgumentException e) {
-            // An empty range confirms nothing.
+            // Inconsistent version numbers do not show that the process supports any version.
             return Optional.empty();
         }
     }
 
-    /** Whether the process reads and writes that version. */
+    /** Whether the process reads and writes the version. */
     boolean supports(int target) {
         return release.newestRead() >= target && release.newestWritten() >= target;
     }
--- a/src/main/java/io/pepperfield/rollout/Release.java
+++ b/src/main/java/io/pepperfield/rollout/Release.java
@@ -1,9 +1,9 @@
 package io.pepperfield.rollout;
 
 /**
- * What a release can do with stored state.
+ * A release of the program and the stored-state versions that it reads and writes.
  *
- * @param name for operators to read
+ * @param name name of the release as shown to operators
  * @param oldestRead oldest stored-state version that it reads
  * @param newestRead newest stored-state version that it reads
  * @param newestWritten newest stored-state version that it writes
@@ -18,7 +18,7 @@
                     StoredVersions.COMPACT_RUN_RECORDS,
                     StoredVersions.COMPACT_RUN_RECORDS);
 
-    /** Checks that the release reads what it writes. */
+    /** Checks that the release can read every version that it writes. */
     public Release {
         if (oldestRead < StoredVersions.FIRST
                 || newestWritten < oldestRead
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Whether the release may take part in a cluster of that version. */
+    /** Whether a controller of this release may serve in a cluster with this version record. */
     boolean isCompatibleWith(ClusterVersion version) {
         return oldestRead <= StoredVersions.FIRST
                 && version.highestVersion() <= newestRead
--- a/src/main/java/io/pepperfield/rollout/RollbackRewriter.java
+++ b/src/main/java/io/pepperfield/rollout/RollbackRewriter.java
@@ -21,35 +21,38 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Rewrites compact records in the first form during a rollback, a few in each transaction and at a
- * bounded rate. What is left is found from the keys, so that any leader can go on where another
- * ended. Each rewriting is guarded by the compact record's modification revision: a write of the
- * leader in between makes it fail, and the record is read again.
+ * Rewrites compact run records in the version 1 format during a rollback, a few per transaction and
+ * at a limited rate. The remaining records are found by scanning their keys, so that a new leader
+ * can continue where its predecessor stopped. Each rewrite has a precondition on the compact
+ * record's modification revision: if the leader writes the record in between, the rewrite fails and
+ * the record is read again.
  */
 final class RollbackRewriter {
 
     private static final Logger LOG = LoggerFactory.getLogger(RollbackRewriter.class);
 
-    /** The part of the service's changes per second that rewriting may use. */
-    private static final double RATE_SHARE = 0.25;
+    /** Fraction of the state service's writes per second that rewriting may use. */
+    private static final double WRITE_RATE_FRACTION = 0.25;
 
-    /** Each record is a put and a deletion. */
+    /** Rewriting a record takes a put and a deletion. */
     private static final int MUTATIONS_PER_RECORD = 2;
 
-    /** The service will never take the transaction as it is. */
+    /** Status of a transaction that the state service will not accept however often it is sent. */
     private static final int BAD_REQUEST = 400;
 
-    /** Sorts right before all compact records. */
+    /** A key that sorts directly before the keys of all compact records. */
     private static final String SCAN_START =
             Keys.V2_RUN_RECORD_PREFIX.substring(0, Keys.V2_RUN_RECORD_PREFIX.length() - 1);
 
-    /** How the next records are written, after a transaction was refused for good. */
+    /**
+     * How the next records are written; a transaction that was rejected as invalid is broken up.
+     */
     private enum Batching {
-        /** Several at a time. */
+        /** Several records per transaction. */
         BATCH,
-        /** One by one, as one of them may be too large. */
+        /** One record per transaction, since one of the batch may be too large. */
         SINGLE_RECORD,
-        /** One, among several keys. */
+        /** One record per transaction, split over several keys. */
         SPLIT_RECORD
     }
 
@@ -65,18 +68,21 @@
     private double nextStepAt;
     private String scanPosition = SCAN_START;
 
-    /** The version record that this reading began under: none is written compactly since then. */
+    /**
+     * Modification revision of the version record when the scan started. While it is unchanged, no
+     * further record is converted to the compact format.
+     */
     private long scanVersionRevision;
 
-    /** Whether a record could not be rewritten since the reading began anew. */
+    /** Whether a record could not be rewritten since the scan started. */
     private boolean recordSkipped;
 
     private Batching batching = Batching.BATCH;
 
     /**
-     * Creates a rewriter that has not read anything yet.
+     * Creates a rewriter that has not started a scan.
      *
-     * @param jobSpecs gives the description of an accepted job
+     * @param jobSpecs looks up the specification of an accepted job by its id
      */
     RollbackRewriter(
             Loop loop,
@@ -92,22 +98,23 @@
         this.versionTransitions = versionTransitions;
         this.jobSpecs = jobSpecs;
         this.maxRecordsPerTransaction = Math.max(1, maxMutations / MUTATIONS_PER_RECORD);
-        this.secondsPerMutation = 1 / (RATE_SHARE * writesPerS);
+        this.secondsPerMutation = 1 / (WRITE_RATE_FRACTION * writesPerS);
     }
 
-    /** To be called often while this node leads and a rollback is under way. */
+    /** Starts the next step if due; called periodically on the leader during a rollback. */
     void tick() {
         if (stepInFlight || loop.now() < nextStepAt) {
             return;
         }
         if (gate.precondition().modRevision() != scanVersionRevision) {
-            // Records may have been written compactly anew, also before the place reached then.
+            // The version has changed since the scan started, so compact records may have been
+            // written before the scan position too.
             scanVersionRevision = gate.precondition().modRevision();
             restartScan();
         }
         stepInFlight = true;
-        long readUnder = scanVersionRevision;
-        store.readPage(scanPosition, result -> onPageRead(result, readUnder));
+        long versionRevisionAtRead = scanVersionRevision;
+        store.readPage(scanPosition, result -> onPageRead(result, versionRevisionAtRead));
     }
 
     private void finishStep(int mutations) {
@@ -121,16 +128,16 @@
         batching = Batching.BATCH;
     }
 
-    /** The rollback does not end while a record is left out. */
-    private void skipRecord(String last) {
-        scanPosition = last;
+    /** Continues the scan after a record; the rollback does not complete with a record skipped. */
+    private void skipRecord(String lastKey) {
+        scanPosition = lastKey;
         recordSkipped = true;
         batching = Batching.BATCH;
     }
 
-    private void onPageRead(ReadResult result, long readUnder) {
+    private void onPageRead(ReadResult result, long versionRevisionAtRead) {
         if (!(result instanceof ReadResult.Read read)
-                || gate.precondition().modRevision() != readUnder
+                || gate.precondition().modRevision() != versionRevisionAtRead
                 || gate.version().phase() != ClusterVersion.Phase.ROLLING_BACK) {
             finishStep(1);
             return;
@@ -157,7 +164,7 @@
             return;
         }
         versionTransitions.completeRollback(
-                answer -> {
+                result -> {
                     restartScan();
                     finishStep(1);
                 });
@@ -170,7 +177,7 @@
             try {
                 addRewrite(record, preconditions, mutations);
             } catch (UnreadableRecordException e) {
-                // Neither guessed nor lost.
+                // The record stays as it is: its content must be neither guessed nor lost.
                 LOG.warn(
                         "run record not rewritten: key={} reason=\"{}\"",
                         record.key(),
@@ -178,9 +185,9 @@
                 recordSkipped = true;
             }
         }
-        String last = records.get(records.size() - 1).key();
+        String lastKey = records.get(records.size() - 1).key();
         if (mutations.isEmpty()) {
-            skipRecord(last);
+            skipRecord(lastKey);
             finishStep(1);
             return;
         }
@@ -189,7 +196,7 @@
                 preconditions,
                 mutations,
                 result -> {
-                    onWritten(result, records.size(), last);
+                    onWritten(result, records.size(), lastKey);
                     finishStep(mutations.size());
                 });
     }
@@ -209,8 +216,9 @@
     }
 
     /**
-     * The record as several of the first form, as the leader divides one that does not fit any
-     * more: all are written together, and none may be there yet.
+     * Adds the record as several version 1 records, split in the same way as the leader splits a
+     * record that exceeds the size limit. All parts are written in one transaction, with
+     * preconditions that none of them exists yet.
      */
     private void addSplitRecords(
             String key, JsonNode record, List<Precondition> preconditions, List<Mutation> mutations)
@@ -220,11 +228,11 @@
         int recordIndex = Integer.parseInt(key.substring(slash + 1));
         JobSpec spec =
                 jobSpecs.apply(jobId)
-                        .filter(known -> recordIndex < known.runRecordCount())
+                        .filter(candidate -> recordIndex < candidate.runRecordCount())
                         .orElseThrow(
                                 () ->
                                         new UnreadableRecordException(
-                                                "too large for the first form, and not to be divided"));
+                                                "too large for the version 1 format, and cannot be split"));
         int part = 0;
         for (List<TaskState> taskStates :
                 TaskState.split(
@@ -240,9 +248,9 @@
         }
     }
 
-    private void onWritten(CompareAndSwapOutcome result, int count, String last) {
+    private void onWritten(CompareAndSwapOutcome result, int recordCount, String lastKey) {
         if (result instanceof CompareAndSwapOutcome.Committed) {
-            scanPosition = last;
+            scanPosition = lastKey;
             batching = Batching.BATCH;
             return;
         }
@@ -250,15 +258,15 @@
                 || refused.status() != BAD_REQUEST) {
             return;
         }
-        if (count > 1) {
+        if (recordCount > 1) {
             batching = Batching.SINGLE_RECORD;
         } else if (batching != Batching.SPLIT_RECORD) {
             batching = Batching.SPLIT_RECORD;
         } else {
             LOG.warn(
-                    "run record not rewritten: key={} reason=\"too large for the first form\"",
-                    last);
-            skipRecord(last);
+                    "run record not rewritten: key={} reason=\"too large for the version 1 format\"",
+                    lastKey);
+            skipRecord(lastKey);
         }
     }
 }
--- a/src/main/java/io/pepperfield/rollout/Rollout.java
+++ b/src/main/java/io/pepperfield/rollout/Rollout.java
@@ -16,12 +16,12 @@
 import java.util.function.Function;
 
 /**
- * The rollout of stored-state versions on one controller. All of it runs on the event loop; {@link
- * #attach} completes it before anything else is called.
+ * The rollout of stored-state versions on one controller. All methods run on the event loop; {@link
+ * #attach} must be called before any other method.
  */
 public final class Rollout {
 
-    /** Where operators ask about the rollout and change it. */
+    /** Path of the operators' requests that read or change the rollout. */
     public static final String PATH = "/api/rollout";
 
     private final Loop loop;
@@ -31,15 +31,15 @@
     private final VersionedKeyValueStore versionedStore;
     private final MemberRegistry memberRegistry;
     private final MemberDeclaration memberDeclaration;
-    private LeadershipView leaderClaim;
+    private LeadershipView leadership;
     private RolloutRequestHandler requestHandler;
     private RollbackRewriter rollbackRewriter;
 
     /**
      * Creates the rollout of one controller.
      *
-     * @param store the state service itself
-     * @param release what this program reads and writes
+     * @param store the state service, without conversion between versions
+     * @param release the release of this program
      */
     public Rollout(Loop loop, Settings settings, KeyValueStore store, Release release) {
         this.loop = loop;
@@ -58,18 +58,18 @@
     }
 
     /**
-     * Completes it.
+     * Supplies the objects that are created after the rollout.
      *
-     * @param leaderClaim of this node, which alone changes the version
-     * @param jobSpecs gives the description of an accepted job, or null
+     * @param leadership leadership of this node; only the leader changes the version
+     * @param jobSpecs returns the specification of an accepted job by its id, or null
      */
-    public void attach(LeadershipView leaderClaim, Function<String, JobSpec> jobSpecs) {
-        this.leaderClaim = leaderClaim;
+    public void attach(LeadershipView leadership, Function<String, JobSpec> jobSpecs) {
+        this.leadership = leadership;
         VersionTransitions versions =
-                new VersionTransitions(store, gate, versionedStore, memberRegistry, leaderClaim);
+                new VersionTransitions(store, gate, versionedStore, memberRegistry, leadership);
         requestHandler =
                 new RolloutRequestHandler(
-                        gate, versionedStore, memberRegistry, versions, leaderClaim);
+                        gate, versionedStore, memberRegistry, versions, leadership);
         Settings.StoreLimits limits = settings.deployment().storeLimits();
         rollbackRewriter =
                 new RollbackRewriter(
@@ -82,30 +82,30 @@
                         limits.writesPerS());
     }
 
-    /** The state service for the rest of the program. */
+    /** The view of the state service that the rest of the program uses. */
     public KeyValueStore keyValueStore() {
         return versionedStore;
     }
 
-    /** What new behaviour asks. */
+    /** The gate that behaviour depending on the stored-state version has to check. */
     public VersionGate gate() {
         return gate;
     }
 
-    /** What a transaction of the rest of the program may hold. */
+    /** The limits of a transaction through {@link #keyValueStore}. */
     public TransactionLimits transactionLimits() {
         return new VersionedTransactionLimits(
                 settings.deployment().storeLimits().maxTransactionOps(), gate);
     }
 
-    /** Tasks in a run record of a new job, where the first form has so many. */
-    public int tasksPerRecord(int first) {
+    /** Tasks in a run record of a new job, given their number in the version 1 format. */
+    public int tasksPerRecord(int inVersionOne) {
         return gate.writesCompactRunRecords()
-                ? CompactRunRecordCodec.TASKS_PER_RECORD_FACTOR * first
-                : first;
+                ? CompactRunRecordCodec.TASKS_PER_RECORD_FACTOR * inVersionOne
+                : inVersionOne;
     }
 
-    /** The replica's news of a key below {@link Keys#ROLLOUT_PREFIX}. */
+    /** Handles a change in the replica of a key below {@link Keys#ROLLOUT_PREFIX}. */
     public void onKeyChanged(String key, JsonNode data, long modRevision) {
         if (key.equals(Keys.ROLLOUT_VERSION)) {
             gate.onVersionChanged(data, modRevision);
@@ -118,18 +118,20 @@
         }
     }
 
-    /** To be called a few times per grant, once the replica is loaded. */
+    /**
+     * Runs due work; called several times within a grant's time to live once the replica is loaded.
+     */
     public void tick() {
         gate.markReplicaLoaded();
         memberDeclaration.tick();
         if (gate.mayServe()
                 && gate.version().phase() == Phase.ROLLING_BACK
-                && leaderClaim.holdsValidLease()) {
+                && leadership.holdsValidLease()) {
             rollbackRewriter.tick();
         }
     }
 
-    /** An operator's request below {@code /api/rollout}. */
+    /** Handles an operator's request to {@link #PATH} or a path below it. */
     public void handle(InboundRequest request, Consumer<HttpReply> answer) {
         requestHandler.handle(request, answer);
     }
--- a/src/main/java/io/pepperfield/rollout/RolloutRequestHandler.java
+++ b/src/main/java/io/pepperfield/rollout/RolloutRequestHandler.java
@@ -13,7 +13,8 @@
 import java.util.function.Consumer;
 
 /**
- * The operators' requests about the rollout: its state from any controller, changes by the leader.
+ * Handles the operators' requests about the rollout. Any controller reports the status; only the
+ * leader makes changes.
  */
 final class RolloutRequestHandler {
 
@@ -26,7 +27,7 @@
     private final VersionedKeyValueStore versionedStore;
     private final MemberRegistry registry;
     private final VersionTransitions versionTransitions;
-    private final LeadershipView leaderClaim;
+    private final LeadershipView leadership;
     private boolean changeInFlight;
 
     RolloutRequestHandler(
@@ -34,12 +35,12 @@
             VersionedKeyValueStore versionedStore,
             MemberRegistry registry,
             VersionTransitions versionTransitions,
-            LeadershipView leaderClaim) {
+            LeadershipView leadership) {
         this.gate = gate;
         this.versionedStore = versionedStore;
         this.registry = registry;
         this.versionTransitions = versionTransitions;
-        this.leaderClaim = leaderClaim;
+        this.leadership = leadership;
     }
 
     void handle(InboundRequest request, Consumer<HttpReply> answer) {
@@ -50,7 +51,7 @@
                             : HttpReply.error(METHOD_NOT_ALLOWED, "want GET"));
         } else if (!request.method().equals("POST")) {
             answer.accept(HttpReply.error(METHOD_NOT_ALLOWED, "want POST"));
-        } else if (!gate.mayWrite() || !leaderClaim.holdsValidLease()) {
+        } else if (!gate.mayWrite() || !leadership.holdsValidLease()) {
             answer.accept(notLeaderReply());
         } else if (changeInFlight) {
             answer.accept(new RolloutResult.RetryLater("another change is under way").toReply());
@@ -59,11 +60,11 @@
         }
     }
 
-    /** The console asks the next controller. */
+    /** The reply on which the console tries the next controller. */
     private HttpReply notLeaderReply() {
         String reason =
                 gate.mayServe()
-                        ? "not the leader, which is " + leaderClaim.leaderNode()
+                        ? "not the leader, which is " + leadership.leaderNode()
                         : "serving nobody: " + gate.refusalReason();
         return new RolloutResult.RetryLater(reason).toReply();
     }
@@ -77,7 +78,7 @@
         }
     }
 
-    /** One change at a time: the next may begin once this one is answered. */
+    /** Allows one change at a time: further ones are rejected until this one has been answered. */
     private Consumer<RolloutResult> beginChange(Consumer<HttpReply> answer) {
         changeInFlight = true;
         return result -> {
@@ -94,11 +95,11 @@
             answer.accept(HttpReply.error(BAD_REQUEST, "to: want the number of a version"));
             return;
         }
-        List<String> without = new ArrayList<>();
-        body.path("without").forEach(node -> without.add(node.asText()));
+        List<String> excluded = new ArrayList<>();
+        body.path("without").forEach(node -> excluded.add(node.asText()));
         versionTransitions.activate(
                 target.asInt(gate.release().newestWritten()),
-                without,
+                excluded,
                 body.path("olderReleasesRetired").asBoolean(),
                 beginChange(answer));
     }
@@ -111,7 +112,7 @@
                         .put("writes", version.writeVersion())
                         .put("highest", version.highestVersion())
                         .put("finalized", version.finalizedVersion())
-                        .put("leader", leaderClaim.leaderNode())
+                        .put("leader", leadership.leaderNode())
                         .put("recordsInNewerForm", versionedStore.compactRecordCount());
         if (!gate.mayServe()) {
             status.put("servesNobody", gate.refusalReason());
@@ -121,8 +122,8 @@
         registry.members().forEach((node, member) -> members.add(describe(node, member)));
         int next = gate.release().newestWritten();
         if (next > version.writeVersion()) {
-            ArrayNode waiting = status.putArray("waitsFor");
-            registry.activationBlockers(next, version.excludedControllers()).forEach(waiting::add);
+            ArrayNode blockers = status.putArray("waitsFor");
+            registry.activationBlockers(next, version.excludedControllers()).forEach(blockers::add);
         }
         return status;
     }
--- a/src/main/java/io/pepperfield/rollout/RolloutResult.java
+++ b/src/main/java/io/pepperfield/rollout/RolloutResult.java
@@ -3,22 +3,22 @@
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.Json;
 
-/** What an operator's command came to. */
+/** The result of an operator's command. */
 sealed interface RolloutResult {
 
-    /** Done, now or before. */
+    /** The command has taken effect, now or when it was sent before. */
     record Completed(String message) implements RolloutResult {}
 
-    /** Not allowed as things stand; nothing was written. */
+    /** The command is not allowed in the current state; nothing was written. */
     record Refused(String reason) implements RolloutResult {}
 
-    /** Could not be decided here and now: to be repeated. */
+    /** The result is not known or cannot be decided by this controller now; to be retried. */
     record RetryLater(String reason) implements RolloutResult {}
 
-    /** The answer to the console. */
+    /** The HTTP reply to the console. */
     default HttpReply toReply() {
-        if (this instanceof Completed done) {
-            return HttpReply.json(200, Json.object().put("result", done.message));
+        if (this instanceof Completed completed) {
+            return HttpReply.json(200, Json.object().put("result", completed.message));
         }
         if (this instanceof Refused refused) {
             return HttpReply.error(409, refused.reason);
--- a/src/main/java/io/pepperfield/rollout/StoredVersions.java
+++ b/src/main/java/io/pepperfield/rollout/StoredVersions.java
@@ -1,12 +1,12 @@
 package io.pepperfield.rollout;
 
-/** The stored-state versions that exist, by number. */
+/** The numbers of the stored-state versions. */
 public final class StoredVersions {
 
-    /** The form of every release without a version gate. */
+    /** The version written by every release without a version gate. */
     public static final int FIRST = 1;
 
-    /** Run records of a job are kept in a compact form, and jobs have fewer of them. */
+    /** Run records are stored in a compact format, and each job has fewer of them. */
     public static final int COMPACT_RUN_RECORDS = 2;
 
     private StoredVersions() {}
--- a/src/main/java/io/pepperfield/rollout/VersionGate.java
+++ b/src/main/java/io/pepperfield/rollout/VersionGate.java
@@ -8,8 +8,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one place where stored-state versions are compared. New behaviour asks here; whatever is
- * written carries {@link #precondition}, so that a controller with stale knowledge writes nothing.
+ * The single place for checks of the cluster's stored-state version: code whose behaviour depends
+ * on the version calls this class. Every write carries {@link #precondition}, so that the writes of
+ * a controller with a stale version fail.
  */
 public final class VersionGate {
 
@@ -21,31 +22,32 @@
     private boolean replicaLoaded;
     private String refusalReason = "";
 
-    /** Creates a gate that is closed until the replica is {@link #markReplicaLoaded}. */
+    /** Creates a gate that allows no writes until {@link #markReplicaLoaded} is called. */
     public VersionGate(Release release) {
         this.release = release;
     }
 
-    /** The release that asks. */
+    /** The release that this controller runs. */
     public Release release() {
         return release;
     }
 
-    /** The replica holds all keys: a version record that is not there does not exist. */
+    /** Marks the replica as complete: a version record that is not in it does not exist. */
     void markReplicaLoaded() {
         replicaLoaded = true;
     }
 
-    /** The replica's news of the version record. */
+    /** Handles a change of the version record in the replica. */
     void onVersionChanged(JsonNode data, long newModRevision) {
-        Optional<ClusterVersion> known =
+        Optional<ClusterVersion> newVersion =
                 Optional.ofNullable(data).flatMap(ClusterVersion::fromJson);
-        if (known.isEmpty()) {
-            // Never deleted by anybody: without it records of a newer form could be taken for none.
+        if (newVersion.isEmpty()) {
+            // The record is never deleted. Without it, records in a newer format could be mistaken
+            // for missing ones.
             refuseService("the stored-state version record is gone or cannot be read");
             return;
         }
-        version = known.get();
+        version = newVersion.get();
         modRevision = newModRevision;
         if (release.isCompatibleWith(version)) {
             refusalReason = "";
@@ -66,7 +68,7 @@
         }
     }
 
-    /** This controller serves nobody from now on; logged once for each reason. */
+    /** Stops this controller from serving; the reason is logged when it changes. */
     void refuseService(String reason) {
         if (!reason.equals(refusalReason)) {
             refusalReason = reason;
@@ -74,12 +76,12 @@
         }
     }
 
-    /** Whether this controller may take part in the cluster. */
+    /** Whether this controller may serve in the cluster. */
     public boolean mayServe() {
         return refusalReason.isEmpty();
     }
 
-    /** Why it may not, or empty. */
+    /** Why this controller may not serve, or empty if it may. */
     String refusalReason() {
         return refusalReason;
     }
@@ -89,24 +91,24 @@
         return replicaLoaded && mayServe();
     }
 
-    /** The version record as known here. */
+    /** The last version record seen in the replica. */
     ClusterVersion version() {
         return version;
     }
 
-    /** What every write carries: the version is still the one known here. */
+    /** The precondition of every write: the version record is still {@link #version}. */
     Precondition precondition() {
         return new Precondition(Keys.ROLLOUT_VERSION, modRevision);
     }
 
-    /** Whether run records are to be written in the compact form. */
+    /** Whether run records are to be written in the compact format. */
     public boolean writesCompactRunRecords() {
         return version.writeVersion() >= StoredVersions.COMPACT_RUN_RECORDS;
     }
 
     /**
-     * Whether records may exist that a release without a gate cannot read. The leader key is then
-     * kept where such a release does not look, and never leads.
+     * Whether records may exist that a release without a version gate cannot read. The leader is
+     * then elected under a key that such a release does not use, so that it never becomes leader.
      */
     boolean fencesOlderReleases() {
         return version.highestVersion() >= StoredVersions.COMPACT_RUN_RECORDS;
--- a/src/main/java/io/pepperfield/rollout/VersionTransitions.java
+++ b/src/main/java/io/pepperfield/rollout/VersionTransitions.java
@@ -15,8 +15,9 @@
 import java.util.function.Consumer;
 
 /**
- * The transactions that change the version record, each by the leader and guarded by its fencing
- * token and the record's modification revision. All may be repeated after a lost answer.
+ * The transactions that change the version record. Only the leader makes them, with preconditions
+ * on its fencing token and the record's modification revision. All can be repeated after a lost
+ * response.
  */
 final class VersionTransitions {
 
@@ -24,46 +25,48 @@
     private final VersionGate gate;
     private final VersionedKeyValueStore versionedStore;
     private final MemberRegistry registry;
-    private final LeadershipView leaderClaim;
+    private final LeadershipView leadership;
 
     VersionTransitions(
             KeyValueStore store,
             VersionGate gate,
             VersionedKeyValueStore versionedStore,
             MemberRegistry registry,
-            LeadershipView leaderClaim) {
+            LeadershipView leadership) {
         this.store = store;
         this.gate = gate;
         this.versionedStore = versionedStore;
         this.registry = registry;
-        this.leaderClaim = leaderClaim;
+        this.leadership = leadership;
     }
 
     /**
      * Activates a version.
      *
-     * @param without controllers that are not waited for
-     * @param olderRetired an operator's word that no release without a version gate will be started
+     * @param excluded controllers that the activation does not wait for
+     * @param olderReleasesRetired an operator's confirmation that no release without a version gate
+     *     will be started again
      */
     void activate(
             int target,
-            Collection<String> without,
-            boolean olderRetired,
+            Collection<String> excluded,
+            boolean olderReleasesRetired,
             Consumer<RolloutResult> done) {
-        ClusterVersion now = gate.version();
-        if (now.phase() != Phase.ROLLING_BACK && now.writeVersion() == target) {
-            confirm("version " + target + " is active", done);
+        ClusterVersion current = gate.version();
+        if (current.phase() != Phase.ROLLING_BACK && current.writeVersion() == target) {
+            confirmCurrentVersion("version " + target + " is active", done);
             return;
         }
-        Optional<String> refusal = activationRefusal(now, target, without, olderRetired);
+        Optional<String> refusal =
+                activationRefusal(current, target, excluded, olderReleasesRetired);
         if (refusal.isPresent()) {
             done.accept(new RolloutResult.Refused(refusal.get()));
             return;
         }
         List<Precondition> preconditions = leaderPreconditions();
-        preconditions.addAll(registry.declarationPreconditions(without));
+        preconditions.addAll(registry.declarationPreconditions(excluded));
         List<Mutation> mutations = new ArrayList<>();
-        mutations.add(versionMutation(now.activated(target, List.copyOf(without))));
+        mutations.add(versionMutation(current.activated(target, List.copyOf(excluded))));
         if (!gate.fencesOlderReleases()) {
             moveLeaderKey(Keys.LEADER, Keys.V2_LEADER, mutations);
         }
@@ -71,7 +74,10 @@
     }
 
     private Optional<String> activationRefusal(
-            ClusterVersion now, int target, Collection<String> without, boolean olderRetired) {
+            ClusterVersion current,
+            int target,
+            Collection<String> excluded,
+            boolean olderReleasesRetired) {
         if (target > gate.release().newestWritten()) {
             return Optional.of(
                     "version "
@@ -79,49 +85,50 @@
                             + " is not known to this release, which writes "
                             + gate.release().newestWritten());
         }
-        if (target != now.finalizedVersion() + 1) {
+        if (target != current.finalizedVersion() + 1) {
             return Optional.of(
-                    "version " + target + " cannot follow version " + now.finalizedVersion());
+                    "version " + target + " cannot follow version " + current.finalizedVersion());
         }
-        for (String node : without) {
+        for (String node : excluded) {
             if (!registry.isConfigured(node)) {
                 return Optional.of(node + " is no configured controller");
             }
         }
-        if (now.finalizedVersion() == StoredVersions.FIRST && !olderRetired) {
+        if (current.finalizedVersion() == StoredVersions.FIRST && !olderReleasesRetired) {
             return Optional.of(
                     "releases without a version gate cannot read version "
                             + target
                             + ": repeat with --older-releases-retired once none will be started again");
         }
-        List<String> blockers = registry.activationBlockers(target, without);
+        List<String> blockers = registry.activationBlockers(target, excluded);
         return blockers.isEmpty()
                 ? Optional.empty()
                 : Optional.of("waits for: " + String.join("; ", blockers));
     }
 
-    /** Makes the active version the only one. */
+    /** Finalizes the active version, which rules out a rollback. */
     void finalizeActive(Consumer<RolloutResult> done) {
-        ClusterVersion now = gate.version();
-        switch (now.phase()) {
-            case FINALIZED -> confirm("version " + now.writeVersion() + " is final", done);
+        ClusterVersion current = gate.version();
+        switch (current.phase()) {
+            case FINALIZED ->
+                    confirmCurrentVersion("version " + current.writeVersion() + " is final", done);
             case ROLLING_BACK -> done.accept(new RolloutResult.Refused("a rollback is under way"));
             case ACTIVE ->
                     execute(
                             leaderPreconditions(),
-                            List.of(versionMutation(now.asFinalized())),
-                            "version " + now.writeVersion() + " is final",
+                            List.of(versionMutation(current.asFinalized())),
+                            "version " + current.writeVersion() + " is final",
                             done);
         }
     }
 
-    /** Begins the way back to the final version; what is newer is rewritten from then on. */
+    /** Starts a rollback to the finalized version; newer records are rewritten from then on. */
     void rollback(Consumer<RolloutResult> done) {
-        ClusterVersion now = gate.version();
-        switch (now.phase()) {
-            case FINALIZED -> answerFinalizedRollback(now, done);
+        ClusterVersion current = gate.version();
+        switch (current.phase()) {
+            case FINALIZED -> replyToRollbackOfFinalized(current, done);
             case ROLLING_BACK ->
-                    confirm(
+                    confirmCurrentVersion(
                             "rolling back, about "
                                     + versionedStore.compactRecordCount()
                                     + " records are left",
@@ -129,23 +136,25 @@
             case ACTIVE ->
                     execute(
                             leaderPreconditions(),
-                            List.of(versionMutation(now.rollingBack())),
-                            "rolling back to version " + now.finalizedVersion(),
+                            List.of(versionMutation(current.rollingBack())),
+                            "rolling back to version " + current.finalizedVersion(),
                             done);
         }
     }
 
-    private void answerFinalizedRollback(ClusterVersion now, Consumer<RolloutResult> done) {
-        if (now.writeVersion() == StoredVersions.FIRST) {
-            confirm("version 1 is the only one", done);
+    private void replyToRollbackOfFinalized(ClusterVersion current, Consumer<RolloutResult> done) {
+        if (current.writeVersion() == StoredVersions.FIRST) {
+            confirmCurrentVersion("version 1 is the only one", done);
         } else {
             done.accept(
                     new RolloutResult.Refused(
-                            "version " + now.writeVersion() + " is final: there is no way back"));
+                            "version "
+                                    + current.writeVersion()
+                                    + " is final: there is no way back"));
         }
     }
 
-    /** Ends a rollback: nothing of the newer version is left, and older releases may lead again. */
+    /** Completes a rollback once no newer records are left; older releases may lead again. */
     void completeRollback(Consumer<RolloutResult> done) {
         List<Mutation> mutations = new ArrayList<>();
         mutations.add(versionMutation(gate.version().rolledBack()));
@@ -153,45 +162,48 @@
         execute(leaderPreconditions(), mutations, "rolled back", done);
     }
 
-    /** This node's lead goes on under the other key; nobody can be elected under the old one. */
+    /** Moves this node's leadership to the other key and prevents elections under the old one. */
     private void moveLeaderKey(String from, String to, List<Mutation> mutations) {
         mutations.add(Mutation.set(from, VersionedKeyValueStore.fenceValue()));
-        mutations.add(new Mutation(to, leaderClaim.leaderKeyValue(), leaderClaim.grant()));
+        mutations.add(new Mutation(to, leadership.leaderKeyValue(), leadership.grant()));
     }
 
     private static Mutation versionMutation(ClusterVersion version) {
         return Mutation.set(Keys.ROLLOUT_VERSION, version.toJson());
     }
 
-    /** The preconditions of every change of the version. */
+    /** The preconditions of every change of the version record. */
     List<Precondition> leaderPreconditions() {
         List<Precondition> preconditions = new ArrayList<>();
         preconditions.add(gate.precondition());
         preconditions.add(
-                new Precondition(versionedStore.leaderKey(), leaderClaim.fencingToken().value()));
+                new Precondition(versionedStore.leaderKey(), leadership.fencingToken().value()));
         return preconditions;
     }
 
-    /** Says so if the version known here is still the one in force: another may have changed it. */
-    private void confirm(String text, Consumer<RolloutResult> done) {
-        execute(leaderPreconditions(), List.of(), text, done);
+    /**
+     * Reports success without a change if the version known here is still the current one; another
+     * leader may have changed it.
+     */
+    private void confirmCurrentVersion(String message, Consumer<RolloutResult> done) {
+        execute(leaderPreconditions(), List.of(), message, done);
     }
 
     private void execute(
             List<Precondition> preconditions,
             List<Mutation> mutations,
-            String text,
+            String message,
             Consumer<RolloutResult> done) {
         store.compareAndSwap(
                 RequestPriority.LEADER_WRITE,
                 preconditions,
                 mutations,
-                outcome -> done.accept(toResult(outcome, text)));
+                outcome -> done.accept(toResult(outcome, message)));
     }
 
-    private static RolloutResult toResult(CompareAndSwapOutcome outcome, String text) {
+    private static RolloutResult toResult(CompareAndSwapOutcome outcome, String message) {
         if (outcome instanceof CompareAndSwapOutcome.Committed) {
-            return new RolloutResult.Completed(text);
+            return new RolloutResult.Completed(message);
         }
         if (outcome instanceof CompareAndSwapOutcome.Unknown) {
             return new RolloutResult.RetryLater("no answer came; repeat the command");
--- a/src/main/java/io/pepperfield/rollout/VersionedKeyValueStore.java
+++ b/src/main/java/io/pepperfield/rollout/VersionedKeyValueStore.java
@@ -17,69 +17,72 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The state service as the rest of the program sees it, whatever version is stored: keys and values
- * are those of the first form. Reading needs no knowledge of the active version, since each form
- * has keys of its own; writing asks the gate, and every transaction is guarded by the version
+ * Presents the state service to the rest of the program in the version 1 format, whichever version
+ * is stored. Reads do not depend on the active version, since each format has its own keys. Writes
+ * use the format that the gate selects, and every transaction has a precondition on the version
  * record.
  *
- * <p>At any revision a run record exists in exactly one form: the write that changes its form
- * deletes the other key.
+ * <p>At any revision a run record exists in exactly one format: the write that converts it deletes
+ * the key of the other format.
  */
 public final class VersionedKeyValueStore implements KeyValueStore {
 
     private static final Logger LOG = LoggerFactory.getLogger(VersionedKeyValueStore.class);
 
-    /** Conflicts of the version precondition: certainly not carried out, and to be tried again. */
-    private static final int STALE_VERSION = 409;
+    /**
+     * Status for a conflict on the version record: the write was not applied and can be retried.
+     */
+    private static final int STALE_VERSION_STATUS = 409;
 
-    private static final int NOT_SERVING = 503;
+    private static final int NOT_SERVING_STATUS = 503;
 
     /**
-     * Holds the leader key that is not in use, so that nobody stands for it. The value has the form
-     * that releases without a gate read: to them another node leads.
+     * Node name in the leader key that is not in use, so that no controller runs for election under
+     * it. The value has the format that releases without a version gate read: they see it as
+     * another node that leads.
      */
     private static final String FENCE_HOLDER = "stored-version-fence";
 
     private final KeyValueStore store;
     private final VersionGate gate;
 
-    /** The modification revisions of run records in the compact form, by their first-form keys. */
+    /** The modification revisions of run records in the compact format, by their version 1 keys. */
     private final Map<String, Long> compactRecordRevisions = new HashMap<>();
 
-    /** Keys of records of no known form, each logged once. */
+    /** Keys of records that cannot be decoded, each logged once. */
     private final Set<String> unreadableKeys = new HashSet<>();
 
     /**
      * Creates the view through which the rest of the program uses the state service.
      *
-     * @param store the state service itself
+     * @param store the state service, without conversion between versions
      */
     VersionedKeyValueStore(KeyValueStore store, VersionGate gate) {
         this.store = store;
         this.gate = gate;
     }
 
-    /** A leader key that nobody holds and that is not deleted. */
+    /** The value of the leader key that is not in use. */
     static JsonNode fenceValue() {
         return Json.object().put("node", FENCE_HOLDER).put("grant", 0);
     }
 
-    /** The key of a run record in the second form. */
-    static String compactKey(String key) {
-        return Keys.V2_RUN_RECORD_PREFIX + key.substring(Keys.RUN_RECORD_PREFIX.length());
+    /** The compact format's key of the run record with this version 1 key. */
+    static String compactKey(String versionOneKey) {
+        return Keys.V2_RUN_RECORD_PREFIX + versionOneKey.substring(Keys.RUN_RECORD_PREFIX.length());
     }
 
-    /** The key of the first form of what is stored under a key of the second. */
+    /** The version 1 key of the run record with this key in the compact format. */
     static String versionOneKey(String compactKey) {
         return Keys.RUN_RECORD_PREFIX + compactKey.substring(Keys.V2_RUN_RECORD_PREFIX.length());
     }
 
-    /** The leader key that is in use now. */
+    /** The leader key that is currently in use. */
     String leaderKey() {
         return gate.fencesOlderReleases() ? Keys.V2_LEADER : Keys.LEADER;
     }
 
-    /** How many run records are known in the compact form. */
+    /** The number of run records known to be in the compact format. */
     int compactRecordCount() {
         return compactRecordRevisions.size();
     }
@@ -93,7 +96,7 @@
             List<Mutation> mutations,
             Consumer<CompareAndSwapOutcome> done) {
         if (!gate.mayWrite()) {
-            done.accept(new CompareAndSwapOutcome.Refused(NOT_SERVING));
+            done.accept(new CompareAndSwapOutcome.Refused(NOT_SERVING_STATUS));
             return;
         }
         Map<String, Long> modRevisions = new HashMap<>();
@@ -113,14 +116,14 @@
                 priority,
                 storedPreconditions,
                 storedMutations,
-                result -> done.accept(toFirstFormOutcome(result, storedMutations)));
+                result -> done.accept(toVersionOneOutcome(result, storedMutations)));
     }
 
     private static boolean isRunRecord(String key) {
         return key.startsWith(Keys.RUN_RECORD_PREFIX);
     }
 
-    /** Whether the record of this modification revision is stored in the compact form. */
+    /** Whether the record with this modification revision is stored in the compact format. */
     private boolean isCompact(String key, long modRevision) {
         return modRevision != 0 && compactRecordRevisions.getOrDefault(key, 0L) == modRevision;
     }
@@ -135,8 +138,8 @@
                     new Precondition(compactKey(precondition.key()), precondition.modRevision()));
         } else {
             stored.add(precondition);
-            // Not known in the compact form, and so it must not exist in it: a record may never be
-            // in both.
+            // Not known in the compact format, and so it must not exist there: a record may never
+            // be stored in both formats.
             stored.add(new Precondition(compactKey(precondition.key()), 0));
         }
     }
@@ -148,8 +151,8 @@
         } else if (!isRunRecord(key)) {
             stored.add(mutation);
         } else if (isCompact(key, modRevision)) {
-            // Also while rolling back: only the rewriting changes a record's form then, so that the
-            // two never undo each other's work.
+            // Keeps the format, also during a rollback: only the rollback rewriter converts records
+            // then, so that it and ordinary writes never undo each other's work.
             stored.add(compactMutation(mutation));
         } else if (gate.writesCompactRunRecords()) {
             stored.add(compactMutation(mutation));
@@ -161,27 +164,31 @@
         }
     }
 
-    private static Mutation compactMutation(Mutation first) {
-        return Mutation.set(compactKey(first.key()), CompactRunRecordCodec.encode(first.value()));
+    private static Mutation compactMutation(Mutation mutation) {
+        return Mutation.set(
+                compactKey(mutation.key()), CompactRunRecordCodec.encode(mutation.value()));
     }
 
-    private CompareAndSwapOutcome toFirstFormOutcome(
+    private CompareAndSwapOutcome toVersionOneOutcome(
             CompareAndSwapOutcome result, List<Mutation> mutations) {
-        if (result instanceof CompareAndSwapOutcome.Committed done) {
-            mutations.forEach(mutation -> recordCompactForm(mutation.key(), done.revision()));
+        if (result instanceof CompareAndSwapOutcome.Committed committed) {
+            mutations.forEach(
+                    mutation -> recordCompactRevision(mutation.key(), committed.revision()));
             return result;
         }
         if (!(result instanceof CompareAndSwapOutcome.Conflict conflict)) {
             return result;
         }
         if (conflict.failedKeys().contains(Keys.ROLLOUT_VERSION)) {
-            return new CompareAndSwapOutcome.Refused(STALE_VERSION);
+            return new CompareAndSwapOutcome.Refused(STALE_VERSION_STATUS);
         }
         return new CompareAndSwapOutcome.Conflict(
-                conflict.failedKeys().stream().map(VersionedKeyValueStore::firstFormName).toList());
+                conflict.failedKeys().stream()
+                        .map(VersionedKeyValueStore::toVersionOneKey)
+                        .toList());
     }
 
-    private static String firstFormName(String storedKey) {
+    private static String toVersionOneKey(String storedKey) {
         if (storedKey.equals(Keys.V2_LEADER)) {
             return Keys.LEADER;
         }
@@ -190,14 +197,14 @@
                 : storedKey;
     }
 
-    private void recordCompactForm(String storedKey, long modRevision) {
+    private void recordCompactRevision(String storedKey, long modRevision) {
         if (storedKey.startsWith(Keys.V2_RUN_RECORD_PREFIX)) {
             compactRecordRevisions.merge(versionOneKey(storedKey), modRevision, Math::max);
         }
     }
 
-    /** A record was written in the first form: an older compact one is gone. */
-    private void recordFirstForm(String key, long modRevision) {
+    /** A record was written in the version 1 format: drops an older compact revision of it. */
+    private void recordVersionOneRevision(String key, long modRevision) {
         compactRecordRevisions.computeIfPresent(
                 key, (name, known) -> known < modRevision ? null : known);
     }
@@ -206,34 +213,35 @@
 
     @Override
     public void readPage(String after, Consumer<ReadResult> done) {
-        store.readPage(after, result -> done.accept(toFirstForm(result)));
+        store.readPage(after, result -> done.accept(toVersionOne(result)));
     }
 
     @Override
     public void watch(long since, double holdS, Consumer<ReadResult> done) {
-        store.watch(since, holdS, result -> done.accept(toFirstForm(result)));
+        store.watch(since, holdS, result -> done.accept(toVersionOne(result)));
     }
 
-    private ReadResult toFirstForm(ReadResult result) {
+    private ReadResult toVersionOne(ReadResult result) {
         if (!(result instanceof ReadResult.Read read)) {
             return result;
         }
         List<KeyValue> items = new ArrayList<>(read.entries().size());
         for (KeyValue item : read.entries()) {
-            addInFirstForm(item, items);
+            addInVersionOne(item, items);
         }
         return new ReadResult.Read(items, read.hasMore(), read.revision());
     }
 
-    /** Adds the item as it is in the first form, unless it says nothing there. */
-    private void addInFirstForm(KeyValue item, List<KeyValue> items) {
+    /** Adds the item in the version 1 format, unless it has no equivalent there. */
+    private void addInVersionOne(KeyValue item, List<KeyValue> items) {
         String key = item.key();
         if (key.startsWith(Keys.V2_PREFIX)) {
-            addFromSecondForm(item, items);
+            addFromVersionTwo(item, items);
         } else if (isRunRecord(key)) {
-            // Deleted only in the same transaction that writes the other form.
+            // A version 1 record is deleted only in the transaction that writes it in the compact
+            // format, so the deletion is not passed on.
             if (item.value() != null) {
-                recordFirstForm(key, item.modRevision());
+                recordVersionOneRevision(key, item.modRevision());
                 items.add(item);
             }
         } else if (!key.equals(Keys.LEADER) || !isFence(item)) {
@@ -245,7 +253,7 @@
         return item.value() != null && item.value().path("node").asText().equals(FENCE_HOLDER);
     }
 
-    private void addFromSecondForm(KeyValue item, List<KeyValue> items) {
+    private void addFromVersionTwo(KeyValue item, List<KeyValue> items) {
         if (gate.release().newestRead() < StoredVersions.COMPACT_RUN_RECORDS) {
             return;
         }
@@ -255,20 +263,22 @@
                 items.add(new KeyValue(Keys.LEADER, item.value(), item.modRevision()));
             }
         } else if (key.startsWith(Keys.V2_RUN_RECORD_PREFIX) && item.value() != null) {
-            recordCompactForm(key, item.modRevision());
+            recordCompactRevision(key, item.modRevision());
             JsonNode taskStates = decodeRunRecord(key, item.value());
             items.add(new KeyValue(versionOneKey(key), taskStates, item.modRevision()));
         }
     }
 
-    /** What cannot be read is passed on as such, so that nobody takes the job for one not begun. */
+    /**
+     * Marks a record that cannot be decoded, so that its job is not mistaken for an unstarted one.
+     */
     private JsonNode decodeRunRecord(String key, JsonNode data) {
         try {
             return CompactRunRecordCodec.decode(data);
         } catch (UnreadableRecordException e) {
             if (unreadableKeys.add(key)) {
                 LOG.error(
-                        "run record unreadable, its job is left alone: key={} reason=\"{}\"",
+                        "run record cannot be decoded, its job is left unchanged: key={} reason=\"{}\"",
                         key,
                         e.getMessage());
             }
@@ -283,7 +293,8 @@
         if (gate.mayWrite()) {
             store.createGrant(ttlS, done);
         } else {
-            // Who may not write cannot lead, and must not burden the service with grants.
+            // A controller that may not write cannot lead, and must not load the service with
+            // grants.
             done.accept(new GrantOutcome.Unavailable());
         }
     }
--- a/src/main/java/io/pepperfield/rollout/VersionedTransactionLimits.java
+++ b/src/main/java/io/pepperfield/rollout/VersionedTransactionLimits.java
@@ -3,8 +3,9 @@
 import io.pepperfield.store.TransactionLimits;
 
 /**
- * What is left of a transaction's limits for its writer. The version guard takes a condition; while
- * records may be in two forms, a change of form takes a deletion and a second condition too.
+ * The part of a transaction's limits that is left to callers of {@link VersionedKeyValueStore}. The
+ * version record takes a precondition. While records may exist in two formats, the conversion of a
+ * record also takes a deletion and a second precondition.
  */
 final class VersionedTransactionLimits implements TransactionLimits {
 
@@ -25,7 +26,9 @@
 
     @Override
     public int maxPreconditions() {
-        int secondForms = gate.fencesOlderReleases() ? maxMutations() : 0;
-        return PRECONDITIONS_PER_MUTATION * maxMutations - VERSION_PRECONDITIONS - secondForms;
+        int compactKeyPreconditions = gate.fencesOlderReleases() ? maxMutations() : 0;
+        return PRECONDITIONS_PER_MUTATION * maxMutations
+                - VERSION_PRECONDITIONS
+                - compactKeyPreconditions;
     }
 }
--- a/src/main/java/io/pepperfield/rollout/package-info.java
+++ b/src/main/java/io/pepperfield/rollout/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Rollout of releases that store state differently: which stored-state version the cluster writes,
- * which controllers could read the next one, and the way forward and back. Every durable write is
- * guarded by the version record that its writer knows, so that safety does not rest on the moment
- * of an activation. Nothing of this package is used unless operators have enabled it.
+ * Rollout of releases that change the format of stored state: which stored-state version the
+ * cluster writes, which controllers support the next one, activation and rollback. Every durable
+ * write has a precondition on the version record that its writer has seen, so that safety does not
+ * depend on when controllers learn of an activation. The package is only used if operators have
+ * enabled the rollout.
  */
 package io.pepperfield.rollout;
--- a/src/test/java/io/pepperfield/recovery/ArchiveForms.java
+++ b/src/test/java/io/pepperfield/recovery/ArchiveForms.java
@@ -7,12 +7,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** The entries of an archive of all keys. */
+/** The entries of an archive. */
 public final class ArchiveForms {
 
     private ArchiveForms() {}
 
-    /** Adds them. */
+    /** Adds the entries to the file. */
     public static void write(FormFile file) {
         byte[] page =
                 ArchiveItemsCodec.encode(
--- a/src/test/java/io/pepperfield/recovery/StateArchiveTest.java
+++ b/src/test/java/io/pepperfield/recovery/StateArchiveTest.java
@@ -22,12 +22,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** An archive is what the state service held at one revision, or it is none. */
+/** An archive holds the state service's content at one revision, or is rejected as damaged. */
 class StateArchiveTest implements SnapshotSource {
 
-    private static final int PAGE = 3;
+    private static final int PAGE_SIZE = 3;
 
-    /** A key's value and its revision. */
+    /** A key's value and its modification revision. */
     private record Entry(String data, long modRevision) {}
 
     @TempDir private Path directory;
@@ -36,12 +36,12 @@
     private final List<KeyValue> events = new ArrayList<>();
     private final List<Runnable> betweenPages = new ArrayList<>();
     private long revision;
-    private int forgotten;
-    private boolean fails;
+    private int compactedResponses;
+    private boolean sourceFails;
     private Path file;
 
     @BeforeEach
-    void fill() {
+    void setUp() {
         file = directory.resolve("state.tar");
         for (int i = 0; i < 8; i++) {
             set("job/run-00000" + i, "job");
@@ -65,12 +65,12 @@
         if (!after.isEmpty() && !betweenPages.isEmpty()) {
             betweenPages.remove(0).run();
         }
-        if (fails && !after.isEmpty()) {
+        if (sourceFails && !after.isEmpty()) {
             throw new IOException("does not answer");
         }
         List<KeyValue> items = new ArrayList<>();
         for (Map.Entry<String, Entry> entry : keys.tailMap(after, after.isEmpty()).entrySet()) {
-            if (items.size() == PAGE) {
+            if (items.size() == PAGE_SIZE) {
                 return new Page(items, true, revision);
             }
             JsonNode data = Json.object().put("x", entry.getValue().data);
@@ -81,20 +81,21 @@
 
     @Override
     public Page changesSince(long since) throws IOException {
-        if (forgotten > 0) {
-            forgotten--;
+        if (compactedResponses > 0) {
+            compactedResponses--;
             throw new ChangesCompactedException(since);
         }
-        List<KeyValue> news = events.stream().filter(event -> event.modRevision() > since).toList();
-        return new Page(news, false, revision);
+        List<KeyValue> changes =
+                events.stream().filter(event -> event.modRevision() > since).toList();
+        return new Page(changes, false, revision);
     }
 
     private long export() throws IOException {
         return new ArchiveWriter(this, List.of("node-0", "node-1")).write(file);
     }
 
-    /** What the pages with the changes amount to. */
-    private static Map<String, Long> content(Path archive) throws ArchiveException {
+    /** The keys and their revisions after the changes are applied to the pages. */
+    private static Map<String, Long> archivedRevisions(Path archive) throws ArchiveException {
         Map<String, Long> modRevisions = new TreeMap<>();
         StateArchive.visit(
                 archive,
@@ -116,7 +117,7 @@
         return modRevisions;
     }
 
-    private Map<String, Long> now() {
+    private Map<String, Long> currentRevisions() {
         Map<String, Long> modRevisions = new TreeMap<>();
         keys.forEach((key, entry) -> modRevisions.put(key, entry.modRevision));
         return modRevisions;
@@ -132,9 +133,9 @@
                     set("end/run-000003", "done");
                     set("run/run-000004/0", "lines");
                 });
-        long of = export();
-        assertEquals(revision, of);
-        assertEquals(now(), content(file));
+        long archiveRevision = export();
+        assertEquals(revision, archiveRevision);
+        assertEquals(currentRevisions(), archivedRevisions(file));
         StateArchive archive = StateArchive.inspect(file);
         assertEquals(Map.of("job", 6, "end", 1, "leader", 1, "run", 1), archive.keyCounts());
         assertEquals(List.of("node-0", "node-1"), archive.controllers());
@@ -142,19 +143,19 @@
 
     @Test
     void exportRetriesWhenChangesWereCompacted() throws Exception {
-        forgotten = 1;
+        compactedResponses = 1;
         export();
-        assertEquals(now(), content(file));
+        assertEquals(currentRevisions(), archivedRevisions(file));
     }
 
     @Test
     void exportIsAtomicAndDoesNotOverwrite() throws Exception {
-        fails = true;
+        sourceFails = true;
         assertThrows(IOException.class, this::export);
-        try (var left = Files.list(directory)) {
-            assertEquals(List.of(), left.toList());
+        try (var files = Files.list(directory)) {
+            assertEquals(List.of(), files.toList());
         }
-        fails = false;
+        sourceFails = false;
         export();
         assertThrows(FileAlreadyExistsException.class, this::export);
     }
@@ -168,26 +169,26 @@
     @Test
     void inspectReportsTheFirstFault() throws Exception {
         export();
-        byte[] whole = Files.readAllBytes(file);
-        for (int length = 0; length < lengthWithManifest(whole); length += 97) {
-            assertFalse(faultOf(Arrays.copyOf(whole, length)).isEmpty());
+        byte[] archive = Files.readAllBytes(file);
+        for (int length = 0; length < lengthWithManifest(archive); length += 97) {
+            assertFalse(faultOf(Arrays.copyOf(archive, length)).isEmpty());
         }
-        byte[] changed = whole.clone();
-        int at = indexOf(whole, "run-000005");
+        byte[] changed = archive.clone();
+        int at = indexOf(archive, "run-000005");
         changed[at + 9] = '9';
-        assertEquals("pages/000002.json: not as the manifest says", faultOf(changed));
-        assertEquals("cut off: no manifest.json", faultOf(new byte[2048]));
-        byte[] foreign = whole.clone();
-        foreign[indexOf(whole, "pepperfield-state")] = 'x';
+        assertEquals("pages/000002.json: entry does not match the manifest", faultOf(changed));
+        assertEquals("archive truncated: no manifest.json", faultOf(new byte[2048]));
+        byte[] foreign = archive.clone();
+        foreign[indexOf(archive, "pepperfield-state")] = 'x';
         assertEquals("manifest.json: not of a pepperfield archive", faultOf(foreign));
-        byte[] unknown = whole.clone();
-        unknown[indexOf(whole, "\"format\":1") + 9] = '7';
+        byte[] unknown = archive.clone();
+        unknown[indexOf(archive, "\"format\":1") + 9] = '7';
         assertEquals("manifest.json: format 7 is not known", faultOf(unknown));
     }
 
-    /** Behind the manifest a tar archive has nothing but padding, which may be missing. */
-    private static int lengthWithManifest(byte[] whole) {
-        return indexOf(whole, "pepperfield-state");
+    /** Length up to the manifest; the padding of the tar file after it may be missing. */
+    private static int lengthWithManifest(byte[] archive) {
+        return indexOf(archive, "pepperfield-state");
     }
 
     private static int indexOf(byte[] in, String text) {
--- a/src/test/java/io/pepperfield/rollout/CompactRunRecordCodecTest.java
+++ b/src/test/java/io/pepperfield/rollout/CompactRunRecordCodecTest.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The compact form says the same as the first, and nothing else is taken for it. */
+/**
+ * The compact format preserves the content of version 1 records, and malformed records are
+ * rejected.
+ */
 class CompactRunRecordCodecTest {
 
     private static JsonNode json(String text) {
@@ -26,7 +29,7 @@
 
     @Test
     void encodeGroupsTasksByPhaseAndMachine() {
-        JsonNode first =
+        JsonNode versionOneRecord =
                 json(
                         "[[0,1,2],[1,1,2],[2,2,2],[3,1,1,\"m-1\",4],[4,1,1,\"m-1\",4],"
                                 + "[5,1,1,\"m-2\",1],[6,1,0],[8,3,3]]");
@@ -35,44 +38,48 @@
                         json(
                                 "{\"v\":2,\"done\":[0,2,1,2,1,2],\"gone\":[6,1,1],\"failed\":[8,1,3],"
                                         + "\"live\":[[\"m-1\",4,3,2,1],[\"m-2\",1,5,1,1]]}")),
-                String.valueOf(CompactRunRecordCodec.encode(first)));
+                String.valueOf(CompactRunRecordCodec.encode(versionOneRecord)));
     }
 
     @Test
     void decodeRestoresTheEncodedRecord() throws UnreadableRecordException {
         Random random = new Random(1);
         for (int round = 0; round < 500; round++) {
-            JsonNode first = TaskState.encode(lines(random));
-            JsonNode second = Json.read(Json.write(CompactRunRecordCodec.encode(first)));
-            assertEquals(first, CompactRunRecordCodec.decode(second));
+            JsonNode versionOneRecord = TaskState.encode(randomTaskStates(random));
+            JsonNode compact =
+                    Json.read(Json.write(CompactRunRecordCodec.encode(versionOneRecord)));
+            assertEquals(versionOneRecord, CompactRunRecordCodec.decode(compact));
         }
     }
 
-    private static List<TaskState> lines(Random random) {
-        List<TaskState> lines = new ArrayList<>();
-        for (int task = random.nextInt(200); lines.size() < 136; task += 1 + random.nextInt(2)) {
-            Phase state = Phase.values()[random.nextInt(Phase.values().length)];
-            boolean live = state == Phase.LIVE;
-            lines.add(
+    private static List<TaskState> randomTaskStates(Random random) {
+        List<TaskState> taskStates = new ArrayList<>();
+        for (int task = random.nextInt(200);
+                taskStates.size() < 136;
+                task += 1 + random.nextInt(2)) {
+            Phase phase = Phase.values()[random.nextInt(Phase.values().length)];
+            boolean live = phase == Phase.LIVE;
+            taskStates.add(
                     new TaskState(
                             task,
                             1 + random.nextInt(3),
-                            state,
+                            phase,
                             live ? "host-" + random.nextInt(9) : "",
                             live ? 1 + random.nextInt(2) : 0));
         }
-        return lines;
+        return taskStates;
     }
 
     @Test
     void fullCompactRecordIsSmallerThanVersionOneRecordOfHalfTheTasks() {
-        List<TaskState> lines = new ArrayList<>();
+        List<TaskState> taskStates = new ArrayList<>();
         for (int task = 0; task < 136; task++) {
-            lines.add(new TaskState(task, 1, Phase.LIVE, "host-" + (100_000 + task / 4), 1));
+            taskStates.add(new TaskState(task, 1, Phase.LIVE, "host-" + (100_000 + task / 4), 1));
         }
-        int second = Json.write(CompactRunRecordCodec.encode(TaskState.encode(lines))).length;
-        int first = Json.write(TaskState.encode(lines.subList(0, 68))).length;
-        assertTrue(second < first, second + " bytes, and " + first);
+        int compactBytes =
+                Json.write(CompactRunRecordCodec.encode(TaskState.encode(taskStates))).length;
+        int versionOneBytes = Json.write(TaskState.encode(taskStates.subList(0, 68))).length;
+        assertTrue(compactBytes < versionOneBytes, compactBytes + " bytes, and " + versionOneBytes);
     }
 
     @ParameterizedTest
--- a/src/test/java/io/pepperfield/rollout/RecordedVersionFencedTest.java
+++ b/src/test/java/io/pepperfield/rollout/RecordedVersionFencedTest.java
@@ -12,7 +12,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The recorded version beside the keys of a newer stored-state version, as it was seen to act. */
+/**
+ * The recorded production version, which has no version gate, must neither lead nor write while the
+ * state service holds keys of a newer stored-state version. The expected behaviour is a trace of
+ * the version's own classes.
+ */
 class RecordedVersionFencedTest {
 
     private static final String JOB =
@@ -45,27 +49,28 @@
         }
         region.directRequests.write("pepperfield/leader", VersionedKeyValueStore.fenceValue());
         KEYS.forEach((key, data) -> region.directRequests.write(key, json(data)));
-        int changes = region.storedMutations();
+        int mutationsBefore = region.storedMutations();
         region.world.run(region.world.now() + 40);
-        String led = region.leader().equals("node-0") ? "nobody of them leads" : region.leader();
-        String first = led + ", " + (region.storedMutations() - changes) + " changes in 40 s";
-        String job = state(region);
-        HttpReply up = region.directRequests.answer(0, "GET", "/up");
+        String leader = region.leader().equals("node-0") ? "nobody of them leads" : region.leader();
+        String writes =
+                leader + ", " + (region.storedMutations() - mutationsBefore) + " changes in 40 s";
+        String jobStatus = jobStatus(region);
+        HttpReply health = region.directRequests.answer(0, "GET", "/up");
         HttpReply heartbeat = region.directRequests.sendHeartbeat(0, "east");
         region.directRequests.write("pepperfield/end/run-000001", json("{\"s\":\"done\"}"));
         region.world.run(region.world.now() + 2);
         return List.of(
-                first,
-                "asked about the job: " + job,
-                "asked by the load balancer: " + up.status(),
+                writes,
+                "asked about the job: " + jobStatus,
+                "asked by the load balancer: " + health.status(),
                 "a worker's report: "
                         + heartbeat.status()
                         + " "
                         + Json.read(heartbeat.body()).path("manager").asText(),
-                "asked about the job once it is done: " + state(region));
+                "asked about the job once it is done: " + jobStatus(region));
     }
 
-    private static String state(SimulatedRegion region) {
+    private static String jobStatus(SimulatedRegion region) {
         HttpReply reply = region.directRequests.answer(0, "GET", "/api/jobs/run-000001");
         return reply.status() + " " + Json.read(reply.body()).path("status").asText();
     }
--- a/src/test/java/io/pepperfield/rollout/RollbackRecordsTest.java
+++ b/src/test/java/io/pepperfield/rollout/RollbackRecordsTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Run records in both forms, and how a rollback rewrites them. */
+/** Run records in both formats, and their conversion by a rollback. */
 class RollbackRecordsTest extends RolloutFixture {
 
     @Test
@@ -61,10 +61,12 @@
         syncAll();
         leader.sendCommand("rollback", "{}");
         leader.sync();
-        assertEquals(2, store.count(Keys.V2_RUN_RECORD_PREFIX), "not rewritten yet");
+        assertEquals(
+                2, store.count(Keys.V2_RUN_RECORD_PREFIX), "compact records not rewritten yet");
         assertEquals(200, leader.sendCommand("activate", ACTIVATE_BODY).status());
         syncAll();
-        // Compact once more, before the place that the rewriting had reached.
+        // Writes the record in the compact format again, before the scan position that the first
+        // rollback had reached.
         assertInstanceOf(
                 CompareAndSwapOutcome.Committed.class, leader.writeRunRecord(UPDATED_TASK_STATES));
         leader.sendCommand("rollback", "{}");
@@ -74,20 +76,20 @@
         assertEquals(ClusterVersion.INITIAL, version());
     }
 
-    private static List<TaskState> longLines() {
-        List<TaskState> lines = new ArrayList<>();
+    private static List<TaskState> largeTaskStates() {
+        List<TaskState> taskStates = new ArrayList<>();
         for (int task = 0; task < 100; task++) {
-            lines.add(new TaskState(task, 1, TaskState.Phase.LIVE, "host-" + task / 2, 1));
+            taskStates.add(new TaskState(task, 1, TaskState.Phase.LIVE, "host-" + task / 2, 1));
         }
-        return lines;
+        return taskStates;
     }
 
     @Test
     void rollbackSplitsRecordTooLargeForVersionOne() {
         jobSpec = new JobSpecBuilder().id("run-000001").tasks(100).chunk(100).build();
-        List<TaskState> lines = longLines();
+        List<TaskState> taskStates = largeTaskStates();
         activate();
-        leader.writeRunRecord(TaskState.encode(lines));
+        leader.writeRunRecord(TaskState.encode(taskStates));
         leader.sync();
         leader.writeRunRecord(Keys.runRecord("run-000002", 0), TASK_STATES);
         leader.sync();
@@ -99,18 +101,19 @@
         for (int part = 0; part < TaskState.SPLIT_PARTS; part++) {
             found.addAll(TaskState.decode(store.get(jobSpec.splitRecordKey(0, part))));
         }
-        assertEquals(lines, found);
+        assertEquals(taskStates, found);
         assertEquals(TASK_STATES.toString(), store.get(Keys.runRecord("run-000002", 0)).toString());
     }
 
     @Test
     void recordThatCannotBeRewrittenDoesNotBlockOtherRecords() {
         activate();
-        leader.writeRunRecord(TaskState.encode(longLines()));
+        leader.writeRunRecord(TaskState.encode(largeTaskStates()));
         leader.sync();
         leader.writeRunRecord(Keys.runRecord("run-000002", 0), TASK_STATES);
         leader.sync();
-        // It does not fit any more, and its job, which says how to divide it, is not known.
+        // The first record exceeds the limit, and cannot be split since its job's specification is
+        // unknown.
         store.maxValueBytes = 1024;
         leader.sendCommand("rollback", "{}");
         advanceTime();
--- a/src/test/java/io/pepperfield/rollout/RolloutCommandForms.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutCommandForms.java
@@ -15,27 +15,29 @@
 import java.util.List;
 import java.util.Map;
 
-/** What operators ask about the rollout, and what a leader answers them. */
+/** The operators' requests about the rollout and a leader's replies. */
 public final class RolloutCommandForms implements LeadershipView {
 
-    private static final long TOKEN = 41;
-    private static final Release NEWER = new Release("9.1.0", 1, 3, 3);
+    private static final long FENCING_TOKEN = 41;
+    private static final Release NEWER_RELEASE = new Release("9.1.0", 1, 3, 3);
 
     private final VersionGate gate = new VersionGate(Release.CURRENT);
-    private final RolloutRequestHandler requests;
+    private final RolloutRequestHandler requestHandler;
 
     private RolloutCommandForms() {
         Settings settings = RegionSettings.of(0, 3, new Settings.StoreLimits(150, 60, 8, 32));
         MemberRegistry registry = new MemberRegistry(settings);
-        registry.onMemberChanged("node-0", new MemberRelease(NEWER, "a-process", 0).toJson(), 9);
-        NoOpKeyValueStore state = new NoOpKeyValueStore() {};
-        VersionedKeyValueStore forms = new VersionedKeyValueStore(state, gate);
-        VersionTransitions versions = new VersionTransitions(state, gate, forms, registry, this);
-        requests = new RolloutRequestHandler(gate, forms, registry, versions, this);
+        registry.onMemberChanged(
+                "node-0", new MemberRelease(NEWER_RELEASE, "a-process", 0).toJson(), 9);
+        NoOpKeyValueStore store = new NoOpKeyValueStore() {};
+        VersionedKeyValueStore versionedStore = new VersionedKeyValueStore(store, gate);
+        VersionTransitions versions =
+                new VersionTransitions(store, gate, versionedStore, registry, this);
+        requestHandler = new RolloutRequestHandler(gate, versionedStore, registry, versions, this);
         gate.markReplicaLoaded();
     }
 
-    /** Adds them. */
+    /** Adds the requests and replies to the file. */
     public static void write(FormFile file) {
         JsonNode activate = FormFile.json("rollout-activate.json");
         file.addRead("activate", activate, body -> new RolloutCommandForms().activate(body));
@@ -43,34 +45,35 @@
         file.add(
                 "activate a version of a later release",
                 new RolloutCommandForms().activate(unknown));
-        RolloutCommandForms forms = new RolloutCommandForms();
-        forms.requests.handle(
-                forms.call("GET", "", new byte[0]), reply -> file.add("status", reply));
-        forms.gate.onVersionChanged(
+        RolloutCommandForms sample = new RolloutCommandForms();
+        sample.requestHandler.handle(
+                sample.request("GET", "", new byte[0]), reply -> file.add("status", reply));
+        sample.gate.onVersionChanged(
                 ClusterVersion.INITIAL.activated(2, List.of("node-2")).toJson(), 17);
-        forms.requests.handle(
-                forms.call("GET", "", new byte[0]), reply -> file.add("status once active", reply));
-        forms.gate.onVersionChanged(new ClusterVersion(3, 3, 3, List.of()).toJson(), 18);
-        forms.requests.handle(
-                forms.call("GET", "", new byte[0]), reply -> file.add("status beyond", reply));
+        sample.requestHandler.handle(
+                sample.request("GET", "", new byte[0]),
+                reply -> file.add("status once active", reply));
+        sample.gate.onVersionChanged(new ClusterVersion(3, 3, 3, List.of()).toJson(), 18);
+        sample.requestHandler.handle(
+                sample.request("GET", "", new byte[0]), reply -> file.add("status beyond", reply));
     }
 
     private String activate(JsonNode body) {
-        StringBuilder answer = new StringBuilder("no answer yet");
-        requests.handle(
-                call("POST", "/activate", Json.write(body)),
+        StringBuilder replyText = new StringBuilder("no answer yet");
+        requestHandler.handle(
+                request("POST", "/activate", Json.write(body)),
                 reply -> {
-                    answer.setLength(0);
-                    answer.append(text(reply));
+                    replyText.setLength(0);
+                    replyText.append(text(reply));
                 });
-        return answer.toString();
+        return replyText.toString();
     }
 
     private static String text(HttpReply reply) {
         return reply.status() + " " + new String(reply.body(), StandardCharsets.UTF_8);
     }
 
-    private InboundRequest call(String method, String action, byte[] body) {
+    private InboundRequest request(String method, String action, byte[] body) {
         return new InboundRequest(method, Rollout.PATH + action, Map.of(), body);
     }
 
@@ -81,7 +84,7 @@
 
     @Override
     public FencingToken fencingToken() {
-        return new FencingToken(TOKEN);
+        return new FencingToken(FENCING_TOKEN);
     }
 
     @Override
--- a/src/test/java/io/pepperfield/rollout/RolloutCommandsTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutCommandsTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Operators' commands: repeated, contradictory, and ones that cannot be. */
+/** Operators' commands that are repeated, contradict each other or are invalid. */
 class RolloutCommandsTest extends RolloutFixture {
 
     @Test
@@ -18,7 +18,7 @@
         store.losesAnswers = true;
         assertEquals(503, leader.sendCommand("activate", ACTIVATE_BODY).status());
         store.losesAnswers = false;
-        // Not heard of yet: neither done nor refused for good.
+        // The leader has not seen its write yet, so the command is neither completed nor refused.
         assertEquals(503, leader.sendCommand("activate", ACTIVATE_BODY).status());
         syncAll();
         assertEquals(200, leader.sendCommand("activate", ACTIVATE_BODY).status());
@@ -68,7 +68,7 @@
         assertTrue(
                 errorText(leader.sendCommand("activate", "{}"))
                         .contains("--older-releases-retired"),
-                "an operator's word");
+                "activation needs the confirmation of an operator");
         assertEquals(404, leader.sendCommand("frob", "{}").status());
         assertEquals(
                 "not the leader, which is node-0",
@@ -78,16 +78,16 @@
 
     @Test
     void activationProceedsOnceMissingControllerIsExcluded() {
-        Node alone = new Node(0, Release.CURRENT);
-        alone.isLeader = true;
-        alone.sync();
+        Node newLeader = new Node(0, Release.CURRENT);
+        newLeader.isLeader = true;
+        newLeader.sync();
         store.put(Keys.ROLLOUT_MEMBER_PREFIX + "node-1", Json.object());
-        alone.sync();
+        newLeader.sync();
         assertEquals(
                 "waits for: node-1 has declared no release",
-                errorText(alone.sendCommand("activate", ACTIVATE_BODY)));
-        String without = "{\"without\":[\"node-1\"],\"olderReleasesRetired\":true}";
-        assertEquals(200, alone.sendCommand("activate", without).status());
+                errorText(newLeader.sendCommand("activate", ACTIVATE_BODY)));
+        String excludingNode = "{\"without\":[\"node-1\"],\"olderReleasesRetired\":true}";
+        assertEquals(200, newLeader.sendCommand("activate", excludingNode).status());
         assertEquals(List.of("node-1"), version().excludedControllers());
     }
 
--- a/src/test/java/io/pepperfield/rollout/RolloutFixture.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutFixture.java
@@ -27,7 +27,8 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /**
- * Two controllers of the rollout over one state service, each written to and told one at a time.
+ * The rollout of two controllers with a shared state service. Tests decide when each controller
+ * writes and when it reads the changes.
  */
 abstract class RolloutFixture {
 
@@ -36,7 +37,7 @@
     static final JsonNode TASK_STATES = Json.read(bytes("[[0,1,1,\"host-1\",1],[1,1,2]]"));
     static final JsonNode UPDATED_TASK_STATES = Json.read(bytes("[[0,1,2],[1,1,2]]"));
     static final Release GATED_RELEASE = new Release("gated", 1, 1, 1);
-    private static final double SECONDS = 20;
+    private static final double ADVANCE_S = 20;
 
     JobSpec jobSpec;
     final InMemoryKeyValueStore store = new InMemoryKeyValueStore();
@@ -44,7 +45,7 @@
     Node follower;
     private final SimulatedLoop loop = new SimulatedLoop();
 
-    /** A controller as far as the rollout is concerned; it leads if it is told that it does. */
+    /** The rollout of one controller; {@link #isLeader} sets whether it leads. */
     final class Node implements LeadershipView {
         final Rollout rollout;
         final Map<String, Long> modRevisions = new HashMap<>();
@@ -65,7 +66,7 @@
             }
         }
 
-        /** Hears all that has been written, and does what is due. */
+        /** Applies all changes in the store and runs due work. */
         void sync() {
             rollout.keyValueStore()
                     .watch(
@@ -78,30 +79,29 @@
             rollout.tick();
         }
 
-        CompareAndSwapOutcome writeRunRecord(JsonNode lines) {
-            return writeRunRecord(RUN_RECORD_KEY, lines);
+        CompareAndSwapOutcome writeRunRecord(JsonNode taskStates) {
+            return writeRunRecord(RUN_RECORD_KEY, taskStates);
         }
 
-        CompareAndSwapOutcome writeRunRecord(String record, JsonNode lines) {
-            CompareAndSwapOutcome[] got = new CompareAndSwapOutcome[1];
+        CompareAndSwapOutcome writeRunRecord(String key, JsonNode taskStates) {
+            CompareAndSwapOutcome[] outcome = new CompareAndSwapOutcome[1];
             rollout.keyValueStore()
                     .compareAndSwap(
                             RequestPriority.LEADER_WRITE,
                             List.of(
                                     new Precondition(Keys.LEADER, fencingToken().value()),
-                                    new Precondition(
-                                            record, modRevisions.getOrDefault(record, 0L))),
-                            List.of(Mutation.set(record, lines)),
-                            result -> got[0] = result);
-            return got[0];
+                                    new Precondition(key, modRevisions.getOrDefault(key, 0L))),
+                            List.of(Mutation.set(key, taskStates)),
+                            result -> outcome[0] = result);
+            return outcome[0];
         }
 
         HttpReply sendCommand(String name, String body) {
-            HttpReply[] got = new HttpReply[1];
+            HttpReply[] received = new HttpReply[1];
             rollout.handle(
                     SimWorld.call("POST", "/api/rollout/" + name, bytes(body)),
-                    reply -> got[0] = reply);
-            return got[0];
+                    reply -> received[0] = reply);
+            return received[0];
         }
 
         @Override
@@ -154,7 +154,7 @@
     }
 
     void advanceTime() {
-        double until = loop.now() + SECONDS;
+        double until = loop.now() + ADVANCE_S;
         while (loop.now() < until) {
             loop.run(loop.now() + 0.5);
             syncAll();
--- a/src/test/java/io/pepperfield/rollout/RolloutForms.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutForms.java
@@ -15,14 +15,14 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** What is stored for the rollout of stored-state versions, and in the second of them. */
+/** The stored records of the rollout and the records of stored-state version 2. */
 public final class RolloutForms {
 
     private static final ClusterVersion ACTIVE = ClusterVersion.INITIAL.activated(2, List.of("a"));
 
     private RolloutForms() {}
 
-    /** Adds them. */
+    /** Adds the records to the file. */
     public static void write(FormFile file) {
         file.add("path", Rollout.PATH);
         file.add("this release", new MemberRelease(Release.CURRENT, "a-process", 9).toJson());
@@ -45,15 +45,15 @@
         file.add(
                 "and back",
                 VersionedKeyValueStore.versionOneKey(VersionedKeyValueStore.compactKey(key)));
-        JsonNode first = TaskState.encode(lines());
-        file.add("run record", first);
+        JsonNode versionOneRecord = TaskState.encode(taskStates());
+        file.add("run record", versionOneRecord);
         file.addRewritten(
                 "compact run record",
-                CompactRunRecordCodec.encode(first),
+                CompactRunRecordCodec.encode(versionOneRecord),
                 form -> text(CompactRunRecordCodec.encode(CompactRunRecordCodec.decode(form))));
         file.addRead(
                 "compact run record decoded",
-                CompactRunRecordCodec.encode(first),
+                CompactRunRecordCodec.encode(versionOneRecord),
                 form -> text(CompactRunRecordCodec.decode(form)));
         writeTransactions(file);
         file.add("done", new RolloutResult.Completed("version 2 is active").toReply());
@@ -61,7 +61,7 @@
         file.add("to be repeated", new RolloutResult.RetryLater("not the leader").toReply());
     }
 
-    private static List<TaskState> lines() {
+    private static List<TaskState> taskStates() {
         return List.of(
                 new TaskState(0, 1, Phase.DONE, "", 0),
                 new TaskState(1, 1, Phase.DONE, "", 0),
@@ -83,14 +83,14 @@
         return member == null ? null : text(member.toJson());
     }
 
-    /** How the transactions of the rest of the program are stored in each version. */
+    /** Adds the transactions that reach the state service in each version. */
     private static void writeTransactions(FormFile file) {
-        KeyValueStore raw = new RecordingStateService(file);
+        KeyValueStore store = new RecordingKeyValueStore(file);
         for (ClusterVersion version : List.of(ClusterVersion.INITIAL, ACTIVE)) {
             VersionGate gate = new VersionGate(Release.CURRENT);
             gate.onVersionChanged(version.toJson(), 17);
             gate.markReplicaLoaded();
-            new VersionedKeyValueStore(raw, gate)
+            new VersionedKeyValueStore(store, gate)
                     .compareAndSwap(
                             RequestPriority.LEADER_WRITE,
                             List.of(
@@ -99,7 +99,7 @@
                             List.of(
                                     Mutation.set(
                                             Keys.runRecord("run-000412", 0),
-                                            TaskState.encode(lines())),
+                                            TaskState.encode(taskStates())),
                                     Mutation.set(
                                             Keys.SHARED_RUN_RECORD_PREFIX + "41-1", Json.object()),
                                     Mutation.delete(Keys.MACHINE_TYPES)),
@@ -111,17 +111,22 @@
         return new String(Json.write(form), StandardCharsets.UTF_8);
     }
 
-    /** Adds each transaction as it reaches the state service. */
-    private record RecordingStateService(FormFile file) implements NoOpKeyValueStore {
+    /** Adds each transaction that it receives to the file. */
+    private record RecordingKeyValueStore(FormFile file) implements NoOpKeyValueStore {
         @Override
         public void compareAndSwap(
-                RequestPriority urgency,
-                List<Precondition> guards,
-                List<Mutation> changes,
+                RequestPriority priority,
+                List<Precondition> preconditions,
+                List<Mutation> mutations,
                 Consumer<CompareAndSwapOutcome> done) {
-            guards.forEach(guard -> file.add("guard " + guard.key(), "at " + guard.modRevision()));
-            changes.forEach(
-                    change -> file.add("change " + change.key(), String.valueOf(change.value())));
+            preconditions.forEach(
+                    precondition ->
+                            file.add(
+                                    "guard " + precondition.key(),
+                                    "at " + precondition.modRevision()));
+            mutations.forEach(
+                    mutation ->
+                            file.add("change " + mutation.key(), String.valueOf(mutation.value())));
         }
     }
 }
--- a/src/test/java/io/pepperfield/rollout/RolloutLoopbackTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutLoopbackTest.java
@@ -21,64 +21,65 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Five controllers as processes on this machine: upgraded in random order under load, killed at
- * random moments, some back on old code, activated, half rolled back, activated again. Other orders
- * with {@code -Dpepperfield.seed=7}.
+ * Guards against lost jobs and misread records during a rollout. Five controller processes on this
+ * machine are upgraded in random order under load; some are killed or restarted on the older
+ * release; the new version is activated, partly rolled back and activated again. {@code
+ * -Dpepperfield.seed=7} draws another order.
  */
 class RolloutLoopbackTest {
 
     private static final int CONTROLLERS = 5;
-    private static final int JOBS_AT_A_TIME = 3;
-    private static final int REFUSED = 409;
+    private static final int JOBS_PER_BATCH = 3;
+    private static final int CONFLICT = 409;
     private static final byte[] ACTIVATE =
             "{\"olderReleasesRetired\":true}".getBytes(StandardCharsets.UTF_8);
-    private static final byte[] NOTHING = "{}".getBytes(StandardCharsets.UTF_8);
+    private static final byte[] EMPTY_BODY = "{}".getBytes(StandardCharsets.UTF_8);
 
     @TempDir private Path directory;
 
     private final Random random = new Random(Integer.getInteger("pepperfield.seed", 1));
     private final List<ControllerProcess> controllers = new ArrayList<>();
-    private final List<String> accepted = new ArrayList<>();
+    private final List<String> acceptedJobs = new ArrayList<>();
     private LoopbackRegion region;
 
     @AfterEach
-    void stop() throws InterruptedException {
+    void tearDown() throws InterruptedException {
         for (ControllerProcess controller : controllers) {
             controller.kill();
         }
         region.close();
     }
 
-    private void replace(int node, Version by) throws Exception {
+    private void restart(int node, Version version) throws Exception {
         controllers.get(node).kill();
-        controllers.get(node).start(by);
+        controllers.get(node).start(version);
     }
 
-    /** Whoever leads, by the durable key. */
+    /** The index of the leader as reported by any controller. */
     private int leader() throws Exception {
-        String holder = "";
-        while (holder.isEmpty()) {
-            holder =
-                    region.untilAny("GET", "/api/rollout", null, a -> a.status() == 200)
+        String leader = "";
+        while (leader.isEmpty()) {
+            leader =
+                    region.untilAny("GET", "/api/rollout", null, answer -> answer.status() == 200)
                             .path("leader")
                             .asText();
         }
-        return Integer.parseInt(holder.substring("node-".length()));
+        return Integer.parseInt(leader.substring("node-".length()));
     }
 
-    private void submitSome() throws Exception {
-        for (int i = 0; i < JOBS_AT_A_TIME; i++) {
-            int number = accepted.size() + 1;
+    private void submitJobs() throws Exception {
+        for (int i = 0; i < JOBS_PER_BATCH; i++) {
+            int number = acceptedJobs.size() + 1;
             region.untilAny(
                     "POST",
                     "/api/jobs",
                     Json.write(LoopbackRegion.job(number)),
                     answer -> answer.status() == 201 || answer.status() == 200);
-            accepted.add(String.format(Locale.ROOT, "run-%06d", number));
+            acceptedJobs.add(String.format(Locale.ROOT, "run-%06d", number));
         }
     }
 
-    private void command(String name, byte[] body) throws Exception {
+    private void sendCommand(String name, byte[] body) throws Exception {
         region.untilAny("POST", "/api/rollout/" + name, body, answer -> answer.status() == 200);
     }
 
@@ -86,7 +87,7 @@
         return ClusterVersion.fromJson(region.durable("pepperfield/rollout/version")).orElseThrow();
     }
 
-    private void untilDeclared(int node, String release) throws Exception {
+    private void awaitDeclaration(int node, String release) throws Exception {
         region.untilAny(
                 "GET", "/api/rollout", null, answer -> release.equals(declared(answer, node)));
     }
@@ -114,46 +115,48 @@
             controllers.get(node).start(Version.GATED);
             order.add(node);
         }
-        submitSome();
+        submitJobs();
         Collections.shuffle(order, random);
         for (int node : order) {
-            replace(node, Version.ROLLOUT);
-            submitSome();
+            restart(node, Version.ROLLOUT);
+            submitJobs();
         }
-        int back = random.nextInt(CONTROLLERS);
-        // Or its declaration could arrive after the one of its first process has been seen below.
-        untilDeclared(back, Release.CURRENT.name());
-        replace(back, Version.GATED);
-        // As long as the declaration of the process before it stands, it would not be waited for.
-        untilDeclared(back, Version.GATED.name().toLowerCase(Locale.ROOT));
-        // The leader waits for it; if it leads itself, it does not know the version.
+        int downgraded = random.nextInt(CONTROLLERS);
+        // Otherwise the next check could match the declaration of the node's first, gated process.
+        awaitDeclaration(downgraded, Release.CURRENT.name());
+        restart(downgraded, Version.GATED);
+        // While the previous process is still declared, activation would not wait for this one.
+        awaitDeclaration(downgraded, Version.GATED.name().toLowerCase(Locale.ROOT));
+        // The leader refuses because of this node; if this node itself leads, it does not support
+        // the version.
         region.untilAny(
-                "POST", "/api/rollout/activate", ACTIVATE, answer -> answer.status() == REFUSED);
-        replace(back, Version.ROLLOUT);
-        command("activate", ACTIVATE);
-        submitSome();
-        // Back on old code after the activation: it serves nobody, and holds nobody up.
-        replace(back, Version.GATED);
-        submitSome();
+                "POST", "/api/rollout/activate", ACTIVATE, answer -> answer.status() == CONFLICT);
+        restart(downgraded, Version.ROLLOUT);
+        sendCommand("activate", ACTIVATE);
+        submitJobs();
+        // Restarted on the older release after the activation: it does not serve, and the others
+        // make progress without it.
+        restart(downgraded, Version.GATED);
+        submitJobs();
         controllers.get(leader()).kill();
-        submitSome();
+        submitJobs();
         for (int node = 0; node < CONTROLLERS; node++) {
-            replace(node, Version.ROLLOUT);
+            restart(node, Version.ROLLOUT);
         }
-        command("rollback", NOTHING);
-        replace(leader(), Version.ROLLOUT);
-        submitSome();
-        command("activate", ACTIVATE);
-        submitSome();
+        sendCommand("rollback", EMPTY_BODY);
+        restart(leader(), Version.ROLLOUT);
+        submitJobs();
+        sendCommand("activate", ACTIVATE);
+        submitJobs();
 
         assertEquals(Phase.ACTIVE, version().phase());
-        for (String id : accepted) {
+        for (String id : acceptedJobs) {
             for (int node = 0; node < CONTROLLERS; node++) {
                 region.until(node, "GET", "/api/jobs/" + id, null, RolloutLoopbackTest::isDone);
             }
         }
         assertEquals(List.of(), region.violations);
-        command("rollback", NOTHING);
+        sendCommand("rollback", EMPTY_BODY);
         region.untilAny(
                 "GET",
                 "/api/rollout",
--- a/src/test/java/io/pepperfield/rollout/RolloutMeasurement.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutMeasurement.java
@@ -22,20 +22,20 @@
 import java.util.Locale;
 
 /**
- * Figures for {@code docs/design/rollout.md}, not part of the tests: what a rollback of 10,000
- * records takes, and what the compact form saves. Run its {@code main} with the test class path.
+ * Produces the figures in {@code docs/design/rollout.md}: the cost of a rollback of 10,000 records
+ * and the savings of the compact format. Not a test; run {@code main} with the test class path.
  */
 final class RolloutMeasurement {
 
     private static final int RECORDS = 10_000;
-    private static final int LINES = 136;
-    private static final int ARRAYS = 6;
-    private static final int TASKS = 600;
+    private static final int TASKS_PER_RECORD = 136;
+    private static final int ARRAY_JOBS = 6;
+    private static final int TASKS_PER_ARRAY = 600;
 
     private RolloutMeasurement() {}
 
     /** A leader that is never replaced. */
-    private record Lead(InMemoryKeyValueStore state) implements LeadershipView {
+    private record FixedLeader(InMemoryKeyValueStore store) implements LeadershipView {
         @Override
         public boolean holdsValidLease() {
             return true;
@@ -43,7 +43,7 @@
 
         @Override
         public FencingToken fencingToken() {
-            return new FencingToken(state.modRevision(Keys.V2_LEADER));
+            return new FencingToken(store.modRevision(Keys.V2_LEADER));
         }
 
         @Override
@@ -64,52 +64,57 @@
 
     /** Prints all figures. */
     public static void main(String[] arguments) {
-        rollback();
+        measureRollback();
         for (boolean compact : new boolean[] {false, true}) {
-            starts(compact);
+            measureTaskStarts(compact);
         }
-        submissionsAround(Command.ACTIVATE);
-        submissionsAround(Command.ROLLBACK);
+        measureSubmissionsAround(Command.ACTIVATE);
+        measureSubmissionsAround(Command.ROLLBACK);
     }
 
-    private static void rollback() {
+    private static void measureRollback() {
         SimulatedLoop loop = new SimulatedLoop();
-        InMemoryKeyValueStore state = new InMemoryKeyValueStore();
-        JsonNode record = CompactRunRecordCodec.encode(TaskState.encode(lines()));
+        InMemoryKeyValueStore store = new InMemoryKeyValueStore();
+        JsonNode record = CompactRunRecordCodec.encode(TaskState.encode(taskStates()));
         for (int job = 0; job < RECORDS; job++) {
-            state.put(
+            store.put(
                     Keys.V2_RUN_RECORD_PREFIX + String.format(Locale.ROOT, "run-%06d/0", job),
                     record);
         }
         ClusterVersion active = ClusterVersion.INITIAL.activated(2, List.of());
-        state.put(Keys.V2_LEADER, new Lead(state).leaderKeyValue());
-        state.put(Keys.ROLLOUT_VERSION, active.rollingBack().toJson());
+        store.put(Keys.V2_LEADER, new FixedLeader(store).leaderKeyValue());
+        store.put(Keys.ROLLOUT_VERSION, active.rollingBack().toJson());
         Settings settings = RegionSettings.of(0, 1, new Settings.StoreLimits(150, 50, 8, 40));
-        Rollout rollout = new Rollout(loop, settings, state, Release.CURRENT);
-        rollout.attach(new Lead(state), id -> null);
+        Rollout rollout = new Rollout(loop, settings, store, Release.CURRENT);
+        rollout.attach(new FixedLeader(store), id -> null);
         rollout.onKeyChanged(
                 Keys.ROLLOUT_VERSION,
-                state.get(Keys.ROLLOUT_VERSION),
-                state.modRevision(Keys.ROLLOUT_VERSION));
-        int transactions = state.transactions;
-        int changes = state.mutations;
-        while (state.get(Keys.ROLLOUT_VERSION).path("highest").asInt() > 1) {
+                store.get(Keys.ROLLOUT_VERSION),
+                store.modRevision(Keys.ROLLOUT_VERSION));
+        int transactions = store.transactions;
+        int mutations = store.mutations;
+        while (store.get(Keys.ROLLOUT_VERSION).path("highest").asInt() > 1) {
             loop.run(loop.now() + 0.1);
             rollout.tick();
         }
         System.out.printf(
-                "rollback of %d records: %.0f s at 50 changes/s, %d transactions, %d changes%n",
-                RECORDS, loop.now(), state.transactions - transactions, state.mutations - changes);
+                "rollback of %d records: %.0f s at 50 mutations/s, %d transactions, %d mutations%n",
+                RECORDS,
+                loop.now(),
+                store.transactions - transactions,
+                store.mutations - mutations);
         System.out.printf(
-                "a record of %d lines: %d bytes compact, %d in the first form%n",
-                LINES, Json.write(record).length, Json.write(TaskState.encode(lines())).length);
+                "a record of %d tasks: %d bytes compact, %d in the version 1 format%n",
+                TASKS_PER_RECORD,
+                Json.write(record).length,
+                Json.write(TaskState.encode(taskStates())).length);
     }
 
-    private static List<TaskState> lines() {
-        List<TaskState> lines = new ArrayList<>();
-        for (int task = 0; task < LINES; task++) {
-            boolean done = task < LINES / 2;
-            lines.add(
+    private static List<TaskState> taskStates() {
+        List<TaskState> taskStates = new ArrayList<>();
+        for (int task = 0; task < TASKS_PER_RECORD; task++) {
+            boolean done = task < TASKS_PER_RECORD / 2;
+            taskStates.add(
                     new TaskState(
                             task,
                             1,
@@ -117,59 +122,59 @@
                             done ? "" : "host-" + (100_000 + task / 4),
                             done ? 0 : 1));
         }
-        return lines;
+        return taskStates;
     }
 
-    /** What users see who submit a job every 50 ms while an operator's command is carried out. */
-    private static void submissionsAround(Command command) {
+    /** Refusals and latency of submissions every 50 ms while an operator's command is executed. */
+    private static void measureSubmissionsAround(Command command) {
         SimulatedRegion region = SimulatedRegion.beforeRollout(2, Version.ROLLOUT);
-        Scenario day = Scenario.jobs(1, 1);
+        Scenario scenario = Scenario.jobs(1, 1);
         if (command == Command.ROLLBACK) {
-            day = day.at(10, new OperatorCommand(Command.ACTIVATE, 5));
+            scenario = scenario.at(10, new OperatorCommand(Command.ACTIVATE, 5));
         }
-        region.play(day.at(20, new OperatorCommand(command, 5)));
+        region.play(scenario.at(20, new OperatorCommand(command, 5)));
         int[] refused = new int[2];
-        double[] longest = new double[2];
+        double[] longestS = new double[2];
         for (int i = 0; i < 200; i++) {
             int number = 500_000 + i;
-            double sent = 15 + 0.05 * i;
-            int half = sent < 20 ? 0 : 1;
+            double sentAt = 15 + 0.05 * i;
+            int half = sentAt < 20 ? 0 : 1;
             region.world.at(
-                    sent,
+                    sentAt,
                     () ->
                             region.directRequests.submitAt(
                                     number % 5,
                                     number,
                                     reply -> {
                                         refused[half] += reply.status() == 201 ? 0 : 1;
-                                        double took = region.world.now() - sent;
-                                        longest[half] = Math.max(longest[half], took);
+                                        double latencyS = region.world.now() - sentAt;
+                                        longestS[half] = Math.max(longestS[half], latencyS);
                                     }));
         }
         region.world.run(40);
         System.out.printf(
                 "%s: of 100 submissions in 5 s before and after, %d and %d refused, longest %.3f s and %.3f s%n",
-                command, refused[0], refused[1], longest[0], longest[1]);
+                command, refused[0], refused[1], longestS[0], longestS[1]);
     }
 
-    /** The same arrays under either version. */
-    private static void starts(boolean compact) {
+    /** Task starts and writes for the same job arrays under either version. */
+    private static void measureTaskStarts(boolean compact) {
         SimulatedRegion region = SimulatedRegion.beforeRollout(1, Version.ROLLOUT);
-        Scenario day = Scenario.jobs(1, 1);
+        Scenario scenario = Scenario.jobs(1, 1);
         if (compact) {
-            day = day.at(10, new OperatorCommand(Command.ACTIVATE, 10));
+            scenario = scenario.at(10, new OperatorCommand(Command.ACTIVATE, 10));
         }
-        day = day.at(20, new LargeArrays(ARRAYS, TASKS, 20));
-        region.play(day);
+        scenario = scenario.at(20, new LargeArrays(ARRAY_JOBS, TASKS_PER_ARRAY, 20));
+        region.play(scenario);
         region.world.run(19);
-        int changes = region.storedMutations();
+        int mutations = region.storedMutations();
         long bytes = region.bytesWritten();
         region.world.run(400);
         System.out.printf(
-                "%s form: %d starts, %d changes, %d bytes of values%n",
-                compact ? "compact" : "first",
+                "%s format: %d task starts, %d mutations, %d bytes of values%n",
+                compact ? "compact" : "version 1",
                 region.taskStarts(),
-                region.storedMutations() - changes,
+                region.storedMutations() - mutations,
                 region.bytesWritten() - bytes);
     }
 }
--- a/src/test/java/io/pepperfield/rollout/RolloutSimulationTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutSimulationTest.java
@@ -31,9 +31,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Five controllers upgraded, rolled back and upgraded again under load while processes end, some
- * back on old code. The region checks every rule, and that each record is in one form and written
- * under the version in force. More seeds with {@code -Dpepperfield.seeds=100}.
+ * Guards against lost jobs and misread records while five controllers are upgraded, rolled back and
+ * upgraded again under load. Processes crash, and some are restarted on an older release. The
+ * region checks all invariants, including that each record is stored in one format and is written
+ * under the current version. {@code -Dpepperfield.seeds=100} adds seeds.
  */
 class RolloutSimulationTest {
 
@@ -44,14 +45,14 @@
         return region;
     }
 
-    private static void checkEnd(SimulatedRegion region, Phase phase, String day) {
-        assertEquals(List.of(), region.violations, day);
-        assertEquals(phase, version(region).phase(), day);
-        assertEquals(List.of(), region.unfinishedJobs(), day);
-        assertEquals(List.of(), region.unansweredQueries(), day);
-        assertEquals(List.of(), region.leftoverJobs(), day);
-        assertEquals(List.of(), region.reusedRentalNames(), day);
-        assertEquals(List.of(), region.alteredJobs(), day);
+    private static void checkEnd(SimulatedRegion region, Phase phase, String description) {
+        assertEquals(List.of(), region.violations, description);
+        assertEquals(phase, version(region).phase(), description);
+        assertEquals(List.of(), region.unfinishedJobs(), description);
+        assertEquals(List.of(), region.unansweredQueries(), description);
+        assertEquals(List.of(), region.leftoverJobs(), description);
+        assertEquals(List.of(), region.reusedRentalNames(), description);
+        assertEquals(List.of(), region.alteredJobs(), description);
     }
 
     private static ClusterVersion version(SimulatedRegion region) {
@@ -61,11 +62,11 @@
                 : ClusterVersion.fromJson(record).orElseThrow();
     }
 
-    private static void playEach(Scenario scenario, long seed, Phase phase) {
-        for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
-            long drawn = seed + 1000L * more;
-            SimulatedRegion region = play(scenario, drawn);
-            checkEnd(region, phase, "seed " + drawn + " of " + scenario);
+    private static void playWithAllSeeds(Scenario scenario, long seed, Phase phase) {
+        for (int run = 0; run <= Integer.getInteger("pepperfield.seeds", 0); run++) {
+            long drawnSeed = seed + 1000L * run;
+            SimulatedRegion region = play(scenario, drawnSeed);
+            checkEnd(region, phase, "seed " + drawnSeed + " of " + scenario);
         }
     }
 
@@ -79,7 +80,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void activationWaitsForAllControllersAndRollbackLeavesNoNewerRecords(long seed) {
-        playEach(
+        playWithAllSeeds(
                 upgraded(40)
                         .at(60, new LargeArrays(3, 150, 6))
                         .at(75, new OperatorCommand(Command.ROLLBACK, 30))
@@ -91,7 +92,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void versionChangesSurviveCrashesAndDowngrades(long seed) {
-        Scenario day =
+        Scenario scenario =
                 upgraded(50)
                         .at(25, new ControllerCrash(ControllerSelector.LEADER, 0.2))
                         .at(32, new Replace(ControllerSelector.node(1), Version.GATED, 0.2))
@@ -106,13 +107,13 @@
                         .at(67, new OperatorCommand(Command.ACTIVATE, 40))
                         .at(70, new DelayedWrites(0.2, 20, true))
                         .at(90, new Pipelines(4, 10));
-        playEach(day, seed, Phase.ACTIVE);
+        playWithAllSeeds(scenario, seed, Phase.ACTIVE);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void rollbackSurvivesLimitReductionAndStoreOutage(long seed) {
-        playEach(
+        playWithAllSeeds(
                 upgraded(40)
                         .at(45, new StoreLimitsReduction())
                         .at(50, new LargeArrays(2, 136, 10))
@@ -123,30 +124,34 @@
                 Phase.FINALIZED);
     }
 
-    /** Records as large as the recorded version makes them, which fit any more only if compact. */
+    /**
+     * Records of the size that the recorded production version writes exceed the reduced limits
+     * unless they are compact, so the rollback has to split them.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void rollbackSplitsRecordsTooLargeForVersionOne(long seed) {
-        for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
+        for (int run = 0; run <= Integer.getInteger("pepperfield.seeds", 0); run++) {
             SimulatedRegion region =
-                    SimulatedRegion.beforeRollout(seed + 1000L * more, Version.RECORDED);
-            Scenario day =
+                    SimulatedRegion.beforeRollout(seed + 1000L * run, Version.RECORDED);
+            Scenario scenario =
                     Scenario.jobs(10, 2)
                             .at(10, new LargeArrays(2, 136, 70))
                             .at(14, new Upgrade(10, Version.ROLLOUT))
                             .at(26, new OperatorCommand(Command.ACTIVATE, 10))
-                            // Their tasks begin once more, and so their lines are written.
+                            // Restarts the tasks, and so rewrites their records in the compact
+                            // format.
                             .at(38, new MachineReboot(MachineSelector.share(1)))
                             .at(60, new StoreLimitsReduction())
                             .at(61, new OperatorCommand(Command.ROLLBACK, 10))
                             .at(62, new ControllerCrash(ControllerSelector.LEADER, 2));
-            region.play(day);
+            region.play(scenario);
             region.world.run(59);
             assertNotNull(region.durable("pepperfield/v2/run/run-800000/0"), "seed " + seed);
             region.world.run(100);
             assertEquals(ClusterVersion.INITIAL, version(region), "seed " + seed);
-            assertNotNull(region.durable("pepperfield/run/run-800000/2"), "nothing was divided");
-            region.world.run(day.endsAt() + 100);
+            assertNotNull(region.durable("pepperfield/run/run-800000/2"), "no record was split");
+            region.world.run(scenario.endsAt() + 100);
             checkEnd(region, Phase.FINALIZED, "seed " + seed);
         }
     }
@@ -154,17 +159,17 @@
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14, 15, 16})
     void invariantsHoldUnderRandomFaultsDuringARollout(long seed) {
-        for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
-            troubledRollout(seed + 1000L * more);
+        for (int run = 0; run <= Integer.getInteger("pepperfield.seeds", 0); run++) {
+            playWithRandomFaults(seed + 1000L * run);
         }
     }
 
-    private static void troubledRollout(long seed) {
+    private static void playWithRandomFaults(long seed) {
         SimulatedRegion region = SimulatedRegion.beforeRollout(seed, Version.GATED);
         region.world.messageLossShare = 0.01;
         region.world.lateDeliveryShare = 0.005;
         region.world.duplicateDeliveryShare = 0.01;
-        Scenario day =
+        Scenario scenario =
                 Scenario.jobs(45, 4)
                         .at(30, new Upgrade(40, Version.ROLLOUT))
                         .at(40, new OperatorCommand(Command.ACTIVATE, 90))
@@ -173,7 +178,7 @@
                         .at(125, new LargeArrays(2, 150, 5))
                         .at(135, new OperatorCommand(Command.ACTIVATE, 60))
                         .at(150, new Pipelines(4, 20));
-        region.play(day);
+        region.play(scenario);
         for (int i = 0; i < 14; i++) {
             region.world.at(20 + 11 * i, region.faults::injectRandomFault);
         }
@@ -184,21 +189,21 @@
             region.world.at(at + 8, () -> region.faults.replace(node, Version.ROLLOUT, 0.2));
         }
         region.world.run(440);
-        String what = "seed " + seed;
-        assertEquals(List.of(), region.violations, what);
-        assertEquals(List.of(), region.unfinishedJobs(), what);
-        assertTrue(region.allRun(Version.ROLLOUT), what);
-        assertEquals(List.of(), region.unansweredQueries(), what);
-        assertEquals(List.of(), region.alteredJobs(), what);
-        assertTrue(region.accepted() >= 45, what + " accepted " + region.accepted());
-        assertTrue(region.operator.confirmed.contains(Command.ACTIVATE), what);
+        String description = "seed " + seed;
+        assertEquals(List.of(), region.violations, description);
+        assertEquals(List.of(), region.unfinishedJobs(), description);
+        assertTrue(region.allRun(Version.ROLLOUT), description);
+        assertEquals(List.of(), region.unansweredQueries(), description);
+        assertEquals(List.of(), region.alteredJobs(), description);
+        assertTrue(region.accepted() >= 45, description + " accepted " + region.accepted());
+        assertTrue(region.operator.confirmed.contains(Command.ACTIVATE), description);
     }
 
     @Test
     void controllerOnOldReleaseBlocksActivation() {
         SimulatedRegion region = SimulatedRegion.beforeRollout(7, Version.ROLLOUT);
-        Scenario day = Scenario.jobs(10, 2).at(20, new OperatorCommand(Command.ACTIVATE, 5));
-        region.play(day);
+        Scenario scenario = Scenario.jobs(10, 2).at(20, new OperatorCommand(Command.ACTIVATE, 5));
+        region.play(scenario);
         region.world.run(12);
         region.faults.replace(3, Version.GATED, 0.2);
         region.world.run(40);
@@ -206,8 +211,8 @@
         assertTrue(
                 region.operator.refusals.contains("waits for: node-3 runs gated, which writes 1"),
                 region.operator.refusals.toString());
-        region.world.run(day.endsAt());
-        checkEnd(region, Phase.FINALIZED, day.toString());
+        region.world.run(scenario.endsAt());
+        checkEnd(region, Phase.FINALIZED, scenario.toString());
     }
 
     @Test
@@ -220,7 +225,7 @@
                                 .at(45, new OperatorCommand(Command.FINALIZE, 5))
                                 .at(55, new OperatorCommand(Command.ROLLBACK, 2)),
                         8);
-        checkEnd(region, Phase.FINALIZED, "final");
+        checkEnd(region, Phase.FINALIZED, "finalization");
         assertEquals(2, version(region).writeVersion());
         assertTrue(
                 region.operator.refusals.contains("version 2 is final: there is no way back"),
@@ -228,13 +233,14 @@
     }
 
     /**
-     * It knows no gate: once the leader key has moved, it never leads, and what it writes is valid.
+     * The recorded production version has no version gate. Once the leader key has moved, it must
+     * not become leader, and its writes must be valid.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void recordedVersionCannotLeadWhileNewerVersionIsActive(long seed) {
         SimulatedRegion region = SimulatedRegion.beforeRollout(seed, Version.ROLLOUT);
-        Scenario day =
+        Scenario scenario =
                 Scenario.jobs(30, 2)
                         .at(15, new OperatorCommand(Command.ACTIVATE, 10))
                         .at(24, new LargeArrays(2, 150, 6))
@@ -244,14 +250,14 @@
                         .at(50, new Replace(ControllerSelector.node(0), Version.ROLLOUT, 0.2))
                         .at(51, new Replace(ControllerSelector.node(1), Version.ROLLOUT, 0.2))
                         .at(60, new OperatorCommand(Command.ROLLBACK, 10));
-        region.play(day);
+        region.play(scenario);
         for (double at = 35; at < 50; at += 0.5) {
             region.world.run(at);
             assertTrue(
                     region.leader().isEmpty() || region.leaderIndex() > 1,
                     region.leader() + " leads at " + at);
         }
-        region.world.run(day.endsAt());
+        region.world.run(scenario.endsAt());
         checkEnd(region, Phase.FINALIZED, "seed " + seed);
     }
 }
--- a/src/test/java/io/pepperfield/rollout/RolloutWritesTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutWritesTest.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Late and stale writers around an activation and a rollback, one at a time. */
+/** Delayed writes and writers with a stale version around an activation and a rollback. */
 class RolloutWritesTest extends RolloutFixture {
 
     @Test
@@ -39,7 +39,7 @@
 
     @Test
     void oldReleaseDeclaredJustBeforeActivationBlocksIt() {
-        // The leader has not heard of it yet.
+        // The leader has not seen this declaration yet.
         store.put(
                 Keys.ROLLOUT_MEMBER_PREFIX + "node-1",
                 new MemberRelease(GATED_RELEASE, "another", 0).toJson());
@@ -61,14 +61,14 @@
     @Test
     void incompatibleReleaseRefusesWritesAndReportsTheReason() {
         activate();
-        Node old = new Node(1, GATED_RELEASE);
-        old.sync();
-        assertFalse(old.rollout.gate().mayServe());
-        assertEquals(new CompareAndSwapOutcome.Refused(503), old.writeRunRecord(TASK_STATES));
-        old.isLeader = true;
+        Node oldNode = new Node(1, GATED_RELEASE);
+        oldNode.sync();
+        assertFalse(oldNode.rollout.gate().mayServe());
+        assertEquals(new CompareAndSwapOutcome.Refused(503), oldNode.writeRunRecord(TASK_STATES));
+        oldNode.isLeader = true;
         assertEquals(
                 "serving nobody: stored-state version 2 is in use, and release gated reads 1 to 1",
-                errorText(old.sendCommand("rollback", "{}")));
+                errorText(oldNode.sendCommand("rollback", "{}")));
     }
 
     @Test
@@ -76,13 +76,13 @@
         activate();
         leader.writeRunRecord(TASK_STATES);
         leader.sendCommand("rollback", "{}");
-        Node old = new Node(1, GATED_RELEASE);
-        old.sync();
-        assertFalse(old.rollout.gate().mayServe());
+        Node oldNode = new Node(1, GATED_RELEASE);
+        oldNode.sync();
+        assertFalse(oldNode.rollout.gate().mayServe());
         advanceTime();
-        old.sync();
-        assertTrue(old.rollout.gate().mayServe());
-        assertEquals(TASK_STATES.toString(), old.values.get(RUN_RECORD_KEY).toString());
+        oldNode.sync();
+        assertTrue(oldNode.rollout.gate().mayServe());
+        assertEquals(TASK_STATES.toString(), oldNode.values.get(RUN_RECORD_KEY).toString());
     }
 
     @Test
@@ -90,7 +90,7 @@
         store.maxMutations = 8;
         assertEquals(8, leader.rollout.transactionLimits().maxMutations());
         assertEquals(4 * 8 - 1, leader.rollout.transactionLimits().maxPreconditions());
-        List<Precondition> guards =
+        List<Precondition> preconditions =
                 new ArrayList<>(
                         List.of(new Precondition(Keys.LEADER, leader.fencingToken().value())));
         for (int job = 1; job <= 4; job++) {
@@ -98,21 +98,25 @@
         }
         leader.sync();
         activate();
-        int most = leader.rollout.transactionLimits().maxMutations();
-        List<Mutation> changes = new ArrayList<>();
-        for (int job = 1; job <= most; job++) {
+        int maxMutations = leader.rollout.transactionLimits().maxMutations();
+        List<Mutation> mutations = new ArrayList<>();
+        for (int job = 1; job <= maxMutations; job++) {
             String key = Keys.runRecord("run-00000" + job, 0);
-            guards.add(new Precondition(key, leader.modRevisions.getOrDefault(key, 0L)));
-            changes.add(Mutation.set(key, UPDATED_TASK_STATES));
+            preconditions.add(new Precondition(key, leader.modRevisions.getOrDefault(key, 0L)));
+            mutations.add(Mutation.set(key, UPDATED_TASK_STATES));
         }
-        guards.set(0, new Precondition(Keys.LEADER, leader.fencingToken().value()));
-        CompareAndSwapOutcome[] got = new CompareAndSwapOutcome[1];
+        preconditions.set(0, new Precondition(Keys.LEADER, leader.fencingToken().value()));
+        CompareAndSwapOutcome[] outcome = new CompareAndSwapOutcome[1];
         leader.rollout
                 .keyValueStore()
                 .compareAndSwap(
-                        RequestPriority.LEADER_WRITE, guards, changes, result -> got[0] = result);
-        assertInstanceOf(CompareAndSwapOutcome.Committed.class, got[0]);
-        assertTrue(leader.rollout.transactionLimits().maxPreconditions() <= 4 * 8 - 1 - most);
+                        RequestPriority.LEADER_WRITE,
+                        preconditions,
+                        mutations,
+                        result -> outcome[0] = result);
+        assertInstanceOf(CompareAndSwapOutcome.Committed.class, outcome[0]);
+        assertTrue(
+                leader.rollout.transactionLimits().maxPreconditions() <= 4 * 8 - 1 - maxMutations);
     }
 
     @Test
@@ -121,7 +125,7 @@
         leader.writeRunRecord(TASK_STATES);
         leader.sync();
         leader.sendCommand("rollback", "{}");
-        // The rewriting reads the record, and its transaction is carried out late.
+        // The rollback reads the record, and its rewriting transaction is delayed.
         store.holdsTransactions = true;
         leader.sync();
         store.holdsTransactions = false;
