--- a/src/main/java/io/pepperfield/rollout/VersionedKeyValueStore.java
+++ b/src/main/java/io/pepperfield/rollout/VersionedKeyValueStore.java
@@ -203,10 +203,10 @@
         }
     }
 
-    /** A record was written in the version 1 format: drops an older compact revision of it. */
-    private void recordVersionOneRevision(String key, long modRevision) {
+    /** Drops an older compact revision of a record that was written in the version 1 format. */
+    private void dropOlderCompactRevision(String key, long modRevision) {
         compactRecordRevisions.computeIfPresent(
-                key, (name, known) -> known < modRevision ? null : known);
+                key, (name, revision) -> revision < modRevision ? null : revision);
     }
 
     // ---- reading
@@ -241,7 +241,7 @@
             // A version 1 record is deleted only in the transaction that writes it in the compact
             // format, so the deletion is not passed on.
             if (item.value() != null) {
-                recordVersionOneRevision(key, item.modRevision());
+                dropOlderCompactRevision(key, item.modRevision());
                 items.add(item);
             }
         } else if (!key.equals(Keys.LEADER) || !isFence(item)) {
@@ -270,7 +270,8 @@
     }
 
     /**
-     * Marks a record that cannot be decoded, so that its job is not mistaken for an unstarted one.
+     * Converts a compact record to the version 1 format. One that cannot be decoded is replaced by
+     * {@link TaskState#UNREADABLE_RECORD}, so that its job is not mistaken for an unstarted one.
      */
     private JsonNode decodeRunRecord(String key, JsonNode data) {
         try {
--- a/src/test/java/io/pepperfield/recovery/ArchiveForms.java
+++ b/src/test/java/io/pepperfield/recovery/ArchiveForms.java
@@ -24,7 +24,7 @@
         file.add("name of the changes", ArchiveWriter.CHANGES_ENTRY);
         file.add("name of the manifest", ArchiveManifest.NAME);
         file.addRewritten("page", page, ArchiveForms::rewriteItems);
-        file.addRead("key", Json.read(page).path(0), form -> rewriteItems(Json.array().add(form)));
+        file.addRead("key", Json.read(page).path(0), json -> rewriteItems(Json.array().add(json)));
         ArchiveManifest manifest =
                 new ArchiveManifest(
                         42,
@@ -37,14 +37,14 @@
         file.addRewrittenByField(
                 "manifest",
                 manifest.encode(),
-                form -> text(ArchiveManifest.decode(Json.write(form)).encode()));
+                json -> text(ArchiveManifest.decode(Json.write(json)).encode()));
     }
 
-    private static String rewriteItems(JsonNode form) throws ArchiveException {
-        return text(ArchiveItemsCodec.encode(ArchiveItemsCodec.decode("page", Json.write(form))));
+    private static String rewriteItems(JsonNode json) throws ArchiveException {
+        return text(ArchiveItemsCodec.encode(ArchiveItemsCodec.decode("page", Json.write(json))));
     }
 
-    private static String text(byte[] form) {
-        return new String(form, StandardCharsets.UTF_8);
+    private static String text(byte[] json) {
+        return new String(json, StandardCharsets.UTF_8);
     }
 }
--- a/src/test/java/io/pepperfield/rollout/RolloutForms.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutForms.java
@@ -50,11 +50,11 @@
         file.addRewritten(
                 "compact run record",
                 CompactRunRecordCodec.encode(versionOneRecord),
-                form -> text(CompactRunRecordCodec.encode(CompactRunRecordCodec.decode(form))));
+                json -> text(CompactRunRecordCodec.encode(CompactRunRecordCodec.decode(json))));
         file.addRead(
                 "compact run record decoded",
                 CompactRunRecordCodec.encode(versionOneRecord),
-                form -> text(CompactRunRecordCodec.decode(form)));
+                json -> text(CompactRunRecordCodec.decode(json)));
         writeTransactions(file);
         file.add("done", new RolloutResult.Completed("version 2 is active").toReply());
         file.add("refused", new RolloutResult.Refused("a rollback is under way").toReply());
@@ -73,13 +73,13 @@
                 new TaskState(8, 3, Phase.FAILED, "", 0));
     }
 
-    private static String rewriteVersion(JsonNode form) {
-        ClusterVersion version = ClusterVersion.fromJson(form).orElse(null);
+    private static String rewriteVersion(JsonNode json) {
+        ClusterVersion version = ClusterVersion.fromJson(json).orElse(null);
         return version == null ? null : text(version.toJson());
     }
 
-    private static String rewriteMember(JsonNode form) {
-        MemberRelease member = MemberRelease.fromJson(form, 9).orElse(null);
+    private static String rewriteMember(JsonNode json) {
+        MemberRelease member = MemberRelease.fromJson(json, 9).orElse(null);
         return member == null ? null : text(member.toJson());
     }
 
@@ -107,8 +107,8 @@
         }
     }
 
-    private static String text(JsonNode form) {
-        return new String(Json.write(form), StandardCharsets.UTF_8);
+    private static String text(JsonNode json) {
+        return new String(Json.write(json), StandardCharsets.UTF_8);
     }
 
     /** Adds each transaction that it receives to the file. */
