--- a/src/main/java/io/pepperfield/autoscaling/Autoscaler.java
+++ b/src/main/java/io/pepperfield/autoscaling/Autoscaler.java
@@ -124,7 +124,7 @@
         double deferrableCpus =
                 Math.max(
                         demand.deferrableCpus(),
-                        deferrableWindow.quantile(operators.steadyQuantile()));
+                        deferrableWindow.quantile(operators.deferrableQuantile()));
         return CapacityPlanner.targetMachineCounts(
                 offers,
                 projection.projectedWork(),
--- a/src/main/java/io/pepperfield/autoscaling/CurrentDemand.java
+++ b/src/main/java/io/pepperfield/autoscaling/CurrentDemand.java
@@ -54,7 +54,7 @@
         spotTolerantCpus += cpus;
         // If the work may wait longer than any boot takes, machines can be rented when it arrives
         // and need not be kept for it.
-        if (cluster.objectives().maxWait(spec.workload()) > intervalS) {
+        if (cluster.objectives().maxWaitS(spec.workload()) > intervalS) {
             deferrableCpus += cpus * deferrableWeight(job, elapsedS);
         } else {
             urgentCpus += cpus;
@@ -71,7 +71,7 @@
                 RunTimePredictor.remainingTime(predictions.expectedRunTime(job), elapsedS);
         double ageS = now - job.readyAt();
         double finishLimitS =
-                cluster.objectives().nextFinishTime(job.spec.workload(), ageS + remainingS);
+                cluster.objectives().nextFinishDeadlineS(job.spec.workload(), ageS + remainingS);
         double availableS =
                 Math.min(billingUnitS, PLANNED_SHARE_OF_OBJECTIVE * finishLimitS - ageS);
         return CapacityPlanner.demandWeight(remainingS, availableS);
--- a/src/main/java/io/pepperfield/cli/ClassDataTraining.java
+++ b/src/main/java/io/pepperfield/cli/CdsTrainingCommand.java
@@ -19,7 +19,7 @@
  * exit holds it.
  */
 @Command(name = "rehearse", hidden = true)
-final class ClassDataTraining implements Callable<Integer> {
+final class CdsTrainingCommand implements Callable<Integer> {
 
     private static final String SETTINGS =
             """
@@ -83,7 +83,7 @@
     private static void loadOwnClasses() throws Exception {
         Path jar =
                 Path.of(
-                        ClassDataTraining.class
+                        CdsTrainingCommand.class
                                 .getProtectionDomain()
                                 .getCodeSource()
                                 .getLocation()
--- a/src/main/java/io/pepperfield/cli/Main.java
+++ b/src/main/java/io/pepperfield/cli/Main.java
@@ -18,7 +18,7 @@
             NodesCommand.class,
             RolloutCommand.class,
             StateCommand.class,
-            ClassDataTraining.class
+            CdsTrainingCommand.class
         })
 public final class Main extends CommandGroup {
 
--- a/src/main/java/io/pepperfield/cloud/InstanceLifecycle.java
+++ b/src/main/java/io/pepperfield/cloud/InstanceLifecycle.java
@@ -100,12 +100,12 @@
     }
 
     /** The number of instances whose release the cloud has not confirmed. */
-    public int releasing() {
+    public int pendingReleaseCount() {
         return releases.pendingCount();
     }
 
     private void releaseConfirmed(String instanceName) {
         fleet.confirmReleased(instanceName);
-        rentals.released(instanceName);
+        rentals.removeReleased(instanceName);
     }
 }
--- a/src/main/java/io/pepperfield/cloud/InstanceRentals.java
+++ b/src/main/java/io/pepperfield/cloud/InstanceRentals.java
@@ -185,7 +185,7 @@
     }
 
     /** The cloud has confirmed the release of an instance. */
-    void released(String instanceName) {
+    void removeReleased(String instanceName) {
         for (RentalRequest request : new ArrayList<>(requests.values())) {
             if (request.instanceNames.remove(instanceName)) {
                 writeInBackground(request);
--- a/src/main/java/io/pepperfield/cloud/MachineTypesRecord.java
+++ b/src/main/java/io/pepperfield/cloud/MachineTypesCodec.java
@@ -13,9 +13,9 @@
  * while the cloud's interface is down can still tell which jobs can never run, and need not refuse
  * every submission.
  */
-public final class MachineTypesRecord {
+public final class MachineTypesCodec {
 
-    private MachineTypesRecord() {}
+    private MachineTypesCodec() {}
 
     /** Encodes the types in the form kept in the key-value store. */
     public static JsonNode encode(Iterable<MachineType> types) {
--- a/src/main/java/io/pepperfield/config/Objectives.java
+++ b/src/main/java/io/pepperfield/config/Objectives.java
@@ -33,7 +33,7 @@
      * The next time after its submission by which a job of the class should be complete, or
      * infinity.
      */
-    public double nextFinishTime(String workload, double afterS) {
+    public double nextFinishDeadlineS(String workload, double afterS) {
         DoubleArrayList list = finishTimesByWorkload.get(workload);
         for (int i = 0; list != null && i < list.size(); i++) {
             if (list.getDouble(i) > afterS) {
@@ -44,7 +44,7 @@
     }
 
     /** The shortest wait that any objective asks for a class, or infinity where none is stated. */
-    public double maxWait(String workload) {
+    public double maxWaitS(String workload) {
         return maxWaitByWorkload.getOrDefault(workload, Double.POSITIVE_INFINITY);
     }
 }
--- a/src/main/java/io/pepperfield/config/OperatorSettings.java
+++ b/src/main/java/io/pepperfield/config/OperatorSettings.java
@@ -22,8 +22,8 @@
         double restartCostShare,
         double partialMachineShare,
         double headroomQuantile,
-        double steadyQuantile,
-        int maxConcurrentSilentReleases,
+        double deferrableQuantile,
+        int maxConcurrentUnresponsiveReleases,
         Set<Feature> features,
         AdmissionSettings admission) {
 
--- a/src/main/java/io/pepperfield/config/OperatorSettingsReader.java
+++ b/src/main/java/io/pepperfield/config/OperatorSettingsReader.java
@@ -108,10 +108,10 @@
                 values.getOrDefault(Field.RESTART_SHARE, defaults.restartCostShare()),
                 values.getOrDefault(Field.PARTLY_SHARE, defaults.partialMachineShare()),
                 values.getOrDefault(Field.HEADROOM, defaults.headroomQuantile()),
-                values.getOrDefault(Field.STEADY, defaults.steadyQuantile()),
+                values.getOrDefault(Field.STEADY, defaults.deferrableQuantile()),
                 values.getOrDefault(
                                 Field.SILENT_AT_ONCE,
-                                (double) defaults.maxConcurrentSilentReleases())
+                                (double) defaults.maxConcurrentUnresponsiveReleases())
                         .intValue(),
                 features.keySet().stream()
                         .filter(features::get)
--- a/src/main/java/io/pepperfield/config/QuotaShortage.java
+++ b/src/main/java/io/pepperfield/config/QuotaCheck.java
@@ -8,7 +8,7 @@
  * What the platform's quotas cannot carry. A controller starts all the same: a small share of the
  * work is better than none.
  */
-public final class QuotaShortage {
+public final class QuotaCheck {
 
     /** What a process holds besides its heap: code, classes, threads, buffers. */
     private static final double NON_HEAP_MB = 96;
@@ -19,7 +19,7 @@
      */
     private static final int MIN_SOCKETS = 64;
 
-    private QuotaShortage() {}
+    private QuotaCheck() {}
 
     /** A line for each quota that is too small, or none. */
     public static List<String> warnings(Settings.ProcessQuota quota, double heapLimitMb) {
--- a/src/main/java/io/pepperfield/controller/ControllerServer.java
+++ b/src/main/java/io/pepperfield/controller/ControllerServer.java
@@ -5,7 +5,7 @@
 import io.netty.channel.nio.NioIoHandler;
 import io.pepperfield.cloud.HttpCloudProvider;
 import io.pepperfield.config.Feature;
-import io.pepperfield.config.QuotaShortage;
+import io.pepperfield.config.QuotaCheck;
 import io.pepperfield.config.Settings;
 import io.pepperfield.fleet.HttpWorkerClient;
 import io.pepperfield.http.HttpClient;
@@ -88,7 +88,7 @@
     private void warnOfQuotaShortage() {
         double memoryMib = Runtime.getRuntime().maxMemory() / BYTES_PER_MIB;
         List<String> shortage =
-                QuotaShortage.warnings(settings.deployment().processQuota(), memoryMib);
+                QuotaCheck.warnings(settings.deployment().processQuota(), memoryMib);
         if (!shortage.isEmpty()) {
             LOG.warn(
                     "starting with less than the deployment may need: {}",
@@ -140,7 +140,7 @@
         return new HttpServer(
                 network,
                 settings.deployment().processQuota().maxSockets() / 10,
-                4 * HttpServer.MAX_REQUEST_BYTES,
+                4 * HttpServer.DEFAULT_MAX_REQUEST_BYTES,
                 (request, answer) -> eventLoop.post(() -> peers.handle(request, answer)));
     }
 
--- a/src/main/java/io/pepperfield/controller/Leader.java
+++ b/src/main/java/io/pepperfield/controller/Leader.java
@@ -5,7 +5,7 @@
 import io.pepperfield.cloud.CloudProvider;
 import io.pepperfield.cloud.InstanceLifecycle;
 import io.pepperfield.cloud.InventoryReconciler;
-import io.pepperfield.cloud.MachineTypesRecord;
+import io.pepperfield.cloud.MachineTypesCodec;
 import io.pepperfield.cluster.BootTracker;
 import io.pepperfield.cluster.ClusterState;
 import io.pepperfield.cluster.LatencyHistograms;
@@ -193,7 +193,7 @@
         boolean stored =
                 durable.replica()
                         .find(Keys.MACHINE_TYPES)
-                        .map(entry -> MachineTypesRecord.decode(entry.value()))
+                        .map(entry -> MachineTypesCodec.decode(entry.value()))
                         .filter(machineTypes::equalsIgnoringPrices)
                         .isPresent();
         if (!stored) {
@@ -201,7 +201,7 @@
                     .enqueue(
                             Keys.MACHINE_TYPES,
                             FencedWriter.Priority.BACKGROUND,
-                            () -> MachineTypesRecord.encode(machineTypes.all()));
+                            () -> MachineTypesCodec.encode(machineTypes.all()));
         }
     }
 
--- a/src/main/java/io/pepperfield/controller/ReplicaChangeRouter.java
+++ b/src/main/java/io/pepperfield/controller/ReplicaChangeRouter.java
@@ -1,7 +1,7 @@
 package io.pepperfield.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.pepperfield.cloud.MachineTypesRecord;
+import io.pepperfield.cloud.MachineTypesCodec;
 import io.pepperfield.cluster.MachineTypes;
 import io.pepperfield.jobs.JobCodec;
 import io.pepperfield.jobs.JobIndex;
@@ -63,7 +63,7 @@
 
     private void stateChanged(String key, JsonNode value) {
         if (key.equals(Keys.MACHINE_TYPES) && value != null && !machineTypes.isLoaded()) {
-            machineTypes.update(MachineTypesRecord.decode(value));
+            machineTypes.update(MachineTypesCodec.decode(value));
         }
         jobIndex.changed(key, value);
         compactReplica(key);
--- a/src/main/java/io/pepperfield/controller/RequestRouter.java
+++ b/src/main/java/io/pepperfield/controller/RequestRouter.java
@@ -123,7 +123,7 @@
             // Open connections are never moved: a user on one to a controller that can answer
             // nobody would ask there for ever.
             boolean close = reply.status() == 503 && !healthy.getAsBoolean();
-            answer.accept(close ? reply.closingConnection() : reply);
+            answer.accept(close ? reply.withConnectionClose() : reply);
         };
     }
 
--- a/src/main/java/io/pepperfield/dispatch/PendingRequests.java
+++ b/src/main/java/io/pepperfield/dispatch/PendingRequests.java
@@ -182,7 +182,7 @@
      * missed, any machine is eligible.
      */
     private boolean requiresImageLocality(Job job, double waitedS) {
-        double maxWaitS = cluster.objectives().maxWait(job.spec.workload());
+        double maxWaitS = cluster.objectives().maxWaitS(job.spec.workload());
         return job.spec.imageGb() / slowestFetchGbPerS > maxWaitS / 2 && waitedS < maxWaitS;
     }
 
--- a/src/main/java/io/pepperfield/health/FailureDetector.java
+++ b/src/main/java/io/pepperfield/health/FailureDetector.java
@@ -165,7 +165,7 @@
      * this controller's own links, in all.
      */
     private void recordPartitions(Census census, double now) {
-        int few = cluster.settings().operators().maxConcurrentSilentReleases();
+        int few = cluster.settings().operators().maxConcurrentUnresponsiveReleases();
         boolean allPartitioned = census.lost.size() > Math.max(few, census.machines / 3);
         Map<String, Integer> lostPerZone = new HashMap<>();
         census.lost.forEach(machine -> lostPerZone.merge(machine.zone(), 1, Integer::sum));
@@ -187,13 +187,13 @@
         // minutes to be replaced.
         int maxReleasing =
                 Math.max(
-                        cluster.settings().operators().maxConcurrentSilentReleases(),
+                        cluster.settings().operators().maxConcurrentUnresponsiveReleases(),
                         census.machines / 10);
         census.lost.sort(
                 Comparator.comparingDouble((Machine machine) -> machine.unreachableFor(now))
                         .reversed());
         for (Machine machine : census.lost) {
-            if (cluster.instanceLifecycle().releasing() >= maxReleasing) {
+            if (cluster.instanceLifecycle().pendingReleaseCount() >= maxReleasing) {
                 break;
             }
             if (isLost(machine, isPartitioned(machine.zone(), now), now)) {
@@ -226,7 +226,7 @@
         // The answer costs a look at the whole fleet, so it is asked for one machine at a time, a
         // few times an interval; and the replicas of what is being released already must have
         // moved before the free capacity is known.
-        if (cluster.instanceLifecycle().releasing() > 0
+        if (cluster.instanceLifecycle().pendingReleaseCount() > 0
                 || now - capacityCheckedAt < cluster.heartbeatIntervalS() / 8) {
             return false;
         }
--- a/src/main/java/io/pepperfield/http/ClientConnection.java
+++ b/src/main/java/io/pepperfield/http/ClientConnection.java
@@ -60,7 +60,7 @@
     }
 
     /** Closes it while it carries nothing; the pool has counted it out already. */
-    void retire() {
+    void closeEvicted() {
         retired = true;
         channel.close();
     }
@@ -93,7 +93,7 @@
         }
         Exchange unanswered = exchange;
         exchange = null;
-        pool.connectionLost(this, unanswered);
+        pool.handleConnectionLost(this, unanswered);
     }
 
     @Override
--- a/src/main/java/io/pepperfield/http/ConnectionLimit.java
+++ b/src/main/java/io/pepperfield/http/ConnectionLimit.java
@@ -25,10 +25,10 @@
      *
      * @return whether one more connection stays within the limit
      */
-    boolean tryMakeRoom() {
+    boolean tryFreeSlot() {
         if (openConnections >= maxConnections && !idleConnections.isEmpty()) {
             ClientConnection longestIdle = idleConnections.iterator().next();
-            longestIdle.pool().retire(longestIdle);
+            longestIdle.pool().evict(longestIdle);
         }
         return openConnections < maxConnections;
     }
--- a/src/main/java/io/pepperfield/http/ConnectionPool.java
+++ b/src/main/java/io/pepperfield/http/ConnectionPool.java
@@ -66,7 +66,7 @@
                 || pendingConnects >= waitingExchanges.size()) {
             return;
         }
-        if (connectionLimit.tryMakeRoom()) {
+        if (connectionLimit.tryFreeSlot()) {
             connect();
         } else if (openConnections == 0) {
             // The sockets that are left belong to users, peers, cloud and state service.
@@ -137,9 +137,9 @@
     }
 
     /** Closes a connection that carries nothing; its room is free from now on. */
-    void retire(ClientConnection connection) {
+    void evict(ClientConnection connection) {
         remove(connection);
-        connection.retire();
+        connection.closeEvicted();
         discardIfUnused();
     }
 
@@ -148,7 +148,7 @@
      *
      * @param unanswered what it carried, or null
      */
-    void connectionLost(ClientConnection connection, Exchange unanswered) {
+    void handleConnectionLost(ClientConnection connection, Exchange unanswered) {
         remove(connection);
         if (unanswered != null) {
             unanswered.fail("connection lost");
--- a/src/main/java/io/pepperfield/http/HttpReply.java
+++ b/src/main/java/io/pepperfield/http/HttpReply.java
@@ -18,7 +18,7 @@
     }
 
     /** The same answer, after which the client has to look for another node. */
-    public HttpReply closingConnection() {
+    public HttpReply withConnectionClose() {
         return new HttpReply(status, body, retryAfterS, true);
     }
 
--- a/src/main/java/io/pepperfield/http/HttpServer.java
+++ b/src/main/java/io/pepperfield/http/HttpServer.java
@@ -23,7 +23,7 @@
 public final class HttpServer {
 
     /** The longest body that is taken where the creator asks for no other bound. */
-    public static final int MAX_REQUEST_BYTES = 64 * 1024;
+    public static final int DEFAULT_MAX_REQUEST_BYTES = 64 * 1024;
 
     private static final int MAX_REQUEST_LINE_BYTES = 4096;
     private static final int MAX_HEADER_BYTES = 8192;
@@ -46,7 +46,7 @@
 
     /** Creates a server with the default limit on the size of a request. */
     public HttpServer(EventLoopGroup eventLoops, int maxConnections, Handler handler) {
-        this(eventLoops, maxConnections, MAX_REQUEST_BYTES, handler);
+        this(eventLoops, maxConnections, DEFAULT_MAX_REQUEST_BYTES, handler);
     }
 
     /**
--- a/src/main/java/io/pepperfield/http/ServerConnection.java
+++ b/src/main/java/io/pepperfield/http/ServerConnection.java
@@ -57,7 +57,7 @@
     }
 
     /** Whether a request to that path may be served here; counts the connection where it may. */
-    boolean admits(String path) {
+    boolean tryAdmit(String path) {
         if (countedByPathLimit || !pathLimit.appliesTo(path)) {
             return true;
         }
@@ -66,7 +66,7 @@
     }
 
     /** Whether it is to end with its reply: more clients than connections find their turn so. */
-    boolean mustMakeRoom() {
+    boolean mustCloseAfterReply() {
         return countedByPathLimit && pathLimit.isNearlyFull();
     }
 
--- a/src/main/java/io/pepperfield/http/ServerRequestHandler.java
+++ b/src/main/java/io/pepperfield/http/ServerRequestHandler.java
@@ -34,9 +34,9 @@
         Optional<InboundRequest> inbound = parse(request);
         if (inbound.isEmpty()) {
             answer.accept(HttpReply.error(400, "malformed address"));
-        } else if (!connection.admits(inbound.get().path())) {
+        } else if (!connection.tryAdmit(inbound.get().path())) {
             // When one node alone has all workers, its users must still find a connection.
-            answer.accept(HttpReply.unavailable("too many connections").closingConnection());
+            answer.accept(HttpReply.unavailable("too many connections").withConnectionClose());
         } else {
             handler.handle(inbound.get(), answer);
         }
@@ -58,7 +58,8 @@
 
     private void finish(ChannelHandlerContext ctx, HttpReply reply, boolean keepAlive) {
         connection.endRequest();
-        boolean keepOpen = keepAlive && !reply.closeConnection() && !connection.mustMakeRoom();
+        boolean keepOpen =
+                keepAlive && !reply.closeConnection() && !connection.mustCloseAfterReply();
         ReplyWriter.write(ctx, reply, keepOpen);
     }
 
--- a/src/test/java/io/pepperfield/config/SettingsTest.java
+++ b/src/test/java/io/pepperfield/config/SettingsTest.java
@@ -150,12 +150,12 @@
     @Test
     void aQuotaThatIsTooSmallIsNamedAndNothingMore() {
         assertEquals(
-                List.of(), QuotaShortage.warnings(new Settings.ProcessQuota(0.34, 263, 1200), 128));
+                List.of(), QuotaCheck.warnings(new Settings.ProcessQuota(0.34, 263, 1200), 128));
         assertEquals(
                 List.of(
                         "deployment.quota.mem_mb = 200, and the process may come to hold 224",
                         "deployment.quota.sockets = 40, and 64 are needed before any worker reports"),
-                QuotaShortage.warnings(new Settings.ProcessQuota(0.34, 200, 40), 128));
+                QuotaCheck.warnings(new Settings.ProcessQuota(0.34, 200, 40), 128));
     }
 
     @Test
--- a/src/test/java/io/pepperfield/forms/CloudForms.java
+++ b/src/test/java/io/pepperfield/forms/CloudForms.java
@@ -4,7 +4,7 @@
 import io.pepperfield.cloud.CloudProvider.ListedInstance;
 import io.pepperfield.cloud.CloudProvider.RentalOutcome;
 import io.pepperfield.cloud.HttpCloudProvider;
-import io.pepperfield.cloud.MachineTypesRecord;
+import io.pepperfield.cloud.MachineTypesCodec;
 import io.pepperfield.config.Settings.Address;
 import io.pepperfield.http.Json;
 import io.pepperfield.standin.SimulatedLoop;
@@ -40,7 +40,7 @@
                 types ->
                         read.append(
                                 types.isPresent()
-                                        ? MachineTypesRecord.encode(types.get())
+                                        ? MachineTypesCodec.encode(types.get())
                                         : "refused"));
         loop.run(loop.now() + 10);
         return read.toString();
--- a/src/test/java/io/pepperfield/forms/HttpForms.java
+++ b/src/test/java/io/pepperfield/forms/HttpForms.java
@@ -73,7 +73,7 @@
                         HttpReply.empty(200),
                         HttpReply.error(404, "no such path"),
                         HttpReply.unavailable("not now", 7),
-                        HttpReply.unavailable("not now").closingConnection())) {
+                        HttpReply.unavailable("not now").withConnectionClose())) {
             answer = reply;
             for (String connection : List.of("close", "keep-alive")) {
                 file.add("answer to " + connection, ask(port, connection));
--- a/src/test/java/io/pepperfield/forms/SettingsForms.java
+++ b/src/test/java/io/pepperfield/forms/SettingsForms.java
@@ -72,7 +72,7 @@
                     new Objectives(List.of(new Settings.Objective(kind, "recon", 30, 0.9, 0)));
             file.add(
                     "objective " + kind,
-                    aims.maxWait("recon") + " " + aims.nextFinishTime("recon", 0));
+                    aims.maxWaitS("recon") + " " + aims.nextFinishDeadlineS("recon", 0));
         }
     }
 
@@ -179,8 +179,8 @@
         add(
                 told,
                 operators.headroomQuantile(),
-                operators.steadyQuantile(),
-                operators.maxConcurrentSilentReleases());
+                operators.deferrableQuantile(),
+                operators.maxConcurrentUnresponsiveReleases());
         add(told, "rollout", operators.isEnabled(Feature.ROLLOUT));
         add(told, "admission", operators.isEnabled(Feature.ADMISSION));
         AdmissionSettings admission = operators.admission();
--- a/src/test/java/io/pepperfield/forms/StoredForms.java
+++ b/src/test/java/io/pepperfield/forms/StoredForms.java
@@ -5,7 +5,7 @@
 import io.pepperfield.cloud.CloudProvider;
 import io.pepperfield.cloud.HttpCloudProvider;
 import io.pepperfield.cloud.InstanceLifecycle;
-import io.pepperfield.cloud.MachineTypesRecord;
+import io.pepperfield.cloud.MachineTypesCodec;
 import io.pepperfield.config.Settings.Address;
 import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Fleet;
@@ -94,8 +94,8 @@
             file.addRewritten("end", JobCodec.encodeFinalStatus(end), StoredForms::rewriteEnd);
         }
         file.addRewrittenByField("end", JobCodec.encodeDone(DONE_MS), StoredForms::rewriteEnd);
-        file.addRewritten("types", MachineTypesRecord.encode(types()), StoredForms::rewriteTypes);
-        JsonNode type = MachineTypesRecord.encode(types()).path(0);
+        file.addRewritten("types", MachineTypesCodec.encode(types()), StoredForms::rewriteTypes);
+        JsonNode type = MachineTypesCodec.encode(types()).path(0);
         file.addRead("type", type, form -> rewriteTypes(Json.array().add(form)));
         file.addRead("leader", FormFile.json("leader.json"), StoredForms::leaderOf);
         writeRentals(file);
@@ -150,7 +150,7 @@
     }
 
     private static String rewriteTypes(JsonNode form) {
-        return text(MachineTypesRecord.encode(MachineTypesRecord.decode(form)));
+        return text(MachineTypesCodec.encode(MachineTypesCodec.decode(form)));
     }
 
     private static String rewriteEnd(JsonNode form) {
--- a/src/test/java/io/pepperfield/http/SocketsTest.java
+++ b/src/test/java/io/pepperfield/http/ConnectionLimitsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Sockets are short: nobody may use up those of the others. */
-class SocketsTest {
+class ConnectionLimitsTest {
 
     private final EventLoopGroup network =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
--- a/src/test/java/io/pepperfield/peer/VersionsTest.java
+++ b/src/test/java/io/pepperfield/peer/VersionsTest.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.cloud.CloudProvider;
 import io.pepperfield.cloud.InstanceLifecycle;
-import io.pepperfield.cloud.MachineTypesRecord;
+import io.pepperfield.cloud.MachineTypesCodec;
 import io.pepperfield.fencing.FencingToken;
 import io.pepperfield.fleet.Fleet;
 import io.pepperfield.fleet.MachineType;
@@ -96,10 +96,10 @@
     }
 
     private static List<String> machineTypes(JsonNode said, String text) {
-        List<MachineType> types = MachineTypesRecord.decode(said);
+        List<MachineType> types = MachineTypesCodec.decode(said);
         return told(
                 types.stream().map(type -> type.name() + " " + type.zones()).toList().toString(),
-                MachineTypesRecord.encode(types),
+                MachineTypesCodec.encode(types),
                 text);
     }
 
--- a/src/test/java/io/pepperfield/standin/ControllerProcess.java
+++ b/src/test/java/io/pepperfield/standin/ControllerProcess.java
@@ -74,8 +74,8 @@
                         defaults.restartCostShare(),
                         defaults.partialMachineShare(),
                         defaults.headroomQuantile(),
-                        defaults.steadyQuantile(),
-                        defaults.maxConcurrentSilentReleases(),
+                        defaults.deferrableQuantile(),
+                        defaults.maxConcurrentUnresponsiveReleases(),
                         Set.of(Feature.valueOf(arguments[2])),
                         defaults.admission());
         Settings settings = SettingsReader.read(Path.of(arguments[0]), operators);
