--- a/src/main/java/io/pepperfield/cli/CdsTrainingCommand.java
+++ b/src/main/java/io/pepperfield/cli/ClassDataTraining.java
@@ -19,7 +19,7 @@
  * exit holds it.
  */
 @Command(name = "rehearse", hidden = true)
-final class CdsTrainingCommand implements Callable<Integer> {
+final class ClassDataTraining implements Callable<Integer> {
 
     private static final String SETTINGS =
             """
@@ -83,7 +83,7 @@
     private static void loadOwnClasses() throws Exception {
         Path jar =
                 Path.of(
-                        CdsTrainingCommand.class
+                        ClassDataTraining.class
                                 .getProtectionDomain()
                                 .getCodeSource()
                                 .getLocation()
--- a/src/main/java/io/pepperfield/cli/Main.java
+++ b/src/main/java/io/pepperfield/cli/Main.java
@@ -18,7 +18,7 @@
             NodesCommand.class,
             RolloutCommand.class,
             StateCommand.class,
-            CdsTrainingCommand.class
+            ClassDataTraining.class
         })
 public final class Main extends CommandGroup {
 
