--- a/src/main/java/io/pepperfield/cli/CheckCommand.java
+++ b/src/main/java/io/pepperfield/cli/CheckCommand.java
@@ -6,9 +6,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/**
- * The {@code check} command: checks the settings files and prints their faults or what they hold.
- */
+/** The {@code check} command: validates settings files and prints their faults or a summary. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
--- a/src/main/java/io/pepperfield/cli/ClassDataTraining.java
+++ b/src/main/java/io/pepperfield/cli/ClassDataTraining.java
@@ -15,8 +15,8 @@
 import picocli.CommandLine.Command;
 
 /**
- * Run by the build: loads what a controller needs, so that the class-data archive written at the
- * exit holds it.
+ * Training run for the JVM's class-data sharing archive, run by the build. Starts a controller,
+ * sends a few requests and loads all classes, so that the archive written at exit contains them.
  */
 @Command(name = "rehearse", hidden = true)
 final class ClassDataTraining implements Callable<Integer> {
--- a/src/main/java/io/pepperfield/cli/ControllerClient.java
+++ b/src/main/java/io/pepperfield/cli/ControllerClient.java
@@ -16,7 +16,9 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The public interface from outside: the first controller that answers is asked. */
+/**
+ * Client of the controllers' public API; sends each request to the first controller that replies.
+ */
 final class ControllerClient {
 
     private static final long DEADLINE_MS = 5000;
@@ -36,29 +38,29 @@
     @Spec(Spec.Target.MIXEE)
     private CommandSpec command;
 
-    /** Asks about one job; what is no job's id is a mistake on the command line. */
+    /** Sends a request for a job; an invalid job ID is a usage error. */
     int requestForJob(String method, String job, String action, byte[] body) {
         if (!JobMessages.validId(job)) {
             throw new ParameterException(
-                    command.commandLine(), job + ": want an id such as run-000412");
+                    command.commandLine(), job + ": expected a job ID such as run-000412");
         }
         return request(method, "/api/jobs/" + job + action, body);
     }
 
-    /** Prints the first controller's answer; 0 for a 2xx, 1 otherwise. */
+    /** Prints the first controller's reply; returns 0 for a 2xx status and 1 otherwise. */
     int request(String method, String path, byte[] body) {
-        return request(method, path, body, answer -> true);
+        return request(method, path, body, reply -> true);
     }
 
-    /** As {@link #request}, but asks on where a controller says that it cannot decide. */
+    /** Like {@link #request}, but tries the next controller if one replies with 503. */
     int requestFromLeader(String method, String path, byte[] body) {
-        return request(method, path, body, answer -> answer.status() != UNAVAILABLE);
+        return request(method, path, body, reply -> reply.status() != UNAVAILABLE);
     }
 
     private int request(
-            String method, String path, byte[] body, Predicate<HttpOutcome.Answered> decides) {
+            String method, String path, byte[] body, Predicate<HttpOutcome.Answered> isFinal) {
         List<Address> controllers = servers.stream().map(this::parseServer).toList();
-        HttpOutcome.Answered undecided = null;
+        HttpOutcome.Answered lastUnavailable = null;
         try (BlockingHttpClient client = new BlockingHttpClient(MAX_RESPONSE_BYTES)) {
             for (Address controller : controllers) {
                 OutboundRequest request =
@@ -70,25 +72,25 @@
                                 path,
                                 body,
                                 DEADLINE_MS);
-                if (client.send(request) instanceof HttpOutcome.Answered answer) {
-                    if (decides.test(answer)) {
-                        return printAnswer(answer);
+                if (client.send(request) instanceof HttpOutcome.Answered reply) {
+                    if (isFinal.test(reply)) {
+                        return printReply(reply);
                     }
-                    undecided = answer;
+                    lastUnavailable = reply;
                 }
             }
         }
-        return undecided == null
+        return lastUnavailable == null
                 ? ExitCode.failure(servers.get(servers.size() - 1) + " does not answer")
-                : printAnswer(undecided);
+                : printReply(lastUnavailable);
     }
 
-    /** What is no address is a mistake on the command line. */
+    /** Parses a host and port; an invalid address is a usage error. */
     private Address parseServer(String server) {
         int colon = server.lastIndexOf(':');
         int port = parsePort(server.substring(colon + 1));
         if (colon < 1 || port < 0 || port > MAX_PORT) {
-            throw new ParameterException(command.commandLine(), server + ": want HOST:PORT");
+            throw new ParameterException(command.commandLine(), server + ": expected HOST:PORT");
         }
         return new Address(server.substring(0, colon), port);
     }
@@ -101,11 +103,11 @@
         }
     }
 
-    private static int printAnswer(HttpOutcome.Answered answer) {
-        JsonNode json = answer.json();
-        if (answer.status() / 100 != SUCCESS_CLASS) {
+    private static int printReply(HttpOutcome.Answered reply) {
+        JsonNode json = reply.json();
+        if (reply.status() / 100 != SUCCESS_CLASS) {
             String error = json.has("error") ? ": " + json.path("error").asText() : "";
-            return ExitCode.failure(answer.status() + error);
+            return ExitCode.failure(reply.status() + error);
         }
         try {
             System.out.println(
@@ -113,7 +115,7 @@
                             .enable(SerializationFeature.INDENT_OUTPUT)
                             .writeValueAsString(json));
         } catch (IOException e) {
-            throw new IllegalStateException("a tree cannot fail to be written", e);
+            throw new IllegalStateException("JSON tree cannot be serialized", e);
         }
         return ExitCode.SUCCESS;
     }
--- a/src/main/java/io/pepperfield/cli/ExitCode.java
+++ b/src/main/java/io/pepperfield/cli/ExitCode.java
@@ -1,6 +1,6 @@
 package io.pepperfield.cli;
 
-/** Exit codes of commands; 2, for a wrong command line, is given by the parser. */
+/** Exit codes of commands; the parser returns 2 for usage errors. */
 final class ExitCode {
 
     static final int SUCCESS = 0;
@@ -8,7 +8,7 @@
 
     private ExitCode() {}
 
-    /** Prints why a command could not do what it was asked to. */
+    /** Prints the reason for a failure and returns the exit code for it. */
     static int failure(String reason) {
         System.err.println("pepperfield: " + reason);
         return FAILURE;
--- a/src/main/java/io/pepperfield/cli/JobStatusCommand.java
+++ b/src/main/java/io/pepperfield/cli/JobStatusCommand.java
@@ -5,17 +5,17 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
 
-/** The {@code status} command: prints the state of one job. */
+/** The {@code status} command: prints the state of a job. */
 @Command(name = "status", mixinStandardHelpOptions = true, description = "Shows a job's state.")
 final class JobStatusCommand implements Callable<Integer> {
 
-    @Mixin private ControllerClient remote;
+    @Mixin private ControllerClient client;
 
     @Parameters(paramLabel = "JOB", description = "The job's id, such as run-000412.")
     private String job;
 
     @Override
     public Integer call() {
-        return remote.requestForJob("GET", job, "", null);
+        return client.requestForJob("GET", job, "", null);
     }
 }
--- a/src/main/java/io/pepperfield/cli/Main.java
+++ b/src/main/java/io/pepperfield/cli/Main.java
@@ -3,7 +3,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The program: a controller, and the commands of its users. */
+/** Entry point of the command line, with the controller and the client commands. */
 @Command(
         name = "pepperfield",
         mixinStandardHelpOptions = true,
@@ -22,16 +22,16 @@
         })
 public final class Main extends CommandGroup {
 
-    /** Sets up logging and runs the command that the arguments name; exits with its code. */
+    /** Configures logging, runs the command given by the arguments and exits with its exit code. */
     public static void main(String[] arguments) {
-        // Before any logger exists: the light backend reads these once.
+        // Must be set before the first logger is created: slf4j-simple reads these only once.
         String level = System.getenv().getOrDefault("LOG_LEVEL", "info");
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
         System.setProperty("org.slf4j.simpleLogger.log.io.netty", "error");
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
         System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
-        // A process of a few hundred MB: no buffer arenas, and no look at the network's hardware
-        // for a process id.
+        // The process has only a few hundred MB, so Netty uses no buffer arenas. The fixed IDs
+        // avoid a scan of the network hardware for a process ID.
         System.setProperty("io.netty.allocator.type", "unpooled");
         System.setProperty("io.netty.noPreferDirect", "true");
         System.setProperty("io.netty.leakDetection.level", "disabled");
--- a/src/main/java/io/pepperfield/cli/NodesCommand.java
+++ b/src/main/java/io/pepperfield/cli/NodesCommand.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** The {@code nodes} command: prints what the asked controller knows about the cluster. */
+/** The {@code nodes} command: prints the cluster state as seen by one controller. */
 @Command(
         name = "nodes",
         mixinStandardHelpOptions = true,
@@ -12,10 +12,10 @@
                 "Shows what a controller knows: the leader, and on the leader machines, teams and what waits for what.")
 final class NodesCommand implements Callable<Integer> {
 
-    @Mixin private ControllerClient remote;
+    @Mixin private ControllerClient client;
 
     @Override
     public Integer call() {
-        return remote.request("GET", "/api/nodes", null);
+        return client.request("GET", "/api/nodes", null);
     }
 }
--- a/src/main/java/io/pepperfield/cli/RolloutCommand.java
+++ b/src/main/java/io/pepperfield/cli/RolloutCommand.java
@@ -10,7 +10,9 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** The {@code rollout} commands: the stored-state version, and the way forward and back. */
+/**
+ * The {@code rollout} commands: show, activate, finalize and roll back the stored-state version.
+ */
 @Command(
         name = "rollout",
         mixinStandardHelpOptions = true,
@@ -23,25 +25,27 @@
         })
 final class RolloutCommand extends CommandGroup {
 
-    /** Prints the version, the controllers' releases and who holds up an activation. */
+    /**
+     * Prints the version, the controllers' releases and the controllers that block an activation.
+     */
     @Command(
             name = "status",
             mixinStandardHelpOptions = true,
             description = "Shows the version, every controller's release and who is waited for.")
     static final class StatusCommand implements Callable<Integer> {
 
-        @Mixin private ControllerClient remote;
+        @Mixin private ControllerClient client;
 
         @Override
         public Integer call() {
-            return remote.request("GET", Rollout.PATH, null);
+            return client.request("GET", Rollout.PATH, null);
         }
     }
 
-    /** A change of the version, which only the leader makes. */
+    /** A change of the version, which only the leader carries out. */
     private abstract static class VersionChangeCommand implements Callable<Integer> {
 
-        @Mixin private ControllerClient remote;
+        @Mixin private ControllerClient client;
 
         private final String path;
 
@@ -49,18 +53,18 @@
             path = Rollout.PATH + "/" + name;
         }
 
-        /** What the leader has to know beside the command. */
+        /** Returns the request body with the options of the command. */
         ObjectNode body() {
             return Json.object();
         }
 
         @Override
         public Integer call() {
-            return remote.requestFromLeader("POST", path, Json.write(body()));
+            return client.requestFromLeader("POST", path, Json.write(body()));
         }
     }
 
-    /** Activates the next version once every controller has declared that it knows it. */
+    /** Activates the next version once every controller has declared support for it. */
     @Command(
             name = "activate",
             mixinStandardHelpOptions = true,
@@ -84,7 +88,7 @@
                 names = "--older-releases-retired",
                 description =
                         "Your word that no release without a version gate will be started again.")
-        private boolean olderRetired;
+        private boolean olderReleasesRetired;
 
         ActivateCommand() {
             super("activate");
@@ -92,7 +96,7 @@
 
         @Override
         ObjectNode body() {
-            ObjectNode body = Json.object().put("olderReleasesRetired", olderRetired);
+            ObjectNode body = Json.object().put("olderReleasesRetired", olderReleasesRetired);
             if (target != null) {
                 body.put("to", target);
             }
@@ -101,7 +105,7 @@
         }
     }
 
-    /** Closes the way back. */
+    /** Finalizes the active version; it can no longer be rolled back. */
     @Command(
             name = "finalize",
             mixinStandardHelpOptions = true,
@@ -113,7 +117,7 @@
         }
     }
 
-    /** Goes back to the version before. */
+    /** Rolls back to the previous version. */
     @Command(
             name = "rollback",
             mixinStandardHelpOptions = true,
--- a/src/main/java/io/pepperfield/cli/ServeCommand.java
+++ b/src/main/java/io/pepperfield/cli/ServeCommand.java
@@ -24,12 +24,12 @@
         } catch (SettingsException e) {
             return ExitCode.failure(e.getMessage());
         }
-        ControllerServer service = new ControllerServer(settings);
+        ControllerServer server = new ControllerServer(settings);
         try {
-            service.start();
+            server.start();
         } catch (Exception e) {
-            // Netty throws what the socket threw, unchecked: an address in use is the operator's to
-            // mend, not a crash.
+            // Netty rethrows the socket's checked exceptions undeclared. An address in use is a
+            // configuration error rather than a crash.
             return ExitCode.failure(
                     "cannot listen on "
                             + settings.bindAddress()
@@ -38,7 +38,7 @@
                             + ": "
                             + e.getMessage());
         }
-        service.run();
+        server.run();
         return ExitCode.SUCCESS;
     }
 }
--- a/src/main/java/io/pepperfield/cli/SettingsFiles.java
+++ b/src/main/java/io/pepperfield/cli/SettingsFiles.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import picocli.CommandLine.Option;
 
-/** Where the settings are: the platform's TOML, and operators' XML if there is any. */
+/** Options for the settings files: the platform's TOML and, optionally, the operators' XML. */
 final class SettingsFiles {
 
     @Option(
--- a/src/main/java/io/pepperfield/cli/StateCommand.java
+++ b/src/main/java/io/pepperfield/cli/StateCommand.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
 
-/** The {@code state} commands: an archive of all keys, and a look at one. */
+/** The {@code state} commands: export all keys into an archive, and inspect an archive. */
 @Command(
         name = "state",
         mixinStandardHelpOptions = true,
@@ -26,7 +26,7 @@
 
     private static final int MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
 
-    /** Writes an archive, whole or not at all. */
+    /** Writes a complete archive, or none if the export fails. */
     @Command(
             name = "export",
             mixinStandardHelpOptions = true,
@@ -47,7 +47,7 @@
                                 client,
                                 settings.storeAddress(),
                                 settings.deployment().storeLimits().requestsPerS());
-                long revision = new ArchiveWriter(source, controllers(settings)).write(file);
+                long revision = new ArchiveWriter(source, controllerNames(settings)).write(file);
                 System.out.println(file + ": revision " + revision);
                 return ExitCode.SUCCESS;
             } catch (SettingsException | IOException e) {
@@ -55,7 +55,7 @@
             }
         }
 
-        private static List<String> controllers(Settings settings) {
+        private static List<String> controllerNames(Settings settings) {
             List<String> names = new ArrayList<>(List.of(settings.node()));
             settings.members().forEach(member -> names.add(member.node()));
             names.sort(null);
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Checks an archive and says what it holds. */
+    /** Validates an archive and prints a summary of its contents. */
     @Command(
             name = "inspect",
             mixinStandardHelpOptions = true,
@@ -80,7 +80,7 @@
                 System.out.println("revision " + archive.revision());
                 System.out.println("controllers " + String.join(", ", archive.controllers()));
                 archive.keyCounts()
-                        .forEach((keyKind, count) -> System.out.println(keyKind + " " + count));
+                        .forEach((keyType, count) -> System.out.println(keyType + " " + count));
                 return ExitCode.SUCCESS;
             } catch (ArchiveException e) {
                 return ExitCode.failure(file + ": " + e.getMessage());
--- a/src/main/java/io/pepperfield/cli/SubmitCommand.java
+++ b/src/main/java/io/pepperfield/cli/SubmitCommand.java
@@ -8,14 +8,14 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
 
-/** The {@code submit} command: sends one job description to a controller. */
+/** The {@code submit} command: submits a job description from a JSON file. */
 @Command(
         name = "submit",
         mixinStandardHelpOptions = true,
         description = "Submits a job described in a JSON file (- for standard input).")
 final class SubmitCommand implements Callable<Integer> {
 
-    @Mixin private ControllerClient remote;
+    @Mixin private ControllerClient client;
 
     @Parameters(paramLabel = "FILE", description = "The job.")
     private String file;
@@ -28,6 +28,6 @@
         } catch (IOException e) {
             return ExitCode.failure(file + " cannot be read");
         }
-        return remote.request("POST", "/api/jobs", body);
+        return client.request("POST", "/api/jobs", body);
     }
 }
--- a/src/main/java/io/pepperfield/cloud/CloudProvider.java
+++ b/src/main/java/io/pepperfield/cloud/CloudProvider.java
@@ -5,13 +5,13 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** The cloud provider's interface; called on the event loop, on which every callback runs too. */
+/** Client of the cloud provider. Called on the event loop; every callback runs there too. */
 public interface CloudProvider {
 
     /**
-     * One entry of the cloud's list of instances.
+     * One entry of the provider's list of instances.
      *
-     * @param ageS seconds since its rental
+     * @param ageS seconds since the instance was rented
      */
     record ListedInstance(
             String name,
@@ -22,26 +22,26 @@
             String status,
             double ageS) {}
 
-    /** How a request to rent instances ended. */
+    /** Outcome of a request to rent instances. */
     sealed interface RentalOutcome {
-        /** The request was carried out and has brought these instances. */
+        /** The provider granted these instances, possibly fewer than requested. */
         record Granted(List<String> instanceNames) implements RentalOutcome {}
 
-        /** The cloud has no instances of that type and class in that zone at present. */
+        /** The provider has no capacity for this type, spot or on-demand, in this zone. */
         record NoCapacity() implements RentalOutcome {}
 
-        /** Not carried out, or not known: the same request may be sent again. */
+        /** The request failed or its outcome is unknown; it may be sent again with the same ID. */
         record Failed(String reason) implements RentalOutcome {}
     }
 
-    /** Lists the machine types on offer; empty where there was no valid answer. */
+    /** Lists the machine types on offer; empty if the request failed or the reply is invalid. */
     void listMachineTypes(Consumer<Optional<List<MachineType>>> done);
 
     /**
      * Rents instances.
      *
-     * @param requestId the idempotency key: a repeated request rents nothing twice
-     * @param count how many are asked for; fewer may be granted
+     * @param requestId the idempotency key; repeating a request rents no further instances
+     * @param count number of instances requested; fewer may be granted
      */
     void rentInstances(
             String requestId,
@@ -51,9 +51,9 @@
             int count,
             Consumer<RentalOutcome> done);
 
-    /** Releases instances; true only where the cloud has confirmed that all are gone. */
+    /** Releases instances; reports true only if the provider confirmed the release of all. */
     void releaseInstances(List<String> names, Consumer<Boolean> done);
 
-    /** Lists all rented instances; empty where there was no valid answer. */
+    /** Lists all rented instances; empty if the request failed or the reply is invalid. */
     void listInstances(Consumer<Optional<List<ListedInstance>>> done);
 }
--- a/src/main/java/io/pepperfield/cloud/HttpCloudProvider.java
+++ b/src/main/java/io/pepperfield/cloud/HttpCloudProvider.java
@@ -16,8 +16,8 @@
 import java.util.function.Consumer;
 
 /**
- * The cloud over its published HTTP protocol; the only class that knows the protocol's field names.
- * Used on the event loop thread, on which the callbacks run too.
+ * Client of the cloud provider's HTTP API; the only class that contains the API's field names.
+ * Confined to the event loop thread, on which the callbacks run too.
  */
 public final class HttpCloudProvider implements CloudProvider {
 
@@ -38,7 +38,7 @@
     private final Settings.Address address;
     private final PacedRequestQueue queue;
 
-    /** Creates a client that keeps below {@code requestsPerSecond}. */
+    /** Creates a client that sends fewer than {@code requestsPerSecond} requests per second. */
     public HttpCloudProvider(
             Loop loop, HttpSender client, Settings.Address address, double requestsPerSecond) {
         this.loop = loop;
@@ -63,10 +63,10 @@
                                                                         ::parseMachineTypes))));
     }
 
-    /** The body of an answer with status 200. */
+    /** Returns the body of a reply with status 200, or empty for any other outcome. */
     private static Optional<JsonNode> okBody(HttpOutcome outcome) {
-        return outcome instanceof HttpOutcome.Answered answer && answer.status() == STATUS_OK
-                ? Optional.of(answer.json())
+        return outcome instanceof HttpOutcome.Answered reply && reply.status() == STATUS_OK
+                ? Optional.of(reply.json())
                 : Optional.empty();
     }
 
@@ -121,20 +121,20 @@
     }
 
     private static RentalOutcome rentalOutcome(HttpOutcome outcome) {
-        if (!(outcome instanceof HttpOutcome.Answered answer)) {
+        if (!(outcome instanceof HttpOutcome.Answered reply)) {
             return new RentalOutcome.Failed("no answer");
         }
-        JsonNode body = answer.json();
-        if (answer.status() == STATUS_OK && body.path(INSTANCES).isArray()) {
+        JsonNode body = reply.json();
+        if (reply.status() == STATUS_OK && body.path(INSTANCES).isArray()) {
             List<String> names = new ArrayList<>();
             body.path(INSTANCES).forEach(name -> names.add(name.asText()));
             return new RentalOutcome.Granted(names);
         }
-        if (answer.status() == STATUS_UNAVAILABLE
+        if (reply.status() == STATUS_UNAVAILABLE
                 && body.path("error").asText().equals(NO_CAPACITY)) {
             return new RentalOutcome.NoCapacity();
         }
-        return new RentalOutcome.Failed("status " + answer.status());
+        return new RentalOutcome.Failed("status " + reply.status());
     }
 
     @Override
@@ -151,25 +151,25 @@
                                 encoded,
                                 outcome ->
                                         done.accept(
-                                                outcome instanceof HttpOutcome.Answered answer
-                                                        && answer.status() == STATUS_OK)));
+                                                outcome instanceof HttpOutcome.Answered reply
+                                                        && reply.status() == STATUS_OK)));
     }
 
     @Override
     public void listInstances(Consumer<Optional<List<ListedInstance>>> done) {
-        listPage("", new ArrayList<>(), done);
+        requestPage("", new ArrayList<>(), done);
     }
 
-    private void listPage(
+    private void requestPage(
             String after,
             List<ListedInstance> listed,
             Consumer<Optional<List<ListedInstance>>> done) {
         String path = "/rentals?limit=" + PAGE_SIZE + (after.isEmpty() ? "" : "&since=" + after);
         queue.addBackground(
-                () -> send("GET", path, null, outcome -> takePage(outcome, listed, done)));
+                () -> send("GET", path, null, outcome -> handlePage(outcome, listed, done)));
     }
 
-    private void takePage(
+    private void handlePage(
             HttpOutcome outcome,
             List<ListedInstance> listed,
             Consumer<Optional<List<ListedInstance>>> done) {
@@ -181,7 +181,7 @@
         JsonNode instances = page.get().path(INSTANCES);
         instances.forEach(item -> listed.add(parseInstance(item)));
         if (page.get().path("truncated").asBoolean() && instances.size() > 0) {
-            listPage(listed.get(listed.size() - 1).name(), listed, done);
+            requestPage(listed.get(listed.size() - 1).name(), listed, done);
         } else {
             done.accept(Optional.of(listed));
         }
--- a/src/main/java/io/pepperfield/cloud/InstanceLifecycle.java
+++ b/src/main/java/io/pepperfield/cloud/InstanceLifecycle.java
@@ -12,9 +12,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Rents and releases the leader's instances. {@link InstanceRentals} keeps the rental requests,
- * {@link InstanceReleases} what is to be released. Belongs to one term; used on the owner thread
- * only.
+ * Rents and releases instances on behalf of the leader. {@link InstanceRentals} tracks the rental
+ * requests, {@link InstanceReleases} the pending releases. Valid for one leadership term; confined
+ * to the owner thread.
  */
 public final class InstanceLifecycle {
 
@@ -25,13 +25,14 @@
     private final InstanceReleases releases;
 
     /**
-     * Creates the lifecycle of one term without rentals; {@link #restore} adds those of earlier
-     * leaders.
+     * Creates the lifecycle for one term, without any rentals; {@link #restore} adds the rentals of
+     * previous leaders.
      *
-     * @param retryS seconds after which a request without an answer is repeated
-     * @param noCapacityValidityS seconds for which a refusal for lack of capacity is believed
-     * @param leadershipConfirmed whether the store lease cannot have expired: a leader whose
-     *     process was paused must not release instances that the next leader uses
+     * @param retryS delay in seconds before a failed request is retried
+     * @param noCapacityBackoffS seconds during which a zone that had no capacity for a pool is not
+     *     tried again
+     * @param leadershipConfirmed whether the store lease is certain not to have expired. A leader
+     *     whose process was paused must not release instances that the next leader uses.
      */
     public InstanceLifecycle(
             Loop loop,
@@ -40,7 +41,7 @@
             Fleet fleet,
             FencingToken fencingToken,
             double retryS,
-            double noCapacityValidityS,
+            double noCapacityBackoffS,
             BooleanSupplier leadershipConfirmed) {
         this.fleet = fleet;
         this.rentals =
@@ -51,60 +52,62 @@
                         fleet,
                         fencingToken,
                         retryS,
-                        noCapacityValidityS,
+                        noCapacityBackoffS,
                         leadershipConfirmed);
         this.releases =
                 new InstanceReleases(
-                        loop, cloud, retryS, leadershipConfirmed, this::releaseConfirmed);
+                        loop, cloud, retryS, leadershipConfirmed, this::handleReleaseConfirmed);
     }
 
-    /** The leadership has ended: nothing is sent from here any more. */
+    /** Stops sending requests; called when the leadership term ends. */
     public void stop() {
         rentals.stop();
         releases.stop();
     }
 
-    /** Takes over an earlier leader's rental request from its durable record. */
+    /** Restores a previous leader's rental request from its durable record. */
     public void restore(String requestId, JsonNode data) {
         rentals.restore(requestId, data);
     }
 
-    /** Whether no recent refusal for lack of capacity speaks against renting there. */
+    /** Whether the zone has not recently refused a rental of this pool for lack of capacity. */
     public boolean mayHaveCapacity(InstancePool pool, String zone) {
         return rentals.mayHaveCapacity(pool, zone);
     }
 
-    /** The number of instances requested and not yet granted or refused. */
+    /** Number of instances requested from a pool and neither granted nor refused yet. */
     public int requestedCount(InstancePool pool) {
         return rentals.requestedCount(pool);
     }
 
-    /** The same in one zone. */
+    /**
+     * Number of instances requested from a pool in one zone and neither granted nor refused yet.
+     */
     public int requestedCount(InstancePool pool, String zone) {
         return rentals.requestedCount(pool, zone);
     }
 
-    /** Rents that many instances; each request becomes durable before it is sent. */
+    /** Rents {@code count} instances. Each request is persisted before it is sent. */
     public void rent(InstancePool pool, String zone, int count) {
         rentals.rent(pool, zone, count);
     }
 
-    /** Releases an instance; the request is repeated until the cloud confirms it. */
+    /** Releases an instance; the request is retried until the provider confirms it. */
     public void release(Machine machine, String reason) {
         if (machine.releasing()) {
             return;
         }
-        LOG.debug("instance to be released: instance={} reason={}", machine.describe(), reason);
+        LOG.debug("queued instance for release: instance={} reason={}", machine.describe(), reason);
         fleet.markReleasing(machine);
         releases.add(machine.name, reason);
     }
 
-    /** The number of instances whose release the cloud has not confirmed. */
+    /** Number of instances whose release the provider has not confirmed yet. */
     public int pendingReleaseCount() {
         return releases.pendingCount();
     }
 
-    private void releaseConfirmed(String instanceName) {
+    private void handleReleaseConfirmed(String instanceName) {
         fleet.confirmReleased(instanceName);
         rentals.removeReleased(instanceName);
     }
--- a/src/main/java/io/pepperfield/cloud/InstanceReleases.java
+++ b/src/main/java/io/pepperfield/cloud/InstanceReleases.java
@@ -11,16 +11,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The instances that are to be released, one request at a time. A release is repeated until the
- * cloud confirms it, since a request without an answer may take effect late. Used on the owner
- * thread only.
+ * Queue of instances to release, with one request in flight at a time. A release is retried until
+ * the provider confirms it, since a request that timed out may still take effect. Confined to the
+ * owner thread.
  */
 final class InstanceReleases {
 
     private static final Logger LOG = LoggerFactory.getLogger(InstanceReleases.class);
     private static final int MAX_INSTANCES_PER_REQUEST = 100;
 
-    /** Batches up to this size are logged by name. */
+    /** Largest batch whose instance names are logged. */
     private static final int MAX_NAMES_LOGGED = 3;
 
     private final Loop loop;
@@ -29,14 +29,14 @@
     private final BooleanSupplier leadershipConfirmed;
     private final Consumer<String> onReleased;
 
-    /** Names of instances with the reason for their release. */
+    /** Maps the name of an instance to the reason for its release. */
     private final Map<String, String> pending = new LinkedHashMap<>();
 
     private boolean requestInFlight;
     private boolean stopped;
 
     /**
-     * @param onReleased called with the name of each instance that the cloud confirms as released
+     * @param onReleased called with the name of each instance whose release the provider confirms
      */
     InstanceReleases(
             Loop loop,
@@ -60,7 +60,7 @@
         sendNext();
     }
 
-    /** The number of instances whose release the cloud has not confirmed. */
+    /** Number of instances whose release the provider has not confirmed yet. */
     int pendingCount() {
         return pending.size();
     }
@@ -70,7 +70,7 @@
             return;
         }
         requestInFlight = true;
-        // What is added in the same batch of commands goes in one request.
+        // Deferred, so that releases added in the same batch of commands share one request.
         loop.post(this::send);
     }
 
@@ -82,10 +82,10 @@
         }
         List<String> names = pending.keySet().stream().limit(MAX_INSTANCES_PER_REQUEST).toList();
         logRelease(names);
-        cloud.releaseInstances(names, confirmed -> answered(names, confirmed));
+        cloud.releaseInstances(names, confirmed -> handleReply(names, confirmed));
     }
 
-    private void answered(List<String> names, boolean confirmed) {
+    private void handleReply(List<String> names, boolean confirmed) {
         requestInFlight = false;
         if (stopped) {
             return;
@@ -99,7 +99,7 @@
         sendNext();
     }
 
-    /** One line for a request: instances are lost and released by the hundred. */
+    /** Logs one line per request, since hundreds of instances may be lost and released at once. */
     private void logRelease(List<String> names) {
         Map<String, Integer> reasons = new TreeMap<>();
         names.forEach(name -> reasons.merge(pending.get(name), 1, Integer::sum));
--- a/src/main/java/io/pepperfield/cloud/InstanceRentals.java
+++ b/src/main/java/io/pepperfield/cloud/InstanceRentals.java
@@ -16,17 +16,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's rental requests. A request's idempotency key is durable before the request is sent
- * and contains the leader's fencing token, so that no two requests ever share one. A request
- * without an answer is repeated with the same key, by a later leader too. Used on the owner thread
- * only.
+ * Rental requests of the leader. The idempotency key of a request is persisted before the request
+ * is sent and contains the leader's fencing token, so that every key is unique. A request whose
+ * outcome is unknown is retried with the same key, also by a later leader. Confined to the owner
+ * thread.
  */
 final class InstanceRentals {
 
     private static final Logger LOG = LoggerFactory.getLogger(InstanceRentals.class);
     private static final int MAX_INSTANCES_PER_REQUEST = 50;
 
-    /** Where instances are rented: a pool in one zone. */
+    /** A pool in one zone, from which instances are rented. */
     private record ZonePool(InstancePool pool, String zone) {}
 
     private final Loop loop;
@@ -35,7 +35,7 @@
     private final Fleet fleet;
     private final FencingToken fencingToken;
     private final double retryS;
-    private final double noCapacityValidityS;
+    private final double noCapacityBackoffS;
     private final BooleanSupplier leadershipConfirmed;
     private final Map<String, RentalRequest> requests = new LinkedHashMap<>();
     private final Map<ZonePool, Double> noCapacityUntil = new HashMap<>();
@@ -50,7 +50,7 @@
             Fleet fleet,
             FencingToken fencingToken,
             double retryS,
-            double noCapacityValidityS,
+            double noCapacityBackoffS,
             BooleanSupplier leadershipConfirmed) {
         this.loop = loop;
         this.cloud = cloud;
@@ -58,7 +58,7 @@
         this.fleet = fleet;
         this.fencingToken = fencingToken;
         this.retryS = retryS;
-        this.noCapacityValidityS = noCapacityValidityS;
+        this.noCapacityBackoffS = noCapacityBackoffS;
         this.leadershipConfirmed = leadershipConfirmed;
     }
 
@@ -78,10 +78,10 @@
         }
         double now = loop.now();
         double ageS = Math.max(0, (loop.wallClockMs() - request.requestedAtMs) / 1000.0);
-        request.instanceNames.forEach(name -> expectMachine(request, name, now - ageS));
+        request.instanceNames.forEach(name -> addToFleet(request, name, now - ageS));
     }
 
-    private void expectMachine(RentalRequest request, String name, double rentedAt) {
+    private void addToFleet(RentalRequest request, String name, double rentedAt) {
         fleet.addExpectedMachine(
                 name, request.pool.type(), request.zone, request.pool.spot(), rentedAt, loop.now());
     }
@@ -107,14 +107,14 @@
     }
 
     void rent(InstancePool pool, String zone, int count) {
-        for (int left = count; left > 0; left -= MAX_INSTANCES_PER_REQUEST) {
+        for (int remaining = count; remaining > 0; remaining -= MAX_INSTANCES_PER_REQUEST) {
             lastRequestNumber++;
             RentalRequest request =
                     new RentalRequest(
                             "p" + fencingToken.value() + "-" + lastRequestNumber,
                             pool,
                             zone,
-                            Math.min(left, MAX_INSTANCES_PER_REQUEST),
+                            Math.min(remaining, MAX_INSTANCES_PER_REQUEST),
                             loop.wallClockMs());
             requests.put(request.requestId, request);
             writer.enqueue(
@@ -139,16 +139,16 @@
                 request.zone,
                 request.pool.spot(),
                 request.count,
-                outcome -> answered(request, outcome));
+                outcome -> handleOutcome(request, outcome));
     }
 
-    private void answered(RentalRequest request, CloudProvider.RentalOutcome outcome) {
+    private void handleOutcome(RentalRequest request, CloudProvider.RentalOutcome outcome) {
         if (stopped) {
             return;
         }
         if (outcome instanceof CloudProvider.RentalOutcome.Failed failed) {
             LOG.debug(
-                    "rental request repeated: rental={} reason={}",
+                    "rental request failed, retrying: rental={} reason={}",
                     request.requestId,
                     failed.reason());
             loop.schedule(retryS, () -> send(request));
@@ -159,13 +159,13 @@
         if (outcome instanceof CloudProvider.RentalOutcome.Granted instances) {
             granted = instances.instanceNames().size();
             request.instanceNames.addAll(instances.instanceNames());
-            // Rented from now on: the request may have waited for its turn at the cloud, and the
-            // instances have not booted for longer.
-            instances.instanceNames().forEach(name -> expectMachine(request, name, loop.now()));
+            // The rental time is now, not the time of the request: the request may have been
+            // queued, and the instances began to boot only when it was granted.
+            instances.instanceNames().forEach(name -> addToFleet(request, name, loop.now()));
         }
         if (granted < request.count) {
             noCapacityUntil.put(
-                    new ZonePool(request.pool, request.zone), loop.now() + noCapacityValidityS);
+                    new ZonePool(request.pool, request.zone), loop.now() + noCapacityBackoffS);
         }
         LOG.info(
                 "instances rented: rental={} granted={} requested={} pool={} zone={}",
@@ -184,7 +184,7 @@
         writer.enqueue(request.key(), FencedWriter.Priority.BACKGROUND, request::encode);
     }
 
-    /** The cloud has confirmed the release of an instance. */
+    /** Removes an instance whose release the provider has confirmed from its rental request. */
     void removeReleased(String instanceName) {
         for (RentalRequest request : new ArrayList<>(requests.values())) {
             if (request.instanceNames.remove(instanceName)) {
--- a/src/main/java/io/pepperfield/cloud/InventoryReconciler.java
+++ b/src/main/java/io/pepperfield/cloud/InventoryReconciler.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 
 /**
- * Compares the cloud's list of machines with the fleet from time to time: a machine that nobody
- * expects was rented by a request that had been given up, and one that failed is returned.
+ * Periodically compares the provider's list of instances with the fleet. An instance missing from
+ * the fleet was rented by an abandoned request and is added; a failed instance is released.
  */
 public final class InventoryReconciler {
 
@@ -25,7 +25,7 @@
     private boolean requestInFlight;
     private boolean stopped;
 
-    /** Creates the reconciler of one term. */
+    /** Creates the reconciler for one leadership term. */
     public InventoryReconciler(
             Loop loop,
             CloudProvider cloud,
@@ -39,22 +39,22 @@
         this.intervalS = Math.max(limits.listDelayS() / 2, 4 / limits.requestsPerS());
     }
 
-    /** The leadership has ended: what is still answered changes nothing. */
+    /** Stops the reconciler when the term ends; a reply that arrives later is ignored. */
     public void stop() {
         stopped = true;
     }
 
-    /** Asks for the list when it is due and no request is under way. */
+    /** Requests the list if the interval has passed and no request is in flight. */
     public void tick(double now) {
         if (requestInFlight || now - requestedAt < intervalS) {
             return;
         }
         requestedAt = now;
         requestInFlight = true;
-        cloud.listInstances(this::handleInventory);
+        cloud.listInstances(this::handleInstanceList);
     }
 
-    private void handleInventory(Optional<List<CloudProvider.ListedInstance>> listed) {
+    private void handleInstanceList(Optional<List<CloudProvider.ListedInstance>> listed) {
         requestInFlight = false;
         if (!stopped) {
             listed.ifPresent(instances -> instances.forEach(this::reconcileInstance));
--- a/src/main/java/io/pepperfield/cloud/MachineTypesCodec.java
+++ b/src/main/java/io/pepperfield/cloud/MachineTypesCodec.java
@@ -9,15 +9,15 @@
 import java.util.List;
 
 /**
- * The durable list of machine types, with the prices as they were: a controller that is started
- * while the cloud's interface is down can still tell which jobs can never run, and need not refuse
- * every submission.
+ * Encodes and decodes the durable list of machine types, with the prices last read. With this list
+ * a controller that starts while the cloud provider is unavailable can still detect jobs that
+ * cannot run on any machine type, and need not refuse every submission.
  */
 public final class MachineTypesCodec {
 
     private MachineTypesCodec() {}
 
-    /** Encodes the types in the form kept in the key-value store. */
+    /** Encodes the machine types for the key-value store. */
     public static JsonNode encode(Iterable<MachineType> types) {
         ArrayNode encoded = Json.array();
         for (MachineType type : types) {
@@ -38,7 +38,7 @@
         return encoded;
     }
 
-    /** Decodes what {@link #encode} has encoded. */
+    /** Decodes machine types encoded by {@link #encode}. */
     public static List<MachineType> decode(JsonNode data) {
         List<MachineType> types = new ArrayList<>();
         for (JsonNode item : data) {
--- a/src/main/java/io/pepperfield/cloud/PacedRequestQueue.java
+++ b/src/main/java/io/pepperfield/cloud/PacedRequestQueue.java
@@ -4,18 +4,18 @@
 import java.util.ArrayDeque;
 
 /**
- * Spaces requests so that they keep below the cloud's rate limit; urgent ones go before background
- * ones. Used on the event loop thread only.
+ * Sends requests at a rate below the provider's limit, urgent requests before background ones.
+ * Confined to the event loop thread.
  */
 final class PacedRequestQueue {
 
     /**
-     * A fifth below the rate: clocks drift, and other controllers list the machine types now and
-     * then.
+     * Keeps the rate a fifth below the limit, since clocks drift and other controllers occasionally
+     * list the machine types.
      */
     private static final double SPACING_FACTOR = 1.25;
 
-    /** Seconds of unused rate that are saved for a burst; the cloud's interface allows two. */
+    /** Seconds of unused rate that accumulate for a burst; the provider allows two. */
     private static final double BURST_S = 1;
 
     private final Loop loop;
--- a/src/main/java/io/pepperfield/cloud/RentalRequest.java
+++ b/src/main/java/io/pepperfield/cloud/RentalRequest.java
@@ -9,7 +9,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** One rental request: its idempotency key, what it asks for, and the instances it has brought. */
+/** A rental request: idempotency key, requested instances, and granted instances still rented. */
 final class RentalRequest {
 
     private static final String MACHINE_TYPE = "t";
@@ -25,13 +25,13 @@
     final String zone;
     final int count;
 
-    /** Time of day in milliseconds. */
+    /** Wall-clock time of the request in milliseconds. */
     final long requestedAtMs;
 
-    /** The instances that it has brought and that are not released. */
+    /** The granted instances that have not been released yet. */
     final Set<String> instanceNames = new LinkedHashSet<>();
 
-    /** Whether the cloud has granted or refused it. */
+    /** Whether the provider has granted or refused the request. */
     boolean answered;
 
     RentalRequest(String requestId, InstancePool pool, String zone, int count, long requestedAtMs) {
@@ -42,17 +42,17 @@
         this.requestedAtMs = requestedAtMs;
     }
 
-    /** The key of its durable record. */
+    /** Returns the key of the durable record. */
     String key() {
         return Keys.RENTAL_PREFIX + requestId;
     }
 
-    /** Whether nothing is left to be done or kept for it. */
+    /** Whether the request was answered and all its instances are released. */
     boolean isFinished() {
         return answered && instanceNames.isEmpty();
     }
 
-    /** Encodes it in the form of its durable record. */
+    /** Encodes the request as a durable record. */
     JsonNode encode() {
         ObjectNode node =
                 Json.object()
--- a/src/main/java/io/pepperfield/config/AdmissionSettings.java
+++ b/src/main/java/io/pepperfield/config/AdmissionSettings.java
@@ -5,14 +5,14 @@
 /**
  * Operators' settings for fair admission, see {@code docs/operations/admission.md}.
  *
- * @param acceptanceShare share of the state service's changes per second that all controllers
- *     together may use to accept jobs
- * @param reserveShare share of that rate which is set aside for controllers without an allotment
- * @param fairnessBand how far a team's admitted share may be from its entitlement before the
- *     overview marks it, as a ratio
- * @param maxPredictedWaitS seconds of predicted waiting beyond which further work of a team is
+ * @param acceptanceShare fraction of the state service's write rate that all controllers together
+ *     may use to accept jobs
+ * @param reserveShare fraction of the acceptance rate reserved for controllers without an allotment
+ * @param fairnessBand ratio by which a team's admitted share may deviate from its entitlement
+ *     before the overview flags it
+ * @param maxPredictedWaitS predicted wait in seconds above which further submissions of a team are
  *     refused
- * @param weights weights of teams that differ from their guarantees, by name
+ * @param weights weights by team name, for teams whose weight differs from their guarantee
  */
 public record AdmissionSettings(
         double acceptanceShare,
--- a/src/main/java/io/pepperfield/config/Feature.java
+++ b/src/main/java/io/pepperfield/config/Feature.java
@@ -1,8 +1,8 @@
 package io.pepperfield.config;
 
-/** What operators can switch on; off, it costs nothing. */
+/** Optional features that operators can enable; a disabled feature has no overhead. */
 public enum Feature {
-    /** The rollout of stored-state versions, see {@code docs/operations/rollout.md}. */
+    /** Rollout of stored-state versions, see {@code docs/operations/rollout.md}. */
     ROLLOUT("rollout"),
 
     /** Fair admission under overload, see {@code docs/operations/admission.md}. */
@@ -14,7 +14,7 @@
         this.elementName = element;
     }
 
-    /** The name of its element in the operators' file. */
+    /** Returns the name of the XML element that enables the feature. */
     String elementName() {
         return elementName;
     }
--- a/src/main/java/io/pepperfield/config/Objectives.java
+++ b/src/main/java/io/pepperfield/config/Objectives.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 
 /**
- * What is expected of each class of jobs, sorted out once: it is asked for with each task in each
- * step.
+ * Service objectives indexed by workload class. The index is built once, since objectives are
+ * looked up for every task in every scheduling step.
  */
 public final class Objectives {
 
     private final Map<String, Double> maxWaitByWorkload = new HashMap<>();
     private final Map<String, DoubleArrayList> finishTimesByWorkload = new HashMap<>();
 
-    /** Sorts the platform's objectives by kind and class of jobs. */
+    /** Indexes the platform's objectives by kind and workload class. */
     public Objectives(List<Objective> objectives) {
         for (Objective objective : objectives) {
             if (objective.kind().equals("wait")) {
@@ -26,24 +26,26 @@
                         .add(objective.withinS());
             }
         }
-        finishTimesByWorkload.values().forEach(list -> list.sort(null));
+        finishTimesByWorkload.values().forEach(finishTimes -> finishTimes.sort(null));
     }
 
     /**
-     * The next time after its submission by which a job of the class should be complete, or
-     * infinity.
+     * Returns the next finish deadline of a workload class later than {@code afterS}, both in
+     * seconds since submission, or infinity if there is none.
      */
     public double nextFinishDeadlineS(String workload, double afterS) {
-        DoubleArrayList list = finishTimesByWorkload.get(workload);
-        for (int i = 0; list != null && i < list.size(); i++) {
-            if (list.getDouble(i) > afterS) {
-                return list.getDouble(i);
+        DoubleArrayList finishTimes = finishTimesByWorkload.get(workload);
+        for (int i = 0; finishTimes != null && i < finishTimes.size(); i++) {
+            if (finishTimes.getDouble(i) > afterS) {
+                return finishTimes.getDouble(i);
             }
         }
         return Double.POSITIVE_INFINITY;
     }
 
-    /** The shortest wait that any objective asks for a class, or infinity where none is stated. */
+    /**
+     * Returns the shortest maximum wait of a workload class, or infinity if no objective sets one.
+     */
     public double maxWaitS(String workload) {
         return maxWaitByWorkload.getOrDefault(workload, Double.POSITIVE_INFINITY);
     }
--- a/src/main/java/io/pepperfield/config/OperatorSettings.java
+++ b/src/main/java/io/pepperfield/config/OperatorSettings.java
@@ -3,19 +3,20 @@
 import java.util.Set;
 
 /**
- * Operators' own settings, read from XML. Each is a ratio or a count with a default that needs no
- * file.
+ * Operators' settings, read from XML. Every setting has a default, so the file is optional.
  *
- * @param billingUnitS WIRE's charging unit u, in seconds
- * @param restartCostShare share of u that a machine's restart cost may reach when it is returned
- * @param partialMachineShare share of u that a task must still have for a partly filled last
- *     machine to count
- * @param headroomQuantile quantile of the demand seen of late for which machines are kept, for work
- *     that must not wait
- * @param steadyQuantile the same quantile for work that has no aim on its wait
- * @param maxConcurrentSilentReleases how many silent machines may be under release at the same time
- * @param features what is switched on
- * @param admission fair admission, where it is switched on
+ * @param billingUnitS billing unit u of the WIRE algorithm, in seconds
+ * @param restartCostShare fraction of u that the restart cost of a machine may reach when it is
+ *     released
+ * @param partialMachineShare fraction of u that a task must have remaining for a partially filled
+ *     last machine to count
+ * @param headroomQuantile quantile of recent demand for which machines are kept, for work that must
+ *     not wait
+ * @param deferrableQuantile the same quantile for work without a wait objective
+ * @param maxConcurrentUnresponsiveReleases limit on unresponsive machines being released
+ *     concurrently
+ * @param features enabled features
+ * @param admission settings for fair admission, used if the feature is enabled
  */
 public record OperatorSettings(
         double billingUnitS,
@@ -30,7 +31,7 @@
     public static final OperatorSettings DEFAULTS =
             new OperatorSettings(60, 0.2, 0.2, 0.8, 0.5, 3, Set.of(), AdmissionSettings.DEFAULTS);
 
-    /** Whether operators have switched it on. */
+    /** Whether operators have enabled the feature. */
     public boolean isEnabled(Feature feature) {
         return features.contains(feature);
     }
--- a/src/main/java/io/pepperfield/config/OperatorSettingsReader.java
+++ b/src/main/java/io/pepperfield/config/OperatorSettingsReader.java
@@ -22,13 +22,13 @@
 import org.xml.sax.SAXParseException;
 
 /**
- * Reads operators' XML: {@code <pepperfield><charge-s>60</charge-s>...</pepperfield>}. Unlike the
- * platform's TOML an unknown element is a fault, since here it can only be a slip of the person who
- * wrote it.
+ * Reads the operators' XML settings: {@code <pepperfield><charge-s>60</charge-s>...</pepperfield>}.
+ * Unlike in the platform's TOML, an unknown element is a fault, since it can only be a typing
+ * mistake.
  */
 public final class OperatorSettingsReader {
 
-    /** The elements of the file, each with its name and the bounds of its value. */
+    /** Numeric elements of the file, each with its name and range. */
     private enum Field {
         CHARGE_S("charge-s", 1, 86400),
         RESTART_SHARE("restart-share", 0, 1),
@@ -45,10 +45,10 @@
         final double min;
         final double max;
 
-        Field(String element, double least, double most) {
+        Field(String element, double min, double max) {
             this.element = element;
-            this.min = least;
-            this.max = most;
+            this.min = min;
+            this.max = max;
         }
     }
 
@@ -62,7 +62,7 @@
 
     private OperatorSettingsReader() {}
 
-    /** Reads and checks a file; the exception names all its faults. */
+    /** Reads and validates a file; the exception lists all faults. */
     public static OperatorSettings read(Path file) throws SettingsException {
         try {
             return parse(file.toString(), Files.readAllBytes(file));
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Reads and checks the contents of a file; {@code name} only appears in the messages. */
+    /** Parses and validates the contents of a file; {@code name} appears only in messages. */
     public static OperatorSettings parse(String name, byte[] xml) throws SettingsException {
         Element root = parseDocument(name, xml);
         List<SettingsFault> faults = new ArrayList<>();
@@ -95,10 +95,10 @@
         if (!faults.isEmpty()) {
             throw new SettingsException(name, faults);
         }
-        return operatorSettings(values, features, weights);
+        return createOperatorSettings(values, features, weights);
     }
 
-    private static OperatorSettings operatorSettings(
+    private static OperatorSettings createOperatorSettings(
             Map<Field, Double> values,
             Map<Feature, Boolean> features,
             Map<String, Double> weights) {
@@ -116,10 +116,10 @@
                 features.keySet().stream()
                         .filter(features::get)
                         .collect(Collectors.toUnmodifiableSet()),
-                admissionSettings(values, weights));
+                createAdmissionSettings(values, weights));
     }
 
-    private static AdmissionSettings admissionSettings(
+    private static AdmissionSettings createAdmissionSettings(
             Map<Field, Double> values, Map<String, Double> weights) {
         AdmissionSettings defaults = AdmissionSettings.DEFAULTS;
         return new AdmissionSettings(
@@ -130,7 +130,9 @@
                 Map.copyOf(weights));
     }
 
-    /** Takes the weight of a team; whether there is such a team the platform's file says. */
+    /**
+     * Reads the weight of a team. Whether the team exists is checked against the platform's file.
+     */
     private static void readTeamWeight(
             Element element, Map<String, Double> weights, List<SettingsFault> faults) {
         String team = element.getAttribute(TEAM_ATTRIBUTE);
@@ -167,7 +169,7 @@
         return new SettingsFault.InvalidValue("<" + tag + ">", "\"" + text + "\"", expected);
     }
 
-    /** Takes a feature's switch; false where the element is none. */
+    /** Reads the on/off value of a feature; returns false if the element is not a feature. */
     private static boolean readFeature(
             Element element, Map<Feature, Boolean> features, List<SettingsFault> faults) {
         String tag = element.getTagName();
@@ -208,7 +210,7 @@
     private static Element parseDocument(String name, byte[] xml) throws SettingsException {
         try {
             DocumentBuilderFactory factory = DocumentBuilderFactory.newInstance();
-            // A settings file has no business naming other files or growing by entities.
+            // Rejects external files and entity expansion, which a settings file does not need.
             factory.setFeature("http://apache.org/xml/features/disallow-doctype-decl", true);
             factory.setFeature(XMLConstants.FEATURE_SECURE_PROCESSING, true);
             DocumentBuilder builder = factory.newDocumentBuilder();
@@ -229,7 +231,7 @@
         }
     }
 
-    /** The parser's own handler prints to standard error before it throws; this one only throws. */
+    /** Only throws, unlike the parser's default handler, which also prints to standard error. */
     private static final class ThrowingErrorHandler implements ErrorHandler {
         @Override
         public void warning(SAXParseException exception) {}
--- a/src/main/java/io/pepperfield/config/QuotaCheck.java
+++ b/src/main/java/io/pepperfield/config/QuotaCheck.java
@@ -5,41 +5,41 @@
 import java.util.Locale;
 
 /**
- * What the platform's quotas cannot carry. A controller starts all the same: a small share of the
- * work is better than none.
+ * Checks the platform's quotas and warns about those that are too small. A controller starts
+ * despite the warnings, since serving a small part of the load is better than serving none.
  */
 public final class QuotaCheck {
 
-    /** What a process holds besides its heap: code, classes, threads, buffers. */
+    /** Memory of the process outside its heap: code, classes, threads, buffers. */
     private static final double NON_HEAP_MB = 96;
 
     /**
-     * Connections to the state service, the cloud and the other controllers, health checks, and a
+     * Sockets for the state service, the cloud provider, the other controllers, health checks and a
      * few users.
      */
     private static final int MIN_SOCKETS = 64;
 
     private QuotaCheck() {}
 
-    /** A line for each quota that is too small, or none. */
+    /** Returns one message for each quota that is too small. */
     public static List<String> warnings(Settings.ProcessQuota quota, double heapLimitMb) {
-        List<String> lines = new ArrayList<>();
+        List<String> messages = new ArrayList<>();
         if (quota.memoryMb() < heapLimitMb + NON_HEAP_MB) {
-            lines.add(
+            messages.add(
                     String.format(
                             Locale.ROOT,
-                            "deployment.quota.mem_mb = %.0f, and the process may come to hold %.0f",
+                            "deployment.quota.mem_mb = %.0f is too small: the process may use up to %.0f",
                             quota.memoryMb(),
                             heapLimitMb + NON_HEAP_MB));
         }
         if (quota.maxSockets() < MIN_SOCKETS) {
-            lines.add(
+            messages.add(
                     String.format(
                             Locale.ROOT,
-                            "deployment.quota.sockets = %d, and %d are needed before any worker reports",
+                            "deployment.quota.sockets = %d is too small: %d are needed before any worker connects",
                             quota.maxSockets(),
                             MIN_SOCKETS));
         }
-        return lines;
+        return messages;
     }
 }
--- a/src/main/java/io/pepperfield/config/Settings.java
+++ b/src/main/java/io/pepperfield/config/Settings.java
@@ -4,7 +4,8 @@
 import java.util.Map;
 
 /**
- * Everything the platform tells a controller; figures elsewhere in the code are ratios to these.
+ * Settings of a controller provided by the platform. Other limits in the code are derived from
+ * these as ratios.
  */
 public record Settings(
         String node,
@@ -25,10 +26,10 @@
         }
     }
 
-    /** A controller of the cluster: its name, its zone and the address that its peers use. */
+    /** Another controller of the cluster: name, zone and the address for peer requests. */
     public record Member(String node, String zone, Address address) {}
 
-    /** The cluster's common settings, the same on every controller. */
+    /** Settings of the deployment, identical on all controllers. */
     public record Deployment(
             int controllerCount,
             List<String> zones,
@@ -40,7 +41,7 @@
             CloudLimits cloudLimits,
             ProcessQuota processQuota) {}
 
-    /** A guarantee of 0 is none; a limit that the platform does not set is infinite. */
+    /** A team. A guarantee of 0 means none; a limit that is not set is infinite. */
     public record Team(
             String name,
             double guaranteedCpus,
@@ -48,24 +49,25 @@
             double guaranteedGpus,
             double gpuLimit) {}
 
-    /** What is expected of a class of jobs; figures that an objective does not carry are 0. */
+    /** A service objective of a workload class; numbers that are not set are 0. */
     public record Objective(
             String kind, String workload, double withinS, double share, double times) {}
 
     /**
-     * Intervals of the workers' protocol in seconds: between heartbeats, until a worker without an
-     * answer gives up its tasks, and until a cancelled job's tasks must have ended.
+     * Timings of the worker protocol in seconds: the interval between heartbeats, the time without
+     * a reply after which a worker stops its tasks, and the deadline for the tasks of a cancelled
+     * job to end.
      */
     public record WorkerTimings(
             double heartbeatIntervalS, double leaseS, double cancellationDeadlineS) {}
 
-    /** What the state service allows; where it will allow less from some moment on, that. */
+    /** Limits of the state service; the lower of the current and the announced future limits. */
     public record StoreLimits(
             double requestsPerS, double writesPerS, double maxValueKib, int maxTransactionOps) {}
 
-    /** The cloud's limits: requests per second, and the delay of its list in seconds. */
+    /** Limits of the cloud provider: its request rate and the delay of its instance list. */
     public record CloudLimits(double requestsPerS, double listDelayS) {}
 
-    /** What one controller may use: its share of a core, megabytes of memory, open sockets. */
+    /** Resources available to a controller: fraction of a core, megabytes of memory, sockets. */
     public record ProcessQuota(double coreShare, double memoryMb, int maxSockets) {}
 }
--- a/src/main/java/io/pepperfield/config/SettingsException.java
+++ b/src/main/java/io/pepperfield/config/SettingsException.java
@@ -4,8 +4,8 @@
 import java.util.stream.Collectors;
 
 /**
- * A settings file that cannot be used; the message is one line that names every wrong field with
- * its value.
+ * Thrown for an invalid settings file. The one-line message lists every invalid setting with its
+ * value.
  */
 public final class SettingsException extends Exception {
 
@@ -13,7 +13,7 @@
 
     private final transient List<SettingsFault> faults;
 
-    /** Joins all faults found in {@code file} into one message. */
+    /** Creates an exception whose message lists all faults of {@code file}. */
     public SettingsException(String file, List<SettingsFault> faults) {
         super(
                 file
@@ -24,7 +24,7 @@
         this.faults = List.copyOf(faults);
     }
 
-    /** All faults of the file, in the order of their places. */
+    /** Returns all faults of the file in the order in which they were found. */
     public List<SettingsFault> faults() {
         return faults;
     }
--- a/src/main/java/io/pepperfield/config/SettingsFault.java
+++ b/src/main/java/io/pepperfield/config/SettingsFault.java
@@ -1,12 +1,12 @@
 package io.pepperfield.config;
 
-/** One thing wrong with a settings file: which setting, which value, and what is expected. */
+/** A fault in a settings file: the setting, its value and the expected value. */
 public sealed interface SettingsFault {
 
-    /** The fault as an operator reads it. */
+    /** Returns the message for operators. */
     String message();
 
-    /** A required setting that is not there. */
+    /** A missing required setting. */
     record Missing(String setting) implements SettingsFault {
         @Override
         public String message() {
@@ -15,10 +15,10 @@
     }
 
     /**
-     * A setting with a value that cannot be used.
+     * A setting with an invalid value.
      *
-     * @param value as the file has it
-     * @param expected what is wanted instead
+     * @param value the value as written in the file
+     * @param expected description of valid values
      */
     record InvalidValue(String setting, String value, String expected) implements SettingsFault {
         @Override
@@ -27,7 +27,7 @@
         }
     }
 
-    /** A part of the file that is incomplete or at the wrong place. */
+    /** An incomplete or misplaced element of the file. */
     record InvalidElement(String element, String expected) implements SettingsFault {
         @Override
         public String message() {
@@ -35,7 +35,7 @@
         }
     }
 
-    /** A setting that must not be there: unknown, repeated or contradicting another. */
+    /** A setting that is not allowed: unknown, repeated or in conflict with another setting. */
     record Rejected(String setting, String reason) implements SettingsFault {
         @Override
         public String message() {
@@ -43,7 +43,7 @@
         }
     }
 
-    /** A file of which nothing can be read. */
+    /** A file that cannot be read or parsed. */
     record Unreadable(String reason) implements SettingsFault {
         @Override
         public String message() {
@@ -51,12 +51,12 @@
         }
     }
 
-    /** The same setting for the second time. */
+    /** Creates the fault for a setting that occurs twice. */
     static SettingsFault duplicate(String setting) {
         return new Rejected(setting, "is there twice");
     }
 
-    /** A file that the system does not let be read. */
+    /** Creates the fault for a file that caused an I/O error. */
     static SettingsFault unreadable(Exception cause) {
         return new Unreadable("cannot be read (" + cause.getClass().getSimpleName() + ")");
     }
--- a/src/main/java/io/pepperfield/config/SettingsReader.java
+++ b/src/main/java/io/pepperfield/config/SettingsReader.java
@@ -16,13 +16,13 @@
 import java.util.Map;
 
 /**
- * Reads the platform's TOML, checks it whole and reports every fault at once. Unknown fields are
- * ignored.
+ * Reads and validates the platform's TOML settings and reports all faults at once. Unknown fields
+ * are ignored.
  */
 public final class SettingsReader {
 
-    /** Bound of figures that no installation comes near. */
-    private static final double MAX_FIGURE = 1e9;
+    /** Upper limit for numbers, far above the values of any deployment. */
+    private static final double MAX_NUMBER = 1e9;
 
     private static final double MAX_INTERVAL_S = 36_000;
     private static final double MAX_HEARTBEAT_INTERVAL_S = 3600;
@@ -35,7 +35,7 @@
         this.operators = operators;
     }
 
-    /** Reads and checks a file; the exception names all its faults. */
+    /** Reads and validates a file; the exception lists all faults. */
     public static Settings read(Path file, OperatorSettings operators) throws SettingsException {
         String text;
         try {
@@ -46,7 +46,7 @@
         return parse(file.toString(), text, operators);
     }
 
-    /** Reads and checks the contents of a file; {@code name} only appears in the messages. */
+    /** Parses and validates the contents of a file; {@code name} appears only in messages. */
     public static Settings parse(String name, String text, OperatorSettings operators)
             throws SettingsException {
         JsonNode root;
@@ -64,10 +64,10 @@
     }
 
     private static SettingsFault notToml(JsonProcessingException cause) {
-        String where =
+        String location =
                 cause.getLocation() == null ? "" : " in line " + cause.getLocation().getLineNr();
         String reason = cause.getOriginalMessage().lines().findFirst().orElse("");
-        return new SettingsFault.Unreadable("is not TOML" + where + ": " + reason);
+        return new SettingsFault.Unreadable("is not TOML" + location + ": " + reason);
     }
 
     private Settings readSettings(TomlTable root) {
@@ -100,7 +100,7 @@
             if (member.node().equals(node)) {
                 faults.add(
                         new SettingsFault.Rejected(
-                                "members.node = \"" + node + "\"", "is this node itself"));
+                                "members.node = \"" + node + "\"", "is the name of this node"));
             }
         }
         return members;
@@ -118,7 +118,7 @@
         Settings.StoreLimits storeLimits = readStoreLimits(deployment.table("state"));
         Settings.CloudLimits cloudLimits = readCloudLimits(deployment.table("cloud"));
         Settings.ProcessQuota processQuota = readProcessQuota(deployment.table("quota"));
-        double clockErrorMs = deployment.optionalNumber("clock_error_ms", 0, MAX_FIGURE);
+        double clockErrorMs = deployment.optionalNumber("clock_error_ms", 0, MAX_NUMBER);
         int controllerCount = (int) deployment.number("size", 1, MAX_CONTROLLERS);
         return new Settings.Deployment(
                 controllerCount,
@@ -148,22 +148,22 @@
     private static Team readTeam(TomlTable table) {
         return new Team(
                 table.text("name"),
-                table.number("cpus", 0, MAX_FIGURE),
+                table.number("cpus", 0, MAX_NUMBER),
                 readTeamLimit(table, "cpus_max"),
-                table.optionalNumber("gpus", 0, MAX_FIGURE),
+                table.optionalNumber("gpus", 0, MAX_NUMBER),
                 readTeamLimit(table, "gpus_max"));
     }
 
     /**
-     * A team's limit; 0 or none is no limit, as for guests, of whom every job would be refused by a
-     * limit of nothing.
+     * Reads a team's limit. A missing limit or 0 means unlimited: with a limit of 0, every job of a
+     * team such as guests would be refused.
      */
     private static double readTeamLimit(TomlTable team, String field) {
-        double limit = team.optionalNumber(field, 0, MAX_FIGURE);
+        double limit = team.optionalNumber(field, 0, MAX_NUMBER);
         return limit == 0 ? Double.POSITIVE_INFINITY : limit;
     }
 
-    /** A weight for a team that does not exist can only be a slip. */
+    /** Reports weights of unknown teams, which can only be typing mistakes. */
     private void checkWeights(Map<String, Team> teams) {
         for (String weighted : operators.admission().weights().keySet()) {
             if (!teams.containsKey(weighted)) {
@@ -179,9 +179,9 @@
         return new Objective(
                 table.text("kind"),
                 table.optionalText("class"),
-                table.optionalNumber("within_s", 0, MAX_FIGURE),
+                table.optionalNumber("within_s", 0, MAX_NUMBER),
                 table.optionalNumber("share", 0, 1),
-                table.optionalNumber("times", 0, MAX_FIGURE));
+                table.optionalNumber("times", 0, MAX_NUMBER));
     }
 
     private Settings.WorkerTimings readWorkerTimings(TomlTable table) {
@@ -201,34 +201,34 @@
     }
 
     /**
-     * The limits of now and those of {@code next}, which will hold from some moment on without
-     * notice: what is written from now on has to keep both.
+     * Reads the current limits and those of {@code next}, which take effect later without notice.
+     * Returns the lower of both, since all writes must comply with both in advance.
      */
-    private static Settings.StoreLimits readStoreLimits(TomlTable now) {
-        TomlTable next = now.optionalTable("next");
+    private static Settings.StoreLimits readStoreLimits(TomlTable current) {
+        TomlTable next = current.optionalTable("next");
         return new Settings.StoreLimits(
-                readLowerLimit(now, next, "rps", 1, 1e9),
-                readLowerLimit(now, next, "write_rps", 1, 1e9),
-                readLowerLimit(now, next, "value_kb", 1, 1e6),
-                (int) readLowerLimit(now, next, "txn_ops", 2, 1e6));
+                readLowerLimit(current, next, "rps", 1, 1e9),
+                readLowerLimit(current, next, "write_rps", 1, 1e9),
+                readLowerLimit(current, next, "value_kb", 1, 1e6),
+                (int) readLowerLimit(current, next, "txn_ops", 2, 1e6));
     }
 
     private static double readLowerLimit(
-            TomlTable now, TomlTable next, String field, double min, double max) {
-        double limit = now.number(field, min, max);
+            TomlTable current, TomlTable next, String field, double min, double max) {
+        double limit = current.number(field, min, max);
         return next.has(field) ? Math.min(limit, next.number(field, min, max)) : limit;
     }
 
     private static Settings.CloudLimits readCloudLimits(TomlTable table) {
         return new Settings.CloudLimits(
-                table.number("rps", 0.01, MAX_FIGURE),
+                table.number("rps", 0.01, MAX_NUMBER),
                 table.number("list_lag_s", 0, MAX_INTERVAL_S));
     }
 
     private static Settings.ProcessQuota readProcessQuota(TomlTable table) {
         return new Settings.ProcessQuota(
                 table.number("core_share", 0.001, 1e6),
-                table.number("mem_mb", 16, MAX_FIGURE),
-                (int) table.number("sockets", 16, MAX_FIGURE));
+                table.number("mem_mb", 16, MAX_NUMBER),
+                (int) table.number("sockets", 16, MAX_NUMBER));
     }
 }
--- a/src/main/java/io/pepperfield/config/TomlTable.java
+++ b/src/main/java/io/pepperfield/config/TomlTable.java
@@ -7,9 +7,9 @@
 import java.util.List;
 
 /**
- * One table of a TOML file. Reading never fails: what is missing or wrong is added to the faults,
- * and the caller gets a placeholder. A table that is missing altogether is one fault; its fields
- * are none.
+ * A table of a TOML file. Reads do not throw: a missing or invalid value is added to the faults,
+ * and the caller gets a placeholder. A missing table is a single fault; its fields are not
+ * reported.
  */
 final class TomlTable {
 
@@ -27,15 +27,15 @@
     }
 
     /**
-     * The table of a whole file.
+     * Returns the root table of a file.
      *
-     * @param faults to which those of all its tables are added
+     * @param faults list to which the faults of all tables are added
      */
     static TomlTable root(JsonNode node, List<SettingsFault> faults) {
         return new TomlTable(node, "", faults);
     }
 
-    /** The name of a field with all tables that it is in. */
+    /** Returns the full path of a field, including the tables that contain it. */
     String pathOf(String field) {
         return prefix + field;
     }
@@ -44,7 +44,7 @@
         return !node.path(field).isMissingNode();
     }
 
-    /** A table that must be there. */
+    /** Reads a required table. */
     TomlTable table(String field) {
         JsonNode value = node.path(field);
         if (value.isObject()) {
@@ -57,12 +57,12 @@
         return child(MissingNode.getInstance(), field);
     }
 
-    /** A table that may be left out, and is empty then. */
+    /** Reads an optional table, which is empty if missing. */
     TomlTable optionalTable(String field) {
         return has(field) ? table(field) : child(MissingNode.getInstance(), field);
     }
 
-    /** An array of tables, empty where it is left out. */
+    /** Reads an optional array of tables, which is empty if missing. */
     List<TomlTable> tables(String field) {
         JsonNode value = node.path(field);
         List<TomlTable> tables = new ArrayList<>();
@@ -78,7 +78,7 @@
         return new TomlTable(value, pathOf(field) + ".", faults);
     }
 
-    /** An array of names; whatever else is in it is a fault. */
+    /** Reads an optional array of strings; elements of other types are faults. */
     List<String> names(String field) {
         List<String> names = new ArrayList<>();
         for (JsonNode item : node.path(field)) {
@@ -91,7 +91,7 @@
         return names;
     }
 
-    /** A text that must be there and not blank. */
+    /** Reads a required string that must not be blank. */
     String text(String field) {
         JsonNode value = node.path(field);
         if (value.isTextual() && !value.textValue().isBlank()) {
@@ -101,12 +101,12 @@
         return "";
     }
 
-    /** A text that may be left out, and is empty then. */
+    /** Reads an optional string, which is empty if missing. */
     String optionalText(String field) {
         return node.path(field).asText("");
     }
 
-    /** A host and port that must be there. */
+    /** Reads a required host and port. */
     Address address(String field) {
         String value = text(field);
         if (value.isEmpty()) {
@@ -131,9 +131,7 @@
         }
     }
 
-    /**
-     * A number within bounds that must be there; {@code min} stands for one that cannot be used.
-     */
+    /** Reads a required number within a range; returns {@code min} if it is missing or invalid. */
     double number(String field, double min, double max) {
         JsonNode value = node.path(field);
         double number = value.asDouble(Double.NaN);
@@ -144,7 +142,7 @@
         return min;
     }
 
-    /** A number within bounds that may be left out, and is 0 then. */
+    /** Reads an optional number within a range, which is 0 if missing. */
     double optionalNumber(String field, double min, double max) {
         return has(field) ? number(field, min, max) : 0;
     }
--- a/src/main/java/io/pepperfield/config/package-info.java
+++ b/src/main/java/io/pepperfield/config/package-info.java
@@ -1,6 +1,5 @@
 /**
- * The settings of the platform (TOML) and of the operators (XML): reading, checking, and the typed
- * records that hold them. Everything is immutable once read; any package may read it, and only the
- * command line calls the readers.
+ * Settings of the platform (TOML) and of the operators (XML): parsing, validation, and immutable
+ * records for the values. Any package may use the records; only the command line calls the readers.
  */
 package io.pepperfield.config;
--- a/src/main/java/io/pepperfield/http/BlockingHttpClient.java
+++ b/src/main/java/io/pepperfield/http/BlockingHttpClient.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A client with a network thread of its own, whose requests wait for their outcome: for commands,
- * which have nothing else to do meanwhile.
+ * HTTP client that blocks until the outcome of each request is known, with its own network thread.
+ * Used by the command line.
  */
 public final class BlockingHttpClient implements AutoCloseable {
 
@@ -18,12 +18,12 @@
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final HttpClient client;
 
-    /** Starts the network thread, which ends with {@link #close}. */
+    /** Starts the network thread, which {@link #close} stops. */
     public BlockingHttpClient(int maxResponseBytes) {
         client = new HttpClient(network, maxResponseBytes);
     }
 
-    /** Sends a request and waits for its outcome, at most until its deadline. */
+    /** Sends a request and blocks until its outcome is known or its deadline has passed. */
     public HttpOutcome send(OutboundRequest request) {
         CompletableFuture<HttpOutcome> outcome = new CompletableFuture<>();
         client.send(request, outcome::complete);
--- a/src/main/java/io/pepperfield/http/BoundedAggregator.java
+++ b/src/main/java/io/pepperfield/http/BoundedAggregator.java
@@ -5,8 +5,8 @@
 import io.netty.handler.codec.http.HttpObjectAggregator;
 
 /**
- * Collects a request with its body up to a bound. Answers 400 where the library would answer 413:
- * the protocol knows one kind of malformed request.
+ * Aggregates a request and its body up to a maximum size. Replies to a larger request with status
+ * 400 instead of Netty's 413, since the protocol uses 400 for every malformed request.
  */
 final class BoundedAggregator extends HttpObjectAggregator {
 
--- a/src/main/java/io/pepperfield/http/ClientConnection.java
+++ b/src/main/java/io/pepperfield/http/ClientConnection.java
@@ -15,13 +15,13 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 
-/** One connection of a pool and the exchange it carries. Confined to the client's event loop. */
+/** A pooled connection and its current exchange. Confined to the client's event loop. */
 final class ClientConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
     private final ConnectionPool pool;
     private final Channel channel;
     private Exchange exchange;
-    private boolean retired;
+    private boolean evicted;
 
     ClientConnection(ConnectionPool pool, Channel channel) {
         this.pool = pool;
@@ -59,24 +59,24 @@
         channel.close();
     }
 
-    /** Closes it while it carries nothing; the pool has counted it out already. */
+    /** Closes the idle connection after the pool has removed it and updated its counters. */
     void closeEvicted() {
-        retired = true;
+        evicted = true;
         channel.close();
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-        Exchange answered = exchange;
+        Exchange completed = exchange;
         exchange = null;
-        if (answered == null || response.decoderResult().isFailure()) {
-            if (answered != null) {
-                answered.fail("malformed answer");
+        if (completed == null || response.decoderResult().isFailure()) {
+            if (completed != null) {
+                completed.fail("malformed response");
             }
             ctx.close();
             return;
         }
-        answered.complete(
+        completed.complete(
                 new HttpOutcome.Answered(
                         response.status().code(), ByteBufUtil.getBytes(response.content())));
         if (HttpUtil.isKeepAlive(response)) {
@@ -88,12 +88,12 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (retired) {
+        if (evicted) {
             return;
         }
-        Exchange unanswered = exchange;
+        Exchange inFlight = exchange;
         exchange = null;
-        pool.handleConnectionLost(this, unanswered);
+        pool.handleConnectionLost(this, inFlight);
     }
 
     @Override
--- a/src/main/java/io/pepperfield/http/ConnectionLimit.java
+++ b/src/main/java/io/pepperfield/http/ConnectionLimit.java
@@ -4,14 +4,14 @@
 import java.util.Set;
 
 /**
- * Bounds the connections to all addresses together; beyond the bound the longest idle one gives
- * way. Confined to the client's event loop.
+ * Limits the total number of connections to all addresses; at the limit the longest idle connection
+ * is evicted. Confined to the client's event loop.
  */
 final class ConnectionLimit {
 
     private final int maxConnections;
 
-    /** All connections that carry nothing at the moment, the longest idle first. */
+    /** All idle connections, the longest idle first. */
     private final Set<ClientConnection> idleConnections = new LinkedHashSet<>();
 
     private int openConnections;
@@ -21,9 +21,9 @@
     }
 
     /**
-     * Evicts the longest idle connection where the limit is reached.
+     * Evicts the longest idle connection if the limit is reached.
      *
-     * @return whether one more connection stays within the limit
+     * @return whether another connection may be opened
      */
     boolean tryFreeSlot() {
         if (openConnections >= maxConnections && !idleConnections.isEmpty()) {
@@ -45,7 +45,7 @@
         idleConnections.add(connection);
     }
 
-    /** The connection carries something again, or is closed. */
+    /** Called when a connection carries an exchange again or is closed. */
     void markBusy(ClientConnection connection) {
         idleConnections.remove(connection);
     }
--- a/src/main/java/io/pepperfield/http/ConnectionPool.java
+++ b/src/main/java/io/pepperfield/http/ConnectionPool.java
@@ -13,8 +13,8 @@
 import java.util.function.Consumer;
 
 /**
- * The connections to one address, and the exchanges that wait for one. Confined to the client's
- * event loop.
+ * The connections to one address, and the exchanges that wait for a connection. Confined to the
+ * client's event loop.
  */
 final class ConnectionPool {
 
@@ -32,7 +32,7 @@
     private int pendingConnects;
 
     /**
-     * @param onUnused told of this pool when neither connections nor exchanges are left
+     * @param onUnused called with this pool when it has neither connections nor exchanges left
      */
     ConnectionPool(
             EventLoop eventLoop,
@@ -53,7 +53,7 @@
         return host + ":" + port;
     }
 
-    /** Sends the exchange over an idle connection, or once one is free. */
+    /** Sends the exchange over an idle connection, or queues it until a connection is free. */
     void submit(Exchange exchange) {
         ClientConnection connection = idleConnections.pollLast();
         if (connection != null) {
@@ -69,15 +69,16 @@
         if (connectionLimit.tryFreeSlot()) {
             connect();
         } else if (openConnections == 0) {
-            // The sockets that are left belong to users, peers, cloud and state service.
+            // The remaining sockets are reserved for users, peers, the cloud provider and the state
+            // service.
             waitingExchanges.remove(exchange);
-            exchange.fail("no socket left");
+            exchange.fail("connection limit reached");
             discardIfUnused();
         }
     }
 
     private void connect() {
-        connectionOpened();
+        countOpened();
         pendingConnects++;
         ConnectionInitializer initializer = new ConnectionInitializer();
         new Bootstrap()
@@ -87,10 +88,10 @@
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(initializer)
                 .connect(host, port)
-                .addListener((ChannelFuture future) -> connected(future, initializer));
+                .addListener((ChannelFuture future) -> handleConnectResult(future, initializer));
     }
 
-    /** Sets up a new channel, whose connection it then holds. */
+    /** Sets up a new channel and keeps a reference to its connection. */
     private final class ConnectionInitializer extends ChannelInitializer<SocketChannel> {
 
         private ClientConnection connection;
@@ -106,15 +107,15 @@
         }
     }
 
-    private void connected(ChannelFuture future, ConnectionInitializer initializer) {
+    private void handleConnectResult(ChannelFuture future, ConnectionInitializer initializer) {
         pendingConnects--;
         if (future.isSuccess()) {
             release(initializer.connection);
             return;
         }
-        connectionClosed();
-        // The others in the queue waited for this very connection; to let them hang would cost a
-        // deadline each.
+        countClosed();
+        // Fails all queued exchanges, which waited for this connection. Otherwise each would fail
+        // only at its deadline.
         ArrayDeque<Exchange> failed = new ArrayDeque<>(waitingExchanges);
         waitingExchanges.clear();
         String reason = "connect: " + future.cause().getClass().getSimpleName();
@@ -122,7 +123,7 @@
         discardIfUnused();
     }
 
-    /** The connection carries nothing: it takes what waits next, or is idle. */
+    /** Returns a free connection to the pool: sends the next queued exchange or marks it idle. */
     void release(ClientConnection connection) {
         Exchange next;
         do {
@@ -136,7 +137,7 @@
         }
     }
 
-    /** Closes a connection that carries nothing; its room is free from now on. */
+    /** Closes an idle connection; its slot is free immediately. */
     void evict(ClientConnection connection) {
         remove(connection);
         connection.closeEvicted();
@@ -144,14 +145,14 @@
     }
 
     /**
-     * The other side has closed the connection, or this one has after an error.
+     * Handles a connection closed by the remote side, or by this client after an error.
      *
-     * @param unanswered what it carried, or null
+     * @param inFlight the exchange in flight on the connection, or null
      */
-    void handleConnectionLost(ClientConnection connection, Exchange unanswered) {
+    void handleConnectionLost(ClientConnection connection, Exchange inFlight) {
         remove(connection);
-        if (unanswered != null) {
-            unanswered.fail("connection lost");
+        if (inFlight != null) {
+            inFlight.fail("connection lost");
         }
         waitingExchanges.removeIf(Exchange::isCompleted);
         if (!waitingExchanges.isEmpty() && pendingConnects == 0) {
@@ -163,20 +164,20 @@
     private void remove(ClientConnection connection) {
         idleConnections.remove(connection);
         connectionLimit.markBusy(connection);
-        connectionClosed();
+        countClosed();
     }
 
-    private void connectionOpened() {
+    private void countOpened() {
         openConnections++;
         connectionLimit.connectionOpened();
     }
 
-    private void connectionClosed() {
+    private void countClosed() {
         openConnections--;
         connectionLimit.connectionClosed();
     }
 
-    /** Machines come and go by the hundred; their pools must not stay behind. */
+    /** Discards an unused pool, since hundreds of machines are rented and released over time. */
     private void discardIfUnused() {
         if (openConnections == 0 && waitingExchanges.isEmpty()) {
             onUnused.accept(this);
--- a/src/main/java/io/pepperfield/http/Exchange.java
+++ b/src/main/java/io/pepperfield/http/Exchange.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 
 /**
- * One request of the client until its outcome is known; completed exactly once. Confined to the
- * client's event loop.
+ * A client request and its outcome, which is reported exactly once. Confined to the client's event
+ * loop.
  */
 final class Exchange {
 
@@ -28,12 +28,12 @@
         return completed;
     }
 
-    /** The timer of its deadline, which covers waiting for a connection. */
+    /** Sets the deadline timer, which also covers the time spent waiting for a connection. */
     void setDeadlineTimer(ScheduledFuture<?> scheduled) {
         deadlineTimer = scheduled;
     }
 
-    /** From here on the other side may act on it. */
+    /** Marks the request as sent: from now on the remote side may act on it. */
     void assignConnection(ClientConnection carrier) {
         connection = carrier;
     }
@@ -51,9 +51,12 @@
         complete(sent ? new HttpOutcome.NoAnswer(reason) : new HttpOutcome.NotSent(reason));
     }
 
-    /** The deadline has passed: a late answer must not be taken for the next one's. */
+    /**
+     * Fails the request when its deadline has passed, and closes the connection so that a late
+     * response cannot be matched to the next request.
+     */
     void expire() {
-        fail("deadline");
+        fail("deadline exceeded");
         if (connection != null) {
             connection.close();
         }
--- a/src/main/java/io/pepperfield/http/HttpClient.java
+++ b/src/main/java/io/pepperfield/http/HttpClient.java
@@ -8,9 +8,9 @@
 import java.util.function.Consumer;
 
 /**
- * Pooled HTTP/1.1 client. Every request has a deadline that covers waiting for a connection, since
- * a machine without power gives no error; a connection that missed one is closed, so that a late
- * answer cannot be taken for the next.
+ * Pooled HTTP/1.1 client. Every request has a deadline, which includes the wait for a connection,
+ * since a powered-off machine returns no error. A connection whose request misses its deadline is
+ * closed, so that a late response cannot be matched to the next request.
  */
 public final class HttpClient implements HttpSender {
 
@@ -19,7 +19,7 @@
     private final ConnectionLimit connectionLimit;
     private final Map<String, ConnectionPool> pools = new HashMap<>();
 
-    /** A client whose connections nothing but their number for each address bounds. */
+    /** Creates a client that limits connections per address only, not in total. */
     public HttpClient(EventLoopGroup eventLoops, int maxResponseBytes) {
         this(eventLoops, maxResponseBytes, Integer.MAX_VALUE);
     }
@@ -27,8 +27,8 @@
     /**
      * Creates a client that runs on one event loop of a group.
      *
-     * @param maxConnections to all addresses together; beyond them the longest idle one gives way,
-     *     or the request
+     * @param maxConnections limit on the connections to all addresses together; at the limit the
+     *     longest idle connection is closed, or the request fails if none is idle
      */
     public HttpClient(EventLoopGroup eventLoops, int maxResponseBytes, int maxConnections) {
         this.eventLoop = eventLoops.next();
--- a/src/main/java/io/pepperfield/http/HttpOutcome.java
+++ b/src/main/java/io/pepperfield/http/HttpOutcome.java
@@ -2,20 +2,20 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** How an outgoing request ended. */
+/** Outcome of an outgoing request. */
 public sealed interface HttpOutcome {
 
-    /** An answer with its status arrived in time. */
+    /** A response arrived before the deadline. */
     record Answered(int status, byte[] body) implements HttpOutcome {
-        /** The body as JSON; missing where it is not valid. */
+        /** Returns the body as JSON, or a missing node if it is not valid JSON. */
         public JsonNode json() {
             return Json.read(body);
         }
     }
 
-    /** No byte of it left: it was certainly not carried out. */
+    /** No byte of the request was sent, so it was certainly not carried out. */
     record NotSent(String reason) implements HttpOutcome {}
 
-    /** It left and nothing came back: it may have been carried out, or may be at any later time. */
+    /** The request was sent but no response arrived: it may have been or may yet be carried out. */
     record NoAnswer(String reason) implements HttpOutcome {}
 }
--- a/src/main/java/io/pepperfield/http/HttpSender.java
+++ b/src/main/java/io/pepperfield/http/HttpSender.java
@@ -2,11 +2,11 @@
 
 import java.util.function.Consumer;
 
-/** Sends requests. */
+/** Sends HTTP requests. */
 public interface HttpSender {
 
     /**
-     * Sends a request once.
+     * Sends a request once, without retries.
      *
      * @param onOutcome called exactly once, on any thread
      */
--- a/src/main/java/io/pepperfield/http/HttpServer.java
+++ b/src/main/java/io/pepperfield/http/HttpServer.java
@@ -16,13 +16,13 @@
 import java.util.function.Consumer;
 
 /**
- * HTTP/1.1 server: whole requests in, one reply each, with limits that keep a bad client from
- * harming the others. Its connections share one event loop: all state but the handler is confined
- * to it.
+ * HTTP/1.1 server that passes complete requests to a handler and sends one reply each. Its limits
+ * keep a misbehaving client from affecting others. All connections share one event loop, to which
+ * all state except the handler is confined.
  */
 public final class HttpServer {
 
-    /** The longest body that is taken where the creator asks for no other bound. */
+    /** Default limit on the size of a request body. */
     public static final int DEFAULT_MAX_REQUEST_BYTES = 64 * 1024;
 
     private static final int MAX_REQUEST_LINE_BYTES = 4096;
@@ -30,9 +30,9 @@
     private static final int MAX_CHUNK_BYTES = 8192;
     private static final int LISTEN_BACKLOG = 256;
 
-    /** Called on the network thread; must hand the request on at once. */
+    /** Handles requests. Called on the network thread, so it must not block. */
     public interface Handler {
-        /** Answers a request; {@code answer} is called once, on any thread. */
+        /** Handles a request; {@code answer} must be called exactly once, on any thread. */
         void handle(InboundRequest request, Consumer<HttpReply> answer);
     }
 
@@ -50,10 +50,10 @@
     }
 
     /**
-     * Creates a server that does not listen yet.
+     * Creates a server; {@link #start} makes it listen.
      *
      * @param eventLoops a group of one event loop
-     * @param maxRequestBytes the longest body that is taken
+     * @param maxRequestBytes limit on the size of a request body
      */
     public HttpServer(
             EventLoopGroup eventLoops, int maxConnections, int maxRequestBytes, Handler handler) {
@@ -64,17 +64,15 @@
     }
 
     /**
-     * Bounds the connections of one path's clients, of which there are many; the rest is for all
-     * others. To be called before {@link #start}.
+     * Limits the connections of clients of one path, which are numerous, so that the remaining
+     * connections are available to other clients. Must be called before {@link #start}.
      */
     public HttpServer limitConnections(String path, int maxPathConnections) {
         pathLimit = new PathConnectionLimit(path, maxPathConnections);
         return this;
     }
 
-    /**
-     * Listens on an address and returns the port, which the system chooses where 0 is asked for.
-     */
+    /** Listens on an address and returns the port; port 0 lets the operating system choose one. */
     public int start(String host, int port) throws InterruptedException {
         ServerBootstrap bootstrap =
                 new ServerBootstrap()
@@ -98,7 +96,7 @@
         }
     }
 
-    /** One coarse timer for all connections, instead of one for each. */
+    /** Closes expired connections; one periodic scan replaces a timer per connection. */
     private void closeExpiredConnections() {
         long nowNanos = System.nanoTime();
         for (ServerConnection connection : List.copyOf(openConnections)) {
@@ -106,14 +104,14 @@
         }
     }
 
-    /** Sets up accepted connections, as far as the bound allows. */
+    /** Sets up accepted connections and closes those above the limit. */
     private final class ConnectionInitializer extends ChannelInitializer<SocketChannel> {
 
         @Override
         protected void initChannel(SocketChannel channel) {
             if (openConnections.size() >= maxConnections) {
-                // Beyond this the process would run out of sockets for the state service and the
-                // workers.
+                // Above this limit no sockets would remain for connections to the state service and
+                // the workers.
                 channel.close();
                 return;
             }
--- a/src/main/java/io/pepperfield/http/InboundRequest.java
+++ b/src/main/java/io/pepperfield/http/InboundRequest.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** One request as the server received it. */
+/** A request received by the server. */
 public record InboundRequest(
         String method, String path, Map<String, List<String>> query, byte[] body) {
 
@@ -13,9 +13,9 @@
         return new InboundRequest(method, decoder.path(), decoder.parameters(), body);
     }
 
-    /** The first value of a query parameter, or {@code otherwise} where it is missing. */
-    public String queryParameter(String name, String otherwise) {
+    /** Returns the first value of a query parameter, or {@code defaultValue} if it is missing. */
+    public String queryParameter(String name, String defaultValue) {
         List<String> values = query.get(name);
-        return values == null || values.isEmpty() ? otherwise : values.get(0);
+        return values == null || values.isEmpty() ? defaultValue : values.get(0);
     }
 }
--- a/src/main/java/io/pepperfield/http/Json.java
+++ b/src/main/java/io/pepperfield/http/Json.java
@@ -12,11 +12,10 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 
-/** The one JSON reader and writer of the program. */
+/** JSON encoding and decoding for all packages. */
 public final class Json {
 
-    // A body with text after its value, or with one name twice, is malformed and must not be read
-    // halfway.
+    // Rejects trailing text and duplicate names, so that a malformed body is not partially read.
     private static final ObjectMapper MAPPER =
             new ObjectMapper(
                             new JsonFactoryBuilder()
@@ -26,7 +25,7 @@
 
     private Json() {}
 
-    /** The value read, or a missing node where the bytes are not one JSON value. */
+    /** Decodes a JSON value; returns a missing node if the bytes are not exactly one value. */
     public static JsonNode read(byte[] bytes) {
         try {
             JsonNode node = MAPPER.readTree(bytes);
@@ -36,12 +35,12 @@
         }
     }
 
-    /** Encodes a tree as UTF-8. */
+    /** Encodes a JSON tree as UTF-8. */
     public static byte[] write(JsonNode node) {
         try {
             return MAPPER.writeValueAsBytes(node);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a tree cannot fail to be written", e);
+            throw new IllegalStateException("JSON tree cannot be serialized", e);
         }
     }
 
--- a/src/main/java/io/pepperfield/http/OutboundRequest.java
+++ b/src/main/java/io/pepperfield/http/OutboundRequest.java
@@ -1,12 +1,12 @@
 package io.pepperfield.http;
 
 /**
- * One request of the client.
+ * A request to be sent by the client.
  *
- * @param maxConnections bound on the connections that may be open to that address for it
- * @param path with its query
- * @param body JSON, or null for a request without a body
- * @param deadlineMs after so many milliseconds it has failed; waiting for a connection counts
+ * @param maxConnections limit on the connections to this address when the request is sent
+ * @param path path with query string
+ * @param body JSON body, or null for none
+ * @param deadlineMs milliseconds after which the request fails, including the wait for a connection
  */
 public record OutboundRequest(
         String host,
@@ -17,7 +17,7 @@
         byte[] body,
         long deadlineMs) {
 
-    /** The address, as pools of connections are kept by. */
+    /** Returns the key of the connection pool for this request. */
     String address() {
         return host + ":" + port;
     }
--- a/src/main/java/io/pepperfield/http/PathConnectionLimit.java
+++ b/src/main/java/io/pepperfield/http/PathConnectionLimit.java
@@ -4,8 +4,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Bounds the connections that the many clients of one path may hold, so that all others still find
- * a free one. Confined to the server's event loop.
+ * Limits the connections held by clients of one path, which are numerous, so that connections
+ * remain available to other clients. Confined to the server's event loop.
  */
 final class PathConnectionLimit {
 
@@ -25,7 +25,7 @@
         return requestPath.equals(path);
     }
 
-    /** Counts one more connection; false where the bound is reached. */
+    /** Counts a connection; returns false if the limit is reached. */
     boolean tryAcquire() {
         if (openConnections < maxConnections) {
             openConnections++;
@@ -34,26 +34,27 @@
         if (!refusalLogged) {
             refusalLogged = true;
             LOG.warn(
-                    "connection limit reached, further clients are refused: path={} connections={}",
+                    "connection limit reached, refusing further clients: path={} connections={}",
                     path,
                     openConnections);
         }
         return false;
     }
 
-    /** A counted connection has ended. */
+    /** Called when a counted connection has closed. */
     void release() {
         openConnections--;
-        // Logged again only after a clear let-up, or each refusal near the limit would be a line.
-        refusalLogged &= openConnections >= nearlyFull();
+        // Re-enables the warning only well below the limit; otherwise it would be logged for every
+        // refusal near the limit.
+        refusalLogged &= openConnections >= nearlyFullThreshold();
     }
 
-    /** Whether counted connections are to end with their replies, to let other clients in. */
+    /** Whether counted connections should be closed after their replies, to admit other clients. */
     boolean isNearlyFull() {
-        return openConnections > nearlyFull();
+        return openConnections > nearlyFullThreshold();
     }
 
-    private int nearlyFull() {
+    private int nearlyFullThreshold() {
         return maxConnections * 9 / 10;
     }
 }
--- a/src/main/java/io/pepperfield/http/PendingQueryLimit.java
+++ b/src/main/java/io/pepperfield/http/PendingQueryLimit.java
@@ -4,9 +4,9 @@
 import java.util.function.Consumer;
 
 /**
- * A bound on requests of one kind that wait for their answers. When users ask many times as often,
- * what is beyond it is told at once to come back, and neither fills the event loop's queue nor
- * delays heartbeats, submissions and health answers there.
+ * Limits the pending GET requests under a path prefix. During a query spike, requests above the
+ * limit are refused immediately with a retry delay, so that they neither fill the event loop's
+ * queue nor delay heartbeats, submissions and health checks.
  */
 public final class PendingQueryLimit implements HttpServer.Handler {
 
@@ -16,10 +16,10 @@
     private final AtomicInteger pending = new AtomicInteger();
 
     /**
-     * Creates a limit before the handler {@code next}; may be called on any thread.
+     * Creates a limit in front of the handler {@code next}. Requests may arrive on any thread.
      *
-     * @param pathPrefix of the paths whose GETs are counted
-     * @param maxPending of them at once
+     * @param pathPrefix prefix of the paths whose GET requests are counted
+     * @param maxPending limit on concurrent pending requests
      */
     public PendingQueryLimit(String pathPrefix, int maxPending, HttpServer.Handler next) {
         this.pathPrefix = pathPrefix;
--- a/src/main/java/io/pepperfield/http/ReplyWriter.java
+++ b/src/main/java/io/pepperfield/http/ReplyWriter.java
@@ -17,7 +17,7 @@
 
     private ReplyWriter() {}
 
-    /** Writes a reply; without {@code keepOpen} the connection ends with it. */
+    /** Writes a reply; unless {@code keepOpen}, closes the connection after it. */
     static void write(ChannelHandlerContext ctx, HttpReply reply, boolean keepOpen) {
         ChannelFuture written = ctx.writeAndFlush(toResponse(reply, keepOpen));
         if (!keepOpen) {
--- a/src/main/java/io/pepperfield/http/ServerConnection.java
+++ b/src/main/java/io/pepperfield/http/ServerConnection.java
@@ -7,16 +7,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The state of one connection of the server. It is the first handler of its pipeline and sees the
- * raw bytes, so that a half-sent request line counts as a request being received. Confined to the
- * server's event loop.
+ * State of a server connection. It is the first handler in the pipeline and sees the raw bytes, so
+ * that a partial request line counts as a request being received. Confined to the server's event
+ * loop.
  */
 final class ServerConnection extends ChannelInboundHandlerAdapter {
 
     private static final long RECEIVE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
     private static final long IDLE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(180);
 
-    /** What the connection waits for. */
+    /** Phases of a connection, with separate timeouts. */
     private enum State {
         IDLE,
         RECEIVING_REQUEST,
@@ -31,8 +31,9 @@
     private boolean countedByPathLimit;
 
     /**
-     * @param openConnections of the server; the connection is among them while its channel is open
-     * @param pathLimit of the server; told when this connection ends, if it is counted there
+     * @param openConnections the server's open connections, which include this one while its
+     *     channel is open
+     * @param pathLimit the server's path limit, released when this connection closes if counted
      */
     ServerConnection(
             Channel channel, Set<ServerConnection> openConnections, PathConnectionLimit pathLimit) {
@@ -41,7 +42,7 @@
         this.pathLimit = pathLimit;
     }
 
-    /** A whole request has arrived; false where the one before is not answered yet. */
+    /** Begins a complete request; returns false if the previous one has no reply yet. */
     boolean beginRequest() {
         if (state == State.AWAITING_REPLY) {
             return false;
@@ -50,13 +51,13 @@
         return true;
     }
 
-    /** The reply to the current request is there. */
+    /** Ends the current request, whose reply is available. */
     void endRequest() {
         state = State.IDLE;
         stateSinceNanos = System.nanoTime();
     }
 
-    /** Whether a request to that path may be served here; counts the connection where it may. */
+    /** Whether a request to the path may be served; counts the connection if the limit applies. */
     boolean tryAdmit(String path) {
         if (countedByPathLimit || !pathLimit.appliesTo(path)) {
             return true;
@@ -65,12 +66,12 @@
         return countedByPathLimit;
     }
 
-    /** Whether it is to end with its reply: more clients than connections find their turn so. */
+    /** Whether to close after the reply, so that more clients than connections can be served. */
     boolean mustCloseAfterReply() {
         return countedByPathLimit && pathLimit.isNearlyFull();
     }
 
-    /** Closes the connection if a request drips in too slowly, or if it has been idle for long. */
+    /** Closes the connection if a request is received too slowly or the idle timeout has passed. */
     void closeIfExpired(long nowNanos) {
         long elapsed = nowNanos - stateSinceNanos;
         boolean expired =
--- a/src/main/java/io/pepperfield/http/ServerRequestHandler.java
+++ b/src/main/java/io/pepperfield/http/ServerRequestHandler.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Passes the requests of one connection on and sends the replies. */
+/** Passes the requests of one connection to the handler and writes the replies. */
 final class ServerRequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
     private final ServerConnection connection;
@@ -22,7 +22,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
         if (!connection.beginRequest()) {
-            // A second request before the first reply is pipelining, which the protocol rules out.
+            // A second request before the first reply is pipelining, which is not supported.
             ctx.close();
             return;
         }
@@ -35,7 +35,7 @@
         if (inbound.isEmpty()) {
             answer.accept(HttpReply.error(400, "malformed address"));
         } else if (!connection.tryAdmit(inbound.get().path())) {
-            // When one node alone has all workers, its users must still find a connection.
+            // Keeps connections available for users when a single node serves all workers.
             answer.accept(HttpReply.unavailable("too many connections").withConnectionClose());
         } else {
             handler.handle(inbound.get(), answer);
@@ -51,12 +51,12 @@
         }
     }
 
-    /** Takes the reply on any thread and writes it on the connection's. */
+    /** Accepts the reply on any thread and writes it on the connection's event loop. */
     private Consumer<HttpReply> answerOnEventLoop(ChannelHandlerContext ctx, boolean keepAlive) {
-        return reply -> ctx.channel().eventLoop().execute(() -> finish(ctx, reply, keepAlive));
+        return reply -> ctx.channel().eventLoop().execute(() -> writeReply(ctx, reply, keepAlive));
     }
 
-    private void finish(ChannelHandlerContext ctx, HttpReply reply, boolean keepAlive) {
+    private void writeReply(ChannelHandlerContext ctx, HttpReply reply, boolean keepAlive) {
         connection.endRequest();
         boolean keepOpen =
                 keepAlive && !reply.closeConnection() && !connection.mustCloseAfterReply();
@@ -65,7 +65,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        // A reset or broken connection concerns nobody else.
+        // A reset or broken connection affects no other connection.
         ctx.close();
     }
 }
--- a/src/test/java/io/pepperfield/cli/CommandLineTest.java
+++ b/src/test/java/io/pepperfield/cli/CommandLineTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** Exit codes: 2 for a wrong command line, 1 for what could not be done. */
+/** Tests the exit codes: 2 for a usage error, 1 for a failed command. */
 class CommandLineTest {
 
     private static int run(String... arguments) {
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void mistakesOnTheCommandLine() {
+    void usageErrorsExitWithCode2() {
         assertEquals(2, run());
         assertEquals(2, run("frob"));
         assertEquals(2, run("serve"));
@@ -39,18 +39,18 @@
     }
 
     @Test
-    void whatCouldNotBeDone(@TempDir Path dir) throws IOException {
-        Path bad = Files.writeString(dir.resolve("bad.toml"), "node = 3\n");
-        assertEquals(1, run("check", "--config", bad.toString()));
+    void failedCommandsExitWithCode1(@TempDir Path dir) throws IOException {
+        Path invalidSettings = Files.writeString(dir.resolve("bad.toml"), "node = 3\n");
+        assertEquals(1, run("check", "--config", invalidSettings.toString()));
         assertEquals(1, run("serve", "--config", dir.resolve("none.toml").toString()));
         assertEquals(1, run("submit", dir.resolve("none.json").toString()));
-        Path foreign = Files.writeString(dir.resolve("foreign.tar"), "no archive");
-        assertEquals(1, run("state", "inspect", foreign.toString()));
+        Path invalidArchive = Files.writeString(dir.resolve("foreign.tar"), "no archive");
+        assertEquals(1, run("state", "inspect", invalidArchive.toString()));
         assertEquals(1, run("state", "inspect", dir.resolve("none.tar").toString()));
-        assertEquals(1, run("state", "export", "x.tar", "--config", bad.toString()));
+        assertEquals(1, run("state", "export", "x.tar", "--config", invalidSettings.toString()));
         assertEquals(1, run("rollout", "status", "--server", "127.0.0.1:1"));
         assertEquals(1, run("rollout", "activate", "--server", "127.0.0.1:1"));
-        // Port 1 of this machine: nothing listens there.
+        // Nothing listens on port 1 of the loopback interface.
         assertEquals(1, run("nodes", "--server", "127.0.0.1:1"));
     }
 }
--- a/src/test/java/io/pepperfield/config/SettingsTest.java
+++ b/src/test/java/io/pepperfield/config/SettingsTest.java
@@ -9,10 +9,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Tests of the settings readers: good files, and the messages about faulty ones. */
+/** Tests the settings readers with valid files, and the messages for invalid files. */
 class SettingsTest {
 
-    private static final String GOOD =
+    private static final String VALID =
             """
             node = "a"
             zone = "east"
@@ -50,7 +50,7 @@
             sockets = 1200
             """;
 
-    private static String fault(String toml) {
+    private static String faultMessage(String toml) {
         return assertThrows(
                         SettingsException.class,
                         () -> SettingsReader.parse("f.toml", toml, OperatorSettings.DEFAULTS))
@@ -58,9 +58,9 @@
     }
 
     @Test
-    void aTeamWhoseLimitIsNoughtHasNone() throws SettingsException {
+    void teamWithLimitZeroIsUnlimited() throws SettingsException {
         String guests =
-                GOOD.replace(
+                VALID.replace(
                         "[deployment.workers]",
                         """
                 [[deployment.teams]]
@@ -68,7 +68,7 @@
                 cpus = 0.0
                 cpus_max = 0.0
                 [deployment.workers]""");
-        // Read as a limit of nothing, every job of theirs would be refused for good.
+        // With a limit of 0, every job of the team would be refused permanently.
         assertEquals(
                 Double.POSITIVE_INFINITY,
                 SettingsReader.parse("f.toml", guests, OperatorSettings.DEFAULTS)
@@ -79,63 +79,68 @@
     }
 
     @Test
-    void whatTheStateServiceWillAllowLessOfCountsFromTheStart() throws SettingsException {
+    void lowerFutureStoreLimitsApplyImmediately() throws SettingsException {
         String next =
-                GOOD.replace(
+                VALID.replace(
                         "[deployment.cloud]",
                         "[deployment.state.next]\nvalue_kb = 2.0\ntxn_ops = 13\nrps = 900.0\n[deployment.cloud]");
-        Settings.StoreLimits state =
+        Settings.StoreLimits storeLimits =
                 SettingsReader.parse("f.toml", next, OperatorSettings.DEFAULTS)
                         .deployment()
                         .storeLimits();
-        assertEquals(new Settings.StoreLimits(150, 50, 2, 13), state);
-        String fault = fault(next.replace("value_kb = 2.0", "value_kb = \"small\""));
+        assertEquals(new Settings.StoreLimits(150, 50, 2, 13), storeLimits);
+        String message = faultMessage(next.replace("value_kb = 2.0", "value_kb = \"small\""));
         assertTrue(
-                fault.contains("deployment.state.next.value_kb = \"small\": want a number from 1"),
-                fault);
+                message.contains(
+                        "deployment.state.next.value_kb = \"small\": want a number from 1"),
+                message);
     }
 
     @Test
-    void readsWhatThePlatformHandsOver() throws SettingsException {
-        Settings settings = SettingsReader.parse("f.toml", GOOD, OperatorSettings.DEFAULTS);
+    void readsValidPlatformSettings() throws SettingsException {
+        Settings settings = SettingsReader.parse("f.toml", VALID, OperatorSettings.DEFAULTS);
         assertEquals(2.5, settings.deployment().workerTimings().heartbeatIntervalS());
         assertEquals(32, settings.deployment().teams().get("red").cpuLimit());
     }
 
     @Test
-    void namesEveryFaultInOneLine() {
-        String fault =
-                fault(
-                        GOOD.replace("lease_s = 12.0", "lease_s = \"long\"")
+    void listsAllFaultsInOneLine() {
+        String message =
+                faultMessage(
+                        VALID.replace("lease_s = 12.0", "lease_s = \"long\"")
                                 .replace("127.0.0.1:8080", "8080")
                                 .replace("txn_ops = 40", ""));
-        assertTrue(fault.contains("bind = \"8080\""), fault);
-        assertTrue(fault.contains("deployment.workers.lease_s = \"long\""), fault);
-        assertTrue(fault.contains("deployment.state.txn_ops is missing"), fault);
-        assertEquals(1, fault.lines().count());
-        assertTrue(fault("node = ").contains("is not TOML in line 1"));
+        assertTrue(message.contains("bind = \"8080\""), message);
+        assertTrue(message.contains("deployment.workers.lease_s = \"long\""), message);
+        assertTrue(message.contains("deployment.state.txn_ops is missing"), message);
+        assertEquals(1, message.lines().count());
+        assertTrue(faultMessage("node = ").contains("is not TOML in line 1"));
     }
 
-    private static OperatorSettings xml(String text) throws SettingsException {
+    private static OperatorSettings parseXml(String text) throws SettingsException {
         return OperatorSettingsReader.parse("f.xml", text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void readsOperatorsXmlAndRefusesSlips() throws SettingsException {
-        assertEquals(90, xml("<pepperfield><charge-s>90</charge-s></pepperfield>").billingUnitS());
-        assertEquals(OperatorSettings.DEFAULTS, xml("<pepperfield/>"));
+    void readsOperatorsXmlAndRejectsInvalidFiles() throws SettingsException {
+        assertEquals(
+                90, parseXml("<pepperfield><charge-s>90</charge-s></pepperfield>").billingUnitS());
+        assertEquals(OperatorSettings.DEFAULTS, parseXml("<pepperfield/>"));
         assertTrue(
-                xml("<pepperfield><rollout>on</rollout></pepperfield>").isEnabled(Feature.ROLLOUT));
+                parseXml("<pepperfield><rollout>on</rollout></pepperfield>")
+                        .isEnabled(Feature.ROLLOUT));
         assertFalse(
-                xml("<pepperfield><rollout>off</rollout></pepperfield>")
+                parseXml("<pepperfield><rollout>off</rollout></pepperfield>")
                         .isEnabled(Feature.ROLLOUT));
         assertEquals(
                 "f.xml: <rollout> = \"maybe\": want on or off",
                 assertThrows(
                                 SettingsException.class,
-                                () -> xml("<pepperfield><rollout>maybe</rollout></pepperfield>"))
+                                () ->
+                                        parseXml(
+                                                "<pepperfield><rollout>maybe</rollout></pepperfield>"))
                         .getMessage());
-        for (String bad :
+        for (String invalid :
                 new String[] {
                     "<pepperfield><charge-s>0</charge-s></pepperfield>",
                     "<pepperfield><charge>1</charge></pepperfield>",
@@ -143,33 +148,34 @@
                     "<pepperfield>",
                     "<!DOCTYPE x [<!ENTITY e SYSTEM 'file:///etc/passwd'>]><pepperfield/>"
                 }) {
-            assertThrows(SettingsException.class, () -> xml(bad), bad);
+            assertThrows(SettingsException.class, () -> parseXml(invalid), invalid);
         }
     }
 
     @Test
-    void aQuotaThatIsTooSmallIsNamedAndNothingMore() {
+    void warnsOnlyOfQuotasThatAreTooSmall() {
         assertEquals(
                 List.of(), QuotaCheck.warnings(new Settings.ProcessQuota(0.34, 263, 1200), 128));
         assertEquals(
                 List.of(
-                        "deployment.quota.mem_mb = 200, and the process may come to hold 224",
-                        "deployment.quota.sockets = 40, and 64 are needed before any worker reports"),
+                        "deployment.quota.mem_mb = 200 is too small: the process may use up to 224",
+                        "deployment.quota.sockets = 40 is too small: 64 are needed before any worker connects"),
                 QuotaCheck.warnings(new Settings.ProcessQuota(0.34, 200, 40), 128));
     }
 
     @Test
-    void admissionIsOffAndItsSlipsAreRefusedWithPlaceAndRange() throws SettingsException {
+    void admissionIsOffByDefaultAndInvalidValuesAreReportedWithElementAndRange()
+            throws SettingsException {
         assertFalse(OperatorSettings.DEFAULTS.isEnabled(Feature.ADMISSION));
-        OperatorSettings on =
-                xml(
+        OperatorSettings enabled =
+                parseXml(
                         "<pepperfield><admission>on</admission><admission-share>0.4</admission-share>"
                                 + "<team-weight team=\"red\">3</team-weight></pepperfield>");
-        assertTrue(on.isEnabled(Feature.ADMISSION));
-        assertEquals(0.4, on.admission().acceptanceShare());
-        assertEquals(3, on.admission().weights().get("red"));
-        SettingsReader.parse("f.toml", GOOD, on);
-        for (String slip :
+        assertTrue(enabled.isEnabled(Feature.ADMISSION));
+        assertEquals(0.4, enabled.admission().acceptanceShare());
+        assertEquals(3, enabled.admission().weights().get("red"));
+        SettingsReader.parse("f.toml", VALID, enabled);
+        for (String invalid :
                 List.of(
                         "<team-weight team=\"red\">-1</team-weight>",
                         "<team-weight team=\"red\">NaN</team-weight>",
@@ -177,21 +183,23 @@
                         "<admission-band>0</admission-band>",
                         "<admission-reserve>1.5</admission-reserve>",
                         "<admission-waiting-limit-s>0.5</admission-waiting-limit-s>")) {
-            String why =
+            String message =
                     assertThrows(
                                     SettingsException.class,
-                                    () -> xml("<pepperfield>" + slip + "</pepperfield>"))
+                                    () -> parseXml("<pepperfield>" + invalid + "</pepperfield>"))
                             .getMessage();
-            assertTrue(why.contains("want a number from"), why);
-            assertTrue(why.contains(slip.substring(0, slip.indexOf('>'))), why);
+            assertTrue(message.contains("want a number from"), message);
+            assertTrue(message.contains(invalid.substring(0, invalid.indexOf('>'))), message);
         }
-        OperatorSettings unknown =
-                xml("<pepperfield><team-weight team=\"green\">2</team-weight></pepperfield>");
-        String why =
+        OperatorSettings unknownTeam =
+                parseXml("<pepperfield><team-weight team=\"green\">2</team-weight></pepperfield>");
+        String message =
                 assertThrows(
                                 SettingsException.class,
-                                () -> SettingsReader.parse("f.toml", GOOD, unknown))
+                                () -> SettingsReader.parse("f.toml", VALID, unknownTeam))
                         .getMessage();
-        assertTrue(why.contains("<team-weight team=\"green\">") && why.contains("red"), why);
+        assertTrue(
+                message.contains("<team-weight team=\"green\">") && message.contains("red"),
+                message);
     }
 }
--- a/src/test/java/io/pepperfield/http/ConnectionLimitsTest.java
+++ b/src/test/java/io/pepperfield/http/ConnectionLimitsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Sockets are short: nobody may use up those of the others. */
+/** Tests that one kind of client cannot exhaust the limited sockets needed by others. */
 class ConnectionLimitsTest {
 
     private final EventLoopGroup network =
@@ -21,7 +21,7 @@
         network.shutdownGracefully();
     }
 
-    private HttpOutcome ask(HttpClient client, int port, String path) {
+    private HttpOutcome send(HttpClient client, int port, String path) {
         CompletableFuture<HttpOutcome> answer = new CompletableFuture<>();
         client.send(
                 new OutboundRequest("127.0.0.1", port, 1, "GET", path, null, 5000),
@@ -29,18 +29,18 @@
         return answer.join();
     }
 
-    private int server() throws InterruptedException {
+    private int startServer() throws InterruptedException {
         return new HttpServer(network, 4, (request, answer) -> answer.accept(HttpReply.empty(200)))
                 .limitConnections("/beat", 2)
                 .start("127.0.0.1", 0);
     }
 
     private int status(HttpClient client, int port, String path) {
-        return ((HttpOutcome.Answered) ask(client, port, path)).status();
+        return ((HttpOutcome.Answered) send(client, port, path)).status();
     }
 
     @Test
-    void workersLeaveConnectionsToUsers() throws InterruptedException {
+    void workerConnectionsDoNotExhaustUserConnections() throws InterruptedException {
         int port =
                 new HttpServer(
                                 network,
@@ -52,23 +52,23 @@
                                 })
                         .limitConnections("/beat", 2)
                         .start("127.0.0.1", 0);
-        HttpClient user = new HttpClient(network, 1 << 16);
+        HttpClient userClient = new HttpClient(network, 1 << 16);
         for (int i = 0; i < 2; i++) {
             new HttpClient(network, 1 << 16)
                     .send(
                             new OutboundRequest("127.0.0.1", port, 1, "GET", "/beat", null, 60_000),
                             outcome -> {});
-            assertEquals(200, status(user, port, "/up"));
+            assertEquals(200, status(userClient, port, "/up"));
         }
         assertEquals(503, status(new HttpClient(network, 1 << 16), port, "/beat"));
-        assertEquals(200, status(user, port, "/up"));
+        assertEquals(200, status(userClient, port, "/up"));
     }
 
     @Test
-    void moreWorkersThanConnectionsFindTheirTurn() throws InterruptedException {
-        int port = server();
-        // Each ends its connection with the answer once the limit is near; kept open, the first two
-        // would hold the rest out.
+    void moreWorkersThanConnectionsAreAllServed() throws InterruptedException {
+        int port = startServer();
+        // Near the limit, connections are closed after the reply. If they were kept open, the first
+        // two would block all later workers.
         for (int i = 0; i < 12; i++) {
             assertEquals(200, status(new HttpClient(network, 1 << 16), port, "/beat"));
         }
@@ -76,23 +76,24 @@
     }
 
     @Test
-    void theLongestIdleConnectionGivesWay() throws InterruptedException {
+    void longestIdleConnectionIsEvictedAtTheLimit() throws InterruptedException {
         HttpClient client = new HttpClient(network, 1 << 16, 1);
-        int first = server();
-        int second = server();
+        int first = startServer();
+        int second = startServer();
         assertEquals(200, status(client, first, "/a"));
         assertEquals(200, status(client, second, "/a"));
         assertEquals(200, status(client, first, "/a"));
     }
 
     @Test
-    void whereNoneIsLeftTheRequestFailsAtOnce() throws InterruptedException {
+    void requestFailsImmediatelyIfNoConnectionCanBeEvicted() throws InterruptedException {
         HttpClient client = new HttpClient(network, 1 << 16, 1);
-        int silent = new HttpServer(network, 4, (request, answer) -> {}).start("127.0.0.1", 0);
-        int port = server();
+        int unresponsivePort =
+                new HttpServer(network, 4, (request, answer) -> {}).start("127.0.0.1", 0);
+        int port = startServer();
         client.send(
-                new OutboundRequest("127.0.0.1", silent, 1, "GET", "/a", null, 60_000),
+                new OutboundRequest("127.0.0.1", unresponsivePort, 1, "GET", "/a", null, 60_000),
                 outcome -> {});
-        assertInstanceOf(HttpOutcome.NotSent.class, ask(client, port, "/a"));
+        assertInstanceOf(HttpOutcome.NotSent.class, send(client, port, "/a"));
     }
 }
