--- a/src/main/java/io/pepperfield/controller/LeadershipTransitions.java
+++ b/src/main/java/io/pepperfield/controller/LeadershipTransitions.java
@@ -82,7 +82,7 @@
     @Override
     public void leadershipLost(String reason) {
         rateLimits.applyForRole(false);
-        admission.ifPresent(Admission::deposed);
+        admission.ifPresent(Admission::leadershipLost);
         currentLeader.stop();
         writer.reset();
     }
--- a/src/main/java/io/pepperfield/controller/RequestRouter.java
+++ b/src/main/java/io/pepperfield/controller/RequestRouter.java
@@ -123,7 +123,7 @@
             // The load balancer does not move open connections. Without closing the connection, a
             // client would keep sending its requests to a controller that cannot serve them.
             boolean close = reply.status() == 503 && !healthy.getAsBoolean();
-            answer.accept(close ? reply.closingConnection() : reply);
+            answer.accept(close ? reply.withConnectionClose() : reply);
         };
     }
 
--- a/src/main/java/io/pepperfield/controller/StoredStateCompatibility.java
+++ b/src/main/java/io/pepperfield/controller/StoredStateCompatibility.java
@@ -70,7 +70,7 @@
     /** Handles a replica change of a key with the prefix {@link Keys#ROLLOUT_PREFIX}. */
     void replicaChanged(String key, JsonNode value, long modRevision) {
         if (rollout.isPresent()) {
-            rollout.get().changed(key, value, modRevision);
+            rollout.get().onKeyChanged(key, value, modRevision);
         } else if (key.equals(Keys.ROLLOUT_VERSION)) {
             versionRecordChanged(value);
         }
--- a/src/main/java/io/pepperfield/health/FailureDetector.java
+++ b/src/main/java/io/pepperfield/health/FailureDetector.java
@@ -180,7 +180,7 @@
      * cause, in all zones.
      */
     private void recordPartitionedZones(FleetScan scan, double now) {
-        int partitionThreshold = cluster.settings().operators().maxConcurrentSilentReleases();
+        int partitionThreshold = cluster.settings().operators().maxConcurrentUnresponsiveReleases();
         boolean allZonesPartitioned =
                 scan.lost.size() > Math.max(partitionThreshold, scan.machines / 3);
         Map<String, Integer> lostPerZone = new HashMap<>();
@@ -204,13 +204,13 @@
         // replacing it would take minutes.
         int maxReleasing =
                 Math.max(
-                        cluster.settings().operators().maxConcurrentSilentReleases(),
+                        cluster.settings().operators().maxConcurrentUnresponsiveReleases(),
                         scan.machines / 10);
         scan.lost.sort(
                 Comparator.comparingDouble((Machine machine) -> machine.unreachableFor(now))
                         .reversed());
         for (Machine machine : scan.lost) {
-            if (cluster.instanceLifecycle().releasing() >= maxReleasing) {
+            if (cluster.instanceLifecycle().pendingReleaseCount() >= maxReleasing) {
                 break;
             }
             if (shouldRelease(machine, isPartitioned(machine.zone(), now), now)) {
@@ -245,7 +245,7 @@
         // The check scans the whole fleet, so it runs for one machine at a time and at most eight
         // times per heartbeat interval. While other machines are being released their replicas have
         // not been relocated yet, so the free capacity is unknown.
-        if (cluster.instanceLifecycle().releasing() > 0
+        if (cluster.instanceLifecycle().pendingReleaseCount() > 0
                 || now - lastCapacityCheckAt < cluster.heartbeatIntervalS() / 8) {
             return false;
         }
--- a/src/main/java/io/pepperfield/rollout/MemberRelease.java
+++ b/src/main/java/io/pepperfield/rollout/MemberRelease.java
@@ -5,14 +5,14 @@
 import java.util.Optional;
 
 /**
- * What a controller's process has declared about its release.
+ * The release that a controller process has declared.
  *
- * @param incarnation drawn by the process when it began
- * @param modRevision revision that wrote the declaration
+ * @param incarnation random identifier of the process, generated when it starts
+ * @param modRevision modification revision of the declaration's key
  */
 record MemberRelease(Release release, String incarnation, long modRevision) {
 
-    JsonNode write() {
+    JsonNode toJson() {
         return Json.object()
                 .put("release", release.name())
                 .put("oldestRead", release.oldestRead())
@@ -21,8 +21,8 @@
                 .put("incarnation", incarnation);
     }
 
-    /** The declaration, or empty where it is none. */
-    static Optional<MemberRelease> read(JsonNode data, long modRevision) {
+    /** Parses a declaration; empty if it is invalid. */
+    static Optional<MemberRelease> fromJson(JsonNode data, long modRevision) {
         try {
             Release release =
                     new Release(
@@ -33,12 +33,12 @@
             String incarnation = data.path("incarnation").asText();
             return Optional.of(new MemberRelease(release, incarnation, modRevision));
         } catch (IllegalArgumentException e) {
-            // An empty range confirms nothing.
+            // Inconsistent version numbers do not show that the process supports any version.
             return Optional.empty();
         }
     }
 
-    /** Whether the process reads and writes that version. */
+    /** Whether the process reads and writes the version. */
     boolean supports(int target) {
         return release.newestRead() >= target && release.newestWritten() >= target;
     }
--- a/src/test/java/io/pepperfield/admission/FairDivisionProperties.java
+++ b/src/test/java/io/pepperfield/admission/FairDivisionProperties.java
@@ -19,12 +19,12 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
 
-/** Properties of the division that hold for every demand and every weight. */
+/** Properties that the division has for all demands and weights. */
 class FairDivisionProperties {
 
-    private static final double CLOSE = 1e-6;
+    private static final double TOLERANCE = 1e-6;
 
-    /** A demand, and the weight of whoever has it. */
+    /** A demand and the weight of its claimant. */
     record Claim(double demand, double weight) {}
 
     @Provide
@@ -50,46 +50,46 @@
     }
 
     @Property(seed = "31")
-    void isFeasibleAndWastesNothing(
+    void sharesNeverExceedDemandAndUseAllUsableCapacity(
             @ForAll("claims") List<Claim> claims,
             @ForAll @DoubleRange(max = 3000) double capacity) {
         double[] shares = divide(capacity, claims);
         double demand = claims.stream().mapToDouble(Claim::demand).sum();
         for (int i = 0; i < shares.length; i++) {
-            assertTrue(shares[i] >= 0 && shares[i] <= claims.get(i).demand + CLOSE);
+            assertTrue(shares[i] >= 0 && shares[i] <= claims.get(i).demand + TOLERANCE);
         }
-        assertEquals(Math.min(capacity, demand), sum(shares), CLOSE);
+        assertEquals(Math.min(capacity, demand), sum(shares), TOLERANCE);
     }
 
     @Property(seed = "32")
-    void everybodyHasItsEntitlementOrItsDemand(
+    void everyShareReachesItsEntitlementOrItsDemand(
             @ForAll("claims") List<Claim> claims,
             @ForAll @DoubleRange(max = 3000) double capacity) {
         double[] shares = divide(capacity, claims);
         double weights = claims.stream().mapToDouble(Claim::weight).sum();
         for (int i = 0; i < shares.length; i++) {
             double entitled = capacity * claims.get(i).weight / weights;
-            assertTrue(shares[i] >= Math.min(entitled, claims.get(i).demand) - CLOSE);
+            assertTrue(shares[i] >= Math.min(entitled, claims.get(i).demand) - TOLERANCE);
         }
     }
 
     @Property(seed = "33")
-    void growsWithOnesOwnDemandAndWeight(
+    void shareDoesNotShrinkWhenItsDemandOrWeightGrows(
             @ForAll("claims") List<Claim> claims,
             @ForAll @DoubleRange(max = 3000) double capacity,
-            @ForAll @IntRange(max = 11) int at) {
-        int mine = at % claims.size();
-        Claim claim = claims.get(mine);
-        double before = divide(capacity, claims)[mine];
-        List<Claim> more = new ArrayList<>(claims);
-        more.set(mine, new Claim(claim.demand * 2, claim.weight));
-        assertTrue(divide(capacity, more)[mine] >= before - CLOSE);
-        more.set(mine, new Claim(claim.demand, claim.weight * 2));
-        assertTrue(divide(capacity, more)[mine] >= before - CLOSE);
+            @ForAll @IntRange(max = 11) int position) {
+        int index = position % claims.size();
+        Claim claim = claims.get(index);
+        double before = divide(capacity, claims)[index];
+        List<Claim> changed = new ArrayList<>(claims);
+        changed.set(index, new Claim(claim.demand * 2, claim.weight));
+        assertTrue(divide(capacity, changed)[index] >= before - TOLERANCE);
+        changed.set(index, new Claim(claim.demand, claim.weight * 2));
+        assertTrue(divide(capacity, changed)[index] >= before - TOLERANCE);
     }
 
     @Property(seed = "34")
-    void whoAsksForMoreTakesNothingFromWhoHasLessThanItsEntitlement(
+    void floodDoesNotReduceSharesBelowTheirEntitlement(
             @ForAll("claims") List<Claim> claims,
             @ForAll @DoubleRange(max = 3000) double capacity) {
         List<Claim> flooded = new ArrayList<>(claims);
@@ -98,12 +98,12 @@
         double weights = claims.stream().mapToDouble(Claim::weight).sum() + 1;
         for (int i = 0; i < claims.size(); i++) {
             double entitled = capacity * claims.get(i).weight / weights;
-            assertTrue(shares[i] >= Math.min(entitled, claims.get(i).demand) - CLOSE);
+            assertTrue(shares[i] >= Math.min(entitled, claims.get(i).demand) - TOLERANCE);
         }
     }
 
     @Property(seed = "35")
-    void theOrderOfTheInputHasNoEffect(
+    void inputOrderDoesNotAffectTheShares(
             @ForAll("claims") List<Claim> claims,
             @ForAll @DoubleRange(max = 3000) double capacity) {
         Map<WorkloadClass, Double> forward = new LinkedHashMap<>();
@@ -111,43 +111,48 @@
         Map<String, Double> weights = new HashMap<>();
         for (int i = 0; i < claims.size(); i++) {
             weights.put("team-" + i % 4, claims.get(i % 4 % claims.size()).weight);
-            forward.put(of(i), claims.get(i).demand);
+            forward.put(workloadClass(i), claims.get(i).demand);
             int last = claims.size() - 1 - i;
-            backward.put(of(last), claims.get(last).demand);
+            backward.put(workloadClass(last), claims.get(last).demand);
         }
         assertEquals(
                 FairDivision.divide(capacity, forward, weights::get),
                 FairDivision.divide(capacity, backward, weights::get));
     }
 
-    private static WorkloadClass of(int number) {
+    private static WorkloadClass workloadClass(int number) {
         return new WorkloadClass("team-" + number % 4, "class-" + number / 4, false);
     }
 
     @Property(seed = "36", tries = 200)
-    void roundingKeepsTheSumAndOwesNobodyMoreThanOneInTheLongRun(
+    void roundingKeepsTheSumAndNoShareFallsBehindInTheLongRun(
             @ForAll("claims") List<Claim> claims) {
         SortedMap<Integer, Double> exact = new TreeMap<>();
         for (int i = 0; i < claims.size(); i++) {
             exact.put(i, claims.get(i).demand / 100);
         }
-        int total = (int) Math.floor(exact.values().stream().mapToDouble(x -> x).sum() + CLOSE);
+        int total = (int) Math.floor(exact.values().stream().mapToDouble(x -> x).sum() + TOLERANCE);
         LargestRemainder<Integer> rounding = new LargestRemainder<>();
         int rounds = 40;
-        Map<Integer, Integer> given = new HashMap<>();
+        Map<Integer, Integer> assigned = new HashMap<>();
         for (int round = 0; round < rounds; round++) {
             SortedMap<Integer, Integer> rounded = rounding.round(exact);
             assertEquals(total, rounded.values().stream().mapToInt(x -> x).sum());
-            rounded.forEach((key, whole) -> given.merge(key, whole, Integer::sum));
+            rounded.forEach((key, whole) -> assigned.merge(key, whole, Integer::sum));
         }
         if (total >= 1) {
-            // What the sum loses by rounding down is shared by all; beyond that nobody is behind.
-            double lostARound = exact.values().stream().mapToDouble(x -> x).sum() - total;
+            // Rounding the sum down may cost each share that loss; no share falls further behind.
+            double lostPerRound = exact.values().stream().mapToDouble(x -> x).sum() - total;
             exact.forEach(
                     (key, share) ->
                             assertTrue(
-                                    given.get(key) >= rounds * (share - lostARound) - 3,
-                                    () -> key + ": " + given.get(key) + " of " + rounds * share));
+                                    assigned.get(key) >= rounds * (share - lostPerRound) - 3,
+                                    () ->
+                                            key
+                                                    + ": "
+                                                    + assigned.get(key)
+                                                    + " of "
+                                                    + rounds * share));
         }
     }
 }
--- a/src/test/java/io/pepperfield/recovery/ArchiveForms.java
+++ b/src/test/java/io/pepperfield/recovery/ArchiveForms.java
@@ -7,15 +7,15 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** The entries of an archive of all keys. */
+/** The entries of an archive. */
 public final class ArchiveForms {
 
     private ArchiveForms() {}
 
-    /** Adds them. */
+    /** Adds the entries to the file. */
     public static void write(FormFile file) {
         byte[] page =
-                ArchiveItemsCodec.write(
+                ArchiveItemsCodec.encode(
                         List.of(
                                 new KeyValue(
                                         "pepperfield/leader", Json.object().put("node", "a"), 41),
@@ -24,7 +24,7 @@
         file.add("name of the changes", ArchiveWriter.CHANGES_ENTRY);
         file.add("name of the manifest", ArchiveManifest.NAME);
         file.addRewritten("page", page, ArchiveForms::rewriteItems);
-        file.addRead("key", Json.read(page).path(0), form -> rewriteItems(Json.array().add(form)));
+        file.addRead("key", Json.read(page).path(0), json -> rewriteItems(Json.array().add(json)));
         ArchiveManifest manifest =
                 new ArchiveManifest(
                         42,
@@ -36,15 +36,15 @@
                                         ArchiveWriter.sha256(page))));
         file.addRewrittenByField(
                 "manifest",
-                manifest.write(),
-                form -> text(ArchiveManifest.read(Json.write(form)).write()));
+                manifest.encode(),
+                json -> text(ArchiveManifest.decode(Json.write(json)).encode()));
     }
 
-    private static String rewriteItems(JsonNode form) throws ArchiveException {
-        return text(ArchiveItemsCodec.write(ArchiveItemsCodec.read("page", Json.write(form))));
+    private static String rewriteItems(JsonNode json) throws ArchiveException {
+        return text(ArchiveItemsCodec.encode(ArchiveItemsCodec.decode("page", Json.write(json))));
     }
 
-    private static String text(byte[] form) {
-        return new String(form, StandardCharsets.UTF_8);
+    private static String text(byte[] json) {
+        return new String(json, StandardCharsets.UTF_8);
     }
 }
--- a/src/test/java/io/pepperfield/rollout/RollbackRecordsTest.java
+++ b/src/test/java/io/pepperfield/rollout/RollbackRecordsTest.java
@@ -14,106 +14,112 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Run records in both forms, and how a rollback rewrites them. */
+/** Run records in both formats, and their conversion by a rollback. */
 class RollbackRecordsTest extends RolloutFixture {
 
     @Test
-    void aRecordIsInOneFormAndComesBackAsItWas() {
-        leader.write(LINES);
-        leader.hear();
+    void recordIsStoredInOneFormatAndRestoredByRollback() {
+        leader.writeRunRecord(TASK_STATES);
+        leader.sync();
         activate();
-        leader.hear();
-        leader.write(LATER);
-        assertNull(state.get(RECORD));
-        assertEquals(2, state.get(VersionedKeyValueStore.compactKey(RECORD)).path("v").asInt());
-        hearAll();
-        assertEquals(LATER, other.seen.get(RECORD));
-        leader.command("rollback", "{}");
-        passTime();
-        assertEquals(LATER, state.get(RECORD));
-        assertEquals(0, state.count(Keys.V2_RUN_RECORD_PREFIX));
+        leader.sync();
+        leader.writeRunRecord(UPDATED_TASK_STATES);
+        assertNull(store.get(RUN_RECORD_KEY));
+        assertEquals(
+                2, store.get(VersionedKeyValueStore.compactKey(RUN_RECORD_KEY)).path("v").asInt());
+        syncAll();
+        assertEquals(UPDATED_TASK_STATES, follower.values.get(RUN_RECORD_KEY));
+        leader.sendCommand("rollback", "{}");
+        advanceTime();
+        assertEquals(UPDATED_TASK_STATES, store.get(RUN_RECORD_KEY));
+        assertEquals(0, store.count(Keys.V2_RUN_RECORD_PREFIX));
         assertEquals(ClusterVersion.INITIAL, version());
-        assertEquals(LATER, other.seen.get(RECORD));
+        assertEquals(UPDATED_TASK_STATES, follower.values.get(RUN_RECORD_KEY));
     }
 
     @Test
-    void aRecordOfAnotherVersionIsPassedOnAsSuchAndNeverRewritten() {
+    void recordOfUnknownVersionIsReportedUnreadableAndNotRewritten() {
         activate();
         JsonNode unknown = Json.object().put("v", 3);
-        state.put(VersionedKeyValueStore.compactKey(RECORD), unknown);
-        hearAll();
-        assertEquals(TaskState.UNREADABLE_RECORD, leader.seen.get(RECORD));
-        leader.command("rollback", "{}");
-        passTime();
-        assertEquals(unknown, state.get(VersionedKeyValueStore.compactKey(RECORD)));
+        store.put(VersionedKeyValueStore.compactKey(RUN_RECORD_KEY), unknown);
+        syncAll();
+        assertEquals(TaskState.UNREADABLE_RECORD, leader.values.get(RUN_RECORD_KEY));
+        leader.sendCommand("rollback", "{}");
+        advanceTime();
+        assertEquals(unknown, store.get(VersionedKeyValueStore.compactKey(RUN_RECORD_KEY)));
         assertEquals(ClusterVersion.Phase.ROLLING_BACK, version().phase());
     }
 
     @Test
-    void recordsWrittenSinceAnUnfinishedRollbackAreFoundByTheNext() {
+    void rollbackRewritesRecordsWrittenAfterAnInterruptedRollback() {
         activate();
         for (int job = 1; job <= 6; job++) {
             assertInstanceOf(
                     CompareAndSwapOutcome.Committed.class,
-                    leader.write(Keys.runRecord("run-00000" + job, 0), LINES));
+                    leader.writeRunRecord(Keys.runRecord("run-00000" + job, 0), TASK_STATES));
         }
-        hearAll();
-        leader.command("rollback", "{}");
-        leader.hear();
-        assertEquals(2, state.count(Keys.V2_RUN_RECORD_PREFIX), "not rewritten yet");
-        assertEquals(200, leader.command("activate", ACTIVATE).status());
-        hearAll();
-        // Compact once more, before the place that the rewriting had reached.
-        assertInstanceOf(CompareAndSwapOutcome.Committed.class, leader.write(LATER));
-        leader.command("rollback", "{}");
-        passTime();
-        assertEquals(0, state.count(Keys.V2_RUN_RECORD_PREFIX));
-        assertEquals(LATER, state.get(RECORD));
+        syncAll();
+        leader.sendCommand("rollback", "{}");
+        leader.sync();
+        assertEquals(
+                2, store.count(Keys.V2_RUN_RECORD_PREFIX), "compact records not rewritten yet");
+        assertEquals(200, leader.sendCommand("activate", ACTIVATE_BODY).status());
+        syncAll();
+        // Writes the record in the compact format again, before the scan position that the first
+        // rollback had reached.
+        assertInstanceOf(
+                CompareAndSwapOutcome.Committed.class, leader.writeRunRecord(UPDATED_TASK_STATES));
+        leader.sendCommand("rollback", "{}");
+        advanceTime();
+        assertEquals(0, store.count(Keys.V2_RUN_RECORD_PREFIX));
+        assertEquals(UPDATED_TASK_STATES, store.get(RUN_RECORD_KEY));
         assertEquals(ClusterVersion.INITIAL, version());
     }
 
-    private static List<TaskState> longLines() {
-        List<TaskState> lines = new ArrayList<>();
+    private static List<TaskState> largeTaskStates() {
+        List<TaskState> taskStates = new ArrayList<>();
         for (int task = 0; task < 100; task++) {
-            lines.add(new TaskState(task, 1, TaskState.Phase.LIVE, "host-" + task / 2, 1));
+            taskStates.add(new TaskState(task, 1, TaskState.Phase.LIVE, "host-" + task / 2, 1));
         }
-        return lines;
+        return taskStates;
     }
 
     @Test
-    void aRecordThatNoLongerFitsInTheFirstFormIsDivided() {
-        spec = new JobSpecBuilder().id("run-000001").tasks(100).chunk(100).build();
-        List<TaskState> lines = longLines();
+    void rollbackSplitsRecordTooLargeForVersionOne() {
+        jobSpec = new JobSpecBuilder().id("run-000001").tasks(100).chunk(100).build();
+        List<TaskState> taskStates = largeTaskStates();
         activate();
-        leader.write(TaskState.encode(lines));
-        leader.hear();
-        leader.write(Keys.runRecord("run-000002", 0), LINES);
-        leader.hear();
-        state.maxValueBytes = 1024;
-        leader.command("rollback", "{}");
-        passTime();
+        leader.writeRunRecord(TaskState.encode(taskStates));
+        leader.sync();
+        leader.writeRunRecord(Keys.runRecord("run-000002", 0), TASK_STATES);
+        leader.sync();
+        store.maxValueBytes = 1024;
+        leader.sendCommand("rollback", "{}");
+        advanceTime();
         assertEquals(ClusterVersion.INITIAL, version());
         List<TaskState> found = new ArrayList<>();
         for (int part = 0; part < TaskState.SPLIT_PARTS; part++) {
-            found.addAll(TaskState.decode(state.get(spec.splitRecordKey(0, part))));
+            found.addAll(TaskState.decode(store.get(jobSpec.splitRecordKey(0, part))));
         }
-        assertEquals(lines, found);
-        assertEquals(LINES.toString(), state.get(Keys.runRecord("run-000002", 0)).toString());
+        assertEquals(taskStates, found);
+        assertEquals(TASK_STATES.toString(), store.get(Keys.runRecord("run-000002", 0)).toString());
     }
 
     @Test
-    void aRecordThatCannotBeRewrittenKeepsNoOtherFromIt() {
+    void recordThatCannotBeRewrittenDoesNotBlockOtherRecords() {
         activate();
-        leader.write(TaskState.encode(longLines()));
-        leader.hear();
-        leader.write(Keys.runRecord("run-000002", 0), LINES);
-        leader.hear();
-        // It does not fit any more, and its job, which says how to divide it, is not known.
-        state.maxValueBytes = 1024;
-        leader.command("rollback", "{}");
-        passTime();
-        assertEquals(LINES.toString(), String.valueOf(state.get(Keys.runRecord("run-000002", 0))));
-        assertEquals(1, state.count(Keys.V2_RUN_RECORD_PREFIX));
+        leader.writeRunRecord(TaskState.encode(largeTaskStates()));
+        leader.sync();
+        leader.writeRunRecord(Keys.runRecord("run-000002", 0), TASK_STATES);
+        leader.sync();
+        // The first record exceeds the limit, and cannot be split since its job's specification is
+        // unknown.
+        store.maxValueBytes = 1024;
+        leader.sendCommand("rollback", "{}");
+        advanceTime();
+        assertEquals(
+                TASK_STATES.toString(), String.valueOf(store.get(Keys.runRecord("run-000002", 0))));
+        assertEquals(1, store.count(Keys.V2_RUN_RECORD_PREFIX));
         assertEquals(ClusterVersion.Phase.ROLLING_BACK, version().phase());
     }
 }
--- a/src/test/java/io/pepperfield/rollout/RolloutFixture.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutFixture.java
@@ -27,46 +27,47 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /**
- * Two controllers of the rollout over one state service, each written to and told one at a time.
+ * The rollout of two controllers with a shared state service. Tests decide when each controller
+ * writes and when it reads the changes.
  */
 abstract class RolloutFixture {
 
-    static final String RECORD = Keys.runRecord("run-000001", 0);
-    static final String ACTIVATE = "{\"olderReleasesRetired\":true}";
-    static final JsonNode LINES = Json.read(bytes("[[0,1,1,\"host-1\",1],[1,1,2]]"));
-    static final JsonNode LATER = Json.read(bytes("[[0,1,2],[1,1,2]]"));
-    static final Release GATED = new Release("gated", 1, 1, 1);
-    private static final double SECONDS = 20;
+    static final String RUN_RECORD_KEY = Keys.runRecord("run-000001", 0);
+    static final String ACTIVATE_BODY = "{\"olderReleasesRetired\":true}";
+    static final JsonNode TASK_STATES = Json.read(bytes("[[0,1,1,\"host-1\",1],[1,1,2]]"));
+    static final JsonNode UPDATED_TASK_STATES = Json.read(bytes("[[0,1,2],[1,1,2]]"));
+    static final Release GATED_RELEASE = new Release("gated", 1, 1, 1);
+    private static final double ADVANCE_S = 20;
 
-    JobSpec spec;
-    final InMemoryKeyValueStore state = new InMemoryKeyValueStore();
+    JobSpec jobSpec;
+    final InMemoryKeyValueStore store = new InMemoryKeyValueStore();
     Node leader;
-    Node other;
+    Node follower;
     private final SimulatedLoop loop = new SimulatedLoop();
 
-    /** A controller as far as the rollout is concerned; it leads if it is told that it does. */
+    /** The rollout of one controller; {@link #isLeader} sets whether it leads. */
     final class Node implements LeadershipView {
         final Rollout rollout;
         final Map<String, Long> modRevisions = new HashMap<>();
-        final Map<String, JsonNode> seen = new HashMap<>();
+        final Map<String, JsonNode> values = new HashMap<>();
         final Replica replica = new Replica(this::changed);
-        boolean leads;
+        boolean isLeader;
 
         Node(int index, Release release) {
-            rollout = new Rollout(loop, settings(index), state, release);
-            rollout.attach(this, id -> spec);
+            rollout = new Rollout(loop, settings(index), store, release);
+            rollout.attach(this, id -> jobSpec);
         }
 
         private void changed(String key, JsonNode data, long modRevision) {
             modRevisions.put(key, modRevision);
-            seen.put(key, data);
+            values.put(key, data);
             if (key.startsWith(Keys.ROLLOUT_PREFIX)) {
-                rollout.changed(key, data, modRevision);
+                rollout.onKeyChanged(key, data, modRevision);
             }
         }
 
-        /** Hears all that has been written, and does what is due. */
-        void hear() {
+        /** Applies all changes in the store and runs due work. */
+        void sync() {
             rollout.keyValueStore()
                     .watch(
                             replica.revision(),
@@ -78,35 +79,34 @@
             rollout.tick();
         }
 
-        CompareAndSwapOutcome write(JsonNode lines) {
-            return write(RECORD, lines);
+        CompareAndSwapOutcome writeRunRecord(JsonNode taskStates) {
+            return writeRunRecord(RUN_RECORD_KEY, taskStates);
         }
 
-        CompareAndSwapOutcome write(String record, JsonNode lines) {
-            CompareAndSwapOutcome[] got = new CompareAndSwapOutcome[1];
+        CompareAndSwapOutcome writeRunRecord(String key, JsonNode taskStates) {
+            CompareAndSwapOutcome[] outcome = new CompareAndSwapOutcome[1];
             rollout.keyValueStore()
                     .compareAndSwap(
                             RequestPriority.LEADER_WRITE,
                             List.of(
                                     new Precondition(Keys.LEADER, fencingToken().value()),
-                                    new Precondition(
-                                            record, modRevisions.getOrDefault(record, 0L))),
-                            List.of(Mutation.set(record, lines)),
-                            result -> got[0] = result);
-            return got[0];
+                                    new Precondition(key, modRevisions.getOrDefault(key, 0L))),
+                            List.of(Mutation.set(key, taskStates)),
+                            result -> outcome[0] = result);
+            return outcome[0];
         }
 
-        HttpReply command(String name, String body) {
-            HttpReply[] got = new HttpReply[1];
+        HttpReply sendCommand(String name, String body) {
+            HttpReply[] received = new HttpReply[1];
             rollout.handle(
                     SimWorld.call("POST", "/api/rollout/" + name, bytes(body)),
-                    reply -> got[0] = reply);
-            return got[0];
+                    reply -> received[0] = reply);
+            return received[0];
         }
 
         @Override
         public boolean holdsValidLease() {
-            return leads;
+            return isLeader;
         }
 
         @Override
@@ -139,38 +139,38 @@
     }
 
     @BeforeEach
-    void start() {
-        state.put(Keys.LEADER, Json.object().put("node", "node-0").put("grant", 1));
+    void setUp() {
+        store.put(Keys.LEADER, Json.object().put("node", "node-0").put("grant", 1));
         leader = new Node(0, Release.CURRENT);
-        leader.leads = true;
-        other = new Node(1, Release.CURRENT);
-        hearAll();
-        hearAll();
+        leader.isLeader = true;
+        follower = new Node(1, Release.CURRENT);
+        syncAll();
+        syncAll();
     }
 
-    void hearAll() {
-        leader.hear();
-        other.hear();
+    void syncAll() {
+        leader.sync();
+        follower.sync();
     }
 
-    void passTime() {
-        double until = loop.now() + SECONDS;
+    void advanceTime() {
+        double until = loop.now() + ADVANCE_S;
         while (loop.now() < until) {
             loop.run(loop.now() + 0.5);
-            hearAll();
+            syncAll();
         }
     }
 
     void activate() {
-        assertEquals(200, leader.command("activate", ACTIVATE).status());
-        hearAll();
+        assertEquals(200, leader.sendCommand("activate", ACTIVATE_BODY).status());
+        syncAll();
     }
 
-    static String why(HttpReply reply) {
+    static String errorText(HttpReply reply) {
         return Json.read(reply.body()).path("error").asText();
     }
 
     ClusterVersion version() {
-        return ClusterVersion.read(state.get(Keys.ROLLOUT_VERSION)).orElseThrow();
+        return ClusterVersion.fromJson(store.get(Keys.ROLLOUT_VERSION)).orElseThrow();
     }
 }
--- a/src/test/java/io/pepperfield/rollout/RolloutForms.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutForms.java
@@ -15,17 +15,17 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** What is stored for the rollout of stored-state versions, and in the second of them. */
+/** The stored records of the rollout and the records of stored-state version 2. */
 public final class RolloutForms {
 
     private static final ClusterVersion ACTIVE = ClusterVersion.INITIAL.activated(2, List.of("a"));
 
     private RolloutForms() {}
 
-    /** Adds them. */
+    /** Adds the records to the file. */
     public static void write(FormFile file) {
         file.add("path", Rollout.PATH);
-        file.add("this release", new MemberRelease(Release.CURRENT, "a-process", 9).write());
+        file.add("this release", new MemberRelease(Release.CURRENT, "a-process", 9).toJson());
         for (ClusterVersion version :
                 List.of(
                         ClusterVersion.INITIAL,
@@ -34,34 +34,34 @@
                         ACTIVE.rollingBack(),
                         ACTIVE.rolledBack())) {
             file.add("phase", version.phase().name());
-            file.addRewritten("version", version.write(), RolloutForms::rewriteVersion);
+            file.addRewritten("version", version.toJson(), RolloutForms::rewriteVersion);
         }
-        file.addRead("version", ACTIVE.write(), RolloutForms::rewriteVersion);
+        file.addRead("version", ACTIVE.toJson(), RolloutForms::rewriteVersion);
         MemberRelease member = new MemberRelease(new Release("9.1.0", 1, 3, 2), "a-process", 9);
-        file.addRewrittenByField("member", member.write(), RolloutForms::rewriteMember);
+        file.addRewrittenByField("member", member.toJson(), RolloutForms::rewriteMember);
         file.add("fence", VersionedKeyValueStore.fenceValue());
         String key = Keys.runRecord("run-000412", 3);
         file.add("key of a compact run record", VersionedKeyValueStore.compactKey(key));
         file.add(
                 "and back",
-                VersionedKeyValueStore.firstFormKey(VersionedKeyValueStore.compactKey(key)));
-        JsonNode first = TaskState.encode(lines());
-        file.add("run record", first);
+                VersionedKeyValueStore.versionOneKey(VersionedKeyValueStore.compactKey(key)));
+        JsonNode versionOneRecord = TaskState.encode(taskStates());
+        file.add("run record", versionOneRecord);
         file.addRewritten(
                 "compact run record",
-                CompactRunRecords.encode(first),
-                form -> text(CompactRunRecords.encode(CompactRunRecords.decode(form))));
+                CompactRunRecordCodec.encode(versionOneRecord),
+                json -> text(CompactRunRecordCodec.encode(CompactRunRecordCodec.decode(json))));
         file.addRead(
                 "compact run record decoded",
-                CompactRunRecords.encode(first),
-                form -> text(CompactRunRecords.decode(form)));
+                CompactRunRecordCodec.encode(versionOneRecord),
+                json -> text(CompactRunRecordCodec.decode(json)));
         writeTransactions(file);
         file.add("done", new RolloutResult.Completed("version 2 is active").toReply());
         file.add("refused", new RolloutResult.Refused("a rollback is under way").toReply());
         file.add("to be repeated", new RolloutResult.RetryLater("not the leader").toReply());
     }
 
-    private static List<TaskState> lines() {
+    private static List<TaskState> taskStates() {
         return List.of(
                 new TaskState(0, 1, Phase.DONE, "", 0),
                 new TaskState(1, 1, Phase.DONE, "", 0),
@@ -73,24 +73,24 @@
                 new TaskState(8, 3, Phase.FAILED, "", 0));
     }
 
-    private static String rewriteVersion(JsonNode form) {
-        ClusterVersion version = ClusterVersion.read(form).orElse(null);
-        return version == null ? null : text(version.write());
+    private static String rewriteVersion(JsonNode json) {
+        ClusterVersion version = ClusterVersion.fromJson(json).orElse(null);
+        return version == null ? null : text(version.toJson());
     }
 
-    private static String rewriteMember(JsonNode form) {
-        MemberRelease member = MemberRelease.read(form, 9).orElse(null);
-        return member == null ? null : text(member.write());
+    private static String rewriteMember(JsonNode json) {
+        MemberRelease member = MemberRelease.fromJson(json, 9).orElse(null);
+        return member == null ? null : text(member.toJson());
     }
 
-    /** How the transactions of the rest of the program are stored in each version. */
+    /** Adds the transactions that reach the state service in each version. */
     private static void writeTransactions(FormFile file) {
-        KeyValueStore raw = new RecordingStateService(file);
+        KeyValueStore store = new RecordingKeyValueStore(file);
         for (ClusterVersion version : List.of(ClusterVersion.INITIAL, ACTIVE)) {
             VersionGate gate = new VersionGate(Release.CURRENT);
-            gate.changed(version.write(), 17);
-            gate.replicaLoaded();
-            new VersionedKeyValueStore(raw, gate)
+            gate.onVersionChanged(version.toJson(), 17);
+            gate.markReplicaLoaded();
+            new VersionedKeyValueStore(store, gate)
                     .compareAndSwap(
                             RequestPriority.LEADER_WRITE,
                             List.of(
@@ -99,7 +99,7 @@
                             List.of(
                                     Mutation.set(
                                             Keys.runRecord("run-000412", 0),
-                                            TaskState.encode(lines())),
+                                            TaskState.encode(taskStates())),
                                     Mutation.set(
                                             Keys.SHARED_RUN_RECORD_PREFIX + "41-1", Json.object()),
                                     Mutation.delete(Keys.MACHINE_TYPES)),
@@ -107,21 +107,26 @@
         }
     }
 
-    private static String text(JsonNode form) {
-        return new String(Json.write(form), StandardCharsets.UTF_8);
+    private static String text(JsonNode json) {
+        return new String(Json.write(json), StandardCharsets.UTF_8);
     }
 
-    /** Adds each transaction as it reaches the state service. */
-    private record RecordingStateService(FormFile file) implements NoOpKeyValueStore {
+    /** Adds each transaction that it receives to the file. */
+    private record RecordingKeyValueStore(FormFile file) implements NoOpKeyValueStore {
         @Override
         public void compareAndSwap(
-                RequestPriority urgency,
-                List<Precondition> guards,
-                List<Mutation> changes,
+                RequestPriority priority,
+                List<Precondition> preconditions,
+                List<Mutation> mutations,
                 Consumer<CompareAndSwapOutcome> done) {
-            guards.forEach(guard -> file.add("guard " + guard.key(), "at " + guard.modRevision()));
-            changes.forEach(
-                    change -> file.add("change " + change.key(), String.valueOf(change.value())));
+            preconditions.forEach(
+                    precondition ->
+                            file.add(
+                                    "guard " + precondition.key(),
+                                    "at " + precondition.modRevision()));
+            mutations.forEach(
+                    mutation ->
+                            file.add("change " + mutation.key(), String.valueOf(mutation.value())));
         }
     }
 }
