--- a/src/test/java/io/pepperfield/controller/ConcurrentFailuresTest.java
+++ b/src/test/java/io/pepperfield/controller/ConcurrentFailuresTest.java
@@ -69,7 +69,7 @@
      */
     @ParameterizedTest
     @CsvSource({"1, 0.5", "2, 1", "3, 2"})
-    void theStateServiceRefusesTheLeaderAndThenEverybodyWhileUsersCancel(long seed, double apartS) {
+    void cancellationsTakeEffectWhenTheStoreRejectsTheLeaderThenAllNodes(long seed, double apartS) {
         play(
                 Scenario.jobs(20, 2)
                         .at(
@@ -85,13 +85,13 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void oneTaskJobsComeFourASecondAndAQuarterIsCancelled(long seed) {
+    void jobsFinishWhenFourOneTaskJobsPerSecondArriveAndAQuarterAreCancelled(long seed) {
         play(Scenario.jobs(6, 4).at(20, new SubmissionFlood(4, 60)), seed);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void transactionsWithoutAnAnswerAreCarriedOutAfterNewerOnes(long seed) {
+    void invariantsHoldWhenUnansweredTransactionsAreAppliedAfterNewerOnes(long seed) {
         play(
                 Scenario.jobs(24, 2)
                         .at(20, new DelayedWrites(0.2, 40, false))
@@ -101,7 +101,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void answersToTransactionsAreLostWhileUsersLookClosely(long seed) {
+    void readsAfterWritesAreConsistentWhenTransactionRepliesAreLost(long seed) {
         play(
                 Scenario.jobs(24, 2)
                         .at(10, new ReadAfterWriteChecks(60))
@@ -112,7 +112,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void leadersChangeTenTimesInTwoMinutesAndInAnOutage(long seed) {
+    void jobsFinishAcrossTenLeaderChangesAndAStoreOutage(long seed) {
         play(
                 Scenario.jobs(40, 3).at(30, new LeaderChanges(10, 120)).at(70, new StoreOutage(15)),
                 seed);
@@ -120,7 +120,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void aZoneWithWorkersAndAControllerIsCutOffForLongerThanALease(long seed) {
+    void cancellationsTakeEffectWhenAZoneWithAFollowerIsPartitionedBeyondALease(long seed) {
         play(
                 Scenario.jobs(24, 2)
                         .at(
@@ -135,7 +135,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void aZoneWithTheLeaderIsCutOffForLongerThanALease(long seed) {
+    void cancellationsTakeEffectWhenAZoneWithTheLeaderIsPartitionedBeyondALease(long seed) {
         play(
                 Scenario.jobs(24, 2)
                         .at(
@@ -150,7 +150,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void allControllersAreAwayForLongerThanALease(long seed) {
+    void cancellationsTakeEffectWhenAllControllersAreDownBeyondALease(long seed) {
         play(
                 Scenario.jobs(24, 2)
                         .at(35, new CancelNow(4, 0))
@@ -163,7 +163,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void newMachinesGetWorkAtOnceWhileWritesLagAndTheLeaderEnds(long seed) {
+    void jobsFinishWhenMachinesBootFastWritesAreDelayedAndTheLeaderCrashes(long seed) {
         play(
                 Scenario.jobs(30, 1)
                         .at(9, new QuickBoots(60), new DelayedWrites(0.3, 40, false))
@@ -174,7 +174,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void theStateServiceAnswersSlowlyWhileUsersCancelAndAsk(long seed) {
+    void cancellationsAndQueriesCompleteWhenTheStoreIsSlow(long seed) {
         play(
                 Scenario.jobs(24, 2)
                         .at(25, new StoreLatency(0.5, 40), new QueryFlood(40))
@@ -185,7 +185,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void theStateServiceRefusesTheLeaderForLongAndThenEverybodyWhileUsersAsk(long seed) {
+    void queriesAreAnsweredWhenTheStoreRejectsTheLeaderAndThenAllControllers(long seed) {
         play(
                 Scenario.jobs(24, 2)
                         .at(
@@ -201,7 +201,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void anOldReportReachesEveryControllerJustAsANewLeaderBegins(long seed) {
+    void staleHeartbeatsReplayedAfterAnElectionBreakNoInvariant(long seed) {
         play(
                 Scenario.jobs(30, 2)
                         .at(20, new ReplayedHeartbeats(0.3, 60, true))
@@ -213,7 +213,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void thereIsMoreWorkThanRoomOverSlowLinks(long seed) {
+    void jobsFinishWhenDemandExceedsCapacityOverSlowLinks(long seed) {
         play(
                 Scenario.jobs(60, 0.5)
                         .at(10, new NetworkLatency(0.15, 50))
@@ -224,7 +224,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void aLeaderIsCutFromStateServiceAndPeersWhileJobsAreCancelledThroughTheNextOne(long seed) {
+    void cancellationsTakeEffectThroughTheNextLeaderWhenTheOldOneIsPartitioned(long seed) {
         play(
                 Scenario.jobs(24, 2)
                         .at(
@@ -241,7 +241,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void controllersHandOverAndBackAllEndAndOneIsBackWithinASecond(long seed) {
+    void jobsFinishAfterLeaderChangesAndACrashOfAllWithOneBackWithinASecond(long seed) {
         play(
                 Scenario.jobs(30, 2)
                         .at(25, new LeaderChanges(4, 16))
@@ -256,7 +256,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void teamsAreAtTheirLimitWhileCancelledTasksAreOutOfReachAndTheLeaderChanges(long seed) {
+    void teamLimitsHoldWhileCancelledTasksAreUnreachableAndTheLeaderCrashes(long seed) {
         play(
                 Scenario.jobs(42, 0.6)
                         .at(
@@ -270,7 +270,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void teamsAreAtTheirLimitWhileSomeMachinesCannotBeAskedAndTheLeaderChanges(long seed) {
+    void teamLimitsHoldWhileMachinesAreUnreachableAndTheLeaderCrashes(long seed) {
         play(
                 Scenario.jobs(42, 0.6)
                         .at(
@@ -284,7 +284,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void usersReadAfterWritesAtAllNodesAndSomeCancelAtOnce(long seed) {
+    void readsAfterWritesAreConsistentAtAllNodesDuringCancellationsAndACrash(long seed) {
         play(
                 Scenario.jobs(30, 2)
                         .at(8, new ReadAfterWriteChecks(70))
@@ -295,13 +295,13 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void tasksOfSmallJobsEndFarApartAcrossChangesOfLeader(long seed) {
+    void smallJobsFinishWhenTheirTasksEndUnderDifferentLeaders(long seed) {
         play(Scenario.jobs(36, 2).at(25, new LeaderChanges(6, 60)), seed);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void workersReachNoControllerWhileDirectCommandsReachThem(long seed) {
+    void cancellationsTakeEffectWhenWorkersCanReceiveButNotSend(long seed) {
         play(
                 Scenario.jobs(24, 2)
                         .at(
@@ -314,7 +314,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void aReportIsHeldBackUntilANewLeaderHasActed(long seed) {
+    void heartbeatsDelayedPastALeaderChangeBreakNoInvariant(long seed) {
         play(
                 Scenario.jobs(30, 2)
                         .at(25, new ReplayedHeartbeats(0.4, 30, false))
@@ -325,7 +325,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void oldReportsArriveAfterNewerOnesOfLaterSessionsAndAttempts(long seed) {
+    void staleHeartbeatsAfterNewerSessionsAndAttemptsBreakNoInvariant(long seed) {
         play(
                 Scenario.jobs(30, 2)
                         .at(20, new ReplayedHeartbeats(0.5, 50, false))
@@ -340,7 +340,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void commandsAreHeldUpAndMachinesGoOn(long seed) {
+    void cancellationsTakeEffectWhenOrdersAreDelayedAndMachinesHang(long seed) {
         play(
                 Scenario.jobs(30, 2)
                         .at(20, new DelayedOrders(MachineSelector.share(1), 4, 30))
@@ -351,7 +351,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void jobsBoundToAZoneLoseTheirMachines(long seed) {
+    void zoneBoundJobsFinishAfterTheirZoneLosesAllMachines(long seed) {
         play(
                 Scenario.jobs(30, 2)
                         .at(35, new MachineLoss(MachineSelector.zone("east")))
@@ -361,7 +361,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void aLeaderEndsWhileMachinesCannotBeReachedOrDoNotHear(long seed) {
+    void cancellationsTakeEffectWhenTheLeaderCrashesWhileMachinesAreUnreachable(long seed) {
         play(
                 Scenario.jobs(24, 2)
                         .at(
@@ -379,7 +379,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void jobsAreCancelledWhileAControllersWorkChangesHands(long seed) {
+    void cancellationsTakeEffectWhileAControllersPartitionIsReassigned(long seed) {
         play(
                 Scenario.jobs(30, 2)
                         .at(30, new ControllerCrash(ControllerSelector.afterLeader(1), 10))
@@ -392,7 +392,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void cancellationsAndQuestionsMeetTheEndOfTheLastTask(long seed) {
+    void cancellationsAndQueriesAtTheEndOfTheLastTaskAreConsistent(long seed) {
         play(
                 Scenario.jobs(40, 1.5)
                         .at(10, new CancelAtEnd(0.5, 70), new ReadAfterWriteChecks(70)),
@@ -401,7 +401,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void aRunOrderIsHeldForLongerThanACancellationMayTake(long seed) {
+    void startOrdersDelayedBeyondTheCancellationDeadlineBreakNoInvariant(long seed) {
         play(
                 Scenario.jobs(30, 1)
                         .at(
@@ -426,7 +426,7 @@
      */
     @ParameterizedTest
     @CsvSource({"1, 3", "2, 3", "3, 3", "1, 8", "2, 8", "3, 8", "6001, 6", "7002, 6"})
-    void jobsAreCancelledWhoseMachinesHang(long seed, int jobs) {
+    void cancellationsTakeEffectWhenTheMachinesOfTheJobsHang(long seed, int jobs) {
         play(
                 Scenario.jobs(30, 1)
                         .at(
@@ -438,7 +438,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void mostMachinesHangForLongerThanACancellationMayTake(long seed) {
+    void cancellationsTakeEffectWhenMostMachinesHangBeyondTheDeadline(long seed) {
         play(
                 Scenario.jobs(24, 2)
                         .at(
@@ -452,7 +452,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void machinesAreDeafWhileJobsAreCancelledAndTheStateServiceAndTheLeaderEnd(long seed) {
+    void cancellationsTakeEffectWhenMachinesReceiveNothingAndStoreAndLeaderFail(long seed) {
         play(
                 Scenario.jobs(24, 2)
                         .at(
@@ -480,13 +480,13 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void pipelinesAreServedInTheirOrder(long seed) {
+    void pipelineJobsRunInDependencyOrder(long seed) {
         play(Scenario.jobs(8, 4).at(10, new Pipelines(12, 40)), seed);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void pipelinesMeetLeadersThatChangeLateWritesAndAnOutage(long seed) {
+    void pipelinesFinishAcrossLeaderChangesDelayedWritesAndAStoreOutage(long seed) {
         play(
                 Scenario.jobs(12, 4)
                         .at(10, new Pipelines(15, 60), new DelayedWrites(0.15, 60, false))
@@ -498,7 +498,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void pipelinesAreCancelledWhileUsersLookCloselyAndTheLeaderIsRefused(long seed) {
+    void pipelineCancellationsTakeEffectWhenTheStoreRejectsTheLeader(long seed) {
         play(
                 Scenario.jobs(12, 4)
                         .at(10, new Pipelines(15, 50), new ReadAfterWriteChecks(60))
@@ -511,7 +511,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void pipelinesMeetMachinesThatAreDeafMuteOrHangAndAllControllersEnd(long seed) {
+    void pipelinesFinishWhenMachinesHangOrLoseMessagesAndAllControllersCrash(long seed) {
         play(
                 Scenario.jobs(8, 4)
                         .at(10, new Pipelines(15, 50), new ReplayedHeartbeats(0.2, 50, false))
--- a/src/test/java/io/pepperfield/controller/DecisionDay.java
+++ b/src/test/java/io/pepperfield/controller/DecisionDay.java
@@ -55,7 +55,7 @@
     }
 
     /** A region of its own at the end of the day. */
-    SimulatedRegion play() {
+    SimulatedRegion run() {
         SimulatedRegion region = plan.apply(seed);
         region.world.run(endsAt);
         return region;
--- a/src/test/java/io/pepperfield/controller/DecisionDigestTest.java
+++ b/src/test/java/io/pepperfield/controller/DecisionDigestTest.java
@@ -37,8 +37,8 @@
 
     @ParameterizedTest
     @EnumSource(DecisionDay.class)
-    void aDayIsDecidedAsBefore(DecisionDay day) throws IOException {
-        SimulatedRegion region = day.play();
+    void digestOfADayMatchesTheStoredDigest(DecisionDay day) throws IOException {
+        SimulatedRegion region = day.run();
         List<String> digest = DecisionDigest.of(region.decisions.entries());
         if (Boolean.getBoolean(WRITE)) {
             write(KEPT, day.label() + DIGEST, digest);
@@ -50,8 +50,8 @@
 
     @ParameterizedTest
     @EnumSource(names = {"QUIET", "DRAWN_TROUBLES_20"})
-    void everySingleDecisionIsTheSameAsBefore(DecisionDay day) throws IOException {
-        List<String> lines = day.play().decisions.lines();
+    void decisionSequenceOfADayMatchesTheStoredSequence(DecisionDay day) throws IOException {
+        List<String> lines = day.run().decisions.lines();
         String file = day.label() + SEQUENCE;
         if (Boolean.getBoolean(WRITE)) {
             write(KEPT, file, lines);
@@ -61,14 +61,14 @@
     }
 
     @Test
-    void aSecondRunInTheSameProcessDecidesTheSame() {
+    void secondRunInTheSameProcessMakesTheSameDecisions() {
         DecisionDay day = DecisionDay.DRAWN_TROUBLES_11;
-        assertEquals(day.play().decisions.lines(), day.play().decisions.lines());
+        assertEquals(day.run().decisions.lines(), day.run().decisions.lines());
     }
 
     @ParameterizedTest
     @EnumSource(Decision.Kind.class)
-    void theDaysHoldDecisionsOfEveryKind(Decision.Kind kind) throws IOException {
+    void storedDigestsContainDecisionsOfEveryKind(Decision.Kind kind) throws IOException {
         String none = " " + kind.label() + " 0,";
         for (DecisionDay day : DecisionDay.values()) {
             List<String> digest = kept(day.label() + DIGEST);
--- a/src/test/java/io/pepperfield/controller/EventLoopTest.java
+++ b/src/test/java/io/pepperfield/controller/EventLoopTest.java
@@ -15,7 +15,7 @@
     private final List<String> ran = new ArrayList<>();
 
     @Test
-    void commandsOfABatchRunInOrderAndThenWhatFollowsOnce() {
+    void commandsOfABatchRunInOrderBeforeASingleAfterBatchCall() {
         eventLoop.setHandlers(() -> ran.add("after batch"), () -> ran.add("after failure"));
         eventLoop.post(() -> ran.add("first"));
         eventLoop.post(() -> ran.add("second"));
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void timersRunInTheOrderInWhichTheyAreDue() {
+    void timersRunInOrderOfTheirDueTimes() {
         eventLoop.schedule(0.01, () -> ran.add("second"));
         eventLoop.schedule(0.001, () -> ran.add("first"));
         eventLoop.schedule(0.011, eventLoop::stop);
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void aFailedCommandIsReportedAndTheNextOneRuns() {
+    void failedCommandInvokesTheFailureHandlerAndTheNextCommandRuns() {
         eventLoop.setHandlers(() -> {}, () -> ran.add("after failure"));
         eventLoop.post(
                 () -> {
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void aTimerCannotBeSetOnAnotherThreadThanTheOwner() throws InterruptedException {
+    void schedulingATimerOutsideTheOwnerThreadFails() throws InterruptedException {
         CountDownLatch running = new CountDownLatch(1);
         eventLoop.post(running::countDown);
         Thread owner = new Thread(eventLoop::run);
--- a/src/test/java/io/pepperfield/controller/LargeFleetTest.java
+++ b/src/test/java/io/pepperfield/controller/LargeFleetTest.java
@@ -18,7 +18,7 @@
     private static final int CPUS = 8;
 
     @Test
-    void fourAndAHalfThousandMachinesAreRentedAndAllWork() {
+    void allMachinesOfALargeFleetAreRentedAndRunTasks() {
         SimulatedRegion region = SimulatedRegion.large(1, MACHINES);
         region.world.run(5);
         // What may wait has machines for about half of it at a time.
--- a/src/test/java/io/pepperfield/controller/LoopbackTest.java
+++ b/src/test/java/io/pepperfield/controller/LoopbackTest.java
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void theCommandLineNamesTheOffendingFieldOnOneLine() throws Exception {
+    void submitCommandPrintsTheInvalidFieldOnOneLine() throws Exception {
         region.until(
                 1, "POST", "/api/jobs", Json.write(LoopbackRegion.job(1)), a -> a.status() == 201);
         ObjectNode bad = LoopbackRegion.job(2);
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void answersJobsAndSurvivesTheLeader() throws Exception {
+    void requestsAreAnsweredAndServiceContinuesAfterTheLeaderStops() throws Exception {
         region.until(
                 0, "POST", "/api/jobs", Json.write(LoopbackRegion.job(1)), a -> a.status() == 201);
         malformedAndInfeasibleJobsAreRefused();
--- a/src/test/java/io/pepperfield/controller/PipelineSimulationTest.java
+++ b/src/test/java/io/pepperfield/controller/PipelineSimulationTest.java
@@ -79,13 +79,13 @@
 
     @ParameterizedTest
     @EnumSource(PipelineShape.class)
-    void jobsAreCancelledAtEveryStage(PipelineShape shape) {
+    void cancellationsTakeEffectAtEveryStageOfAPipeline(PipelineShape shape) {
         play(day(shape).at(FIRST_S, new ReadAfterWriteChecks(lastsS(shape))), shape, 1);
     }
 
     @ParameterizedTest
     @EnumSource(names = {"CHAIN", "DIAMOND", "FAN"})
-    void leadersChangeWhileTransactionsAreCarriedOutLate(PipelineShape shape) {
+    void pipelinesEndCorrectlyWhenLeadersChangeAndWritesAreDelayed(PipelineShape shape) {
         play(
                 day(shape)
                         .at(
@@ -99,7 +99,7 @@
 
     @ParameterizedTest
     @EnumSource(names = {"CHAIN", "DIAMOND", "FAN"})
-    void answersToTransactionsAreLostAndAllControllersEnd(PipelineShape shape) {
+    void pipelinesEndCorrectlyWhenStoreRepliesAreLostAndAllControllersCrash(PipelineShape shape) {
         play(
                 day(shape)
                         .at(10, new DelayedWrites(0.3, 50, true), new ReadAfterWriteChecks(40))
@@ -111,7 +111,7 @@
 
     @ParameterizedTest
     @EnumSource(names = {"CHAIN", "DIAMOND", "FAN"})
-    void theStateServiceIsSlowAndThenOut(PipelineShape shape) {
+    void pipelinesEndCorrectlyWhenTheStoreIsSlowAndThenUnavailable(PipelineShape shape) {
         play(
                 day(shape)
                         .at(12, new StoreLatency(0.4, 20))
@@ -124,7 +124,7 @@
     /** An ancestor is cancelled while only the leader cannot hear of it, and then nobody can. */
     @ParameterizedTest
     @CsvSource({"CHAIN, 5, 1", "DIAMOND, 6, 2", "FAN, 7, 0.5"})
-    void theStateServiceRefusesTheLeaderAndThenEverybody(
+    void pipelinesEndCorrectlyWhenTheStoreRejectsTheLeaderAndThenAllControllers(
             PipelineShape shape, long seed, double apartS) {
         play(
                 day(shape)
@@ -142,7 +142,7 @@
 
     @ParameterizedTest
     @CsvSource({"CHAIN, 9", "DIAMOND, 10", "FAN, 11", "MIXED, 12"})
-    void noRuleBreaksWhateverFails(PipelineShape shape, long first) {
+    void invariantsHoldUnderRandomFaults(PipelineShape shape, long first) {
         for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
             long seed = first + 1000L * more;
             SimulatedRegion region = new SimulatedRegion(seed);
--- a/src/test/java/io/pepperfield/controller/RollingRestartTest.java
+++ b/src/test/java/io/pepperfield/controller/RollingRestartTest.java
@@ -23,7 +23,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void theLeadGoesToAControllerThatHasBeenRestarted(long seed) {
+    void leadershipMovesToAnAlreadyRestartedController(long seed) {
         SimulatedRegion region = new SimulatedRegion(seed);
         Set<Integer> restarted = new LinkedHashSet<>();
         for (int turn = 0; turn < CONTROLLERS; turn++) {
--- a/src/test/java/io/pepperfield/controller/SimulationTest.java
+++ b/src/test/java/io/pepperfield/controller/SimulationTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aQuietDayEndsWithEveryJobOver() {
+    void everyJobFinishesWithoutFailures() {
         SimulatedRegion region = region(1, 12, 3);
         region.world.at(30, region::queryUnknownJob);
         region.world.run(220);
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void anOutageOfTheStateServiceCostsNoRunningWork() {
+    void storeOutageLosesNoRunningTasks() {
         SimulatedRegion region = region(2, 6, 1);
         region.world.at(24, () -> region.faults.storeOutage(34));
         region.world.run(150);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void aMachineThatDoesNotHearGetsNoWorkAndIsReturned() {
+    void machineThatCannotReceiveGetsNoTasksAndIsReturned() {
         SimulatedRegion region = region(3, 20, 3);
         region.world.run(45);
         WorkerStandIn deaf =
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void aLeaderCutFromAllButItsWorkersLetsThemGoWithinTheirLeases() {
+    void leaderIsolatedWithItsWorkersReleasesThemWithinTheirLeases() {
         SimulatedRegion region = region(4, 12, 2);
         region.world.run(40);
         assertTrue(region.runningTasks() > 8, "tasks " + region.runningTasks());
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void aLeaderThatStoodStillActsOnNothingItKnewBefore() {
+    void pausedLeaderDoesNotActOnStaleState() {
         SimulatedRegion region = region(7, 16, 2);
         region.world.run(40);
         for (int i = 0; i < 6; i++) {
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void aZoneOutOfHearingIsNotReturnedByALeaderThatNeverHeardIt() {
+    void newLeaderKeepsMachinesOfAZonePartitionedBeforeItsElection() {
         SimulatedRegion region = region(8, 12, 2);
         region.world.run(40);
         int leader = region.leaderIndex();
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void theOneControllerInsideACutGoesOnForItsZone() {
+    void controllerInsideAPartitionedZoneServesItsWorkersForALimitedTime() {
         SimulatedRegion region = region(9, 0, 1);
         region.world.run(10);
         int inside = (region.leaderIndex() + 1) % 3;
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void aZonesOwnReportsAloneTellThatItIsCutOff() {
+    void zonePartitionIsDetectedWhenOnlyOwnZoneHeartbeatsArrive() {
         ZonePartitionDetector watch = new ZonePartitionDetector();
         for (int i = 0; i < 200; i++) {
             watch.recordHeartbeat(i % 2 == 0);
@@ -179,7 +179,7 @@
     }
 
     @Test
-    void cancelledTasksEndInTimeThoughNobodyLeads() {
+    void cancelledTasksEndInTimeWithoutALeader() {
         SimulatedRegion region = region(6, 12, 2);
         region.world.run(36);
         assertTrue(region.runningTasks() > 4, "tasks " + region.runningTasks());
@@ -196,7 +196,7 @@
     }
 
     @Test
-    void processesThatAreBackAtOnceInMidElectionLeadNobodyAstray() {
+    void controllersRestartingDuringElectionsBreakNoInvariant() {
         SimulatedRegion region = region(5, 16, 2);
         region.world.duplicateDeliveryShare = 0.05;
         for (int i = 0; i < 30; i++) {
@@ -213,7 +213,7 @@
     }
 
     @Test
-    void aSwarmAndALargeArrayOfGuestsAreServedFromFewChanges() {
+    void manySmallJobsAndALargeArrayCauseFewStoredMutations() {
         SimulatedRegion region = region(21, 8, 3);
         region.world.run(30);
         int before = region.storedMutations();
@@ -235,7 +235,7 @@
     }
 
     @Test
-    void jobsThatFailEverywhereHoldUpNobodyAndCostNoMachine() {
+    void jobsThatAlwaysFailDelayNoOthersAndCauseNoRentals() {
         SimulatedRegion region = region(22, 0, 3);
         for (int i = 1; i <= 8; i++) {
             int number = i;
@@ -263,7 +263,7 @@
     }
 
     @Test
-    void machinesThatComeLateAreWaitedForAndThoseThatNeverComeReplaced() {
+    void slowBootsAreAwaitedAndFailedBootsAreReplaced() {
         SimulatedRegion late = new SimulatedRegion(23);
         late.faults.slowBoots(4, 0, 60);
         late.world.at(10, () -> late.jobMix.submitGuests(1, 64, 20));
@@ -283,7 +283,7 @@
     }
 
     @Test
-    void aLeaderThatItsWorkersDoNotReachGivesTheLeadAwayOnce() {
+    void leaderUnreachableByItsWorkersCedesLeadershipOnce() {
         SimulatedRegion region = region(25, 16, 2);
         region.world.run(40);
         // What workers do tells of a controller only while some of them are its own.
@@ -310,7 +310,7 @@
     }
 
     @Test
-    void questionsAboutUnknownJobsLeaveRoomForTheOthers() {
+    void queriesForUnknownJobsLeaveCapacityForKnownOnes() {
         SimulatedRegion region = region(27, 4, 1);
         region.world.run(30);
         // 1,000 sockets: 125 questions at once, of which 62 about jobs that nobody submitted.
@@ -319,7 +319,7 @@
     }
 
     @Test
-    void manyTimesAsManyQuestionsWhileAControllerIsSilentAreAllAnswered() {
+    void allQueriesAreAnsweredAtEightTimesTheRateWhileALeaderIsPaused() {
         SimulatedRegion region = region(26, 20, 1);
         region.world.run(35);
         int silent = region.leaderIndex();
@@ -335,12 +335,12 @@
 
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22})
-    void noRuleBreaksWhateverFails(long seed) {
+    void invariantsHoldUnderRandomFaults(long seed) {
         run(seed);
     }
 
     @Test
-    void noRuleBreaksOverManySeedsIfAskedFor() {
+    void invariantsHoldUnderRandomFaultsForAdditionalSeeds() {
         for (long seed = 1000; seed < 1000 + Integer.getInteger("pepperfield.seeds", 3); seed++) {
             run(seed);
         }
--- a/src/test/java/io/pepperfield/controller/UpgradeTest.java
+++ b/src/test/java/io/pepperfield/controller/UpgradeTest.java
@@ -66,7 +66,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void anUpgradeAloneChangesTheLeaderNoMoreThanOnceForEachProcessThatEnds(long seed) {
+    void upgradeChangesTheLeaderAtMostOncePerRestartedController(long seed) {
         Scenario day =
                 Scenario.jobs(40, 2)
                         .at(30, new Upgrade(30))
@@ -82,7 +82,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void anOldLeaderHasNewFollowersForLong(long seed) {
+    void jobsFinishWhileALeaderOfTheOldVersionHasUpgradedFollowers(long seed) {
         play(
                 Scenario.jobs(40, 2)
                         .at(30, new Replace(ControllerSelector.afterLeader(1), Version.CURRENT, 4))
@@ -95,7 +95,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void aNewLeaderHasOldFollowersForLong(long seed) {
+    void jobsFinishWhileAnUpgradedLeaderHasFollowersOfTheOldVersion(long seed) {
         Scenario day =
                 Scenario.jobs(40, 2).at(50, new CancelNow(4, 0)).at(80, new Pipelines(4, 20));
         for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
@@ -122,7 +122,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void processesEndBeforeTheirTurnAndComeBackOld(long seed) {
+    void jobsFinishWhenControllersRestartInTheOldVersionBeforeTheirUpgrade(long seed) {
         play(
                 Scenario.jobs(40, 2)
                         .at(24, new Replace(ControllerSelector.LEADER, Version.CURRENT, 5))
@@ -136,7 +136,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void theWayBackLosesNothingWhileNobodyNamesJobsThatItNeeds(long seed) {
+    void downgradeLosesNothingBeforeJobDependenciesAreUsed(long seed) {
         play(
                 Scenario.jobs(40, 2)
                         .at(20, new Upgrade(20))
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void anOldFollowerNeverTouchesWhatAJobNeeds() {
+    void followerOfTheOldVersionPreservesJobDependencies() {
         SimulatedRegion region = SimulatedRegion.beforeUpgrade(5);
         Scenario day =
                 Scenario.jobs(12, 2)
@@ -175,7 +175,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14, 15, 16})
-    void noRuleBreaksWhateverFailsDuringAnUpgrade(long seed) {
+    void invariantsHoldUnderRandomFaultsDuringAnUpgrade(long seed) {
         for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
             troubledUpgrade(seed + 1000L * more);
         }
@@ -208,7 +208,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void theLimitsFallWhileRecordsLargerThanThemAreInUse(long seed) {
+    void recordsLargerThanReducedStoreLimitsAreDivided(long seed) {
         Scenario day =
                 Scenario.jobs(20, 3)
                         .at(20, new SubmissionFlood(6, 20))
@@ -231,7 +231,7 @@
     /** All jobs of a shared record of the old version begin once more, each with a guard. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void moreTasksBeginAtOnceThanATransactionHasGuards(long seed) {
+    void jobsFinishWhenMoreTasksStartAtOnceThanATransactionHasGuards(long seed) {
         double runS = 100;
         Scenario day =
                 Scenario.jobs(4, 2)
@@ -250,7 +250,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void theLimitsFallAmidAnElection(long seed) {
+    void jobsFinishWhenStoreLimitsAreReducedDuringAnElection(long seed) {
         play(
                 Scenario.jobs(30, 2)
                         .at(20, new Upgrade(12))
@@ -263,7 +263,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void theLimitsFallAsAnOutageEnds(long seed) {
+    void jobsFinishWhenStoreLimitsAreReducedAsAnOutageEnds(long seed) {
         play(
                 Scenario.jobs(30, 2)
                         .at(20, new Upgrade(12))
@@ -275,7 +275,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void theLimitsFallWhileBothVersionsServe(long seed) {
+    void jobsFinishWhenStoreLimitsAreReducedWhileBothVersionsServe(long seed) {
         play(
                 Scenario.jobs(30, 2)
                         .at(20, new LargeArrays(2, 136, 8))
@@ -287,7 +287,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void renewalsThatAreRefusedForAMomentCostNoLead(long seed) {
+    void brieflyRefusedGrantRenewalsKeepTheLeader(long seed) {
         // A grant lasts 0.75 s here and is renewed four times in that time.
         SimulatedRegion region = SimulatedRegion.beforeUpgrade(seed);
         Scenario day =
@@ -306,7 +306,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void renewalsThatAreRefusedForLongCostNoWork(long seed) {
+    void jobsFinishWhenGrantRenewalsAreRefusedForSeveralSeconds(long seed) {
         play(
                 Scenario.jobs(20, 2)
                         .at(20, new Upgrade(12))
