--- a/src/test/java/io/pepperfield/controller/ConcurrentFailuresTest.java
+++ b/src/test/java/io/pepperfield/controller/ConcurrentFailuresTest.java
@@ -41,44 +41,43 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Days with concurrent failures, in the simulated region. Of more seeds each with {@code
- * -Dpepperfield.seeds=20}.
+ * Concurrent failures in the simulated region. After each scenario no protocol rule is violated,
+ * every job has ended, every query is answered and no rental name was reused. {@code
+ * -Dpepperfield.seeds=20} runs each scenario with 20 further seeds.
  */
 class ConcurrentFailuresTest {
 
-    private static void play(Scenario scenario, long seed) {
-        for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
-            playOnce(scenario, seed + 1000L * more);
+    private static void runAllSeeds(Scenario scenario, long seed) {
+        for (int round = 0; round <= Integer.getInteger("pepperfield.seeds", 0); round++) {
+            runScenario(scenario, seed + 1000L * round);
         }
     }
 
-    private static void playOnce(Scenario scenario, long seed) {
+    private static void runScenario(Scenario scenario, long seed) {
         SimulatedRegion region = new SimulatedRegion(seed);
         region.play(scenario);
         region.world.run(scenario.endsAt());
-        String day = "seed " + seed + " of " + scenario;
-        assertEquals(List.of(), region.violations, day);
-        assertEquals(List.of(), region.unfinishedJobs(), day);
-        assertEquals(List.of(), region.unansweredQueries(), day);
-        assertEquals(List.of(), region.leftoverJobs(), day);
-        assertEquals(List.of(), region.reusedRentalNames(), day);
+        String context = "seed " + seed + " of " + scenario;
+        assertEquals(List.of(), region.violations, context);
+        assertEquals(List.of(), region.unfinishedJobs(), context);
+        assertEquals(List.of(), region.unansweredQueries(), context);
+        assertEquals(List.of(), region.leftoverJobs(), context);
+        assertEquals(List.of(), region.reusedRentalNames(), context);
     }
 
-    /**
-     * The old leader hears of no cancellation any more, while its workers go on reporting to it.
-     */
+    /** The old leader receives no cancellations while its workers still send heartbeats to it. */
     @ParameterizedTest
     @CsvSource({"1, 0.5", "2, 1", "3, 2"})
-    void cancellationsTakeEffectWhenTheStoreRejectsTheLeaderThenAllNodes(long seed, double apartS) {
-        play(
+    void cancellationsTakeEffectWhenTheStoreRejectsTheLeaderThenAllNodes(long seed, double delayS) {
+        runAllSeeds(
                 Scenario.jobs(20, 2)
                         .at(
                                 40,
                                 new StorePartition(
-                                        ControllerSelector.LEADER, Way.REFUSE, apartS + 1))
+                                        ControllerSelector.LEADER, Way.REFUSE, delayS + 1))
                         .at(40.1, new CancelNow(6, 0))
                         .at(
-                                40 + apartS,
+                                40 + delayS,
                                 new StoreOutage(1.5 * SimulatedRegion.CANCELLATION_DEADLINE_S)),
                 seed);
     }
@@ -86,13 +85,13 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void jobsFinishWhenFourOneTaskJobsPerSecondArriveAndAQuarterAreCancelled(long seed) {
-        play(Scenario.jobs(6, 4).at(20, new SubmissionFlood(4, 60)), seed);
+        runAllSeeds(Scenario.jobs(6, 4).at(20, new SubmissionFlood(4, 60)), seed);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void invariantsHoldWhenUnansweredTransactionsAreAppliedAfterNewerOnes(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(20, new DelayedWrites(0.2, 40, false))
                         .at(35, new CancelNow(4, 0)),
@@ -102,7 +101,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void readsAfterWritesAreConsistentWhenTransactionRepliesAreLost(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(10, new ReadAfterWriteChecks(60))
                         .at(15, new DelayedWrites(0.2, 40, true))
@@ -113,7 +112,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void jobsFinishAcrossTenLeaderChangesAndAStoreOutage(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(40, 3).at(30, new LeaderChanges(10, 120)).at(70, new StoreOutage(15)),
                 seed);
     }
@@ -121,7 +120,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void cancellationsTakeEffectWhenAZoneWithAFollowerIsPartitionedBeyondALease(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(
                                 35,
@@ -136,7 +135,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void cancellationsTakeEffectWhenAZoneWithTheLeaderIsPartitionedBeyondALease(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(
                                 35,
@@ -151,7 +150,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void cancellationsTakeEffectWhenAllControllersAreDownBeyondALease(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(35, new CancelNow(4, 0))
                         .at(
@@ -164,7 +163,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void jobsFinishWhenMachinesBootFastWritesAreDelayedAndTheLeaderCrashes(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(30, 1)
                         .at(9, new QuickBoots(60), new DelayedWrites(0.3, 40, false))
                         .at(14, new ControllerCrash(ControllerSelector.LEADER, 3))
@@ -175,7 +174,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void cancellationsAndQueriesCompleteWhenTheStoreIsSlow(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(25, new StoreLatency(0.5, 40), new QueryFlood(40))
                         .at(35, new CancelNow(4, 0))
@@ -186,7 +185,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void queriesAreAnsweredWhenTheStoreRejectsTheLeaderAndThenAllControllers(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(
                                 30,
@@ -202,7 +201,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void staleHeartbeatsReplayedAfterAnElectionBreakNoInvariant(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(30, 2)
                         .at(20, new ReplayedHeartbeats(0.3, 60, true))
                         .at(35, new ControllerCrash(ControllerSelector.LEADER, 5))
@@ -214,7 +213,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void jobsFinishWhenDemandExceedsCapacityOverSlowLinks(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(60, 0.5)
                         .at(10, new NetworkLatency(0.15, 50))
                         .at(20, new SubmissionFlood(4, 20))
@@ -225,7 +224,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void cancellationsTakeEffectThroughTheNextLeaderWhenTheOldOneIsPartitioned(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(
                                 35,
@@ -242,7 +241,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void jobsFinishAfterLeaderChangesAndACrashOfAllWithOneBackWithinASecond(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(30, 2)
                         .at(25, new LeaderChanges(4, 16))
                         .at(
@@ -257,7 +256,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void teamLimitsHoldWhileCancelledTasksAreUnreachableAndTheLeaderCrashes(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(42, 0.6)
                         .at(
                                 30,
@@ -271,7 +270,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void teamLimitsHoldWhileMachinesAreUnreachableAndTheLeaderCrashes(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(42, 0.6)
                         .at(
                                 30,
@@ -285,7 +284,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void readsAfterWritesAreConsistentAtAllNodesDuringCancellationsAndACrash(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(30, 2)
                         .at(8, new ReadAfterWriteChecks(70))
                         .at(35, new CancelNow(5, 0))
@@ -296,13 +295,13 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void smallJobsFinishWhenTheirTasksEndUnderDifferentLeaders(long seed) {
-        play(Scenario.jobs(36, 2).at(25, new LeaderChanges(6, 60)), seed);
+        runAllSeeds(Scenario.jobs(36, 2).at(25, new LeaderChanges(6, 60)), seed);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void cancellationsTakeEffectWhenWorkersCanReceiveButNotSend(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(
                                 30,
@@ -315,7 +314,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void heartbeatsDelayedPastALeaderChangeBreakNoInvariant(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(30, 2)
                         .at(25, new ReplayedHeartbeats(0.4, 30, false))
                         .at(35, new ControllerCrash(ControllerSelector.LEADER, 3))
@@ -326,7 +325,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void staleHeartbeatsAfterNewerSessionsAndAttemptsBreakNoInvariant(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(30, 2)
                         .at(20, new ReplayedHeartbeats(0.5, 50, false))
                         .at(
@@ -341,7 +340,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void cancellationsTakeEffectWhenOrdersAreDelayedAndMachinesHang(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(30, 2)
                         .at(20, new DelayedOrders(MachineSelector.share(1), 4, 30))
                         .at(30, new MachineHang(MachineSelector.share(0.4), 4))
@@ -352,7 +351,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void zoneBoundJobsFinishAfterTheirZoneLosesAllMachines(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(30, 2)
                         .at(35, new MachineLoss(MachineSelector.zone("east")))
                         .at(55, new MachineLoss(MachineSelector.zone("west"))),
@@ -362,7 +361,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void cancellationsTakeEffectWhenTheLeaderCrashesWhileMachinesAreUnreachable(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(
                                 30,
@@ -380,7 +379,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void cancellationsTakeEffectWhileAControllersPartitionIsReassigned(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(30, 2)
                         .at(30, new ControllerCrash(ControllerSelector.afterLeader(1), 10))
                         .at(30.5, new CancelNow(4, 0))
@@ -393,7 +392,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void cancellationsAndQueriesAtTheEndOfTheLastTaskAreConsistent(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(40, 1.5)
                         .at(10, new CancelAtEnd(0.5, 70), new ReadAfterWriteChecks(70)),
                 seed);
@@ -402,7 +401,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void startOrdersDelayedBeyondTheCancellationDeadlineBreakNoInvariant(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(30, 1)
                         .at(
                                 15,
@@ -421,25 +420,26 @@
     }
 
     /**
-     * Nothing tells a machine that hangs to stop: it has to be returned, or its lease to end and
-     * its worker to go on.
+     * A hanging machine cannot process a stop order: either it is returned, or its lease expires
+     * and its worker resumes.
      */
     @ParameterizedTest
     @CsvSource({"1, 3", "2, 3", "3, 3", "1, 8", "2, 8", "3, 8", "6001, 6", "7002, 6"})
-    void cancellationsTakeEffectWhenTheMachinesOfTheJobsHang(long seed, int jobs) {
-        play(
+    void cancellationsTakeEffectWhenTheMachinesOfTheJobsHang(long seed, int cancelledJobs) {
+        runAllSeeds(
                 Scenario.jobs(30, 1)
                         .at(
                                 30,
                                 new CancelNow(
-                                        jobs, 1.25 * SimulatedRegion.CANCELLATION_DEADLINE_S)),
+                                        cancelledJobs,
+                                        1.25 * SimulatedRegion.CANCELLATION_DEADLINE_S)),
                 seed);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void cancellationsTakeEffectWhenMostMachinesHangBeyondTheDeadline(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(
                                 35,
@@ -453,7 +453,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void cancellationsTakeEffectWhenMachinesReceiveNothingAndStoreAndLeaderFail(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(
                                 33,
@@ -470,7 +470,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void invalidRequestsChangeNothing(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(9, new InvalidRequests(60))
                         .at(30, new ControllerCrash(ControllerSelector.LEADER, 1))
@@ -481,13 +481,13 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void pipelineJobsRunInDependencyOrder(long seed) {
-        play(Scenario.jobs(8, 4).at(10, new Pipelines(12, 40)), seed);
+        runAllSeeds(Scenario.jobs(8, 4).at(10, new Pipelines(12, 40)), seed);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void pipelinesFinishAcrossLeaderChangesDelayedWritesAndAStoreOutage(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(12, 4)
                         .at(10, new Pipelines(15, 60), new DelayedWrites(0.15, 60, false))
                         .at(30, new LeaderChanges(5, 40))
@@ -499,7 +499,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void pipelineCancellationsTakeEffectWhenTheStoreRejectsTheLeader(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(12, 4)
                         .at(10, new Pipelines(15, 50), new ReadAfterWriteChecks(60))
                         .at(25, new CancelAtEnd(0.3, 40))
@@ -512,7 +512,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void pipelinesFinishWhenMachinesHangOrLoseMessagesAndAllControllersCrash(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(8, 4)
                         .at(10, new Pipelines(15, 50), new ReplayedHeartbeats(0.2, 50, false))
                         .at(25, new MachineReceiveFailure(MachineSelector.share(0.3), 8))
--- a/src/test/java/io/pepperfield/controller/DecisionDay.java
+++ b/src/test/java/io/pepperfield/controller/DecisionDay.java
@@ -27,17 +27,17 @@
 import java.util.Locale;
 import java.util.function.LongFunction;
 
-/** The days of the simulated region whose decisions are kept as test data. */
+/** Simulated days whose scheduling decisions are stored as test data. */
 enum DecisionDay {
     QUIET(1, 220, DecisionDay::quiet),
-    DRAWN_TROUBLES_11(11, 300, DecisionDay::drawnTroubles),
-    DRAWN_TROUBLES_13(13, 300, DecisionDay::drawnTroubles),
-    DRAWN_TROUBLES_14(14, 300, DecisionDay::drawnTroubles),
-    DRAWN_TROUBLES_15(15, 300, DecisionDay::drawnTroubles),
-    DRAWN_TROUBLES_17(17, 300, DecisionDay::drawnTroubles),
-    DRAWN_TROUBLES_19(19, 300, DecisionDay::drawnTroubles),
-    DRAWN_TROUBLES_20(20, 300, DecisionDay::drawnTroubles),
-    DRAWN_TROUBLES_22(22, 300, DecisionDay::drawnTroubles),
+    DRAWN_TROUBLES_11(11, 300, DecisionDay::randomFaults),
+    DRAWN_TROUBLES_13(13, 300, DecisionDay::randomFaults),
+    DRAWN_TROUBLES_14(14, 300, DecisionDay::randomFaults),
+    DRAWN_TROUBLES_15(15, 300, DecisionDay::randomFaults),
+    DRAWN_TROUBLES_17(17, 300, DecisionDay::randomFaults),
+    DRAWN_TROUBLES_19(19, 300, DecisionDay::randomFaults),
+    DRAWN_TROUBLES_20(20, 300, DecisionDay::randomFaults),
+    DRAWN_TROUBLES_22(22, 300, DecisionDay::randomFaults),
     CROWDED(31, 240, DecisionDay::crowded),
     PIPELINES(32, 220, DecisionDay::pipelines),
     ROLLOUT(33, 220, DecisionDay::rollout),
@@ -46,22 +46,22 @@
 
     private final long seed;
     private final double endsAt;
-    private final LongFunction<SimulatedRegion> plan;
+    private final LongFunction<SimulatedRegion> regionFactory;
 
-    DecisionDay(long seed, double endsAt, LongFunction<SimulatedRegion> plan) {
+    DecisionDay(long seed, double endsAt, LongFunction<SimulatedRegion> regionFactory) {
         this.seed = seed;
         this.endsAt = endsAt;
-        this.plan = plan;
+        this.regionFactory = regionFactory;
     }
 
-    /** A region of its own at the end of the day. */
+    /** Runs the day in a new region and returns the region. */
     SimulatedRegion run() {
-        SimulatedRegion region = plan.apply(seed);
+        SimulatedRegion region = regionFactory.apply(seed);
         region.world.run(endsAt);
         return region;
     }
 
-    /** The name of its test data. */
+    /** The base name of the day's test data files. */
     String label() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
@@ -75,8 +75,8 @@
         return region;
     }
 
-    /** Losses, late messages, and fourteen troubles of any kind. */
-    private static SimulatedRegion drawnTroubles(long seed) {
+    /** Lost, late and duplicate messages, and fourteen random faults. */
+    private static SimulatedRegion randomFaults(long seed) {
         SimulatedRegion region = new SimulatedRegion(seed);
         region.world.messageLossShare = 0.01;
         region.world.lateDeliveryShare = 0.005;
@@ -93,7 +93,9 @@
         return region;
     }
 
-    /** Jobs of all kinds, bound to zones too, beside more work than the machines can hold. */
+    /**
+     * Jobs of all kinds, including zone-bound ones, with more demand than the machines can hold.
+     */
     private static SimulatedRegion crowded(long seed) {
         SimulatedRegion region = new SimulatedRegion(seed);
         region.play(
@@ -106,7 +108,7 @@
         return region;
     }
 
-    /** For each of its jobs and each moment of a cancellation a pipeline; leaders change. */
+    /** A pipeline for each job and moment of cancellation, during leader changes. */
     private static SimulatedRegion pipelines(long seed) {
         SimulatedRegion region = new SimulatedRegion(seed);
         region.play(
@@ -128,7 +130,7 @@
         return region;
     }
 
-    /** Five controllers, upgraded one by one to the next form of what is stored. */
+    /** Five controllers, upgraded one by one to the next stored-state version. */
     private static SimulatedRegion rollout(long seed) {
         SimulatedRegion region = SimulatedRegion.beforeRollout(seed, Version.GATED);
         region.play(
@@ -141,7 +143,7 @@
         return region;
     }
 
-    /** Five controllers that divide admission among them, and a swarm of submissions. */
+    /** Five controllers that share admission, during a flood of submissions. */
     private static SimulatedRegion admission(long seed) {
         SimulatedRegion region = SimulatedRegion.admitting(seed, 5, 0);
         region.play(
@@ -151,7 +153,7 @@
         return region;
     }
 
-    /** Machines that do not hear, are not heard, hang or restart, and a zone that is cut off. */
+    /** Machines that cannot receive or send, hang or restart, and a partitioned zone. */
     private static SimulatedRegion silentMachines(long seed) {
         SimulatedRegion region = new SimulatedRegion(seed);
         region.play(
--- a/src/test/java/io/pepperfield/controller/DecisionDigestTest.java
+++ b/src/test/java/io/pepperfield/controller/DecisionDigestTest.java
@@ -20,31 +20,33 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Starts, stops, rentals, returns and final states of whole simulated days are those that are kept
- * in {@code src/test/resources/decisions}. A day that differs is left in {@code target/decisions},
- * to be compared with that of an earlier commit.
+ * Guards against unintended changes of scheduling decisions: the starts, stops, rentals, returns
+ * and final states of simulated days must match those in {@code src/test/resources/decisions}. The
+ * decisions of a day that differs are written to {@code target/decisions}, for comparison with
+ * those of an earlier commit.
  *
- * <p>{@code -Dpepperfield.decisions.write=true} writes the kept files anew, and fails. This is only
+ * <p>{@code -Dpepperfield.decisions.write=true} overwrites the stored files and fails. Use it only
  * for a change that is meant to change decisions.
  */
 class DecisionDigestTest {
 
-    private static final String WRITE = "pepperfield.decisions.write";
-    private static final String SEQUENCE = ".sequence.txt";
-    private static final String DIGEST = ".digest.txt";
-    private static final Path KEPT = Path.of("src", "test", "resources", "decisions");
-    private static final Path PLAYED = Path.of("target", "decisions");
+    private static final String WRITE_PROPERTY = "pepperfield.decisions.write";
+    private static final String SEQUENCE_SUFFIX = ".sequence.txt";
+    private static final String DIGEST_SUFFIX = ".digest.txt";
+    private static final Path STORED_DIRECTORY = Path.of("src", "test", "resources", "decisions");
+    private static final Path OUTPUT_DIRECTORY = Path.of("target", "decisions");
 
     @ParameterizedTest
     @EnumSource(DecisionDay.class)
     void digestOfADayMatchesTheStoredDigest(DecisionDay day) throws IOException {
         SimulatedRegion region = day.run();
         List<String> digest = DecisionDigest.of(region.decisions.entries());
-        if (Boolean.getBoolean(WRITE)) {
-            write(KEPT, day.label() + DIGEST, digest);
-            fail("Written, not compared: " + day.label() + DIGEST);
+        if (Boolean.getBoolean(WRITE_PROPERTY)) {
+            write(STORED_DIRECTORY, day.label() + DIGEST_SUFFIX, digest);
+            fail("Stored file written, not compared: " + day.label() + DIGEST_SUFFIX);
         }
-        assertSameLines(day, kept(day.label() + DIGEST), digest, region.decisions.lines());
+        assertSameLines(
+                day, readStored(day.label() + DIGEST_SUFFIX), digest, region.decisions.lines());
         assertEquals(List.of(), region.violations);
     }
 
@@ -52,12 +54,12 @@
     @EnumSource(names = {"QUIET", "DRAWN_TROUBLES_20"})
     void decisionSequenceOfADayMatchesTheStoredSequence(DecisionDay day) throws IOException {
         List<String> lines = day.run().decisions.lines();
-        String file = day.label() + SEQUENCE;
-        if (Boolean.getBoolean(WRITE)) {
-            write(KEPT, file, lines);
-            fail("Written, not compared: " + file);
+        String file = day.label() + SEQUENCE_SUFFIX;
+        if (Boolean.getBoolean(WRITE_PROPERTY)) {
+            write(STORED_DIRECTORY, file, lines);
+            fail("Stored file written, not compared: " + file);
         }
-        assertSameLines(day, kept(file), lines, lines);
+        assertSameLines(day, readStored(file), lines, lines);
     }
 
     @Test
@@ -69,18 +71,18 @@
     @ParameterizedTest
     @EnumSource(Decision.Kind.class)
     void storedDigestsContainDecisionsOfEveryKind(Decision.Kind kind) throws IOException {
-        String none = " " + kind.label() + " 0,";
+        String zeroCount = " " + kind.label() + " 0,";
         for (DecisionDay day : DecisionDay.values()) {
-            List<String> digest = kept(day.label() + DIGEST);
-            String all = digest.get(digest.size() - 1);
-            assertTrue(all.contains(" " + kind.label() + " "), day + ": " + all);
-            assertFalse(all.contains(none), day + ": " + all);
+            List<String> digest = readStored(day.label() + DIGEST_SUFFIX);
+            String totals = digest.get(digest.size() - 1);
+            assertTrue(totals.contains(" " + kind.label() + " "), day + ": " + totals);
+            assertFalse(totals.contains(zeroCount), day + ": " + totals);
         }
     }
 
-    /** Fails with the first line that differs. */
+    /** Fails with the first line that differs, after writing the decisions of this run. */
     private static void assertSameLines(
-            DecisionDay day, List<String> expected, List<String> actual, List<String> played)
+            DecisionDay day, List<String> expected, List<String> actual, List<String> decisions)
             throws IOException {
         if (expected.equals(actual)) {
             return;
@@ -90,7 +92,7 @@
                 && expected.get(first).equals(actual.get(first))) {
             first++;
         }
-        Path file = write(PLAYED, day.label() + SEQUENCE, played);
+        Path file = write(OUTPUT_DIRECTORY, day.label() + SEQUENCE_SUFFIX, decisions);
         fail(
                 String.join(
                         System.lineSeparator(),
@@ -101,12 +103,12 @@
     }
 
     private static String lineOrEnd(List<String> lines, int index) {
-        return index < lines.size() ? lines.get(index) : "(no more)";
+        return index < lines.size() ? lines.get(index) : "(end of file)";
     }
 
-    private static List<String> kept(String name) throws IOException {
+    private static List<String> readStored(String name) throws IOException {
         try (InputStream in = DecisionDigestTest.class.getResourceAsStream("/decisions/" + name)) {
-            assertNotNull(in, name + " is not kept");
+            assertNotNull(in, name + " is missing from the test resources");
             return new String(in.readAllBytes(), StandardCharsets.UTF_8).lines().toList();
         }
     }
--- a/src/test/java/io/pepperfield/controller/EventLoopTest.java
+++ b/src/test/java/io/pepperfield/controller/EventLoopTest.java
@@ -8,42 +8,43 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** In which order commands and timers run, and on which thread. */
+/** The order in which commands and timers run, and the thread that may set timers. */
 class EventLoopTest {
 
     private final EventLoop eventLoop = new EventLoop();
-    private final List<String> ran = new ArrayList<>();
+    private final List<String> executed = new ArrayList<>();
 
     @Test
     void commandsOfABatchRunInOrderBeforeASingleAfterBatchCall() {
-        eventLoop.setHandlers(() -> ran.add("after batch"), () -> ran.add("after failure"));
-        eventLoop.post(() -> ran.add("first"));
-        eventLoop.post(() -> ran.add("second"));
+        eventLoop.setHandlers(
+                () -> executed.add("after batch"), () -> executed.add("after failure"));
+        eventLoop.post(() -> executed.add("first"));
+        eventLoop.post(() -> executed.add("second"));
         eventLoop.post(eventLoop::stop);
         eventLoop.run();
-        assertEquals(List.of("first", "second", "after batch"), ran);
+        assertEquals(List.of("first", "second", "after batch"), executed);
     }
 
     @Test
     void timersRunInOrderOfTheirDueTimes() {
-        eventLoop.schedule(0.01, () -> ran.add("second"));
-        eventLoop.schedule(0.001, () -> ran.add("first"));
+        eventLoop.schedule(0.01, () -> executed.add("second"));
+        eventLoop.schedule(0.001, () -> executed.add("first"));
         eventLoop.schedule(0.011, eventLoop::stop);
         eventLoop.run();
-        assertEquals(List.of("first", "second"), ran);
+        assertEquals(List.of("first", "second"), executed);
     }
 
     @Test
     void failedCommandInvokesTheFailureHandlerAndTheNextCommandRuns() {
-        eventLoop.setHandlers(() -> {}, () -> ran.add("after failure"));
+        eventLoop.setHandlers(() -> {}, () -> executed.add("after failure"));
         eventLoop.post(
                 () -> {
                     throw new IllegalStateException("expected by the test");
                 });
-        eventLoop.post(() -> ran.add("next"));
+        eventLoop.post(() -> executed.add("next"));
         eventLoop.post(eventLoop::stop);
         eventLoop.run();
-        assertEquals(List.of("after failure", "next"), ran);
+        assertEquals(List.of("after failure", "next"), executed);
     }
 
     @Test
--- a/src/test/java/io/pepperfield/controller/LargeFleetTest.java
+++ b/src/test/java/io/pepperfield/controller/LargeFleetTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A fleet beyond 4,000 machines: nothing in a controller is bounded below that. To be run by itself
- * with {@code -DargLine=-Xmx128m}, the heap that a controller is deployed with; all controllers and
- * stand-ins share it here.
+ * Checks that no limit within a controller is below a fleet of more than 4,000 machines. Run this
+ * test alone with {@code -DargLine=-Xmx128m}, the heap size that controllers are deployed with;
+ * here all controllers and stand-ins share that heap.
  */
 class LargeFleetTest {
 
@@ -21,26 +21,26 @@
     void allMachinesOfALargeFleetAreRentedAndRunTasks() {
         SimulatedRegion region = SimulatedRegion.large(1, MACHINES);
         region.world.run(5);
-        // What may wait has machines for about half of it at a time.
+        // Machines are rented for about half of the deferrable work at a time.
         int arrays = 40;
         for (int number = 1; number <= arrays; number++) {
             region.jobMix.submitWide(number, 2 * MACHINES / arrays, CPUS);
         }
-        long began = System.nanoTime();
-        int most = 0;
+        long startNanos = System.nanoTime();
+        int peakTasks = 0;
         for (int second = 6; second <= 60; second++) {
             region.world.run(second);
-            most = Math.max(most, region.runningTasks());
+            peakTasks = Math.max(peakTasks, region.runningTasks());
         }
         Runtime runtime = Runtime.getRuntime();
         System.out.printf(
-                "%d machines, %d tasks at once, %.1f s of real time, heap of at most %d MB%n",
+                "%d machines, %d concurrent tasks, %.1f s of real time, maximum heap %d MB%n",
                 region.machines().size(),
-                most,
-                (System.nanoTime() - began) / 1e9,
+                peakTasks,
+                (System.nanoTime() - startNanos) / 1e9,
                 runtime.maxMemory() / (1024 * 1024));
         assertEquals(List.of(), region.violations);
         assertTrue(region.machines().size() >= MACHINES, region.machines().size() + " machines");
-        assertTrue(most >= MACHINES, most + " tasks at once");
+        assertTrue(peakTasks >= MACHINES, peakTasks + " concurrent tasks");
     }
 }
--- a/src/test/java/io/pepperfield/controller/LoopbackTest.java
+++ b/src/test/java/io/pepperfield/controller/LoopbackTest.java
@@ -22,12 +22,12 @@
 import org.junit.jupiter.api.Test;
 import picocli.CommandLine;
 
-/** Three controllers over loopback, with stand-ins of everything else behind real sockets. */
+/** Three controllers and stand-ins for their environment, connected by real loopback sockets. */
 class LoopbackTest {
 
     private LoopbackRegion region;
-    private final List<ControllerServer> services = new ArrayList<>();
-    private final List<Thread> owners = new ArrayList<>();
+    private final List<ControllerServer> controllers = new ArrayList<>();
+    private final List<Thread> eventLoopThreads = new ArrayList<>();
 
     @BeforeEach
     void start() throws Exception {
@@ -36,20 +36,20 @@
             Settings settings =
                     SettingsReader.parse(
                             "node-" + i, region.settings(i), OperatorSettings.DEFAULTS);
-            ControllerServer service = new ControllerServer(settings);
-            service.start();
-            services.add(service);
-            Thread owner = new Thread(service::run);
-            owners.add(owner);
-            owner.start();
+            ControllerServer controller = new ControllerServer(settings);
+            controller.start();
+            controllers.add(controller);
+            Thread eventLoopThread = new Thread(controller::run);
+            eventLoopThreads.add(eventLoopThread);
+            eventLoopThread.start();
         }
     }
 
     @AfterEach
     void stop() throws InterruptedException {
-        services.forEach(ControllerServer::stop);
-        for (Thread owner : owners) {
-            owner.join();
+        controllers.forEach(ControllerServer::stop);
+        for (Thread eventLoopThread : eventLoopThreads) {
+            eventLoopThread.join();
         }
         region.close();
     }
@@ -62,16 +62,17 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private int submitByCommandLine(ObjectNode job, ByteArrayOutputStream said) throws IOException {
+    private int submitByCommandLine(ObjectNode job, ByteArrayOutputStream stderr)
+            throws IOException {
         Path file = Files.createTempFile("job", ".json");
-        PrintStream before = System.err;
-        System.setErr(new PrintStream(said, true, StandardCharsets.UTF_8));
+        PrintStream originalErr = System.err;
+        System.setErr(new PrintStream(stderr, true, StandardCharsets.UTF_8));
         try {
             Files.write(file, Json.write(job));
             return new CommandLine(new Main())
                     .execute("submit", file.toString(), "--server", "127.0.0.1:" + region.port(1));
         } finally {
-            System.setErr(before);
+            System.setErr(originalErr);
             Files.delete(file);
         }
     }
@@ -80,15 +81,15 @@
     void submitCommandPrintsTheInvalidFieldOnOneLine() throws Exception {
         region.until(
                 1, "POST", "/api/jobs", Json.write(LoopbackRegion.job(1)), a -> a.status() == 201);
-        ObjectNode bad = LoopbackRegion.job(2);
-        bad.putArray("awaits").add("run-000001").add(7);
-        ObjectNode stranger = LoopbackRegion.job(2);
-        stranger.putArray("awaits").add("run-000001").add("run-000009");
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
-        assertEquals(1, submitByCommandLine(bad, said));
-        assertEquals(1, submitByCommandLine(stranger, said));
+        ObjectNode invalid = LoopbackRegion.job(2);
+        invalid.putArray("awaits").add("run-000001").add(7);
+        ObjectNode unknownJob = LoopbackRegion.job(2);
+        unknownJob.putArray("awaits").add("run-000001").add("run-000009");
+        ByteArrayOutputStream stderr = new ByteArrayOutputStream();
+        assertEquals(1, submitByCommandLine(invalid, stderr));
+        assertEquals(1, submitByCommandLine(unknownJob, stderr));
         List<String> lines =
-                said.toString(StandardCharsets.UTF_8)
+                stderr.toString(StandardCharsets.UTF_8)
                         .lines()
                         .filter(line -> line.startsWith("pepperfield: "))
                         .toList();
@@ -103,13 +104,13 @@
     void requestsAreAnsweredAndServiceContinuesAfterTheLeaderStops() throws Exception {
         region.until(
                 0, "POST", "/api/jobs", Json.write(LoopbackRegion.job(1)), a -> a.status() == 201);
-        malformedAndInfeasibleJobsAreRefused();
-        knownAndUnknownJobsAreAnswered();
-        anotherControllerTakesOverFromTheLeader();
+        assertMalformedAndInfeasibleJobsAreRejected();
+        assertKnownAndUnknownJobsAreAnswered();
+        assertAnotherControllerTakesOverFromTheLeader();
     }
 
-    private void malformedAndInfeasibleJobsAreRefused() throws Exception {
-        for (String bad :
+    private void assertMalformedAndInfeasibleJobsAreRejected() throws Exception {
+        for (String invalid :
                 List.of(
                         "",
                         "{",
@@ -118,7 +119,7 @@
                         "{\"nameId\":\"run-000002\"}",
                         "{} {}",
                         "{\"nameId\":1}")) {
-            assertEquals(400, region.ask(0, "POST", "/api/jobs", bytes(bad)).status(), bad);
+            assertEquals(400, region.ask(0, "POST", "/api/jobs", bytes(invalid)).status(), invalid);
         }
         assertEquals(400, status(0, LoopbackRegion.job(2).put("nameId", "../etc")));
         assertEquals(400, status(0, LoopbackRegion.job(2).put("shards", 0)));
@@ -136,13 +137,14 @@
                 422, status(0, LoopbackRegion.job(2).put("shape", "standing").put("shards", 20)));
     }
 
-    private void knownAndUnknownJobsAreAnswered() throws Exception {
+    private void assertKnownAndUnknownJobsAreAnswered() throws Exception {
         assertEquals(404, region.ask(1, "GET", "/api/jobs/run-000002", null).status());
         assertEquals(
                 404, region.ask(1, "POST", "/api/jobs/run-000002/cancel", new byte[0]).status());
         assertEquals(404, region.ask(1, "GET", "/nowhere", null).status());
         assertEquals(405, region.ask(1, "DELETE", "/api/jobs/run-000001", null).status());
-        // A known id gets 200 whatever its body says, from any node.
+        // Every node answers a resubmission of a known job id with 200, even if its body is
+        // invalid.
         assertEquals(200, status(2, LoopbackRegion.job(1).put("shards", -5)));
         region.until(
                 1,
@@ -158,7 +160,7 @@
                         .asText());
     }
 
-    private void anotherControllerTakesOverFromTheLeader() throws Exception {
+    private void assertAnotherControllerTakesOverFromTheLeader() throws Exception {
         int leader =
                 Integer.parseInt(
                         region.ask(0, "GET", "/api/nodes", null)
@@ -166,7 +168,7 @@
                                 .path("leader")
                                 .asText()
                                 .substring(5));
-        services.get(leader).stop();
+        controllers.get(leader).stop();
         int other = (leader + 1) % 3;
         region.until(
                 other,
--- a/src/test/java/io/pepperfield/controller/PipelineSimulationTest.java
+++ b/src/test/java/io/pepperfield/controller/PipelineSimulationTest.java
@@ -25,69 +25,75 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Pipelines in the simulated region, a job of each cancelled at every stage: no task starts before
- * the durable end of what its job needs, and nobody hears anything older than what a user was told.
- * Of more seeds each with {@code -Dpepperfield.seeds=20}.
+ * Pipelines in the simulated region, with a job of each cancelled at every stage. No task starts
+ * before the final states of its job's prerequisites are durable, and no reply is older than one
+ * that a user has received. {@code -Dpepperfield.seeds=20} runs each scenario with 20 further
+ * seeds.
  */
 class PipelineSimulationTest {
 
-    private static final double FIRST_S = Scenario.FIRST_JOB_S;
-    private static final double EVERY_S = 3;
+    private static final double FIRST_PIPELINE_S = Scenario.FIRST_JOB_S;
+    private static final double PIPELINE_INTERVAL_S = 3;
 
-    /** A day that is not over before the last pipeline was submitted. */
-    private static Scenario day(PipelineShape shape) {
-        return Scenario.jobs(0, 1).at(FIRST_S, new InvalidRequests(lastsS(shape)));
+    /** A scenario that ends after the last pipeline was submitted. */
+    private static Scenario baseScenario(PipelineShape shape) {
+        return Scenario.jobs(0, 1)
+                .at(FIRST_PIPELINE_S, new InvalidRequests(submissionPeriodS(shape)));
     }
 
-    private static double lastsS(PipelineShape shape) {
-        return EVERY_S * shape.jobs() * CancelMoment.values().length;
+    private static double submissionPeriodS(PipelineShape shape) {
+        return PIPELINE_INTERVAL_S * shape.jobs() * CancelMoment.values().length;
     }
 
-    private static void play(Scenario scenario, PipelineShape shape, long seed) {
-        for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
-            playOnce(scenario, shape, seed + 1000L * more);
+    private static void runAllSeeds(Scenario scenario, PipelineShape shape, long seed) {
+        for (int round = 0; round <= Integer.getInteger("pepperfield.seeds", 0); round++) {
+            runScenario(scenario, shape, seed + 1000L * round);
         }
     }
 
-    /** A pipeline of the shape for each of its jobs and each moment of a cancellation. */
+    /** Submits a pipeline for each combination of cancelled job and moment of cancellation. */
     private static void submitAll(SimulatedRegion region, PipelineShape shape) {
         int pipelines = 0;
         for (CancelMoment moment : CancelMoment.values()) {
-            for (int cancelled = 0; cancelled < shape.jobs(); cancelled++) {
+            for (int job = 0; job < shape.jobs(); job++) {
                 int number = 1000 + 10 * pipelines;
-                int index = cancelled;
+                int cancelledJob = job;
                 region.world.at(
-                        FIRST_S + EVERY_S * pipelines++,
-                        () -> region.pipelines.submit(number, shape, index, moment));
+                        FIRST_PIPELINE_S + PIPELINE_INTERVAL_S * pipelines++,
+                        () -> region.pipelines.submit(number, shape, cancelledJob, moment));
             }
         }
     }
 
-    private static void playOnce(Scenario scenario, PipelineShape shape, long seed) {
+    private static void runScenario(Scenario scenario, PipelineShape shape, long seed) {
         SimulatedRegion region = new SimulatedRegion(seed);
         region.play(scenario);
         submitAll(region, shape);
         region.world.run(scenario.endsAt());
-        String which = "seed " + seed + ", " + shape + " in " + scenario;
-        assertEquals(List.of(), region.violations, which);
-        assertEquals(List.of(), region.unfinishedJobs(), which);
-        assertEquals(List.of(), region.pipelines.wronglyEnded(), which);
-        assertEquals(List.of(), region.unansweredQueries(), which);
-        assertEquals(List.of(), region.leftoverJobs(), which);
-        assertTrue(region.pipelines.cancelled() >= shape.jobs(), which);
+        String context = "seed " + seed + ", " + shape + " in " + scenario;
+        assertEquals(List.of(), region.violations, context);
+        assertEquals(List.of(), region.unfinishedJobs(), context);
+        assertEquals(List.of(), region.pipelines.wronglyEnded(), context);
+        assertEquals(List.of(), region.unansweredQueries(), context);
+        assertEquals(List.of(), region.leftoverJobs(), context);
+        assertTrue(region.pipelines.cancelled() >= shape.jobs(), context);
     }
 
     @ParameterizedTest
     @EnumSource(PipelineShape.class)
     void cancellationsTakeEffectAtEveryStageOfAPipeline(PipelineShape shape) {
-        play(day(shape).at(FIRST_S, new ReadAfterWriteChecks(lastsS(shape))), shape, 1);
+        runAllSeeds(
+                baseScenario(shape)
+                        .at(FIRST_PIPELINE_S, new ReadAfterWriteChecks(submissionPeriodS(shape))),
+                shape,
+                1);
     }
 
     @ParameterizedTest
     @EnumSource(names = {"CHAIN", "DIAMOND", "FAN"})
     void pipelinesEndCorrectlyWhenLeadersChangeAndWritesAreDelayed(PipelineShape shape) {
-        play(
-                day(shape)
+        runAllSeeds(
+                baseScenario(shape)
                         .at(
                                 12,
                                 new DelayedWrites(0.2, 50, false),
@@ -100,8 +106,8 @@
     @ParameterizedTest
     @EnumSource(names = {"CHAIN", "DIAMOND", "FAN"})
     void pipelinesEndCorrectlyWhenStoreRepliesAreLostAndAllControllersCrash(PipelineShape shape) {
-        play(
-                day(shape)
+        runAllSeeds(
+                baseScenario(shape)
                         .at(10, new DelayedWrites(0.3, 50, true), new ReadAfterWriteChecks(40))
                         .at(25, new ControllerCrash(ControllerSelector.ALL, 3))
                         .at(45, new ControllerCrash(ControllerSelector.LEADER, 0.2)),
@@ -112,8 +118,8 @@
     @ParameterizedTest
     @EnumSource(names = {"CHAIN", "DIAMOND", "FAN"})
     void pipelinesEndCorrectlyWhenTheStoreIsSlowAndThenUnavailable(PipelineShape shape) {
-        play(
-                day(shape)
+        runAllSeeds(
+                baseScenario(shape)
                         .at(12, new StoreLatency(0.4, 20))
                         .at(34, new StoreOutage(8))
                         .at(50, new StoreOutage(1.5 * SimulatedRegion.CANCELLATION_DEADLINE_S)),
@@ -121,13 +127,16 @@
                 4);
     }
 
-    /** An ancestor is cancelled while only the leader cannot hear of it, and then nobody can. */
+    /**
+     * An ancestor is cancelled while the leader alone cannot read the state service, and then no
+     * controller can.
+     */
     @ParameterizedTest
     @CsvSource({"CHAIN, 5, 1", "DIAMOND, 6, 2", "FAN, 7, 0.5"})
     void pipelinesEndCorrectlyWhenTheStoreRejectsTheLeaderAndThenAllControllers(
             PipelineShape shape, long seed, double apartS) {
-        play(
-                day(shape)
+        runAllSeeds(
+                baseScenario(shape)
                         .at(
                                 30,
                                 new StorePartition(
@@ -142,9 +151,9 @@
 
     @ParameterizedTest
     @CsvSource({"CHAIN, 9", "DIAMOND, 10", "FAN, 11", "MIXED, 12"})
-    void invariantsHoldUnderRandomFaults(PipelineShape shape, long first) {
-        for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
-            long seed = first + 1000L * more;
+    void invariantsHoldUnderRandomFaults(PipelineShape shape, long firstSeed) {
+        for (int round = 0; round <= Integer.getInteger("pepperfield.seeds", 0); round++) {
+            long seed = firstSeed + 1000L * round;
             SimulatedRegion region = new SimulatedRegion(seed);
             region.world.messageLossShare = 0.01;
             region.world.lateDeliveryShare = 0.005;
--- a/src/test/java/io/pepperfield/controller/RollingRestartTest.java
+++ b/src/test/java/io/pepperfield/controller/RollingRestartTest.java
@@ -9,17 +9,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Controllers that are restarted one after the other, in the order that costs most leaders. */
+/** A rolling restart of all controllers, in the order that causes the most leader changes. */
 class RollingRestartTest {
 
     private static final double FIRST_RESTART_S = 20;
-    private static final double BETWEEN_RESTARTS_S = 15;
-    private static final double AWAY_S = 5;
+    private static final double RESTART_INTERVAL_S = 15;
+    private static final double DOWNTIME_S = 5;
     private static final int CONTROLLERS = 3;
 
     /**
-     * Each restart hits the controller that leads, as long as it has not had its turn. Without a
-     * preference for those that have, every one of them could cost a take-over.
+     * Each restart hits the leader, unless it was already restarted. If elections did not prefer
+     * controllers that were already restarted, every restart could cause a takeover.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
@@ -27,21 +27,21 @@
         SimulatedRegion region = new SimulatedRegion(seed);
         Set<Integer> restarted = new LinkedHashSet<>();
         for (int turn = 0; turn < CONTROLLERS; turn++) {
-            region.world.run(FIRST_RESTART_S + turn * BETWEEN_RESTARTS_S);
-            int leading = region.leaderIndex();
+            region.world.run(FIRST_RESTART_S + turn * RESTART_INTERVAL_S);
+            int leader = region.leaderIndex();
             if (turn >= 2) {
-                assertTrue(restarted.contains(leading), "seed " + seed + ": leads " + leading);
+                assertTrue(restarted.contains(leader), "seed " + seed + ": leader is " + leader);
             }
-            int next = restarted.contains(leading) ? firstWithoutTurn(restarted) : leading;
+            int next = restarted.contains(leader) ? firstNotRestarted(restarted) : leader;
             restarted.add(next);
-            region.faults.crash(next, AWAY_S);
+            region.faults.crash(next, DOWNTIME_S);
         }
-        int leadingBefore = region.leaderIndex();
-        region.world.run(region.world.now() + BETWEEN_RESTARTS_S);
-        assertEquals(leadingBefore, region.leaderIndex(), "seed " + seed);
+        int leaderBefore = region.leaderIndex();
+        region.world.run(region.world.now() + RESTART_INTERVAL_S);
+        assertEquals(leaderBefore, region.leaderIndex(), "seed " + seed);
     }
 
-    private static int firstWithoutTurn(Set<Integer> restarted) {
+    private static int firstNotRestarted(Set<Integer> restarted) {
         int index = 0;
         while (restarted.contains(index)) {
             index++;
--- a/src/test/java/io/pepperfield/controller/SimulationTest.java
+++ b/src/test/java/io/pepperfield/controller/SimulationTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Three controllers in a simulated region, with every rule of the protocol checked as things
- * happen. Longer with {@code -Dpepperfield.seeds=500}.
+ * Three controllers in a simulated region that checks every protocol rule as events occur. {@code
+ * -Dpepperfield.seeds=500} runs the random faults with 500 additional seeds instead of 3.
  */
 class SimulationTest {
 
-    /** A region in which that many jobs come from the tenth second on. */
+    /** Creates a region to which jobs are submitted at even intervals after the tenth second. */
     private static SimulatedRegion region(long seed, int jobs, double everyS) {
         SimulatedRegion region = new SimulatedRegion(seed);
         for (int i = 1; i <= jobs; i++) {
@@ -53,11 +53,13 @@
     void machineThatCannotReceiveGetsNoTasksAndIsReturned() {
         SimulatedRegion region = region(3, 20, 3);
         region.world.run(45);
-        WorkerStandIn deaf =
+        WorkerStandIn failedReceiver =
                 region.machines().stream().filter(WorkerStandIn::isBusy).findFirst().orElseThrow();
-        deaf.failReceiving(400);
+        failedReceiver.failReceiving(400);
         region.world.run(45 + 3 * SimulatedRegion.LEASE_S);
-        assertFalse(region.machines().contains(deaf), "still rented");
+        assertFalse(
+                region.machines().contains(failedReceiver),
+                "machine that cannot receive is still rented");
         region.world.run(300);
         assertEquals(List.of(), region.violations);
         assertEquals(List.of(), region.unfinishedJobs());
@@ -67,23 +69,23 @@
     void leaderIsolatedWithItsWorkersReleasesThemWithinTheirLeases() {
         SimulatedRegion region = region(4, 12, 2);
         region.world.run(40);
-        assertTrue(region.runningTasks() > 8, "tasks " + region.runningTasks());
+        assertTrue(region.runningTasks() > 8, "running tasks " + region.runningTasks());
         int lostBefore = region.lostTasks();
         String leader = region.leader();
-        int alone = region.leaderIndex();
-        region.networkPartitions.isolate(alone, 70);
+        int isolated = region.leaderIndex();
+        region.networkPartitions.isolate(isolated, 70);
         region.world.run(50);
-        // It can answer nobody: it leaves the load balancer and ends the connections that were
-        // opened before.
-        assertEquals(503, region.directRequests.answer(alone, "GET", "/up").status());
+        // The isolated controller cannot answer users: its health check fails, which removes it
+        // from the load balancer, and it closes the connections that are still open.
+        assertEquals(503, region.directRequests.answer(isolated, "GET", "/up").status());
         assertTrue(
                 region.directRequests
-                        .answer(alone, "GET", "/api/jobs/run-999998")
+                        .answer(isolated, "GET", "/api/jobs/run-999998")
                         .closeConnection());
         region.world.run(68);
         assertNotEquals(leader, region.leader());
-        // No lease ran out, and no machine was given up for a silence that was the old leader's
-        // doing.
+        // No lease expired, and no machine was released for heartbeats that were missing only
+        // because the old leader was isolated.
         assertEquals(lostBefore, region.lostTasks());
         region.world.run(250);
         assertEquals(List.of(), region.violations);
@@ -96,7 +98,8 @@
         SimulatedRegion region = region(7, 16, 2);
         region.world.run(40);
         for (int i = 0; i < 6; i++) {
-            // Shorter than a lease, so that workers may still turn to it; longer than its grant.
+            // Shorter than a lease, so that workers may still send heartbeats to this controller,
+            // and longer than its leadership grant.
             region.world.run(40 + 9 * i);
             region.faults.pause(region.leaderIndex(), region.world.now() + 1.5 + 0.5 * i);
         }
@@ -112,23 +115,23 @@
         region.world.run(40);
         int leader = region.leaderIndex();
         region.networkPartitions.zone("east", (leader + 1) % 3, 40 + 2.5 * SimulatedRegion.LEASE_S);
-        // The next leader begins while half of the fleet is silent, after those machines had
-        // booted.
+        // The next leader is elected while half of the fleet is unreachable, after those machines
+        // had booted.
         region.world.at(41, () -> region.faults.crash(leader, 5));
         region.world.run(41);
-        // Now, since the earlier leader may still have returned a surplus of its own.
-        List<String> zone =
+        // Listed only now, because the previous leader may have returned surplus machines before.
+        List<String> zoneMachines =
                 region.machines().stream()
                         .filter(w -> w.zone.equals("east"))
                         .map(w -> w.name)
                         .toList();
-        assertTrue(zone.size() >= 3, "machines " + zone);
+        assertTrue(zoneMachines.size() >= 3, "machines in zone east " + zoneMachines);
         region.world.run(44);
         assertNotEquals("node-" + leader, region.leader());
         region.world.run(40 + 2.5 * SimulatedRegion.LEASE_S);
         assertTrue(
-                region.machines().stream().map(w -> w.name).toList().containsAll(zone),
-                "returned some of " + zone);
+                region.machines().stream().map(w -> w.name).toList().containsAll(zoneMachines),
+                "some of these machines were returned: " + zoneMachines);
         region.world.run(250);
         assertEquals(List.of(), region.violations);
         assertEquals(List.of(), region.unfinishedJobs());
@@ -143,48 +146,49 @@
         for (int i = 0; i < 100; i++) {
             region.directRequests.sendHeartbeat(inside, i % 2 == 0 ? "east" : "west");
         }
-        double cut = region.world.now();
-        region.networkPartitions.zone("east", inside, cut + 40);
-        region.world.run(cut + 4);
-        // Alone as far as it knows: others are to take the worker.
+        double cutAt = region.world.now();
+        region.networkPartitions.zone("east", inside, cutAt + 40);
+        region.world.run(cutAt + 4);
+        // The controller appears to be isolated without its zone, so it rejects the worker,
+        // which then uses another controller.
         assertEquals(503, region.directRequests.sendHeartbeat(inside, "east").status());
         for (int i = 0; i < 12; i++) {
             region.directRequests.sendHeartbeat(inside, "east");
         }
         assertEquals(200, region.directRequests.sendHeartbeat(inside, "east").status());
-        // But not beyond what it knows of cancellations.
-        region.world.run(cut + SimulatedRegion.CANCELLATION_DEADLINE_S - SimulatedRegion.LEASE_S);
+        // It stops serving its workers once it may have missed cancellations.
+        region.world.run(cutAt + SimulatedRegion.CANCELLATION_DEADLINE_S - SimulatedRegion.LEASE_S);
         assertEquals(503, region.directRequests.sendHeartbeat(inside, "east").status());
     }
 
     @Test
     void zonePartitionIsDetectedWhenOnlyOwnZoneHeartbeatsArrive() {
-        ZonePartitionDetector watch = new ZonePartitionDetector();
+        ZonePartitionDetector detector = new ZonePartitionDetector();
         for (int i = 0; i < 200; i++) {
-            watch.recordHeartbeat(i % 2 == 0);
-            assertFalse(watch.isPartitioned());
+            detector.recordHeartbeat(i % 2 == 0);
+            assertFalse(detector.isPartitioned());
         }
         for (int i = 0; i < 12; i++) {
-            watch.recordHeartbeat(true);
+            detector.recordHeartbeat(true);
         }
-        assertTrue(watch.isPartitioned());
-        watch.recordHeartbeat(false);
-        assertFalse(watch.isPartitioned());
-        ZonePartitionDetector only = new ZonePartitionDetector();
+        assertTrue(detector.isPartitioned());
+        detector.recordHeartbeat(false);
+        assertFalse(detector.isPartitioned());
+        ZonePartitionDetector singleZone = new ZonePartitionDetector();
         for (int i = 0; i < 500; i++) {
-            only.recordHeartbeat(true);
+            singleZone.recordHeartbeat(true);
         }
-        // Where there are no others, their silence says nothing.
-        assertFalse(only.isPartitioned());
+        // Without machines in other zones, the absence of their heartbeats indicates nothing.
+        assertFalse(singleZone.isPartitioned());
     }
 
     @Test
     void cancelledTasksEndInTimeWithoutALeader() {
         SimulatedRegion region = region(6, 12, 2);
         region.world.run(36);
-        assertTrue(region.runningTasks() > 4, "tasks " + region.runningTasks());
-        // The others know of the cancellations, but give no stops; their answers must not keep the
-        // tasks alive.
+        assertTrue(region.runningTasks() > 4, "running tasks " + region.runningTasks());
+        // The followers have read the cancellations but send no stop orders; their heartbeat
+        // replies must not keep the tasks running.
         region.faults.preventElection(36 + 3 * SimulatedRegion.CANCELLATION_DEADLINE_S);
         region.cancelAll();
         region.world.run(36 + 2 * SimulatedRegion.CANCELLATION_DEADLINE_S);
@@ -202,7 +206,7 @@
         for (int i = 0; i < 30; i++) {
             int node = i % 3;
             region.world.at(20 + 0.9 * i, () -> region.faults.crash(node, 0.1));
-            // The whole lot at once, in the middle of what the crash before has set off.
+            // All controllers crash at once, 0.3 s after a single crash and during its recovery.
             region.world.at(20.3 + 4.5 * (i / 5), () -> region.faults.crash((node + 1) % 3, 0.15));
         }
         region.world.run(250);
@@ -216,18 +220,18 @@
     void manySmallJobsAndALargeArrayCauseFewStoredMutations() {
         SimulatedRegion region = region(21, 8, 3);
         region.world.run(30);
-        int before = region.storedMutations();
+        int mutationsBefore = region.storedMutations();
         for (int i = 0; i < 160; i++) {
             int number = 1000 + i;
             region.world.at(30 + i / 16.0, () -> region.jobMix.submitGuests(number, 1, 6));
         }
         region.world.at(31, () -> region.jobMix.submitGuests(2000, 400, 2));
         region.world.run(41);
-        // The submissions alone are one each; intents of their own would be as many again, and
-        // completions too.
+        // Each submission is one mutation. A separate mutation for each start intent would double
+        // the count, and one for each completion would add as many again.
         assertTrue(
-                region.storedMutations() - before < 330,
-                "changes " + (region.storedMutations() - before));
+                region.storedMutations() - mutationsBefore < 330,
+                "stored mutations " + (region.storedMutations() - mutationsBefore));
         region.world.run(160);
         assertEquals(List.of(), region.violations);
         assertEquals(List.of(), region.unfinishedJobs());
@@ -246,16 +250,17 @@
             region.world.at(12 + i, () -> region.jobMix.submitFailing(number, 110));
         }
         region.world.run(60);
-        int rentals = region.rentals();
-        int starts = region.taskStarts();
+        int rentalsBefore = region.rentals();
+        int startsBefore = region.taskStarts();
         region.world.run(100);
-        // One task at a time, after pauses that have grown by now.
+        // Each failing job retries one task at a time, and its retry delay has grown by then.
         assertTrue(
-                region.taskStarts() - starts <= 5 * 5, "starts " + (region.taskStarts() - starts));
+                region.taskStarts() - startsBefore <= 5 * 5,
+                "task starts " + (region.taskStarts() - startsBefore));
         assertEquals(
-                rentals,
+                rentalsBefore,
                 region.rentals(),
-                "rented although only what fails was waiting, or returned as faulty what is not");
+                "rented machines for failing jobs alone, or returned healthy machines as faulty");
         region.world.run(200);
         assertEquals(List.of(), region.violations);
         assertEquals(List.of(), region.unfinishedJobs());
@@ -264,46 +269,51 @@
 
     @Test
     void slowBootsAreAwaitedAndFailedBootsAreReplaced() {
-        SimulatedRegion late = new SimulatedRegion(23);
-        late.faults.slowBoots(4, 0, 60);
-        late.world.at(10, () -> late.jobMix.submitGuests(1, 64, 20));
-        SimulatedRegion usual = new SimulatedRegion(23);
-        usual.world.at(10, () -> usual.jobMix.submitGuests(1, 64, 20));
-        late.world.run(140);
-        usual.world.run(140);
-        assertEquals(List.of(), late.unfinishedJobs());
+        SimulatedRegion slow = new SimulatedRegion(23);
+        slow.faults.slowBoots(4, 0, 60);
+        slow.world.at(10, () -> slow.jobMix.submitGuests(1, 64, 20));
+        SimulatedRegion normal = new SimulatedRegion(23);
+        normal.world.at(10, () -> normal.jobMix.submitGuests(1, 64, 20));
+        slow.world.run(140);
+        normal.world.run(140);
+        assertEquals(List.of(), slow.unfinishedJobs());
         assertTrue(
-                late.rentals() <= usual.rentals() + 1,
-                "a second fleet: " + late.rentals() + " machines, usually " + usual.rentals());
-        SimulatedRegion never = new SimulatedRegion(24);
-        never.faults.slowBoots(1, 1, 14);
-        never.world.at(10, () -> never.jobMix.submitGuests(1, 64, 5));
-        never.world.run(60);
-        assertEquals(List.of(), never.unfinishedJobs());
+                slow.rentals() <= normal.rentals() + 1,
+                "rented a second fleet: "
+                        + slow.rentals()
+                        + " machines, with normal boots "
+                        + normal.rentals());
+        SimulatedRegion failing = new SimulatedRegion(24);
+        failing.faults.slowBoots(1, 1, 14);
+        failing.world.at(10, () -> failing.jobMix.submitGuests(1, 64, 5));
+        failing.world.run(60);
+        assertEquals(List.of(), failing.unfinishedJobs());
     }
 
     @Test
     void leaderUnreachableByItsWorkersCedesLeadershipOnce() {
         SimulatedRegion region = region(25, 16, 2);
         region.world.run(40);
-        // What workers do tells of a controller only while some of them are its own.
+        // A controller can be judged by its workers only while its partition has machines.
         while (region.partitionSize(region.leaderIndex()) < 2 && region.world.now() < 100) {
             region.faults.crash(region.leaderIndex(), 0.5);
             region.world.run(region.world.now() + 4);
         }
         int leader = region.leaderIndex();
-        double cut = region.world.now();
-        assertTrue(region.partitionSize(leader) >= 2, "machines " + region.partitionSize(leader));
-        region.world.cut("host-", "10.0.0." + (leader + 1), cut + 10 * SimulatedRegion.LEASE_S);
-        region.world.run(cut + 5 * SimulatedRegion.LEASE_S);
+        double cutAt = region.world.now();
+        assertTrue(
+                region.partitionSize(leader) >= 2,
+                "machines in the partition " + region.partitionSize(leader));
+        region.world.cut("host-", "10.0.0." + (leader + 1), cutAt + 10 * SimulatedRegion.LEASE_S);
+        region.world.run(cutAt + 5 * SimulatedRegion.LEASE_S);
         assertNotEquals("node-" + leader, region.leader());
-        int next = region.leaderIndex();
-        // In this region a lease is hardly longer than a worker's patience: some run out until the
-        // partition has moved, none later.
-        int lost = region.lostTasks();
-        region.world.run(cut + 10 * SimulatedRegion.LEASE_S);
-        assertEquals(next, region.leaderIndex(), "given to and fro");
-        assertEquals(lost, region.lostTasks());
+        int nextLeader = region.leaderIndex();
+        // In this region a lease is hardly longer than the time after which a worker tries another
+        // controller, so some leases expire before the partition is reassigned, none afterwards.
+        int lostBefore = region.lostTasks();
+        region.world.run(cutAt + 10 * SimulatedRegion.LEASE_S);
+        assertEquals(nextLeader, region.leaderIndex(), "leadership moved more than once");
+        assertEquals(lostBefore, region.lostTasks());
         region.world.run(250);
         assertEquals(List.of(), region.violations);
         assertEquals(List.of(), region.unfinishedJobs());
@@ -313,7 +323,7 @@
     void queriesForUnknownJobsLeaveCapacityForKnownOnes() {
         SimulatedRegion region = region(27, 4, 1);
         region.world.run(30);
-        // 1,000 sockets: 125 questions at once, of which 62 about jobs that nobody submitted.
+        // 1,000 sockets allow 125 concurrent queries, 62 of them for unknown jobs.
         assertEquals(List.of(62, 38), region.directRequests.floodWithUnknownJobs(1, 100));
         assertEquals(200, region.directRequests.answer(1, "GET", "/api/jobs/run-000001").status());
     }
@@ -322,11 +332,11 @@
     void allQueriesAreAnsweredAtEightTimesTheRateWhileALeaderIsPaused() {
         SimulatedRegion region = region(26, 20, 1);
         region.world.run(35);
-        int silent = region.leaderIndex();
-        region.faults.pause(silent, 35 + 5 * SimulatedRegion.LEASE_S);
+        int paused = region.leaderIndex();
+        region.faults.pause(paused, 35 + 5 * SimulatedRegion.LEASE_S);
         region.queryMoreOften(35 + 6 * SimulatedRegion.LEASE_S);
         region.world.run(35 + 5 * SimulatedRegion.LEASE_S - 1);
-        assertNotEquals("node-" + silent, region.leader());
+        assertNotEquals("node-" + paused, region.leader());
         region.world.run(250);
         assertEquals(List.of(), region.violations);
         assertEquals(List.of(), region.unfinishedJobs());
@@ -336,17 +346,17 @@
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22})
     void invariantsHoldUnderRandomFaults(long seed) {
-        run(seed);
+        runWithRandomFaults(seed);
     }
 
     @Test
     void invariantsHoldUnderRandomFaultsForAdditionalSeeds() {
         for (long seed = 1000; seed < 1000 + Integer.getInteger("pepperfield.seeds", 3); seed++) {
-            run(seed);
+            runWithRandomFaults(seed);
         }
     }
 
-    private static void run(long seed) {
+    private static void runWithRandomFaults(long seed) {
         SimulatedRegion region = new SimulatedRegion(seed);
         region.world.messageLossShare = 0.01;
         region.world.lateDeliveryShare = 0.005;
--- a/src/test/java/io/pepperfield/controller/UpgradeTest.java
+++ b/src/test/java/io/pepperfield/controller/UpgradeTest.java
@@ -33,57 +33,58 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The recorded version and this one side by side, and limits of the state service that fall. Of
- * more seeds each with {@code -Dpepperfield.seeds=20}.
+ * Clusters in which controllers of the recorded production version and of the current version run
+ * side by side, and reductions of the state service's limits. {@code -Dpepperfield.seeds=20} runs
+ * each scenario with 20 further seeds.
  */
 class UpgradeTest {
 
     private static final int NODES = 3;
 
-    private static void play(Scenario scenario, long seed) {
-        for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
-            playOnce(scenario, seed + 1000L * more);
+    private static void runAllSeeds(Scenario scenario, long seed) {
+        for (int round = 0; round <= Integer.getInteger("pepperfield.seeds", 0); round++) {
+            runScenario(scenario, seed + 1000L * round);
         }
     }
 
-    private static SimulatedRegion playOnce(Scenario scenario, long seed) {
+    private static SimulatedRegion runScenario(Scenario scenario, long seed) {
         SimulatedRegion region = SimulatedRegion.beforeUpgrade(seed);
         region.play(scenario);
         region.world.run(scenario.endsAt());
-        checkEnd(region, "seed " + seed + " of " + scenario);
+        assertFinalState(region, "seed " + seed + " of " + scenario);
         return region;
     }
 
-    private static void checkEnd(SimulatedRegion region, String day) {
-        assertEquals(List.of(), region.violations, day);
-        assertEquals(List.of(), region.unfinishedJobs(), day);
-        assertEquals(List.of(), region.unansweredQueries(), day);
-        assertEquals(List.of(), region.leftoverJobs(), day);
-        assertEquals(List.of(), region.reusedRentalNames(), day);
-        assertEquals(List.of(), region.alteredJobs(), day);
-        assertTrue(region.upgraded(), day);
+    private static void assertFinalState(SimulatedRegion region, String context) {
+        assertEquals(List.of(), region.violations, context);
+        assertEquals(List.of(), region.unfinishedJobs(), context);
+        assertEquals(List.of(), region.unansweredQueries(), context);
+        assertEquals(List.of(), region.leftoverJobs(), context);
+        assertEquals(List.of(), region.reusedRentalNames(), context);
+        assertEquals(List.of(), region.alteredJobs(), context);
+        assertTrue(region.upgraded(), context);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void upgradeChangesTheLeaderAtMostOncePerRestartedController(long seed) {
-        Scenario day =
+        Scenario scenario =
                 Scenario.jobs(40, 2)
                         .at(30, new Upgrade(30))
                         .at(70, new Pipelines(4, 20))
                         .at(85, new StoreLimitsReduction());
-        for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
-            SimulatedRegion region = playOnce(day, seed + 1000L * more);
+        for (int round = 0; round <= Integer.getInteger("pepperfield.seeds", 0); round++) {
+            SimulatedRegion region = runScenario(scenario, seed + 1000L * round);
             assertTrue(
                     region.leaderChanges() <= 1 + NODES,
-                    "seed " + seed + ": leadership began " + region.leaderChanges() + " times");
+                    "seed " + seed + ": leadership changed " + region.leaderChanges() + " times");
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void jobsFinishWhileALeaderOfTheOldVersionHasUpgradedFollowers(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(40, 2)
                         .at(30, new Replace(ControllerSelector.afterLeader(1), Version.CURRENT, 4))
                         .at(40, new Replace(ControllerSelector.afterLeader(2), Version.CURRENT, 4))
@@ -96,34 +97,38 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void jobsFinishWhileAnUpgradedLeaderHasFollowersOfTheOldVersion(long seed) {
-        Scenario day =
+        Scenario scenario =
                 Scenario.jobs(40, 2).at(50, new CancelNow(4, 0)).at(80, new Pipelines(4, 20));
-        for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
-            SimulatedRegion region = SimulatedRegion.beforeUpgrade(seed + 1000L * more);
-            region.play(day);
+        for (int round = 0; round <= Integer.getInteger("pepperfield.seeds", 0); round++) {
+            SimulatedRegion region = SimulatedRegion.beforeUpgrade(seed + 1000L * round);
+            region.play(scenario);
             region.world.run(30);
-            int first = region.leaderIndex();
-            region.faults.replace(first, Version.CURRENT, 0.2);
+            int upgradedNode = region.leaderIndex();
+            region.faults.replace(upgradedNode, Version.CURRENT, 0.2);
             region.world.run(33);
-            if (region.leaderIndex() != first) {
-                // Only the new one is there to be elected; the others come back as they were.
-                region.faults.crash((first + 1) % NODES, 3);
-                region.faults.crash((first + 2) % NODES, 3);
+            if (region.leaderIndex() != upgradedNode) {
+                // Leaves only the upgraded controller to be elected; the others restart in the old
+                // version.
+                region.faults.crash((upgradedNode + 1) % NODES, 3);
+                region.faults.crash((upgradedNode + 2) % NODES, 3);
                 region.world.run(region.world.now() + 4);
             }
             region.world.run(66);
-            assertEquals(first, region.leaderIndex(), "the lead swings");
-            region.faults.replace((first + 1) % NODES, Version.CURRENT, 5);
-            region.faults.replace((first + 2) % NODES, Version.CURRENT, 5);
-            region.world.run(day.endsAt());
-            checkEnd(region, "seed " + seed);
+            assertEquals(
+                    upgradedNode,
+                    region.leaderIndex(),
+                    "leadership moved from the upgraded controller");
+            region.faults.replace((upgradedNode + 1) % NODES, Version.CURRENT, 5);
+            region.faults.replace((upgradedNode + 2) % NODES, Version.CURRENT, 5);
+            region.world.run(scenario.endsAt());
+            assertFinalState(region, "seed " + seed);
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void jobsFinishWhenControllersRestartInTheOldVersionBeforeTheirUpgrade(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(40, 2)
                         .at(24, new Replace(ControllerSelector.LEADER, Version.CURRENT, 5))
                         .at(25, new ControllerCrash(ControllerSelector.afterLeader(1), 0.2))
@@ -137,7 +142,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void downgradeLosesNothingBeforeJobDependenciesAreUsed(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(40, 2)
                         .at(20, new Upgrade(20))
                         .at(50, new Replace(ControllerSelector.LEADER, Version.RECORDED, 1))
@@ -151,11 +156,12 @@
     @Test
     void followerOfTheOldVersionPreservesJobDependencies() {
         SimulatedRegion region = SimulatedRegion.beforeUpgrade(5);
-        Scenario day =
+        Scenario scenario =
                 Scenario.jobs(12, 2)
                         .at(20, new Upgrade(10))
                         .at(40, new Pipelines(4, 8))
-                        // It knows of no job that is cancelled with another: users must not ask it.
+                        // The old version does not report a job as cancelled along with a
+                        // prerequisite, so users must not query this controller.
                         .at(
                                 56,
                                 new ControllerPartition(
@@ -168,90 +174,92 @@
                                 new Replace(
                                         ControllerSelector.afterLeader(1), Version.RECORDED, 0.5))
                         .at(66, new Replace(ControllerSelector.afterLeader(1), Version.CURRENT, 1));
-        region.play(day);
-        region.world.run(day.endsAt());
-        checkEnd(region, day.toString());
+        region.play(scenario);
+        region.world.run(scenario.endsAt());
+        assertFinalState(region, scenario.toString());
     }
 
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14, 15, 16})
     void invariantsHoldUnderRandomFaultsDuringAnUpgrade(long seed) {
-        for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
-            troubledUpgrade(seed + 1000L * more);
+        for (int round = 0; round <= Integer.getInteger("pepperfield.seeds", 0); round++) {
+            runUpgradeWithRandomFaults(seed + 1000L * round);
         }
     }
 
-    private static void troubledUpgrade(long seed) {
+    private static void runUpgradeWithRandomFaults(long seed) {
         SimulatedRegion region = SimulatedRegion.beforeUpgrade(seed);
         region.world.messageLossShare = 0.01;
         region.world.lateDeliveryShare = 0.005;
         region.world.duplicateDeliveryShare = 0.01;
-        Scenario day =
+        Scenario scenario =
                 Scenario.jobs(40, 4)
                         .at(30, new Upgrade(60))
                         .at(60, new LargeArrays(2, 150, 2))
                         .at(110, new Pipelines(6, 30))
                         .at(100 + region.world.random.nextInt(60), new StoreLimitsReduction());
-        region.play(day);
+        region.play(scenario);
         for (int i = 0; i < 12; i++) {
             region.world.at(20 + 11 * i, region.faults::injectRandomFault);
         }
         region.world.run(420);
-        String what = "seed " + seed;
-        assertEquals(List.of(), region.violations, what);
-        assertEquals(List.of(), region.unfinishedJobs(), what);
-        assertEquals(List.of(), region.unansweredQueries(), what);
-        assertEquals(List.of(), region.alteredJobs(), what);
-        assertTrue(region.accepted() >= 40, what + " accepted " + region.accepted());
-        assertTrue(region.upgraded(), what);
+        String context = "seed " + seed;
+        assertEquals(List.of(), region.violations, context);
+        assertEquals(List.of(), region.unfinishedJobs(), context);
+        assertEquals(List.of(), region.unansweredQueries(), context);
+        assertEquals(List.of(), region.alteredJobs(), context);
+        assertTrue(region.accepted() >= 40, context + " accepted " + region.accepted());
+        assertTrue(region.upgraded(), context);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void recordsLargerThanReducedStoreLimitsAreDivided(long seed) {
-        Scenario day =
+        Scenario scenario =
                 Scenario.jobs(20, 3)
                         .at(20, new SubmissionFlood(6, 20))
                         .at(24, new LargeArrays(2, 136, 12))
                         .at(26, new Upgrade(12))
                         .at(46, new StoreLimitsReduction())
                         .at(50, new CancelNow(4, 0));
-        for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
-            SimulatedRegion region = playOnce(day, seed + 1000L * more);
-            assertTrue(region.refusedForSize() > 0, "nothing was too large, seed " + seed);
-            // Two chunks of 68 tasks: what comes after them are parts of a divided record.
+        for (int round = 0; round <= Integer.getInteger("pepperfield.seeds", 0); round++) {
+            SimulatedRegion region = runScenario(scenario, seed + 1000L * round);
+            assertTrue(
+                    region.refusedForSize() > 0,
+                    "no transaction was refused for its size, seed " + seed);
+            // The first two records hold 68 tasks each; later ones are parts of a divided record.
             assertTrue(
                     IntStream.range(2, 8)
                             .mapToObj(part -> region.durable("pepperfield/run/run-800001/" + part))
                             .anyMatch(Objects::nonNull),
-                    "nothing was divided, seed " + seed);
+                    "no record was divided, seed " + seed);
         }
     }
 
-    /** All jobs of a shared record of the old version begin once more, each with a guard. */
+    /** All jobs in a shared record of the old version are started again, each with a guard. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void jobsFinishWhenMoreTasksStartAtOnceThanATransactionHasGuards(long seed) {
         double runS = 100;
-        Scenario day =
+        Scenario scenario =
                 Scenario.jobs(4, 2)
                         .at(10, new LargeArrays(44, 1, runS))
                         .at(56, new Upgrade(9))
                         .at(74, new StoreLimitsReduction())
                         .at(75, new MachineReboot(MachineSelector.share(1)));
-        for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
-            SimulatedRegion region = SimulatedRegion.beforeUpgrade(seed + 1000L * more);
-            region.play(day);
-            // A machine may have room for some of them only once the others have ended.
-            region.world.run(day.endsAt() + runS);
-            checkEnd(region, "seed " + seed);
+        for (int round = 0; round <= Integer.getInteger("pepperfield.seeds", 0); round++) {
+            SimulatedRegion region = SimulatedRegion.beforeUpgrade(seed + 1000L * round);
+            region.play(scenario);
+            // Some tasks may have to wait until others have ended and freed their machine.
+            region.world.run(scenario.endsAt() + runS);
+            assertFinalState(region, "seed " + seed);
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void jobsFinishWhenStoreLimitsAreReducedDuringAnElection(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(30, 2)
                         .at(20, new Upgrade(12))
                         .at(24, new LargeArrays(2, 136, 8))
@@ -264,7 +272,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void jobsFinishWhenStoreLimitsAreReducedAsAnOutageEnds(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(30, 2)
                         .at(20, new Upgrade(12))
                         .at(24, new LargeArrays(2, 136, 8))
@@ -276,7 +284,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void jobsFinishWhenStoreLimitsAreReducedWhileBothVersionsServe(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(30, 2)
                         .at(20, new LargeArrays(2, 136, 8))
                         .at(26, new Upgrade(24))
@@ -288,26 +296,26 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void brieflyRefusedGrantRenewalsKeepTheLeader(long seed) {
-        // A grant lasts 0.75 s here and is renewed four times in that time.
+        // A grant lasts 0.75 s in this region and is renewed four times within that period.
         SimulatedRegion region = SimulatedRegion.beforeUpgrade(seed);
-        Scenario day =
+        Scenario scenario =
                 Scenario.jobs(20, 2)
                         .at(20, new Upgrade(12))
                         .at(50, new StoreLimitsReduction(), new SubmissionFlood(8, 10))
                         .at(52, new GrantsRefused(0.3))
                         .at(55, new GrantsRefused(0.3));
-        region.play(day);
+        region.play(scenario);
         region.world.run(48);
-        int changes = region.leaderChanges();
-        region.world.run(day.endsAt());
-        assertEquals(changes, region.leaderChanges(), "the lead was lost");
-        checkEnd(region, "seed " + seed);
+        int changesBefore = region.leaderChanges();
+        region.world.run(scenario.endsAt());
+        assertEquals(changesBefore, region.leaderChanges(), "leadership was lost");
+        assertFinalState(region, "seed " + seed);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void jobsFinishWhenGrantRenewalsAreRefusedForSeveralSeconds(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(20, 2)
                         .at(20, new Upgrade(12))
                         .at(50, new StoreLimitsReduction(), new GrantsRefused(4))
