--- a/src/test/java/io/pepperfield/controller/ConcurrentFailuresTest.java
+++ b/src/test/java/io/pepperfield/controller/ConcurrentFailuresTest.java
@@ -41,58 +41,57 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Days with concurrent failures, in the simulated region. Of more seeds each with {@code
- * -Dpepperfield.seeds=20}.
+ * Concurrent failures in the simulated region. After each scenario no protocol rule is violated,
+ * every job has ended, every query is answered and no rental name was reused. {@code
+ * -Dpepperfield.seeds=20} runs each scenario with 20 further seeds.
  */
 class ConcurrentFailuresTest {
 
-    private static void play(Scenario scenario, long seed) {
-        for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
-            playOnce(scenario, seed + 1000L * more);
+    private static void runAllSeeds(Scenario scenario, long seed) {
+        for (int round = 0; round <= Integer.getInteger("pepperfield.seeds", 0); round++) {
+            runScenario(scenario, seed + 1000L * round);
         }
     }
 
-    private static void playOnce(Scenario scenario, long seed) {
+    private static void runScenario(Scenario scenario, long seed) {
         SimulatedRegion region = new SimulatedRegion(seed);
         region.play(scenario);
         region.world.run(scenario.endsAt());
-        String day = "seed " + seed + " of " + scenario;
-        assertEquals(List.of(), region.violations, day);
-        assertEquals(List.of(), region.unfinishedJobs(), day);
-        assertEquals(List.of(), region.unansweredQueries(), day);
-        assertEquals(List.of(), region.leftoverJobs(), day);
-        assertEquals(List.of(), region.reusedRentalNames(), day);
+        String context = "seed " + seed + " of " + scenario;
+        assertEquals(List.of(), region.violations, context);
+        assertEquals(List.of(), region.unfinishedJobs(), context);
+        assertEquals(List.of(), region.unansweredQueries(), context);
+        assertEquals(List.of(), region.leftoverJobs(), context);
+        assertEquals(List.of(), region.reusedRentalNames(), context);
     }
 
-    /**
-     * The old leader hears of no cancellation any more, while its workers go on reporting to it.
-     */
+    /** The old leader receives no cancellations while its workers still send heartbeats to it. */
     @ParameterizedTest
     @CsvSource({"1, 0.5", "2, 1", "3, 2"})
-    void theStateServiceRefusesTheLeaderAndThenEverybodyWhileUsersCancel(long seed, double apartS) {
-        play(
+    void cancellationsTakeEffectWhenTheStoreRejectsTheLeaderThenAllNodes(long seed, double delayS) {
+        runAllSeeds(
                 Scenario.jobs(20, 2)
                         .at(
                                 40,
                                 new StorePartition(
-                                        ControllerSelector.LEADER, Way.REFUSE, apartS + 1))
+                                        ControllerSelector.LEADER, Way.REFUSE, delayS + 1))
                         .at(40.1, new CancelNow(6, 0))
                         .at(
-                                40 + apartS,
+                                40 + delayS,
                                 new StoreOutage(1.5 * SimulatedRegion.CANCELLATION_DEADLINE_S)),
                 seed);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void oneTaskJobsComeFourASecondAndAQuarterIsCancelled(long seed) {
-        play(Scenario.jobs(6, 4).at(20, new SubmissionFlood(4, 60)), seed);
+    void jobsFinishWhenFourOneTaskJobsPerSecondArriveAndAQuarterAreCancelled(long seed) {
+        runAllSeeds(Scenario.jobs(6, 4).at(20, new SubmissionFlood(4, 60)), seed);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void transactionsWithoutAnAnswerAreCarriedOutAfterNewerOnes(long seed) {
-        play(
+    void invariantsHoldWhenUnansweredTransactionsAreAppliedAfterNewerOnes(long seed) {
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(20, new DelayedWrites(0.2, 40, false))
                         .at(35, new CancelNow(4, 0)),
@@ -101,8 +100,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void answersToTransactionsAreLostWhileUsersLookClosely(long seed) {
-        play(
+    void readsAfterWritesAreConsistentWhenTransactionRepliesAreLost(long seed) {
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(10, new ReadAfterWriteChecks(60))
                         .at(15, new DelayedWrites(0.2, 40, true))
@@ -112,16 +111,16 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void leadersChangeTenTimesInTwoMinutesAndInAnOutage(long seed) {
-        play(
+    void jobsFinishAcrossTenLeaderChangesAndAStoreOutage(long seed) {
+        runAllSeeds(
                 Scenario.jobs(40, 3).at(30, new LeaderChanges(10, 120)).at(70, new StoreOutage(15)),
                 seed);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void aZoneWithWorkersAndAControllerIsCutOffForLongerThanALease(long seed) {
-        play(
+    void cancellationsTakeEffectWhenAZoneWithAFollowerIsPartitionedBeyondALease(long seed) {
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(
                                 35,
@@ -135,8 +134,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void aZoneWithTheLeaderIsCutOffForLongerThanALease(long seed) {
-        play(
+    void cancellationsTakeEffectWhenAZoneWithTheLeaderIsPartitionedBeyondALease(long seed) {
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(
                                 35,
@@ -150,8 +149,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void allControllersAreAwayForLongerThanALease(long seed) {
-        play(
+    void cancellationsTakeEffectWhenAllControllersAreDownBeyondALease(long seed) {
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(35, new CancelNow(4, 0))
                         .at(
@@ -163,8 +162,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void newMachinesGetWorkAtOnceWhileWritesLagAndTheLeaderEnds(long seed) {
-        play(
+    void jobsFinishWhenMachinesBootFastWritesAreDelayedAndTheLeaderCrashes(long seed) {
+        runAllSeeds(
                 Scenario.jobs(30, 1)
                         .at(9, new QuickBoots(60), new DelayedWrites(0.3, 40, false))
                         .at(14, new ControllerCrash(ControllerSelector.LEADER, 3))
@@ -174,8 +173,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void theStateServiceAnswersSlowlyWhileUsersCancelAndAsk(long seed) {
-        play(
+    void cancellationsAndQueriesCompleteWhenTheStoreIsSlow(long seed) {
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(25, new StoreLatency(0.5, 40), new QueryFlood(40))
                         .at(35, new CancelNow(4, 0))
@@ -185,8 +184,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void theStateServiceRefusesTheLeaderForLongAndThenEverybodyWhileUsersAsk(long seed) {
-        play(
+    void queriesAreAnsweredWhenTheStoreRejectsTheLeaderAndThenAllControllers(long seed) {
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(
                                 30,
@@ -201,8 +200,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void anOldReportReachesEveryControllerJustAsANewLeaderBegins(long seed) {
-        play(
+    void staleHeartbeatsReplayedAfterAnElectionBreakNoInvariant(long seed) {
+        runAllSeeds(
                 Scenario.jobs(30, 2)
                         .at(20, new ReplayedHeartbeats(0.3, 60, true))
                         .at(35, new ControllerCrash(ControllerSelector.LEADER, 5))
@@ -213,8 +212,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void thereIsMoreWorkThanRoomOverSlowLinks(long seed) {
-        play(
+    void jobsFinishWhenDemandExceedsCapacityOverSlowLinks(long seed) {
+        runAllSeeds(
                 Scenario.jobs(60, 0.5)
                         .at(10, new NetworkLatency(0.15, 50))
                         .at(20, new SubmissionFlood(4, 20))
@@ -224,8 +223,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void aLeaderIsCutFromStateServiceAndPeersWhileJobsAreCancelledThroughTheNextOne(long seed) {
-        play(
+    void cancellationsTakeEffectThroughTheNextLeaderWhenTheOldOneIsPartitioned(long seed) {
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(
                                 35,
@@ -241,8 +240,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void controllersHandOverAndBackAllEndAndOneIsBackWithinASecond(long seed) {
-        play(
+    void jobsFinishAfterLeaderChangesAndACrashOfAllWithOneBackWithinASecond(long seed) {
+        runAllSeeds(
                 Scenario.jobs(30, 2)
                         .at(25, new LeaderChanges(4, 16))
                         .at(
@@ -256,8 +255,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void teamsAreAtTheirLimitWhileCancelledTasksAreOutOfReachAndTheLeaderChanges(long seed) {
-        play(
+    void teamLimitsHoldWhileCancelledTasksAreUnreachableAndTheLeaderCrashes(long seed) {
+        runAllSeeds(
                 Scenario.jobs(42, 0.6)
                         .at(
                                 30,
@@ -270,8 +269,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void teamsAreAtTheirLimitWhileSomeMachinesCannotBeAskedAndTheLeaderChanges(long seed) {
-        play(
+    void teamLimitsHoldWhileMachinesAreUnreachableAndTheLeaderCrashes(long seed) {
+        runAllSeeds(
                 Scenario.jobs(42, 0.6)
                         .at(
                                 30,
@@ -284,8 +283,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void usersReadAfterWritesAtAllNodesAndSomeCancelAtOnce(long seed) {
-        play(
+    void readsAfterWritesAreConsistentAtAllNodesDuringCancellationsAndACrash(long seed) {
+        runAllSeeds(
                 Scenario.jobs(30, 2)
                         .at(8, new ReadAfterWriteChecks(70))
                         .at(35, new CancelNow(5, 0))
@@ -295,14 +294,14 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void tasksOfSmallJobsEndFarApartAcrossChangesOfLeader(long seed) {
-        play(Scenario.jobs(36, 2).at(25, new LeaderChanges(6, 60)), seed);
+    void smallJobsFinishWhenTheirTasksEndUnderDifferentLeaders(long seed) {
+        runAllSeeds(Scenario.jobs(36, 2).at(25, new LeaderChanges(6, 60)), seed);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void workersReachNoControllerWhileDirectCommandsReachThem(long seed) {
-        play(
+    void cancellationsTakeEffectWhenWorkersCanReceiveButNotSend(long seed) {
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(
                                 30,
@@ -314,8 +313,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void aReportIsHeldBackUntilANewLeaderHasActed(long seed) {
-        play(
+    void heartbeatsDelayedPastALeaderChangeBreakNoInvariant(long seed) {
+        runAllSeeds(
                 Scenario.jobs(30, 2)
                         .at(25, new ReplayedHeartbeats(0.4, 30, false))
                         .at(35, new ControllerCrash(ControllerSelector.LEADER, 3))
@@ -325,8 +324,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void oldReportsArriveAfterNewerOnesOfLaterSessionsAndAttempts(long seed) {
-        play(
+    void staleHeartbeatsAfterNewerSessionsAndAttemptsBreakNoInvariant(long seed) {
+        runAllSeeds(
                 Scenario.jobs(30, 2)
                         .at(20, new ReplayedHeartbeats(0.5, 50, false))
                         .at(
@@ -340,8 +339,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void commandsAreHeldUpAndMachinesGoOn(long seed) {
-        play(
+    void cancellationsTakeEffectWhenOrdersAreDelayedAndMachinesHang(long seed) {
+        runAllSeeds(
                 Scenario.jobs(30, 2)
                         .at(20, new DelayedOrders(MachineSelector.share(1), 4, 30))
                         .at(30, new MachineHang(MachineSelector.share(0.4), 4))
@@ -351,8 +350,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void jobsBoundToAZoneLoseTheirMachines(long seed) {
-        play(
+    void zoneBoundJobsFinishAfterTheirZoneLosesAllMachines(long seed) {
+        runAllSeeds(
                 Scenario.jobs(30, 2)
                         .at(35, new MachineLoss(MachineSelector.zone("east")))
                         .at(55, new MachineLoss(MachineSelector.zone("west"))),
@@ -361,8 +360,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void aLeaderEndsWhileMachinesCannotBeReachedOrDoNotHear(long seed) {
-        play(
+    void cancellationsTakeEffectWhenTheLeaderCrashesWhileMachinesAreUnreachable(long seed) {
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(
                                 30,
@@ -379,8 +378,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void jobsAreCancelledWhileAControllersWorkChangesHands(long seed) {
-        play(
+    void cancellationsTakeEffectWhileAControllersPartitionIsReassigned(long seed) {
+        runAllSeeds(
                 Scenario.jobs(30, 2)
                         .at(30, new ControllerCrash(ControllerSelector.afterLeader(1), 10))
                         .at(30.5, new CancelNow(4, 0))
@@ -392,8 +391,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void cancellationsAndQuestionsMeetTheEndOfTheLastTask(long seed) {
-        play(
+    void cancellationsAndQueriesAtTheEndOfTheLastTaskAreConsistent(long seed) {
+        runAllSeeds(
                 Scenario.jobs(40, 1.5)
                         .at(10, new CancelAtEnd(0.5, 70), new ReadAfterWriteChecks(70)),
                 seed);
@@ -401,8 +400,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void aRunOrderIsHeldForLongerThanACancellationMayTake(long seed) {
-        play(
+    void startOrdersDelayedBeyondTheCancellationDeadlineBreakNoInvariant(long seed) {
+        runAllSeeds(
                 Scenario.jobs(30, 1)
                         .at(
                                 15,
@@ -421,25 +420,26 @@
     }
 
     /**
-     * Nothing tells a machine that hangs to stop: it has to be returned, or its lease to end and
-     * its worker to go on.
+     * A hanging machine cannot process a stop order: either it is returned, or its lease expires
+     * and its worker resumes.
      */
     @ParameterizedTest
     @CsvSource({"1, 3", "2, 3", "3, 3", "1, 8", "2, 8", "3, 8", "6001, 6", "7002, 6"})
-    void jobsAreCancelledWhoseMachinesHang(long seed, int jobs) {
-        play(
+    void cancellationsTakeEffectWhenTheMachinesOfTheJobsHang(long seed, int cancelledJobs) {
+        runAllSeeds(
                 Scenario.jobs(30, 1)
                         .at(
                                 30,
                                 new CancelNow(
-                                        jobs, 1.25 * SimulatedRegion.CANCELLATION_DEADLINE_S)),
+                                        cancelledJobs,
+                                        1.25 * SimulatedRegion.CANCELLATION_DEADLINE_S)),
                 seed);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void mostMachinesHangForLongerThanACancellationMayTake(long seed) {
-        play(
+    void cancellationsTakeEffectWhenMostMachinesHangBeyondTheDeadline(long seed) {
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(
                                 35,
@@ -452,8 +452,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void machinesAreDeafWhileJobsAreCancelledAndTheStateServiceAndTheLeaderEnd(long seed) {
-        play(
+    void cancellationsTakeEffectWhenMachinesReceiveNothingAndStoreAndLeaderFail(long seed) {
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(
                                 33,
@@ -470,7 +470,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void invalidRequestsChangeNothing(long seed) {
-        play(
+        runAllSeeds(
                 Scenario.jobs(24, 2)
                         .at(9, new InvalidRequests(60))
                         .at(30, new ControllerCrash(ControllerSelector.LEADER, 1))
@@ -480,14 +480,14 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void pipelinesAreServedInTheirOrder(long seed) {
-        play(Scenario.jobs(8, 4).at(10, new Pipelines(12, 40)), seed);
+    void pipelineJobsRunInDependencyOrder(long seed) {
+        runAllSeeds(Scenario.jobs(8, 4).at(10, new Pipelines(12, 40)), seed);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void pipelinesMeetLeadersThatChangeLateWritesAndAnOutage(long seed) {
-        play(
+    void pipelinesFinishAcrossLeaderChangesDelayedWritesAndAStoreOutage(long seed) {
+        runAllSeeds(
                 Scenario.jobs(12, 4)
                         .at(10, new Pipelines(15, 60), new DelayedWrites(0.15, 60, false))
                         .at(30, new LeaderChanges(5, 40))
@@ -498,8 +498,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void pipelinesAreCancelledWhileUsersLookCloselyAndTheLeaderIsRefused(long seed) {
-        play(
+    void pipelineCancellationsTakeEffectWhenTheStoreRejectsTheLeader(long seed) {
+        runAllSeeds(
                 Scenario.jobs(12, 4)
                         .at(10, new Pipelines(15, 50), new ReadAfterWriteChecks(60))
                         .at(25, new CancelAtEnd(0.3, 40))
@@ -511,8 +511,8 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void pipelinesMeetMachinesThatAreDeafMuteOrHangAndAllControllersEnd(long seed) {
-        play(
+    void pipelinesFinishWhenMachinesHangOrLoseMessagesAndAllControllersCrash(long seed) {
+        runAllSeeds(
                 Scenario.jobs(8, 4)
                         .at(10, new Pipelines(15, 50), new ReplayedHeartbeats(0.2, 50, false))
                         .at(25, new MachineReceiveFailure(MachineSelector.share(0.3), 8))
