--- a/src/test/java/io/pepperfield/admission/AdmissionLoopbackTest.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionLoopbackTest.java
@@ -60,7 +60,7 @@
                 new Thread(
                         () -> {
                             while (flooding) {
-                                ObjectNode job = LoopbackRegion.job(ids.incrementAndGet());
+                                ObjectNode job = LoopbackRegion.smallJob(ids.incrementAndGet());
                                 job.put("owner", "guests").put("workload", "flood");
                                 job.put("rank", "best_effort").put("shards", 1).put("vcpus", 0.1);
                                 byte[] body = Json.write(job);
@@ -76,9 +76,9 @@
     /** Each job is accepted by whichever controller answers, within the patience of a user. */
     private void submitSome() throws Exception {
         for (int i = 0; i < JOBS_A_ROUND; i++) {
-            byte[] body = Json.write(LoopbackRegion.job(++jobs));
+            byte[] body = Json.write(LoopbackRegion.smallJob(++jobs));
             long from = System.nanoTime();
-            region.untilAny(
+            region.retryAnyUntil(
                     "POST",
                     "/api/jobs",
                     body,
@@ -88,14 +88,14 @@
     }
 
     private JsonNode admission(int node) throws Exception {
-        return region.until(
+        return region.retryUntil(
                         node, "GET", "/api/nodes", null, answer -> answer.json().has("admission"))
                 .path("admission");
     }
 
     /** The overview of whoever leads. */
     private JsonNode leadersAdmission() throws Exception {
-        return region.untilAny(
+        return region.retryAnyUntil(
                         "GET",
                         "/api/nodes",
                         null,
@@ -121,9 +121,9 @@
             controllers.get(round % CONTROLLERS).kill();
             submitSome();
             controllers.get(round % CONTROLLERS).start(Version.CURRENT, Feature.ADMISSION);
-            controllers.get((round + 1) % CONTROLLERS).freeze(true);
+            controllers.get((round + 1) % CONTROLLERS).setSuspended(true);
             submitSome();
-            controllers.get((round + 1) % CONTROLLERS).freeze(false);
+            controllers.get((round + 1) % CONTROLLERS).setSuspended(false);
             submitSome();
         }
         JsonNode seen = leadersAdmission();
--- a/src/test/java/io/pepperfield/admission/AdmissionSimulationTest.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionSimulationTest.java
@@ -35,7 +35,7 @@
 
     /** A region whose machines are up and whose users submit from the twentieth second on. */
     private static SimulatedRegion region(long seed, int nodes, double untilS, Stream... streams) {
-        SimulatedRegion region = SimulatedRegion.admitting(seed, nodes, 0);
+        SimulatedRegion region = SimulatedRegion.withAdmission(seed, nodes, 0);
         region.admissionLoad.watch(ALL_PER_MINUTE);
         region.world.run(FROM_S);
         for (Stream stream : streams) {
@@ -144,13 +144,14 @@
         SimulatedRegion region = region(5, 3, 70, RED, FLOOD);
         region.world.run(35);
         int alone = (region.leaderIndex() + 1) % 3;
-        region.networkPartitions.peers(alone, 50);
+        region.networkPartitions.isolateFromPeers(alone, 50);
         region.world.run(35 + 1.5);
         assertEquals(ALL_PER_MINUTE * 0.5 / 3, region.admissionLoad.perMinute(alone), 1);
         // The cut flaps afterwards.
         for (int i = 0; i < 5; i++) {
             double from = 51 + 3 * i;
-            region.world.at(from, () -> region.networkPartitions.peers(alone, from + 1.6));
+            region.world.at(
+                    from, () -> region.networkPartitions.isolateFromPeers(alone, from + 1.6));
         }
         region.world.run(70);
         checkServed(region, "red", 12, "cut off");
@@ -205,7 +206,7 @@
 
     @Test
     void besideControllersWithoutItEachKeepsToItsFixedShare() {
-        SimulatedRegion region = SimulatedRegion.admitting(12, 3, 1);
+        SimulatedRegion region = SimulatedRegion.withAdmission(12, 3, 1);
         region.admissionLoad.watch(ALL_PER_MINUTE);
         region.world.run(FROM_S);
         // The one without the feature leads.
@@ -213,7 +214,7 @@
             region.faults.crash(region.leaderIndex(), 6);
             region.world.run(region.world.now() + 5);
         }
-        assertEquals("node-2", region.leader());
+        assertEquals("node-2", region.leaderName());
         double from = region.world.now() + 7;
         region.world.run(from);
         int[] turn = new int[1];
@@ -273,10 +274,10 @@
         switch (kind) {
             case 0 -> region.faults.crash(node, forS);
             case 1 -> region.faults.pause(node, until);
-            case 2 -> region.networkPartitions.peers(node, until);
+            case 2 -> region.networkPartitions.isolateFromPeers(node, until);
             case 3 -> region.faults.storeOutage(until);
             default -> {
-                if (!region.leader().isEmpty()) {
+                if (!region.leaderName().isEmpty()) {
                     region.faults.crash(region.leaderIndex(), Math.min(forS, 0.3));
                 }
             }
--- a/src/test/java/io/pepperfield/controller/ConcurrentFailuresTest.java
+++ b/src/test/java/io/pepperfield/controller/ConcurrentFailuresTest.java
@@ -54,14 +54,14 @@
 
     private static void playOnce(Scenario scenario, long seed) {
         SimulatedRegion region = new SimulatedRegion(seed);
-        region.play(scenario);
+        region.schedule(scenario);
         region.world.run(scenario.endsAt());
         String day = "seed " + seed + " of " + scenario;
         assertEquals(List.of(), region.violations, day);
         assertEquals(List.of(), region.unfinishedJobs(), day);
         assertEquals(List.of(), region.unansweredQueries(), day);
         assertEquals(List.of(), region.leftoverJobs(), day);
-        assertEquals(List.of(), region.reusedRentalNames(), day);
+        assertEquals(List.of(), region.reusedRentalRequestIds(), day);
     }
 
     /**
--- a/src/test/java/io/pepperfield/controller/DecisionDay.java
+++ b/src/test/java/io/pepperfield/controller/DecisionDay.java
@@ -96,7 +96,7 @@
     /** Jobs of all kinds, bound to zones too, beside more work than the machines can hold. */
     private static SimulatedRegion crowded(long seed) {
         SimulatedRegion region = new SimulatedRegion(seed);
-        region.play(
+        region.schedule(
                 Scenario.jobs(40, 2)
                         .at(20, new SubmissionFlood(4, 40), new LargeArrays(2, 150, 6))
                         .at(45, new CancelNow(4, 0))
@@ -109,7 +109,7 @@
     /** For each of its jobs and each moment of a cancellation a pipeline; leaders change. */
     private static SimulatedRegion pipelines(long seed) {
         SimulatedRegion region = new SimulatedRegion(seed);
-        region.play(
+        region.schedule(
                 Scenario.jobs(0, 1)
                         .at(12, new DelayedWrites(0.2, 30, false))
                         .at(15, new LeaderChanges(4, 40)));
@@ -131,7 +131,7 @@
     /** Five controllers, upgraded one by one to the next form of what is stored. */
     private static SimulatedRegion rollout(long seed) {
         SimulatedRegion region = SimulatedRegion.beforeRollout(seed, Version.GATED);
-        region.play(
+        region.schedule(
                 Scenario.jobs(30, 2)
                         .at(20, new Upgrade(20, Version.ROLLOUT))
                         .at(24, new LargeArrays(2, 150, 6))
@@ -143,8 +143,8 @@
 
     /** Five controllers that divide admission among them, and a swarm of submissions. */
     private static SimulatedRegion admission(long seed) {
-        SimulatedRegion region = SimulatedRegion.admitting(seed, 5, 0);
-        region.play(
+        SimulatedRegion region = SimulatedRegion.withAdmission(seed, 5, 0);
+        region.schedule(
                 Scenario.jobs(20, 3)
                         .at(20, new SubmissionFlood(6, 30))
                         .at(35, new ControllerCrash(ControllerSelector.LEADER, 0.5)));
@@ -154,7 +154,7 @@
     /** Machines that do not hear, are not heard, hang or restart, and a zone that is cut off. */
     private static SimulatedRegion silentMachines(long seed) {
         SimulatedRegion region = new SimulatedRegion(seed);
-        region.play(
+        region.schedule(
                 Scenario.jobs(50, 2)
                         .at(20, new DelayedOrders(MachineSelector.share(0.3), 3, 30))
                         .at(25, new MachineReceiveFailure(MachineSelector.count(1), 30))
--- a/src/test/java/io/pepperfield/controller/LargeFleetTest.java
+++ b/src/test/java/io/pepperfield/controller/LargeFleetTest.java
@@ -19,7 +19,7 @@
 
     @Test
     void fourAndAHalfThousandMachinesAreRentedAndAllWork() {
-        SimulatedRegion region = SimulatedRegion.large(1, MACHINES);
+        SimulatedRegion region = SimulatedRegion.withRentableMachines(1, MACHINES);
         region.world.run(5);
         // What may wait has machines for about half of it at a time.
         int arrays = 40;
@@ -30,7 +30,7 @@
         int most = 0;
         for (int second = 6; second <= 60; second++) {
             region.world.run(second);
-            most = Math.max(most, region.runningTasks());
+            most = Math.max(most, region.runningTaskCount());
         }
         Runtime runtime = Runtime.getRuntime();
         System.out.printf(
--- a/src/test/java/io/pepperfield/controller/LoopbackTest.java
+++ b/src/test/java/io/pepperfield/controller/LoopbackTest.java
@@ -35,7 +35,7 @@
         for (int i = 0; i < 3; i++) {
             Settings settings =
                     SettingsReader.parse(
-                            "node-" + i, region.settings(i), OperatorSettings.DEFAULTS);
+                            "node-" + i, region.settingsToml(i), OperatorSettings.DEFAULTS);
             ControllerServer service = new ControllerServer(settings);
             service.start();
             services.add(service);
@@ -55,7 +55,7 @@
     }
 
     private int status(int node, ObjectNode job) {
-        return region.ask(node, "POST", "/api/jobs", Json.write(job)).status();
+        return region.send(node, "POST", "/api/jobs", Json.write(job)).status();
     }
 
     private static byte[] bytes(String text) {
@@ -78,11 +78,15 @@
 
     @Test
     void theCommandLineNamesTheOffendingFieldOnOneLine() throws Exception {
-        region.until(
-                1, "POST", "/api/jobs", Json.write(LoopbackRegion.job(1)), a -> a.status() == 201);
-        ObjectNode bad = LoopbackRegion.job(2);
+        region.retryUntil(
+                1,
+                "POST",
+                "/api/jobs",
+                Json.write(LoopbackRegion.smallJob(1)),
+                a -> a.status() == 201);
+        ObjectNode bad = LoopbackRegion.smallJob(2);
         bad.putArray("awaits").add("run-000001").add(7);
-        ObjectNode stranger = LoopbackRegion.job(2);
+        ObjectNode stranger = LoopbackRegion.smallJob(2);
         stranger.putArray("awaits").add("run-000001").add("run-000009");
         ByteArrayOutputStream said = new ByteArrayOutputStream();
         assertEquals(1, submitByCommandLine(bad, said));
@@ -101,8 +105,12 @@
 
     @Test
     void answersJobsAndSurvivesTheLeader() throws Exception {
-        region.until(
-                0, "POST", "/api/jobs", Json.write(LoopbackRegion.job(1)), a -> a.status() == 201);
+        region.retryUntil(
+                0,
+                "POST",
+                "/api/jobs",
+                Json.write(LoopbackRegion.smallJob(1)),
+                a -> a.status() == 201);
         malformedAndInfeasibleJobsAreRefused();
         knownAndUnknownJobsAreAnswered();
         anotherControllerTakesOverFromTheLeader();
@@ -118,33 +126,35 @@
                         "{\"nameId\":\"run-000002\"}",
                         "{} {}",
                         "{\"nameId\":1}")) {
-            assertEquals(400, region.ask(0, "POST", "/api/jobs", bytes(bad)).status(), bad);
+            assertEquals(400, region.send(0, "POST", "/api/jobs", bytes(bad)).status(), bad);
         }
-        assertEquals(400, status(0, LoopbackRegion.job(2).put("nameId", "../etc")));
-        assertEquals(400, status(0, LoopbackRegion.job(2).put("shards", 0)));
-        assertEquals(400, status(0, LoopbackRegion.job(2).put("shards", 100_001)));
-        assertEquals(400, status(0, LoopbackRegion.job(2).put("shards", 2.5)));
-        assertEquals(400, status(0, LoopbackRegion.job(2).put("vcpus", "2")));
-        assertEquals(400, status(0, LoopbackRegion.job(2).put("memGb", -1)));
-        assertEquals(400, status(0, LoopbackRegion.job(2).put("shape", "round")));
-        assertEquals(400, status(0, LoopbackRegion.job(2).put("rank", "first")));
-        assertEquals(400, status(0, LoopbackRegion.job(2).putNull("spread")));
-        assertEquals(400, status(0, LoopbackRegion.job(2).put("workload", "x".repeat(70_000))));
-        assertEquals(422, status(0, LoopbackRegion.job(2).put("owner", "nobody")));
-        assertEquals(422, status(0, LoopbackRegion.job(2).put("vcpus", 30.0)));
+        assertEquals(400, status(0, LoopbackRegion.smallJob(2).put("nameId", "../etc")));
+        assertEquals(400, status(0, LoopbackRegion.smallJob(2).put("shards", 0)));
+        assertEquals(400, status(0, LoopbackRegion.smallJob(2).put("shards", 100_001)));
+        assertEquals(400, status(0, LoopbackRegion.smallJob(2).put("shards", 2.5)));
+        assertEquals(400, status(0, LoopbackRegion.smallJob(2).put("vcpus", "2")));
+        assertEquals(400, status(0, LoopbackRegion.smallJob(2).put("memGb", -1)));
+        assertEquals(400, status(0, LoopbackRegion.smallJob(2).put("shape", "round")));
+        assertEquals(400, status(0, LoopbackRegion.smallJob(2).put("rank", "first")));
+        assertEquals(400, status(0, LoopbackRegion.smallJob(2).putNull("spread")));
+        assertEquals(
+                400, status(0, LoopbackRegion.smallJob(2).put("workload", "x".repeat(70_000))));
+        assertEquals(422, status(0, LoopbackRegion.smallJob(2).put("owner", "nobody")));
+        assertEquals(422, status(0, LoopbackRegion.smallJob(2).put("vcpus", 30.0)));
         assertEquals(
-                422, status(0, LoopbackRegion.job(2).put("shape", "standing").put("shards", 20)));
+                422,
+                status(0, LoopbackRegion.smallJob(2).put("shape", "standing").put("shards", 20)));
     }
 
     private void knownAndUnknownJobsAreAnswered() throws Exception {
-        assertEquals(404, region.ask(1, "GET", "/api/jobs/run-000002", null).status());
+        assertEquals(404, region.send(1, "GET", "/api/jobs/run-000002", null).status());
         assertEquals(
-                404, region.ask(1, "POST", "/api/jobs/run-000002/cancel", new byte[0]).status());
-        assertEquals(404, region.ask(1, "GET", "/nowhere", null).status());
-        assertEquals(405, region.ask(1, "DELETE", "/api/jobs/run-000001", null).status());
+                404, region.send(1, "POST", "/api/jobs/run-000002/cancel", new byte[0]).status());
+        assertEquals(404, region.send(1, "GET", "/nowhere", null).status());
+        assertEquals(405, region.send(1, "DELETE", "/api/jobs/run-000001", null).status());
         // A known id gets 200 whatever its body says, from any node.
-        assertEquals(200, status(2, LoopbackRegion.job(1).put("shards", -5)));
-        region.until(
+        assertEquals(200, status(2, LoopbackRegion.smallJob(1).put("shards", -5)));
+        region.retryUntil(
                 1,
                 "GET",
                 "/api/jobs/run-000001",
@@ -152,7 +162,7 @@
                 a -> a.json().path("status").asText().equals("done"));
         assertEquals(
                 "done",
-                region.ask(2, "POST", "/api/jobs/run-000001/cancel", new byte[0])
+                region.send(2, "POST", "/api/jobs/run-000001/cancel", new byte[0])
                         .json()
                         .path("status")
                         .asText());
@@ -161,35 +171,35 @@
     private void anotherControllerTakesOverFromTheLeader() throws Exception {
         int leader =
                 Integer.parseInt(
-                        region.ask(0, "GET", "/api/nodes", null)
+                        region.send(0, "GET", "/api/nodes", null)
                                 .json()
                                 .path("leader")
                                 .asText()
                                 .substring(5));
         services.get(leader).stop();
         int other = (leader + 1) % 3;
-        region.until(
+        region.retryUntil(
                 other,
                 "POST",
                 "/api/jobs",
-                Json.write(LoopbackRegion.job(3)),
+                Json.write(LoopbackRegion.smallJob(3)),
                 a -> a.status() == 201);
-        region.until(
+        region.retryUntil(
                 (leader + 2) % 3,
                 "GET",
                 "/api/jobs/run-000003",
                 null,
                 a -> a.json().path("status").asText().equals("done"));
-        assertEquals(201, status(other, LoopbackRegion.job(4).put("shape", "standing")));
+        assertEquals(201, status(other, LoopbackRegion.smallJob(4).put("shape", "standing")));
         assertEquals(
                 "cancelled",
-                region.ask(other, "POST", "/api/jobs/run-000004/cancel", new byte[0])
+                region.send(other, "POST", "/api/jobs/run-000004/cancel", new byte[0])
                         .json()
                         .path("status")
                         .asText());
         assertEquals(
                 "cancelled",
-                region.ask((leader + 2) % 3, "GET", "/api/jobs/run-000004", null)
+                region.send((leader + 2) % 3, "GET", "/api/jobs/run-000004", null)
                         .json()
                         .path("status")
                         .asText());
--- a/src/test/java/io/pepperfield/controller/PipelineSimulationTest.java
+++ b/src/test/java/io/pepperfield/controller/PipelineSimulationTest.java
@@ -65,7 +65,7 @@
 
     private static void playOnce(Scenario scenario, PipelineShape shape, long seed) {
         SimulatedRegion region = new SimulatedRegion(seed);
-        region.play(scenario);
+        region.schedule(scenario);
         submitAll(region, shape);
         region.world.run(scenario.endsAt());
         String which = "seed " + seed + ", " + shape + " in " + scenario;
--- a/src/test/java/io/pepperfield/controller/SimulationTest.java
+++ b/src/test/java/io/pepperfield/controller/SimulationTest.java
@@ -35,9 +35,9 @@
         region.world.at(30, region::queryUnknownJob);
         region.world.run(220);
         assertEquals(List.of(), region.violations);
-        assertEquals(12, region.accepted());
+        assertEquals(12, region.acceptedJobCount());
         assertEquals(List.of(), region.unfinishedJobs());
-        assertEquals(0, region.runningTasks());
+        assertEquals(0, region.runningTaskCount());
     }
 
     @Test
@@ -67,21 +67,21 @@
     void aLeaderCutFromAllButItsWorkersLetsThemGoWithinTheirLeases() {
         SimulatedRegion region = region(4, 12, 2);
         region.world.run(40);
-        assertTrue(region.runningTasks() > 8, "tasks " + region.runningTasks());
+        assertTrue(region.runningTaskCount() > 8, "tasks " + region.runningTaskCount());
         int lostBefore = region.lostTasks();
-        String leader = region.leader();
+        String leader = region.leaderName();
         int alone = region.leaderIndex();
-        region.networkPartitions.isolate(alone, 70);
+        region.networkPartitions.isolateFromStoreAndPeers(alone, 70);
         region.world.run(50);
         // It can answer nobody: it leaves the load balancer and ends the connections that were
         // opened before.
-        assertEquals(503, region.directRequests.answer(alone, "GET", "/up").status());
+        assertEquals(503, region.directRequests.request(alone, "GET", "/up").status());
         assertTrue(
                 region.directRequests
-                        .answer(alone, "GET", "/api/jobs/run-999998")
+                        .request(alone, "GET", "/api/jobs/run-999998")
                         .closeConnection());
         region.world.run(68);
-        assertNotEquals(leader, region.leader());
+        assertNotEquals(leader, region.leaderName());
         // No lease ran out, and no machine was given up for a silence that was the old leader's
         // doing.
         assertEquals(lostBefore, region.lostTasks());
@@ -111,7 +111,8 @@
         SimulatedRegion region = region(8, 12, 2);
         region.world.run(40);
         int leader = region.leaderIndex();
-        region.networkPartitions.zone("east", (leader + 1) % 3, 40 + 2.5 * SimulatedRegion.LEASE_S);
+        region.networkPartitions.isolateZone(
+                "east", (leader + 1) % 3, 40 + 2.5 * SimulatedRegion.LEASE_S);
         // The next leader begins while half of the fleet is silent, after those machines had
         // booted.
         region.world.at(41, () -> region.faults.crash(leader, 5));
@@ -124,7 +125,7 @@
                         .toList();
         assertTrue(zone.size() >= 3, "machines " + zone);
         region.world.run(44);
-        assertNotEquals("node-" + leader, region.leader());
+        assertNotEquals("node-" + leader, region.leaderName());
         region.world.run(40 + 2.5 * SimulatedRegion.LEASE_S);
         assertTrue(
                 region.machines().stream().map(w -> w.name).toList().containsAll(zone),
@@ -144,7 +145,7 @@
             region.directRequests.sendHeartbeat(inside, i % 2 == 0 ? "east" : "west");
         }
         double cut = region.world.now();
-        region.networkPartitions.zone("east", inside, cut + 40);
+        region.networkPartitions.isolateZone("east", inside, cut + 40);
         region.world.run(cut + 4);
         // Alone as far as it knows: others are to take the worker.
         assertEquals(503, region.directRequests.sendHeartbeat(inside, "east").status());
@@ -182,14 +183,14 @@
     void cancelledTasksEndInTimeThoughNobodyLeads() {
         SimulatedRegion region = region(6, 12, 2);
         region.world.run(36);
-        assertTrue(region.runningTasks() > 4, "tasks " + region.runningTasks());
+        assertTrue(region.runningTaskCount() > 4, "tasks " + region.runningTaskCount());
         // The others know of the cancellations, but give no stops; their answers must not keep the
         // tasks alive.
         region.faults.preventElection(36 + 3 * SimulatedRegion.CANCELLATION_DEADLINE_S);
         region.cancelAll();
         region.world.run(36 + 2 * SimulatedRegion.CANCELLATION_DEADLINE_S);
         assertEquals(List.of(), region.violations);
-        assertEquals(0, region.runningTasks());
+        assertEquals(0, region.runningTaskCount());
         region.world.run(250);
         assertEquals(List.of(), region.violations);
         assertEquals(List.of(), region.unfinishedJobs());
@@ -207,7 +208,7 @@
         }
         region.world.run(250);
         assertEquals(List.of(), region.violations);
-        assertEquals(List.of(), region.reusedRentalNames());
+        assertEquals(List.of(), region.reusedRentalRequestIds());
         assertEquals(List.of(), region.unfinishedJobs());
         assertEquals(List.of(), region.unansweredQueries());
     }
@@ -246,7 +247,7 @@
             region.world.at(12 + i, () -> region.jobMix.submitFailing(number, 110));
         }
         region.world.run(60);
-        int rentals = region.rentals();
+        int rentals = region.rentalCount();
         int starts = region.taskStarts();
         region.world.run(100);
         // One task at a time, after pauses that have grown by now.
@@ -254,12 +255,12 @@
                 region.taskStarts() - starts <= 5 * 5, "starts " + (region.taskStarts() - starts));
         assertEquals(
                 rentals,
-                region.rentals(),
+                region.rentalCount(),
                 "rented although only what fails was waiting, or returned as faulty what is not");
         region.world.run(200);
         assertEquals(List.of(), region.violations);
         assertEquals(List.of(), region.unfinishedJobs());
-        assertEquals(0, region.runningTasks());
+        assertEquals(0, region.runningTaskCount());
     }
 
     @Test
@@ -273,8 +274,11 @@
         usual.world.run(140);
         assertEquals(List.of(), late.unfinishedJobs());
         assertTrue(
-                late.rentals() <= usual.rentals() + 1,
-                "a second fleet: " + late.rentals() + " machines, usually " + usual.rentals());
+                late.rentalCount() <= usual.rentalCount() + 1,
+                "a second fleet: "
+                        + late.rentalCount()
+                        + " machines, usually "
+                        + usual.rentalCount());
         SimulatedRegion never = new SimulatedRegion(24);
         never.faults.slowBoots(1, 1, 14);
         never.world.at(10, () -> never.jobMix.submitGuests(1, 64, 5));
@@ -294,9 +298,10 @@
         int leader = region.leaderIndex();
         double cut = region.world.now();
         assertTrue(region.partitionSize(leader) >= 2, "machines " + region.partitionSize(leader));
-        region.world.cut("host-", "10.0.0." + (leader + 1), cut + 10 * SimulatedRegion.LEASE_S);
+        region.world.partition(
+                "host-", "10.0.0." + (leader + 1), cut + 10 * SimulatedRegion.LEASE_S);
         region.world.run(cut + 5 * SimulatedRegion.LEASE_S);
-        assertNotEquals("node-" + leader, region.leader());
+        assertNotEquals("node-" + leader, region.leaderName());
         int next = region.leaderIndex();
         // In this region a lease is hardly longer than a worker's patience: some run out until the
         // partition has moved, none later.
@@ -314,8 +319,8 @@
         SimulatedRegion region = region(27, 4, 1);
         region.world.run(30);
         // 1,000 sockets: 125 questions at once, of which 62 about jobs that nobody submitted.
-        assertEquals(List.of(62, 38), region.directRequests.floodWithUnknownJobs(1, 100));
-        assertEquals(200, region.directRequests.answer(1, "GET", "/api/jobs/run-000001").status());
+        assertEquals(List.of(62, 38), region.directRequests.floodWithUnknownJobQueries(1, 100));
+        assertEquals(200, region.directRequests.request(1, "GET", "/api/jobs/run-000001").status());
     }
 
     @Test
@@ -326,7 +331,7 @@
         region.faults.pause(silent, 35 + 5 * SimulatedRegion.LEASE_S);
         region.queryMoreOften(35 + 6 * SimulatedRegion.LEASE_S);
         region.world.run(35 + 5 * SimulatedRegion.LEASE_S - 1);
-        assertNotEquals("node-" + silent, region.leader());
+        assertNotEquals("node-" + silent, region.leaderName());
         region.world.run(250);
         assertEquals(List.of(), region.violations);
         assertEquals(List.of(), region.unfinishedJobs());
@@ -368,7 +373,9 @@
         }
         region.world.run(420);
         assertEquals(List.of(), region.violations, "seed " + seed);
-        assertTrue(region.accepted() >= 35, "seed " + seed + " accepted " + region.accepted());
+        assertTrue(
+                region.acceptedJobCount() >= 35,
+                "seed " + seed + " accepted " + region.acceptedJobCount());
         assertEquals(List.of(), region.unfinishedJobs(), "seed " + seed);
         assertEquals(List.of(), region.unansweredQueries(), "seed " + seed);
     }
--- a/src/test/java/io/pepperfield/controller/UpgradeTest.java
+++ b/src/test/java/io/pepperfield/controller/UpgradeTest.java
@@ -48,7 +48,7 @@
 
     private static SimulatedRegion playOnce(Scenario scenario, long seed) {
         SimulatedRegion region = SimulatedRegion.beforeUpgrade(seed);
-        region.play(scenario);
+        region.schedule(scenario);
         region.world.run(scenario.endsAt());
         checkEnd(region, "seed " + seed + " of " + scenario);
         return region;
@@ -59,9 +59,9 @@
         assertEquals(List.of(), region.unfinishedJobs(), day);
         assertEquals(List.of(), region.unansweredQueries(), day);
         assertEquals(List.of(), region.leftoverJobs(), day);
-        assertEquals(List.of(), region.reusedRentalNames(), day);
-        assertEquals(List.of(), region.alteredJobs(), day);
-        assertTrue(region.upgraded(), day);
+        assertEquals(List.of(), region.reusedRentalRequestIds(), day);
+        assertEquals(List.of(), region.jobsWithChangedDependencies(), day);
+        assertTrue(region.allRunCurrentVersion(), day);
     }
 
     @ParameterizedTest
@@ -100,10 +100,10 @@
                 Scenario.jobs(40, 2).at(50, new CancelNow(4, 0)).at(80, new Pipelines(4, 20));
         for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
             SimulatedRegion region = SimulatedRegion.beforeUpgrade(seed + 1000L * more);
-            region.play(day);
+            region.schedule(day);
             region.world.run(30);
             int first = region.leaderIndex();
-            region.faults.replace(first, Version.CURRENT, 0.2);
+            region.faults.restartAs(first, Version.CURRENT, 0.2);
             region.world.run(33);
             if (region.leaderIndex() != first) {
                 // Only the new one is there to be elected; the others come back as they were.
@@ -113,8 +113,8 @@
             }
             region.world.run(66);
             assertEquals(first, region.leaderIndex(), "the lead swings");
-            region.faults.replace((first + 1) % NODES, Version.CURRENT, 5);
-            region.faults.replace((first + 2) % NODES, Version.CURRENT, 5);
+            region.faults.restartAs((first + 1) % NODES, Version.CURRENT, 5);
+            region.faults.restartAs((first + 2) % NODES, Version.CURRENT, 5);
             region.world.run(day.endsAt());
             checkEnd(region, "seed " + seed);
         }
@@ -168,7 +168,7 @@
                                 new Replace(
                                         ControllerSelector.afterLeader(1), Version.RECORDED, 0.5))
                         .at(66, new Replace(ControllerSelector.afterLeader(1), Version.CURRENT, 1));
-        region.play(day);
+        region.schedule(day);
         region.world.run(day.endsAt());
         checkEnd(region, day.toString());
     }
@@ -192,7 +192,7 @@
                         .at(60, new LargeArrays(2, 150, 2))
                         .at(110, new Pipelines(6, 30))
                         .at(100 + region.world.random.nextInt(60), new StoreLimitsReduction());
-        region.play(day);
+        region.schedule(day);
         for (int i = 0; i < 12; i++) {
             region.world.at(20 + 11 * i, region.faults::injectRandomFault);
         }
@@ -201,9 +201,10 @@
         assertEquals(List.of(), region.violations, what);
         assertEquals(List.of(), region.unfinishedJobs(), what);
         assertEquals(List.of(), region.unansweredQueries(), what);
-        assertEquals(List.of(), region.alteredJobs(), what);
-        assertTrue(region.accepted() >= 40, what + " accepted " + region.accepted());
-        assertTrue(region.upgraded(), what);
+        assertEquals(List.of(), region.jobsWithChangedDependencies(), what);
+        assertTrue(
+                region.acceptedJobCount() >= 40, what + " accepted " + region.acceptedJobCount());
+        assertTrue(region.allRunCurrentVersion(), what);
     }
 
     @ParameterizedTest
@@ -218,11 +219,15 @@
                         .at(50, new CancelNow(4, 0));
         for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
             SimulatedRegion region = playOnce(day, seed + 1000L * more);
-            assertTrue(region.refusedForSize() > 0, "nothing was too large, seed " + seed);
+            assertTrue(
+                    region.oversizedTransactionCount() > 0, "nothing was too large, seed " + seed);
             // Two chunks of 68 tasks: what comes after them are parts of a divided record.
             assertTrue(
                     IntStream.range(2, 8)
-                            .mapToObj(part -> region.durable("pepperfield/run/run-800001/" + part))
+                            .mapToObj(
+                                    part ->
+                                            region.storedValue(
+                                                    "pepperfield/run/run-800001/" + part))
                             .anyMatch(Objects::nonNull),
                     "nothing was divided, seed " + seed);
         }
@@ -241,7 +246,7 @@
                         .at(75, new MachineReboot(MachineSelector.share(1)));
         for (int more = 0; more <= Integer.getInteger("pepperfield.seeds", 0); more++) {
             SimulatedRegion region = SimulatedRegion.beforeUpgrade(seed + 1000L * more);
-            region.play(day);
+            region.schedule(day);
             // A machine may have room for some of them only once the others have ended.
             region.world.run(day.endsAt() + runS);
             checkEnd(region, "seed " + seed);
@@ -296,7 +301,7 @@
                         .at(50, new StoreLimitsReduction(), new SubmissionFlood(8, 10))
                         .at(52, new GrantsRefused(0.3))
                         .at(55, new GrantsRefused(0.3));
-        region.play(day);
+        region.schedule(day);
         region.world.run(48);
         int changes = region.leaderChanges();
         region.world.run(day.endsAt());
--- a/src/test/java/io/pepperfield/dispatch/PipelineQueueTest.java
+++ b/src/test/java/io/pepperfield/dispatch/PipelineQueueTest.java
@@ -23,7 +23,7 @@
     private JsonNode queueEntry(String job) {
         return Json.read(
                         region.directRequests
-                                .answer(region.leaderIndex(), "GET", "/api/nodes")
+                                .request(region.leaderIndex(), "GET", "/api/nodes")
                                 .body())
                 .path("waiting")
                 .valueStream()
@@ -37,11 +37,11 @@
     }
 
     private JsonNode job(int node, String id) {
-        return Json.read(region.directRequests.answer(node, "GET", "/api/jobs/" + id).body());
+        return Json.read(region.directRequests.request(node, "GET", "/api/jobs/" + id).body());
     }
 
     private boolean isQueued(int node, String job) {
-        return Json.read(region.directRequests.answer(node, "GET", "/api/nodes").body())
+        return Json.read(region.directRequests.request(node, "GET", "/api/nodes").body())
                 .path("waiting")
                 .valueStream()
                 .anyMatch(entry -> entry.path("job").asText().equals(job));
@@ -52,10 +52,10 @@
     }
 
     private void changeLeader() {
-        String before = region.leader();
+        String before = region.leaderName();
         region.faults.crash(region.leaderIndex(), 20);
         run(6);
-        assertNotEquals(before, region.leader());
+        assertNotEquals(before, region.leaderName());
     }
 
     @Test
@@ -120,7 +120,7 @@
         run(1);
         int leader = region.leaderIndex();
         assertTrue(isQueued(leader, "run-000002") && isQueued(leader, "run-000004"));
-        region.world.cut("node-" + leader, "10.2.0.1", region.world.now() + 2);
+        region.world.partition("node-" + leader, "10.2.0.1", region.world.now() + 2);
         // Handled by another controller, which notifies the leader directly.
         region.pipelines.cancel(2, (leader + 1) % 3);
         run(0.5);
@@ -151,7 +151,7 @@
             run(0.2);
         }
         run(5);
-        assertEquals(2 * jobsPerShape + 2, region.accepted());
+        assertEquals(2 * jobsPerShape + 2, region.acceptedJobCount());
         int mutationsBefore = region.storedMutations();
         region.pipelines.cancel(2, 0);
         // Users poll again within this time.
--- a/src/test/java/io/pepperfield/forms/ListenerForms.java
+++ b/src/test/java/io/pepperfield/forms/ListenerForms.java
@@ -50,18 +50,21 @@
         for (String request : REQUESTS) {
             String[] words = request.split(" ");
             file.add(
-                    "leader, " + request, region.directRequests.answer(leader, words[0], words[1]));
-            file.add("other, " + request, region.directRequests.answer(other, words[0], words[1]));
+                    "leader, " + request,
+                    region.directRequests.request(leader, words[0], words[1]));
+            file.add("other, " + request, region.directRequests.request(other, words[0], words[1]));
         }
         writeReports(file, region, leader, other);
         addShape(
                 file,
                 "leader's overview",
-                region.directRequests.answer(leader, "GET", "/api/nodes"));
+                region.directRequests.request(leader, "GET", "/api/nodes"));
         addShape(
-                file, "other's overview", region.directRequests.answer(other, "GET", "/api/nodes"));
-        addShape(file, "rollout", region.directRequests.answer(other, "GET", "/api/rollout"));
-        SimulatedRegion admitting = SimulatedRegion.admitting(1, 3, 0);
+                file,
+                "other's overview",
+                region.directRequests.request(other, "GET", "/api/nodes"));
+        addShape(file, "rollout", region.directRequests.request(other, "GET", "/api/rollout"));
+        SimulatedRegion admitting = SimulatedRegion.withAdmission(1, 3, 0);
         admitting.world.run(20);
         admitting.jobMix.submitWide(1, 40, 8);
         admitting.jobMix.submitFailing(2, 1000);
@@ -69,9 +72,10 @@
         admitting.pipelines.submitArray(3, "standard", 4, 2, 1, 2);
         admitting.world.run(40);
         HttpReply overview =
-                admitting.directRequests.answer(admitting.leaderIndex(), "GET", "/api/nodes");
+                admitting.directRequests.request(admitting.leaderIndex(), "GET", "/api/nodes");
         addShape(file, "overview with admission", overview);
-        file.add("rollout switched off", admitting.directRequests.answer(0, "GET", "/api/rollout"));
+        file.add(
+                "rollout switched off", admitting.directRequests.request(0, "GET", "/api/rollout"));
     }
 
     /** Of a machine that belongs to one of the controllers; also cut off from the leader. */
@@ -82,7 +86,7 @@
             region.world.run(region.world.now() + 2 * SimulatedRegion.HEARTBEAT_INTERVAL_S);
         }
         double now = region.world.now();
-        region.world.cut(
+        region.world.partition(
                 "node-" + other,
                 "10.0.0." + (leader + 1),
                 now + 3 * SimulatedRegion.HEARTBEAT_INTERVAL_S);
@@ -90,14 +94,14 @@
         file.add(
                 "other, cut off from the leader, report",
                 region.directRequests.sendHeartbeat(other, "east"));
-        region.world.cut("node-" + other, "10.", now + 2 * SimulatedRegion.LEASE_S);
+        region.world.partition("node-" + other, "10.", now + 2 * SimulatedRegion.LEASE_S);
         region.world.run(now + SimulatedRegion.LEASE_S);
         file.add(
                 "other, cut off from all, report",
                 region.directRequests.sendHeartbeat(other, "east"));
         file.add(
                 "other, cut off from all, health",
-                region.directRequests.answer(other, "GET", "/up"));
+                region.directRequests.request(other, "GET", "/up"));
         region.world.run(now + 4 * SimulatedRegion.LEASE_S);
     }
 
--- a/src/test/java/io/pepperfield/rollout/RecordedVersionFencedTest.java
+++ b/src/test/java/io/pepperfield/rollout/RecordedVersionFencedTest.java
@@ -47,10 +47,11 @@
         KEYS.forEach((key, data) -> region.directRequests.write(key, json(data)));
         int changes = region.storedMutations();
         region.world.run(region.world.now() + 40);
-        String led = region.leader().equals("node-0") ? "nobody of them leads" : region.leader();
+        String led =
+                region.leaderName().equals("node-0") ? "nobody of them leads" : region.leaderName();
         String first = led + ", " + (region.storedMutations() - changes) + " changes in 40 s";
         String job = state(region);
-        HttpReply up = region.directRequests.answer(0, "GET", "/up");
+        HttpReply up = region.directRequests.request(0, "GET", "/up");
         HttpReply heartbeat = region.directRequests.sendHeartbeat(0, "east");
         region.directRequests.write("pepperfield/end/run-000001", json("{\"s\":\"done\"}"));
         region.world.run(region.world.now() + 2);
@@ -66,7 +67,7 @@
     }
 
     private static String state(SimulatedRegion region) {
-        HttpReply reply = region.directRequests.answer(0, "GET", "/api/jobs/run-000001");
+        HttpReply reply = region.directRequests.request(0, "GET", "/api/jobs/run-000001");
         return reply.status() + " " + Json.read(reply.body()).path("status").asText();
     }
 }
--- a/src/test/java/io/pepperfield/rollout/RolloutCommandsTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutCommandsTest.java
@@ -15,9 +15,9 @@
 
     @Test
     void commandsMayBeRepeatedAfterALostAnswer() {
-        state.losesAnswers = true;
+        state.dropResponses = true;
         assertEquals(503, leader.command("activate", ACTIVATE).status());
-        state.losesAnswers = false;
+        state.dropResponses = false;
         // Not heard of yet: neither done nor refused for good.
         assertEquals(503, leader.command("activate", ACTIVATE).status());
         hearAll();
--- a/src/test/java/io/pepperfield/rollout/RolloutFixture.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutFixture.java
@@ -99,7 +99,7 @@
         HttpReply command(String name, String body) {
             HttpReply[] got = new HttpReply[1];
             rollout.handle(
-                    SimWorld.call("POST", "/api/rollout/" + name, bytes(body)),
+                    SimWorld.inboundRequest("POST", "/api/rollout/" + name, bytes(body)),
                     reply -> got[0] = reply);
             return got[0];
         }
--- a/src/test/java/io/pepperfield/rollout/RolloutLoopbackTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutLoopbackTest.java
@@ -59,7 +59,7 @@
         String holder = "";
         while (holder.isEmpty()) {
             holder =
-                    region.untilAny("GET", "/api/rollout", null, a -> a.status() == 200)
+                    region.retryAnyUntil("GET", "/api/rollout", null, a -> a.status() == 200)
                             .path("leader")
                             .asText();
         }
@@ -69,25 +69,26 @@
     private void submitSome() throws Exception {
         for (int i = 0; i < JOBS_AT_A_TIME; i++) {
             int number = accepted.size() + 1;
-            region.untilAny(
+            region.retryAnyUntil(
                     "POST",
                     "/api/jobs",
-                    Json.write(LoopbackRegion.job(number)),
+                    Json.write(LoopbackRegion.smallJob(number)),
                     answer -> answer.status() == 201 || answer.status() == 200);
             accepted.add(String.format(Locale.ROOT, "run-%06d", number));
         }
     }
 
     private void command(String name, byte[] body) throws Exception {
-        region.untilAny("POST", "/api/rollout/" + name, body, answer -> answer.status() == 200);
+        region.retryAnyUntil(
+                "POST", "/api/rollout/" + name, body, answer -> answer.status() == 200);
     }
 
     private ClusterVersion version() throws Exception {
-        return ClusterVersion.read(region.durable("pepperfield/rollout/version")).orElseThrow();
+        return ClusterVersion.read(region.storedValue("pepperfield/rollout/version")).orElseThrow();
     }
 
     private void untilDeclared(int node, String release) throws Exception {
-        region.untilAny(
+        region.retryAnyUntil(
                 "GET", "/api/rollout", null, answer -> release.equals(declared(answer, node)));
     }
 
@@ -107,7 +108,7 @@
     @Test
     void noRecordIsMisreadAndNoJobLostWhateverTheOrder() throws Exception {
         region = new LoopbackRegion(CONTROLLERS);
-        region.checkRollout();
+        region.enableRolloutChecks();
         List<Integer> order = new ArrayList<>();
         for (int node = 0; node < CONTROLLERS; node++) {
             controllers.add(new ControllerProcess(region, node, directory));
@@ -127,7 +128,7 @@
         // As long as the declaration of the process before it stands, it would not be waited for.
         untilDeclared(back, Version.GATED.name().toLowerCase(Locale.ROOT));
         // The leader waits for it; if it leads itself, it does not know the version.
-        region.untilAny(
+        region.retryAnyUntil(
                 "POST", "/api/rollout/activate", ACTIVATE, answer -> answer.status() == REFUSED);
         replace(back, Version.ROLLOUT);
         command("activate", ACTIVATE);
@@ -149,12 +150,13 @@
         assertEquals(Phase.ACTIVE, version().phase());
         for (String id : accepted) {
             for (int node = 0; node < CONTROLLERS; node++) {
-                region.until(node, "GET", "/api/jobs/" + id, null, RolloutLoopbackTest::isDone);
+                region.retryUntil(
+                        node, "GET", "/api/jobs/" + id, null, RolloutLoopbackTest::isDone);
             }
         }
         assertEquals(List.of(), region.violations);
         command("rollback", NOTHING);
-        region.untilAny(
+        region.retryAnyUntil(
                 "GET",
                 "/api/rollout",
                 null,
--- a/src/test/java/io/pepperfield/rollout/RolloutMeasurement.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutMeasurement.java
@@ -127,7 +127,7 @@
         if (command == Command.ROLLBACK) {
             day = day.at(10, new OperatorCommand(Command.ACTIVATE, 5));
         }
-        region.play(day.at(20, new OperatorCommand(command, 5)));
+        region.schedule(day.at(20, new OperatorCommand(command, 5)));
         int[] refused = new int[2];
         double[] longest = new double[2];
         for (int i = 0; i < 200; i++) {
@@ -160,7 +160,7 @@
             day = day.at(10, new OperatorCommand(Command.ACTIVATE, 10));
         }
         day = day.at(20, new LargeArrays(ARRAYS, TASKS, 20));
-        region.play(day);
+        region.schedule(day);
         region.world.run(19);
         int changes = region.storedMutations();
         long bytes = region.bytesWritten();
--- a/src/test/java/io/pepperfield/rollout/RolloutSimulationTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutSimulationTest.java
@@ -39,7 +39,7 @@
 
     private static SimulatedRegion play(Scenario scenario, long seed) {
         SimulatedRegion region = SimulatedRegion.beforeRollout(seed, Version.GATED);
-        region.play(scenario);
+        region.schedule(scenario);
         region.world.run(scenario.endsAt());
         return region;
     }
@@ -50,12 +50,12 @@
         assertEquals(List.of(), region.unfinishedJobs(), day);
         assertEquals(List.of(), region.unansweredQueries(), day);
         assertEquals(List.of(), region.leftoverJobs(), day);
-        assertEquals(List.of(), region.reusedRentalNames(), day);
-        assertEquals(List.of(), region.alteredJobs(), day);
+        assertEquals(List.of(), region.reusedRentalRequestIds(), day);
+        assertEquals(List.of(), region.jobsWithChangedDependencies(), day);
     }
 
     private static ClusterVersion version(SimulatedRegion region) {
-        JsonNode record = region.durable("pepperfield/rollout/version");
+        JsonNode record = region.storedValue("pepperfield/rollout/version");
         return record == null ? ClusterVersion.INITIAL : ClusterVersion.read(record).orElseThrow();
     }
 
@@ -138,12 +138,13 @@
                             .at(60, new StoreLimitsReduction())
                             .at(61, new OperatorCommand(Command.ROLLBACK, 10))
                             .at(62, new ControllerCrash(ControllerSelector.LEADER, 2));
-            region.play(day);
+            region.schedule(day);
             region.world.run(59);
-            assertNotNull(region.durable("pepperfield/v2/run/run-800000/0"), "seed " + seed);
+            assertNotNull(region.storedValue("pepperfield/v2/run/run-800000/0"), "seed " + seed);
             region.world.run(100);
             assertEquals(ClusterVersion.INITIAL, version(region), "seed " + seed);
-            assertNotNull(region.durable("pepperfield/run/run-800000/2"), "nothing was divided");
+            assertNotNull(
+                    region.storedValue("pepperfield/run/run-800000/2"), "nothing was divided");
             region.world.run(day.endsAt() + 100);
             checkEnd(region, Phase.FINALIZED, "seed " + seed);
         }
@@ -171,15 +172,15 @@
                         .at(125, new LargeArrays(2, 150, 5))
                         .at(135, new OperatorCommand(Command.ACTIVATE, 60))
                         .at(150, new Pipelines(4, 20));
-        region.play(day);
+        region.schedule(day);
         for (int i = 0; i < 14; i++) {
             region.world.at(20 + 11 * i, region.faults::injectRandomFault);
         }
         for (int i = 0; i < 4; i++) {
             int node = region.world.random.nextInt(5);
             double at = 90 + 10 * region.world.random.nextDouble() * (i + 1);
-            region.world.at(at, () -> region.faults.replace(node, Version.GATED, 0.2));
-            region.world.at(at + 8, () -> region.faults.replace(node, Version.ROLLOUT, 0.2));
+            region.world.at(at, () -> region.faults.restartAs(node, Version.GATED, 0.2));
+            region.world.at(at + 8, () -> region.faults.restartAs(node, Version.ROLLOUT, 0.2));
         }
         region.world.run(440);
         String what = "seed " + seed;
@@ -187,8 +188,9 @@
         assertEquals(List.of(), region.unfinishedJobs(), what);
         assertTrue(region.allRun(Version.ROLLOUT), what);
         assertEquals(List.of(), region.unansweredQueries(), what);
-        assertEquals(List.of(), region.alteredJobs(), what);
-        assertTrue(region.accepted() >= 45, what + " accepted " + region.accepted());
+        assertEquals(List.of(), region.jobsWithChangedDependencies(), what);
+        assertTrue(
+                region.acceptedJobCount() >= 45, what + " accepted " + region.acceptedJobCount());
         assertTrue(region.operator.confirmed.contains(Command.ACTIVATE), what);
     }
 
@@ -196,9 +198,9 @@
     void aControllerOnOldCodeHoldsUpTheActivationUntilItIsNamed() {
         SimulatedRegion region = SimulatedRegion.beforeRollout(7, Version.ROLLOUT);
         Scenario day = Scenario.jobs(10, 2).at(20, new OperatorCommand(Command.ACTIVATE, 5));
-        region.play(day);
+        region.schedule(day);
         region.world.run(12);
-        region.faults.replace(3, Version.GATED, 0.2);
+        region.faults.restartAs(3, Version.GATED, 0.2);
         region.world.run(40);
         assertEquals(Phase.FINALIZED, version(region).phase());
         assertTrue(
@@ -242,12 +244,12 @@
                         .at(50, new Replace(ControllerSelector.node(0), Version.ROLLOUT, 0.2))
                         .at(51, new Replace(ControllerSelector.node(1), Version.ROLLOUT, 0.2))
                         .at(60, new OperatorCommand(Command.ROLLBACK, 10));
-        region.play(day);
+        region.schedule(day);
         for (double at = 35; at < 50; at += 0.5) {
             region.world.run(at);
             assertTrue(
-                    region.leader().isEmpty() || region.leaderIndex() > 1,
-                    region.leader() + " leads at " + at);
+                    region.leaderName().isEmpty() || region.leaderIndex() > 1,
+                    region.leaderName() + " leads at " + at);
         }
         region.world.run(day.endsAt());
         checkEnd(region, Phase.FINALIZED, "seed " + seed);
--- a/src/test/java/io/pepperfield/rollout/RolloutWritesTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutWritesTest.java
@@ -21,11 +21,12 @@
 
     @Test
     void aWriteOfBeforeTheActivationIsRefusedWheneverItArrives() {
-        state.holdsTransactions = true;
+        state.holdTransactions = true;
         leader.write(LINES);
-        state.holdsTransactions = false;
+        state.holdTransactions = false;
         activate();
-        assertInstanceOf(CompareAndSwapOutcome.Conflict.class, state.carryOutHeld().get(0));
+        assertInstanceOf(
+                CompareAndSwapOutcome.Conflict.class, state.applyHeldTransactions().get(0));
         assertNull(state.get(RECORD));
     }
 
@@ -122,11 +123,12 @@
         leader.hear();
         leader.command("rollback", "{}");
         // The rewriting reads the record, and its transaction is carried out late.
-        state.holdsTransactions = true;
+        state.holdTransactions = true;
         leader.hear();
-        state.holdsTransactions = false;
+        state.holdTransactions = false;
         assertInstanceOf(CompareAndSwapOutcome.Committed.class, leader.write(LATER));
-        assertInstanceOf(CompareAndSwapOutcome.Conflict.class, state.carryOutHeld().get(0));
+        assertInstanceOf(
+                CompareAndSwapOutcome.Conflict.class, state.applyHeldTransactions().get(0));
         passTime();
         assertEquals(LATER, state.get(RECORD));
     }
--- a/src/test/java/io/pepperfield/standin/AdmissionLoad.java
+++ b/src/test/java/io/pepperfield/standin/AdmissionLoad.java
@@ -91,7 +91,7 @@
         users.jobs.putIfAbsent(job.plan.id(), job);
         SimNode to = nodes.get(node.getAsInt());
         boolean[] answered = new boolean[1];
-        if (to.alive()) {
+        if (to.isAlive()) {
             to.request(
                     "users",
                     "POST",
@@ -105,7 +105,7 @@
                     });
         }
         world.after(
-                to.alive() ? 5 : 0.5,
+                to.isAlive() ? 5 : 0.5,
                 () -> {
                     if (!answered[0]) {
                         answered[0] = true;
--- a/src/test/java/io/pepperfield/standin/CloudStandIn.java
+++ b/src/test/java/io/pepperfield/standin/CloudStandIn.java
@@ -38,10 +38,10 @@
      * Names that were used for two requests: the cloud would take the second for a repeat of the
      * first.
      */
-    public final List<String> reusedNames = new ArrayList<>();
+    public final List<String> reusedRequestIds = new ArrayList<>();
 
     /** Told of every new request for machines and of every machine given back. */
-    Consumer<Decision> decided = decision -> {};
+    Consumer<Decision> onDecision = decision -> {};
 
     private int next;
     private boolean outage;
@@ -52,11 +52,11 @@
         this.machines = machines;
     }
 
-    public int rentals() {
+    public int rentalCount() {
         return next;
     }
 
-    public void outage(boolean begins) {
+    public void setOutage(boolean begins) {
         outage = begins;
     }
 
@@ -88,7 +88,7 @@
                         .forEach(
                                 host -> {
                                     if (rented.remove(host.asText()) != null) {
-                                        decided.accept(Decision.release(host.asText()));
+                                        onDecision.accept(Decision.release(host.asText()));
                                         machines.delete(host.asText());
                                     }
                                 });
@@ -107,7 +107,7 @@
         String request = body.path("hire").asText();
         String wanted = body.toString();
         if (!askedRentals.computeIfAbsent(request, key -> wanted).equals(wanted)) {
-            reusedNames.add(request);
+            reusedRequestIds.add(request);
         }
         List<String> names = requests.get(request);
         if (names == null) {
@@ -128,7 +128,7 @@
                         body.path("reclaimable").asBoolean());
                 names.add(name);
             }
-            decided.accept(
+            onDecision.accept(
                     Decision.rental(
                             request,
                             body.path("howMany").asInt(),
--- a/src/test/java/io/pepperfield/standin/ControllerProcess.java
+++ b/src/test/java/io/pepperfield/standin/ControllerProcess.java
@@ -22,7 +22,7 @@
     public ControllerProcess(LoopbackRegion region, int node, Path directory) throws IOException {
         settings =
                 Files.writeString(
-                        directory.resolve("node-" + node + ".toml"), region.settings(node));
+                        directory.resolve("node-" + node + ".toml"), region.settingsToml(node));
     }
 
     /** Starts it as that version. */
@@ -53,7 +53,7 @@
     }
 
     /** Stops it where it is, or lets it go on. */
-    public void freeze(boolean stop) throws IOException, InterruptedException {
+    public void setSuspended(boolean stop) throws IOException, InterruptedException {
         new ProcessBuilder("kill", stop ? "-STOP" : "-CONT", Long.toString(process.pid()))
                 .start()
                 .waitFor(10, TimeUnit.SECONDS);
--- a/src/test/java/io/pepperfield/standin/DirectRequests.java
+++ b/src/test/java/io/pepperfield/standin/DirectRequests.java
@@ -29,7 +29,7 @@
         ObjectNode body = Json.object();
         body.putArray("guards");
         body.putArray("apply").addObject().put("set", key).set("data", data);
-        store.handle(SimWorld.call("POST", "/txn", Json.write(body)), reply -> {});
+        store.handle(SimWorld.inboundRequest("POST", "/txn", Json.write(body)), reply -> {});
     }
 
     /** Submits a small job once, at that node. */
@@ -39,15 +39,15 @@
     }
 
     /** What a node answers; null where it has said nothing within two seconds. */
-    public HttpReply answer(int node, String method, String path) {
-        return answer(node, method, path, null);
+    public HttpReply request(int node, String method, String path) {
+        return request(node, method, path, null);
     }
 
     /**
      * So many questions at once about jobs that nobody submitted: how many got 404, and how many
      * were told to come back.
      */
-    public List<Integer> floodWithUnknownJobs(int node, int questions) {
+    public List<Integer> floodWithUnknownJobQueries(int node, int questions) {
         int[] got = new int[600];
         for (int i = 0; i < questions; i++) {
             nodes.get(node)
@@ -64,11 +64,14 @@
 
     /** What a node answers to the report of an idle machine of that zone, of which there is one. */
     public HttpReply sendHeartbeat(int node, String zone) {
-        return answer(
-                node, "POST", "/agent/beat", SimMachines.madeUpHeartbeat(zone, ++madeUpHeartbeats));
+        return request(
+                node,
+                "POST",
+                "/agent/beat",
+                SimMachines.syntheticHeartbeat(zone, ++madeUpHeartbeats));
     }
 
-    private HttpReply answer(int node, String method, String path, byte[] body) {
+    private HttpReply request(int node, String method, String path, byte[] body) {
         HttpReply[] got = new HttpReply[1];
         nodes.get(node).request("users", method, path, body, reply -> got[0] = reply);
         for (int step = 0; step < STEPS_TO_ANSWER && got[0] == null; step++) {
--- a/src/test/java/io/pepperfield/standin/FaultInjector.java
+++ b/src/test/java/io/pepperfield/standin/FaultInjector.java
@@ -45,13 +45,13 @@
         } else if (fault instanceof Fault.StorePartition cut) {
             each(cut.who(), node -> cut(node, Side.STATE, cut.way(), until));
         } else if (fault instanceof Fault.StoreLatency slow) {
-            region.storeLink.slow(slow.byS(), until);
+            region.storeLink.delayResponses(slow.byS(), until);
         } else if (fault instanceof Fault.DelayedWrites late) {
-            region.storeLink.late(late.share(), until, late.atOnce());
+            region.storeLink.dropTransactionResponses(late.share(), until, late.atOnce());
         } else if (fault instanceof Fault.ReplayedHeartbeats late) {
-            region.heartbeatReplays.copy(late.share(), until, late.forNext());
+            region.heartbeatReplays.replayHeartbeats(late.share(), until, late.forNext());
         } else if (fault instanceof Fault.NetworkLatency slow) {
-            world.slow(slow.byS(), until);
+            world.delayMessages(slow.byS(), until);
         } else if (fault instanceof Fault.StoreLimitsReduction) {
             region.faults.reduceStoreLimits();
         } else if (fault instanceof Fault.GrantsRefused) {
@@ -74,8 +74,8 @@
             each(
                     cut.which(),
                     worker -> {
-                        world.cut(worker.name, "10.", until);
-                        world.cut("node-", worker.address, until);
+                        world.partition(worker.name, "10.", until);
+                        world.partition("node-", worker.address, until);
                     });
         } else if (fault instanceof Fault.MachineLoss loss) {
             each(loss.which(), WorkerStandIn::losePower);
@@ -94,7 +94,9 @@
     /** Controllers. False where the fault is of another kind. */
     private boolean injectIntoControllers(Fault fault, double until) {
         if (fault instanceof Fault.ZonePartition cut) {
-            each(cut.inside(), node -> region.networkPartitions.zone(cut.zone(), node, until));
+            each(
+                    cut.inside(),
+                    node -> region.networkPartitions.isolateZone(cut.zone(), node, until));
         } else if (fault instanceof Fault.ControllerPartition cut) {
             each(cut.who(), node -> cut.from().forEach(side -> cut(node, side, cut.way(), until)));
         } else if (fault instanceof Fault.ControllerCrash crash) {
@@ -103,7 +105,7 @@
             for (int i = 0; i < changes.times(); i++) {
                 world.after(
                         i * changes.forS() / changes.times(),
-                        () -> region.faults.crash(region.lastLeader(), downS()));
+                        () -> region.faults.crash(region.lastLeaderIndex(), downS()));
             }
         } else if (fault instanceof Fault.ControllerPause pause) {
             each(pause.who(), node -> region.faults.pause(node, until));
@@ -112,7 +114,9 @@
         } else if (fault instanceof Fault.OperatorCommand asks) {
             region.operator.repeat(asks.command(), until);
         } else if (fault instanceof Fault.Replace replace) {
-            each(replace.who(), node -> region.faults.replace(node, replace.by(), replace.forS()));
+            each(
+                    replace.who(),
+                    node -> region.faults.restartAs(node, replace.by(), replace.forS()));
         } else {
             return false;
         }
@@ -167,13 +171,13 @@
     }
 
     private void each(Fault.ControllerSelector who, Consumer<Integer> then) {
-        for (int node : who.of(region.lastLeader(), region.nodeCount())) {
+        for (int node : who.of(region.lastLeaderIndex(), region.nodeCount())) {
             then.accept(node);
         }
     }
 
     private void each(Fault.MachineSelector which, Consumer<WorkerStandIn> then) {
-        machines.choose(which).forEach(then);
+        machines.select(which).forEach(then);
     }
 
     private void cut(int node, Side side, Way way, double until) {
@@ -182,9 +186,9 @@
         switch (side) {
             case STATE -> {
                 if (way == Way.REFUSE) {
-                    region.store.refuse(name, until);
+                    region.store.refuseCaller(name, until);
                 } else {
-                    world.cut(name, "10.2.0.1", until);
+                    world.partition(name, "10.2.0.1", until);
                 }
             }
             case PEERS -> {
@@ -201,9 +205,9 @@
 
     private void cut(String from, String to, Way way, double until) {
         if (way == Way.REFUSE) {
-            world.refuse(from, to, until);
+            world.refuseConnections(from, to, until);
         } else {
-            world.cut(from, to, until);
+            world.partition(from, to, until);
         }
     }
 }
--- a/src/test/java/io/pepperfield/standin/HeartbeatReplays.java
+++ b/src/test/java/io/pepperfield/standin/HeartbeatReplays.java
@@ -18,13 +18,13 @@
         this.nodes = nodes;
     }
 
-    void copy(double ofShare, double untilThen, boolean keptForNextLeader) {
+    void replayHeartbeats(double ofShare, double untilThen, boolean keptForNextLeader) {
         share = ofShare;
         until = untilThen;
         forNext = keptForNextLeader;
     }
 
-    void reported(byte[] body) {
+    void onHeartbeatSent(byte[] body) {
         if (world.now() >= until || world.random.nextDouble() >= share) {
             return;
         }
@@ -41,14 +41,14 @@
     }
 
     /** A new leader leads: what was kept for it comes in its first second. */
-    void newLeader() {
+    void onNewLeader() {
         kept.forEach(body -> world.after(world.random.nextDouble(), () -> deliver(body)));
         kept.clear();
     }
 
     private void deliver(byte[] body) {
         nodes.stream()
-                .filter(SimNode::alive)
+                .filter(SimNode::isAlive)
                 .forEach(node -> node.request("", "POST", "/agent/beat", body, reply -> {}));
     }
 }
--- a/src/test/java/io/pepperfield/standin/InMemoryKeyValueStore.java
+++ b/src/test/java/io/pepperfield/standin/InMemoryKeyValueStore.java
@@ -23,11 +23,11 @@
     private long revision;
     private long grants;
 
-    /** Transactions get no answer and are carried out by {@link #carryOutHeld}. */
-    public boolean holdsTransactions;
+    /** Transactions get no answer and are carried out by {@link #applyHeldTransactions}. */
+    public boolean holdTransactions;
 
     /** Transactions are carried out and get no answer. */
-    public boolean losesAnswers;
+    public boolean dropResponses;
 
     /** Refused beyond so many changes in a transaction. */
     public int maxMutations = Integer.MAX_VALUE;
@@ -46,13 +46,13 @@
             List<Precondition> guards,
             List<Mutation> wanted,
             Consumer<CompareAndSwapOutcome> done) {
-        if (holdsTransactions) {
+        if (holdTransactions) {
             held.add(new HeldTransaction(guards, wanted));
             done.accept(new CompareAndSwapOutcome.Unknown());
             return;
         }
         CompareAndSwapOutcome result = carryOut(guards, wanted);
-        done.accept(losesAnswers ? new CompareAndSwapOutcome.Unknown() : result);
+        done.accept(dropResponses ? new CompareAndSwapOutcome.Unknown() : result);
     }
 
     private CompareAndSwapOutcome carryOut(List<Precondition> guards, List<Mutation> wanted) {
@@ -92,7 +92,7 @@
     }
 
     /** Carries out what was held back; how each ended. */
-    public List<CompareAndSwapOutcome> carryOutHeld() {
+    public List<CompareAndSwapOutcome> applyHeldTransactions() {
         List<CompareAndSwapOutcome> results = new ArrayList<>();
         held.forEach(late -> results.add(carryOut(late.guards, late.changes)));
         held.clear();
--- a/src/test/java/io/pepperfield/standin/LeaderWatch.java
+++ b/src/test/java/io/pepperfield/standin/LeaderWatch.java
@@ -33,18 +33,18 @@
     }
 
     /** The name of the node that leads, or empty. */
-    String leader() {
+    String leaderName() {
         JsonNode key = leaderKey();
         return key == null ? "" : key.path("node").asText();
     }
 
     /** Which of the nodes leads; fails where none does. */
     int leaderIndex() {
-        return Integer.parseInt(leader().substring(NODE_PREFIX.length()));
+        return Integer.parseInt(leaderName().substring(NODE_PREFIX.length()));
     }
 
     /** Which of the nodes leads, or led last. */
-    int lastLeader() {
+    int lastLeaderIndex() {
         return lastLeader;
     }
 
--- a/src/test/java/io/pepperfield/standin/LoopbackRegion.java
+++ b/src/test/java/io/pepperfield/standin/LoopbackRegion.java
@@ -79,7 +79,7 @@
     }
 
     /** Checks that stored-state versions change as they must. */
-    public void checkRollout() {
+    public void enableRolloutChecks() {
         scheduler.execute(() -> state.rolloutRules = new RolloutRules(this::now, violations));
     }
 
@@ -122,7 +122,7 @@
     }
 
     /** The platform's settings of a controller. */
-    public String settings(int node) {
+    public String settingsToml(int node) {
         StringBuilder toml =
                 new StringBuilder(
                         String.format(
@@ -269,14 +269,14 @@
     }
 
     /** The value under a key, or null. */
-    public JsonNode durable(String key) throws Exception {
+    public JsonNode storedValue(String key) throws Exception {
         return scheduler.submit(() -> state.get(key)).get(PATIENCE_S, TimeUnit.SECONDS);
     }
 
     // ---- users
 
     /** A small array. */
-    public static ObjectNode job(int number) {
+    public static ObjectNode smallJob(int number) {
         return Json.object()
                 .put("nameId", String.format(Locale.ROOT, "run-%06d", number))
                 .put("workload", "batch")
@@ -297,7 +297,7 @@
                 .put("snapshotS", 0.0);
     }
 
-    public HttpOutcome.Answered ask(int node, String method, String path, byte[] body) {
+    public HttpOutcome.Answered send(int node, String method, String path, byte[] body) {
         CompletableFuture<HttpOutcome> future = new CompletableFuture<>();
         client.send(
                 new OutboundRequest("127.0.0.1", ports.get(node), 4, method, path, body, 5000),
@@ -315,7 +315,7 @@
     }
 
     /** Asks again and again, as users do, until the answer is as wanted. */
-    public JsonNode until(
+    public JsonNode retryUntil(
             int node,
             String method,
             String path,
@@ -328,7 +328,7 @@
     }
 
     /** The same of all controllers in turn. */
-    public JsonNode untilAny(
+    public JsonNode retryAnyUntil(
             String method, String path, byte[] body, Predicate<HttpOutcome.Answered> wanted)
             throws Exception {
         CompletableFuture<JsonNode> found = new CompletableFuture<>();
--- a/src/test/java/io/pepperfield/standin/NetworkPartitions.java
+++ b/src/test/java/io/pepperfield/standin/NetworkPartitions.java
@@ -20,7 +20,7 @@
      * A zone's machines and one controller inside are cut off from everything else, and go on with
      * each other.
      */
-    public void zone(String zone, int inside, double until) {
+    public void isolateZone(String zone, int inside, double until) {
         List<String> within =
                 new ArrayList<>(List.of("node-" + inside, "10.0.0." + (inside + 1) + ":"));
         machines.all().stream()
@@ -35,26 +35,26 @@
                 without.addAll(List.of("node-" + other, "10.0.0." + (other + 1) + ":"));
             }
         }
-        within.forEach(from -> without.forEach(to -> world.cut(from, to, until)));
+        within.forEach(from -> without.forEach(to -> world.partition(from, to, until)));
     }
 
     /** Cut from the state service and the other controllers, but not from the workers. */
-    public void isolate(int index, double until) {
-        world.cut("node-" + index, "10.2.0.1", until);
+    public void isolateFromStoreAndPeers(int index, double until) {
+        world.partition("node-" + index, "10.2.0.1", until);
         for (int other = 0; other < nodeCount; other++) {
             if (other != index) {
-                world.cut("node-" + index, "10.0.0." + (other + 1), until);
-                world.cut("node-" + other, "10.0.0." + (index + 1), until);
+                world.partition("node-" + index, "10.0.0." + (other + 1), until);
+                world.partition("node-" + other, "10.0.0." + (index + 1), until);
             }
         }
     }
 
     /** Cuts one controller from the others until then, and not from its users. */
-    public void peers(int index, double until) {
+    public void isolateFromPeers(int index, double until) {
         for (int other = 0; other < nodeCount; other++) {
             if (other != index) {
-                world.cut("node-" + index, "10.0.0." + (other + 1) + ":8081", until);
-                world.cut("node-" + other, "10.0.0." + (index + 1) + ":8081", until);
+                world.partition("node-" + index, "10.0.0." + (other + 1) + ":8081", until);
+                world.partition("node-" + other, "10.0.0." + (index + 1) + ":8081", until);
             }
         }
     }
--- a/src/test/java/io/pepperfield/standin/RandomFault.java
+++ b/src/test/java/io/pepperfield/standin/RandomFault.java
@@ -27,16 +27,16 @@
             case 1 -> crashAll(0.5, 2);
             case 2 -> region.faults.storeOutage(until);
             case 3 -> region.faults.cloudOutage(until);
-            case 4 -> world.cut("node-" + node, "10.2.0.1", until);
+            case 4 -> world.partition("node-" + node, "10.2.0.1", until);
             case 5 -> cutFromWorkers(node, until);
-            case 6 -> world.cut("node-" + node, "10.", until);
+            case 6 -> world.partition("node-" + node, "10.", until);
             case 7 -> worker.ifPresent(hit -> hit.hang(until));
             case 8 -> worker.ifPresent(hit -> hit.failReceiving(until + SimulatedRegion.LEASE_S));
-            case 9 -> region.networkPartitions.isolate(node, until);
-            case 10 -> world.cut("node-", "10.0.", until);
+            case 9 -> region.networkPartitions.isolateFromStoreAndPeers(node, until);
+            case 10 -> world.partition("node-", "10.0.", until);
             case 11 -> worker.ifPresent(machines::reboot);
             case 12 -> region.faults.pause(node, until);
-            case 13 -> region.networkPartitions.zone("east", node, until);
+            case 13 -> region.networkPartitions.isolateZone("east", node, until);
             case 14 -> region.faults.hangSomeMachines(until);
             case 16 -> region.faults.slowBoots(0.05, 0, until);
             case 17 -> region.faults.slowBoots(4, 0.3, until);
@@ -67,8 +67,8 @@
     }
 
     private void cutFromWorkers(int index, double until) {
-        world.cut("node-" + index, "10.1.", until);
-        world.cut("host-", "10.0.0." + (index + 1) + ":", until);
+        world.partition("node-" + index, "10.1.", until);
+        world.partition("host-", "10.0.0." + (index + 1) + ":", until);
     }
 
     private IntStream everyNode() {
--- a/src/test/java/io/pepperfield/standin/RecordingKeyValueStore.java
+++ b/src/test/java/io/pepperfield/standin/RecordingKeyValueStore.java
@@ -60,7 +60,7 @@
     }
 
     /** What was put off for a while is due now. */
-    public void pass() {
+    public void runScheduled() {
         List<Runnable> due = List.copyOf(waiting);
         waiting.clear();
         due.forEach(Runnable::run);
--- a/src/test/java/io/pepperfield/standin/RegionFaults.java
+++ b/src/test/java/io/pepperfield/standin/RegionFaults.java
@@ -21,8 +21,8 @@
         this.store = region.store;
         this.machines = machines;
         this.nodes = nodes;
-        this.storeOutage = new Outage(world, store::outage);
-        this.cloudOutage = new Outage(world, cloud::outage);
+        this.storeOutage = new Outage(world, store::setOutage);
+        this.cloudOutage = new Outage(world, cloud::setOutage);
     }
 
     /** Outages of one service, which end with the last of them. */
@@ -97,7 +97,7 @@
 
     /** From now on the state service has its lower limits. */
     public void reduceStoreLimits() {
-        store.limits = new StoreLimitsStandIn(RegionSettings.LIMITS_NEXT, world.now());
+        store.limits = new StoreLimitsStandIn(RegionSettings.REDUCED_LIMITS, world.now());
     }
 
     /** Until then every request about grants is refused as beyond the rate. */
@@ -106,8 +106,8 @@
     }
 
     /** Ends a controller's process, which comes back as that version. */
-    public void replace(int index, Version by, double downS) {
-        nodes.get(index).replace(by, downS);
+    public void restartAs(int index, Version by, double downS) {
+        nodes.get(index).restartAs(by, downS);
     }
 
     /** The cloud answers everybody 503. */
--- a/src/test/java/io/pepperfield/standin/RegionSettings.java
+++ b/src/test/java/io/pepperfield/standin/RegionSettings.java
@@ -18,18 +18,19 @@
             Map.of("red", 24.0, "blue", 24.0, "guests", Double.POSITIVE_INFINITY);
 
     /** What the state service allows at first. */
-    static final Settings.StoreLimits LIMITS_NOW = new Settings.StoreLimits(150, 60, 8, 32);
+    static final Settings.StoreLimits INITIAL_LIMITS = new Settings.StoreLimits(150, 60, 8, 32);
 
     /** What it allows from some moment after an upgrade. */
-    static final Settings.StoreLimits LIMITS_NEXT = new Settings.StoreLimits(100, 30, 1, 8);
+    static final Settings.StoreLimits REDUCED_LIMITS = new Settings.StoreLimits(100, 30, 1, 8);
 
     /** What a fleet of thousands of machines comes with. */
-    static final Settings.StoreLimits LIMITS_LARGE = new Settings.StoreLimits(600, 300, 8, 40);
+    static final Settings.StoreLimits LARGE_FLEET_LIMITS =
+            new Settings.StoreLimits(600, 300, 8, 40);
 
     private RegionSettings() {}
 
     /** What a team's tasks may use of CPUs together. */
-    static double limit(String team) {
+    static double teamCpuLimit(String team) {
         return TEAM_LIMITS.get(team);
     }
 
@@ -54,9 +55,9 @@
         }
         Map<String, Settings.Team> teams = new LinkedHashMap<>();
         for (String team : List.of("red", "blue")) {
-            teams.put(team, new Settings.Team(team, 12, limit(team), 0, 0));
+            teams.put(team, new Settings.Team(team, 12, teamCpuLimit(team), 0, 0));
         }
-        teams.put("guests", new Settings.Team("guests", 0, limit("guests"), 0, 0));
+        teams.put("guests", new Settings.Team("guests", 0, teamCpuLimit("guests"), 0, 0));
         Settings.Deployment deployment =
                 new Settings.Deployment(
                         nodes,
--- a/src/test/java/io/pepperfield/standin/RollingUpgrade.java
+++ b/src/test/java/io/pepperfield/standin/RollingUpgrade.java
@@ -32,7 +32,7 @@
     private void replaceNext(double everyS) {
         int count = Math.min(left.size(), 1 + world.random.nextInt(Fault.Upgrade.MOST_AT_ONCE));
         for (int i = 0; i < count; i++) {
-            region.faults.replace(left.remove(0), by, Fault.Upgrade.DOWN_S);
+            region.faults.restartAs(left.remove(0), by, Fault.Upgrade.DOWN_S);
         }
         if (!left.isEmpty()) {
             world.after(everyS * count, () -> replaceNext(everyS));
--- a/src/test/java/io/pepperfield/standin/Scenario.java
+++ b/src/test/java/io/pepperfield/standin/Scenario.java
@@ -5,7 +5,7 @@
 
 /**
  * A day in a region: jobs of all kinds at even intervals, and faults at their times. Played by
- * {@link SimulatedRegion#play}, and fully told by it and a seed.
+ * {@link SimulatedRegion#schedule}, and fully told by it and a seed.
  */
 public record Scenario(int jobs, double everyS, List<PlannedFault> faults) {
 
--- a/src/test/java/io/pepperfield/standin/SimMachines.java
+++ b/src/test/java/io/pepperfield/standin/SimMachines.java
@@ -47,7 +47,7 @@
     Consumer<byte[]> onHeartbeatSent = body -> {};
 
     /** Told of every order that a worker carries out. */
-    Consumer<Decision> decided = decision -> {};
+    Consumer<Decision> onDecision = decision -> {};
 
     /** Told of every job whose last task has ended. */
     Consumer<SimJob> onJobCompleted = job -> {};
@@ -70,7 +70,7 @@
         return List.copyOf(workers.values());
     }
 
-    int runningTasks() {
+    int runningTaskCount() {
         return jobs.values().stream().mapToInt(job -> job.workersByTask.size()).sum();
     }
 
@@ -152,7 +152,7 @@
                     }
 
                     @Override
-                    public boolean alive() {
+                    public boolean isAlive() {
                         return worker.isAlive();
                     }
                 });
@@ -169,7 +169,7 @@
 
     /** A worker's way to the controllers. */
     private HttpSender heartbeatSender(String name) {
-        HttpSender out = world.from(name);
+        HttpSender out = world.senderFrom(name);
         return (request, onOutcome) -> {
             if (world.now() < sendFailureUntil.getOrDefault(name, 0.0)) {
                 // No connection comes about, and one that was given up never does later.
@@ -191,7 +191,7 @@
         orderDelays.put(worker.name, new OrderDelay(until, forS));
     }
 
-    List<WorkerStandIn> choose(Fault.MachineSelector which) {
+    List<WorkerStandIn> select(Fault.MachineSelector which) {
         List<WorkerStandIn> there =
                 new ArrayList<>(
                         workers.values().stream()
@@ -234,8 +234,8 @@
     }
 
     @Override
-    public void decided(Decision decision) {
-        decided.accept(decision);
+    public void orderExecuted(Decision decision) {
+        onDecision.accept(decision);
     }
 
     @Override
@@ -275,7 +275,7 @@
                             + ", others of its job elsewhere");
         }
         double used = cpusUsedBy(plan.team());
-        if (used > RegionSettings.limit(plan.team()) + ROUNDING_TOLERANCE) {
+        if (used > RegionSettings.teamCpuLimit(plan.team()) + ROUNDING_TOLERANCE) {
             violation("quota: " + plan.team() + " uses " + used + " with " + task);
         }
     }
@@ -306,7 +306,7 @@
      * A cancelled task counts until it has exited, was killed or its machine is gone; one on a
      * machine that hangs does too.
      */
-    void check() {
+    void checkCancelledTasks() {
         for (SimJob job : jobs.values()) {
             if (!job.ranCancelledReported
                     && !job.workersByTask.isEmpty()
@@ -328,10 +328,10 @@
      * Whether one more task of that job could run now, on a machine that works and with the room
      * that its team has left.
      */
-    boolean fits(SimJob job) {
+    boolean canStartAnotherTask(SimJob job) {
         JobPlan plan = job.plan;
         if (cpusUsedBy(plan.team()) + plan.cpus()
-                > RegionSettings.limit(plan.team()) + ROUNDING_TOLERANCE) {
+                > RegionSettings.teamCpuLimit(plan.team()) + ROUNDING_TOLERANCE) {
             return false;
         }
         for (WorkerStandIn worker : workers.values()) {
@@ -360,7 +360,7 @@
     }
 
     /** The report of an idle machine that there is not. */
-    static byte[] madeUpHeartbeat(String zone, int serial) {
+    static byte[] syntheticHeartbeat(String zone, int serial) {
         JsonNode report =
                 Json.object()
                         .put("host", "made-up-" + zone)
--- a/src/test/java/io/pepperfield/standin/SimNode.java
+++ b/src/test/java/io/pepperfield/standin/SimNode.java
@@ -118,7 +118,7 @@
 
     /** The way out, with checks of what a controller may send and when. */
     private HttpSender checkedSender(Settings settings) {
-        HttpSender out = world.from("node-" + index);
+        HttpSender out = world.senderFrom("node-" + index);
         return (request, onOutcome) -> {
             String path = request.path();
             if (request.method().equals("POST")
@@ -154,7 +154,7 @@
     }
 
     /** Ends the process, unless it has ended already; it comes back as the other version. */
-    void replace(Version by, double forS) {
+    void restartAs(Version by, double forS) {
         version = by;
         crash(forS);
     }
@@ -173,7 +173,7 @@
             String from, String method, String path, byte[] body, Consumer<HttpReply> answer) {
         byte[] known =
                 version == Version.RECORDED ? RecordedVersion.withoutAwaits(path, body) : body;
-        take(controller::handle, SimWorld.call(method, path, known), answer);
+        take(controller::handle, SimWorld.inboundRequest(method, path, known), answer);
     }
 
     /** After a pause longer than a grant nothing may rest on what it knew before. */
@@ -207,11 +207,11 @@
     }
 
     @Override
-    public boolean alive() {
+    public boolean isAlive() {
         return alive;
     }
 
-    SimWorld.Host peerSide() {
+    SimWorld.Host peerHost() {
         return new SimWorld.Host() {
             @Override
             public void request(
@@ -220,7 +220,7 @@
                     String path,
                     byte[] body,
                     Consumer<HttpReply> answer) {
-                InboundRequest request = SimWorld.call(method, path, body);
+                InboundRequest request = SimWorld.inboundRequest(method, path, body);
                 checkForm(isKnown(request), request);
                 take(
                         peers::handle,
@@ -235,7 +235,7 @@
             }
 
             @Override
-            public boolean alive() {
+            public boolean isAlive() {
                 return alive;
             }
         };
--- a/src/test/java/io/pepperfield/standin/SimUserClient.java
+++ b/src/test/java/io/pepperfield/standin/SimUserClient.java
@@ -36,7 +36,7 @@
     }
 
     void send(int node, UserRequest request, Consumer<Optional<HttpOutcome.Answered>> onAnswer) {
-        world.from("users")
+        world.senderFrom("users")
                 .send(
                         new OutboundRequest(
                                 "10.0.0." + (1 + node),
--- a/src/test/java/io/pepperfield/standin/SimUserExpectations.java
+++ b/src/test/java/io/pepperfield/standin/SimUserExpectations.java
@@ -64,7 +64,7 @@
                             && !job.plan.alwaysFails()
                             && !job.isComplete()
                             && job.workersByTask.isEmpty()
-                            && machines.fits(job);
+                            && machines.canStartAnotherTask(job);
             if (!waits) {
                 job.waitingSince = now;
             } else if (now - job.waitingSince > MAX_WAIT_S) {
--- a/src/test/java/io/pepperfield/standin/SimWorld.java
+++ b/src/test/java/io/pepperfield/standin/SimWorld.java
@@ -20,12 +20,12 @@
 
     /** Whatever listens at an address. */
     public interface Host {
-        /** A request of the host {@code from}; an answer may never come. */
+        /** A request of the host {@code senderFrom}; an answer may never come. */
         void request(
                 String from, String method, String path, byte[] body, Consumer<HttpReply> answer);
 
         /** Connections are refused while this is false. */
-        boolean alive();
+        boolean isAlive();
     }
 
     /** A step of the simulation, at its time and in its order. */
@@ -87,12 +87,12 @@
      * Cuts the way between two hosts (by name; a prefix cuts all that begin so) until then; packets
      * are held back.
      */
-    public void cut(String from, String to, double until) {
+    public void partition(String from, String to, double until) {
         cutUntil.merge(from + ">" + to, until, Math::max);
     }
 
-    /** As {@link #cut}, but connections are refused at once and nothing is held back. */
-    public void refuse(String from, String to, double until) {
+    /** As {@link #partition}, but connections are refused at once and nothing is held back. */
+    public void refuseConnections(String from, String to, double until) {
         refusedUntil.merge(from + ">" + to, until, Math::max);
     }
 
@@ -115,7 +115,7 @@
     }
 
     /** A request as it is handed to whoever handles it. */
-    public static InboundRequest call(String method, String uri, byte[] body) {
+    public static InboundRequest inboundRequest(String method, String uri, byte[] body) {
         Map<String, List<String>> query = new HashMap<>();
         int mark = uri.indexOf('?');
         if (mark >= 0) {
@@ -133,7 +133,7 @@
     }
 
     /** Until then every message takes so much longer. */
-    public void slow(double byS, double until) {
+    public void delayMessages(double byS, double until) {
         slowBy = byS;
         slowUntil = until;
     }
@@ -143,7 +143,7 @@
     }
 
     /** The way out of one host. */
-    public HttpSender from(String name) {
+    public HttpSender senderFrom(String name) {
         return (request, onOutcome) -> send(name, request, new OnceOnly(onOutcome));
     }
 
@@ -169,7 +169,7 @@
         String to = request.host() + ":" + request.port();
         double held = heldUntil(from, to);
         Host target = hosts.get(to);
-        if (held <= now && (target == null || !target.alive())
+        if (held <= now && (target == null || !target.isAlive())
                 || last(refusedUntil, from, to) > now) {
             after(delay(), () -> onOutcome.accept(new HttpOutcome.NotSent("refused")));
             return;
@@ -193,7 +193,7 @@
     private void deliver(
             String from, String to, OutboundRequest request, Consumer<HttpReply> onReply) {
         Host target = hosts.get(to);
-        if (target != null && target.alive()) {
+        if (target != null && target.isAlive()) {
             target.request(from, request.method(), request.path(), request.body(), onReply);
         }
     }
--- a/src/test/java/io/pepperfield/standin/SimulatedRegion.java
+++ b/src/test/java/io/pepperfield/standin/SimulatedRegion.java
@@ -59,31 +59,35 @@
     private final LeaderWatch leaderWatch;
 
     public SimulatedRegion(long seed) {
-        this(seed, Version.CURRENT, RegionSettings.LIMITS_NOW, FEW_NODES, FEW_MACHINES);
+        this(seed, Version.CURRENT, RegionSettings.INITIAL_LIMITS, FEW_NODES, FEW_MACHINES);
     }
 
     /** A region of so many controllers that divide admission, without the last few. */
-    public static SimulatedRegion admitting(long seed, int nodes, int without) {
+    public static SimulatedRegion withAdmission(long seed, int nodes, int without) {
         return new SimulatedRegion(
                 seed,
                 Version.CURRENT,
-                RegionSettings.LIMITS_NOW,
+                RegionSettings.INITIAL_LIMITS,
                 nodes,
                 FEW_MACHINES,
                 index -> index < nodes - without ? Set.of(Feature.ADMISSION) : Set.of());
     }
 
     /** A region that has so many machines to rent. */
-    public static SimulatedRegion large(long seed, int machinesToRent) {
+    public static SimulatedRegion withRentableMachines(long seed, int machinesToRent) {
         return new SimulatedRegion(
-                seed, Version.CURRENT, RegionSettings.LIMITS_LARGE, FEW_NODES, machinesToRent);
+                seed,
+                Version.CURRENT,
+                RegionSettings.LARGE_FLEET_LIMITS,
+                FEW_NODES,
+                machinesToRent);
     }
 
     /** A region of five controllers that know stored-state versions, or are going to. */
     public static SimulatedRegion beforeRollout(long seed, Version version) {
         SimulatedRegion region =
                 new SimulatedRegion(
-                        seed, version, RegionSettings.LIMITS_NEXT, MANY_NODES, FEW_MACHINES);
+                        seed, version, RegionSettings.REDUCED_LIMITS, MANY_NODES, FEW_MACHINES);
         region.store.rolloutRules = new RolloutRules(region.world::now, region.violations);
         return region;
     }
@@ -91,7 +95,7 @@
     /** A region before its upgrade: the recorded version runs, and the limits are going to fall. */
     public static SimulatedRegion beforeUpgrade(long seed) {
         return new SimulatedRegion(
-                seed, Version.RECORDED, RegionSettings.LIMITS_NEXT, FEW_NODES, FEW_MACHINES);
+                seed, Version.RECORDED, RegionSettings.REDUCED_LIMITS, FEW_NODES, FEW_MACHINES);
     }
 
     /**
@@ -113,10 +117,12 @@
         decisions = new DecisionLog(world::now);
         store = new StoreStandIn(world::now, 10_000);
         store.violations = violations;
-        store.decided = decisions::add;
+        store.onDecision = decisions::add;
         store.limits =
                 new StoreLimitsStandIn(
-                        next == RegionSettings.LIMITS_LARGE ? next : RegionSettings.LIMITS_NOW,
+                        next == RegionSettings.LARGE_FLEET_LIMITS
+                                ? next
+                                : RegionSettings.INITIAL_LIMITS,
                         world.now());
         storeLink = new StoreLink(world, store);
         Map<String, SimJob> submitted = new LinkedHashMap<>();
@@ -129,13 +135,13 @@
         pipelines = new Pipelines(world, users, jobMix::team);
         faultInjector = new FaultInjector(this, machines, users);
         heartbeatReplays = new HeartbeatReplays(world, nodes);
-        machines.onHeartbeatSent = heartbeatReplays::reported;
-        machines.decided = decisions::add;
+        machines.onHeartbeatSent = heartbeatReplays::onHeartbeatSent;
+        machines.onDecision = decisions::add;
         cloud = new CloudStandIn(world::now, capacity, machines);
-        cloud.decided = decisions::add;
+        cloud.onDecision = decisions::add;
         faults = new RegionFaults(this, machines, nodes, cloud);
         directRequests = new DirectRequests(world, store, nodes);
-        leaderWatch = new LeaderWatch(store, heartbeatReplays::newLeader);
+        leaderWatch = new LeaderWatch(store, heartbeatReplays::onNewLeader);
         world.listen("10.2.0.1:2379", host(storeLink::handle));
         world.listen(
                 "10.2.0.2:8443",
@@ -150,7 +156,9 @@
                             RegionSettings.of(
                                     number,
                                     nodeCount,
-                                    running == Version.RECORDED ? RegionSettings.LIMITS_NOW : next,
+                                    running == Version.RECORDED
+                                            ? RegionSettings.INITIAL_LIMITS
+                                            : next,
                                     features.apply(number)));
         }
         everySoOften(
@@ -158,7 +166,7 @@
                 () -> {
                     store.tick();
                     machines.tick();
-                    machines.check();
+                    machines.checkCancelledTasks();
                     leaderWatch.tick();
                 });
         everySoOften(1, users::check);
@@ -168,7 +176,7 @@
         SimNode node = new SimNode(index, world, version, settingsOf, violations);
         nodes.add(node);
         world.listen("10.0.0." + (index + 1) + ":8080", node);
-        world.listen("10.0.0." + (index + 1) + ":8081", node.peerSide());
+        world.listen("10.0.0." + (index + 1) + ":8081", node.peerHost());
         node.start();
     }
 
@@ -181,11 +189,11 @@
                     String path,
                     byte[] body,
                     Consumer<HttpReply> answer) {
-                handler.handle(from, SimWorld.call(method, path, body), answer);
+                handler.handle(from, SimWorld.inboundRequest(method, path, body), answer);
             }
 
             @Override
-            public boolean alive() {
+            public boolean isAlive() {
                 return true;
             }
         };
@@ -203,7 +211,7 @@
     // ---- scenarios
 
     /** Plans a scenario's jobs and faults; to be run until {@link Scenario#endsAt}. */
-    public void play(Scenario scenario) {
+    public void schedule(Scenario scenario) {
         for (int i = 0; i < scenario.jobs(); i++) {
             int number = i + 1;
             world.at(
@@ -238,8 +246,8 @@
     // ---- who leads
 
     /** The name of the node that leads, as the durable key has it, or empty. */
-    public String leader() {
-        return leaderWatch.leader();
+    public String leaderName() {
+        return leaderWatch.leaderName();
     }
 
     /** How many machines are in that node's partition while all take part. */
@@ -267,7 +275,7 @@
     }
 
     /** Whether every controller runs this version, or will once it is started. */
-    public boolean upgraded() {
+    public boolean allRunCurrentVersion() {
         return allRun(Version.CURRENT);
     }
 
@@ -277,15 +285,15 @@
     }
 
     /** Which of the nodes leads, or led last. */
-    int lastLeader() {
-        return leaderWatch.lastLeader();
+    int lastLeaderIndex() {
+        return leaderWatch.lastLeaderIndex();
     }
 
     // ---- what can be seen of it
 
     /** Machines rented so far, whether they are still there or not. */
-    public int rentals() {
-        return cloud.rentals();
+    public int rentalCount() {
+        return cloud.rentalCount();
     }
 
     /** How often a task has begun on a machine so far. */
@@ -312,16 +320,16 @@
         return machines.all();
     }
 
-    public int accepted() {
+    public int acceptedJobCount() {
         return (int) users.jobs.values().stream().filter(job -> job.accepted).count();
     }
 
-    public int runningTasks() {
-        return machines.runningTasks();
+    public int runningTaskCount() {
+        return machines.runningTaskCount();
     }
 
     /** The durable record under a key, or null. */
-    public JsonNode durable(String key) {
+    public JsonNode storedValue(String key) {
         return store.get(key);
     }
 
@@ -330,12 +338,12 @@
         return end != null && end.path("s").asText().equals("done");
     }
 
-    public List<String> reusedRentalNames() {
-        return cloud.reusedNames;
+    public List<String> reusedRentalRequestIds() {
+        return cloud.reusedRequestIds;
     }
 
     /** Accepted jobs whose prerequisites are not durable. */
-    public List<String> alteredJobs() {
+    public List<String> jobsWithChangedDependencies() {
         List<String> altered = new ArrayList<>();
         users.jobs.values().stream()
                 .filter(job -> job.accepted)
@@ -345,8 +353,8 @@
     }
 
     /** How many transactions were refused for their size since the limits last changed. */
-    public int refusedForSize() {
-        return store.limits.malformed;
+    public int oversizedTransactionCount() {
+        return store.limits.oversizedRequestCount;
     }
 
     // ---- what is left at the end
--- a/src/test/java/io/pepperfield/standin/StoreLimitsStandIn.java
+++ b/src/test/java/io/pepperfield/standin/StoreLimitsStandIn.java
@@ -11,8 +11,8 @@
  */
 final class StoreLimitsStandIn {
 
-    static final int MALFORMED = 400;
-    static final int TOO_MANY = 429;
+    static final int BAD_REQUEST = 400;
+    static final int TOO_MANY_REQUESTS = 429;
     static final int ALLOWED = 0;
     private static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int PRECONDITIONS_PER_MUTATION = 4;
@@ -23,9 +23,9 @@
     private double filledAt;
 
     /** So many requests were refused for their size, and for the rates. */
-    int malformed;
+    int oversizedRequestCount;
 
-    int tooMany;
+    int rateLimitedRequestCount;
 
     StoreLimitsStandIn(Settings.StoreLimits limits, double now) {
         this.limits = limits;
@@ -35,7 +35,7 @@
     }
 
     /** The status with which a request is refused, or {@link #ALLOWED}. */
-    int refusal(InboundRequest request, double now) {
+    int refusalStatus(InboundRequest request, double now) {
         requests =
                 Math.min(
                         limits.requestsPerS(), requests + (now - filledAt) * limits.requestsPerS());
@@ -45,12 +45,12 @@
         JsonNode body = transaction ? Json.read(request.body()) : null;
         int writes = transaction ? body.path("apply").size() : 0;
         if (transaction && tooLarge(body, request.body().length)) {
-            malformed++;
-            return MALFORMED;
+            oversizedRequestCount++;
+            return BAD_REQUEST;
         }
         if (requests < 1 || changes < writes) {
-            tooMany++;
-            return TOO_MANY;
+            rateLimitedRequestCount++;
+            return TOO_MANY_REQUESTS;
         }
         requests -= 1;
         changes -= writes;
--- a/src/test/java/io/pepperfield/standin/StoreLink.java
+++ b/src/test/java/io/pepperfield/standin/StoreLink.java
@@ -20,7 +20,7 @@
         this.state = state;
     }
 
-    void slow(double byS, double until) {
+    void delayResponses(double byS, double until) {
         slowByS = byS;
         slowUntil = until;
     }
@@ -29,7 +29,7 @@
      * Until then that share of transactions gets no answer, and is carried out late or, if at once,
      * in its turn.
      */
-    void late(double share, double until, boolean carriedOutAtOnce) {
+    void dropTransactionResponses(double share, double until, boolean carriedOutAtOnce) {
         lateShare = share;
         lateUntil = until;
         atOnce = carriedOutAtOnce;
--- a/src/test/java/io/pepperfield/standin/StoreStandIn.java
+++ b/src/test/java/io/pepperfield/standin/StoreStandIn.java
@@ -86,13 +86,13 @@
     List<String> violations = new ArrayList<>();
 
     /** Told of every final state of a job that is stored. */
-    Consumer<Decision> decided = decision -> {};
+    Consumer<Decision> onDecision = decision -> {};
 
     /** What must hold of every transaction while stored-state versions change; null: nothing. */
     RolloutRules rolloutRules;
 
     /** Begins or ends an outage; at its end every grant has its full time again. */
-    public void outage(boolean begins) {
+    public void setOutage(boolean begins) {
         outageActive = begins;
         if (!begins) {
             grants.values().forEach(grant -> grant.until = clock.getAsDouble() + grant.ttl);
@@ -103,7 +103,7 @@
      * Answers one caller 503 until then, while others are served; its open watches wait, and its
      * grants run out.
      */
-    public void refuse(String from, double until) {
+    public void refuseCaller(String from, double until) {
         refusedUntil.merge(from, until, Math::max);
     }
 
@@ -222,9 +222,9 @@
     private int refusal(InboundRequest request) {
         double now = clock.getAsDouble();
         if (request.path().startsWith("/grants") && now < grantsRefusedUntil) {
-            return StoreLimitsStandIn.TOO_MANY;
+            return StoreLimitsStandIn.TOO_MANY_REQUESTS;
         }
-        return limits == null ? StoreLimitsStandIn.ALLOWED : limits.refusal(request, now);
+        return limits == null ? StoreLimitsStandIn.ALLOWED : limits.refusalStatus(request, now);
     }
 
     private HttpReply now(InboundRequest request) {
@@ -294,7 +294,7 @@
                 check(key, op.get("data"));
                 if (key.startsWith(FINAL_STATES)) {
                     String job = key.substring(FINAL_STATES.length());
-                    decided.accept(Decision.finalState(job, op.get("data").path("s").asText()));
+                    onDecision.accept(Decision.finalState(job, op.get("data").path("s").asText()));
                 }
                 bytesWritten += Json.write(op.get("data")).length;
                 entries.put(key, new Entry(op.get("data"), revision, op.path("claim").longValue()));
--- a/src/test/java/io/pepperfield/standin/WorkerStandIn.java
+++ b/src/test/java/io/pepperfield/standin/WorkerStandIn.java
@@ -37,7 +37,7 @@
         boolean failsAtEnd(String task);
 
         /** An order that the worker carries out. */
-        default void decided(Decision decision) {}
+        default void orderExecuted(Decision decision) {}
     }
 
     /** An attempt that the worker holds, with its state. */
@@ -309,7 +309,7 @@
                     }
                     HeldAttempt begun = new HeldAttempt(number, now);
                     heldAttempts.put(task, begun);
-                    taskOracle.decided(Decision.start(task, number, name));
+                    taskOracle.orderExecuted(Decision.start(task, number, name));
                     if (Double.isNaN(taskOracle.runDurationS(task))) {
                         begun.status = "ended";
                         begun.cause = "no_such";
@@ -317,7 +317,7 @@
                 }
                 case "stop" -> {
                     if (h != null && h.number == number && !h.status.equals("ended")) {
-                        taskOracle.decided(Decision.stop(task, number, name));
+                        taskOracle.orderExecuted(Decision.stop(task, number, name));
                         if (h.status.equals("running")) {
                             taskOracle.taskEnded(this, task, false);
                         }
--- a/src/test/java/io/pepperfield/store/FencedWriterTest.java
+++ b/src/test/java/io/pepperfield/store/FencedWriterTest.java
@@ -216,6 +216,6 @@
 
     private void refusePending() {
         store.pendingCallback.accept(new KeyValueStore.CompareAndSwapOutcome.Refused(400));
-        store.pass();
+        store.runScheduled();
     }
 }
