--- a/src/test/java/io/pepperfield/standin/CloudStandIn.java
+++ b/src/test/java/io/pepperfield/standin/CloudStandIn.java
@@ -14,37 +14,40 @@
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
 
-/** The cloud by its published protocol: one type of machine, two zones, a lagging list. */
+/**
+ * In-memory implementation of the cloud's published protocol, with one machine type and two zones.
+ * An instance is listed only once it is older than 2 s, because the cloud's list lags.
+ */
 public final class CloudStandIn {
 
-    /** Starts and ends the machines that are rented. */
+    /** Boots and deletes the rented machines. */
     public interface Machines {
         void boot(String name, String type, String zone, boolean spot);
 
         void delete(String name);
     }
 
-    /** A machine that the stand-in has rented out, and since when. */
-    private record Rented(String name, String zone, boolean spot, double at) {}
+    /** A rented instance and the time at which it was rented. */
+    private record RentedInstance(String name, String zone, boolean spot, double rentedAt) {}
 
     private final DoubleSupplier clock;
     private final Machines machines;
     private final int capacity;
-    private final Map<String, List<String>> requests = new LinkedHashMap<>();
-    private final Map<String, Rented> rented = new LinkedHashMap<>();
-    private final Map<String, String> askedRentals = new LinkedHashMap<>();
+    private final Map<String, List<String>> instancesByRequest = new LinkedHashMap<>();
+    private final Map<String, RentedInstance> rentedInstances = new LinkedHashMap<>();
+    private final Map<String, String> requestBodies = new LinkedHashMap<>();
 
     /**
-     * Names that were used for two requests: the cloud would take the second for a repeat of the
-     * first.
+     * Request ids that were used for two different requests. The cloud would treat the second one
+     * as a retry of the first.
      */
     public final List<String> reusedRequestIds = new ArrayList<>();
 
-    /** Told of every new request for machines and of every machine given back. */
+    /** Called for every new rental request and every released instance. */
     Consumer<Decision> onDecision = decision -> {};
 
-    private int next;
-    private boolean outage;
+    private int nextInstanceNumber;
+    private boolean outageActive;
 
     public CloudStandIn(DoubleSupplier clock, int capacity, Machines machines) {
         this.clock = clock;
@@ -53,15 +56,15 @@
     }
 
     public int rentalCount() {
-        return next;
+        return nextInstanceNumber;
     }
 
-    public void setOutage(boolean begins) {
-        outage = begins;
+    public void setOutage(boolean active) {
+        outageActive = active;
     }
 
     public HttpReply handle(InboundRequest request) {
-        if (outage) {
+        if (outageActive) {
             return HttpReply.error(503, "trouble");
         }
         JsonNode body = Json.read(request.body());
@@ -87,7 +90,7 @@
                 body.path("hosts")
                         .forEach(
                                 host -> {
-                                    if (rented.remove(host.asText()) != null) {
+                                    if (rentedInstances.remove(host.asText()) != null) {
                                         onDecision.accept(Decision.release(host.asText()));
                                         machines.delete(host.asText());
                                     }
@@ -104,19 +107,21 @@
     }
 
     private HttpReply rent(JsonNode body) {
-        String request = body.path("hire").asText();
-        String wanted = body.toString();
-        if (!askedRentals.computeIfAbsent(request, key -> wanted).equals(wanted)) {
-            reusedRequestIds.add(request);
+        String requestId = body.path("hire").asText();
+        String bodyText = body.toString();
+        if (!requestBodies.computeIfAbsent(requestId, id -> bodyText).equals(bodyText)) {
+            reusedRequestIds.add(requestId);
         }
-        List<String> names = requests.get(request);
+        List<String> names = instancesByRequest.get(requestId);
         if (names == null) {
             names = new ArrayList<>();
-            for (int i = 0; i < body.path("howMany").asInt() && rented.size() < capacity; i++) {
-                String name = String.format(Locale.ROOT, "host-%06d", next++);
-                rented.put(
+            for (int i = 0;
+                    i < body.path("howMany").asInt() && rentedInstances.size() < capacity;
+                    i++) {
+                String name = String.format(Locale.ROOT, "host-%06d", nextInstanceNumber++);
+                rentedInstances.put(
                         name,
-                        new Rented(
+                        new RentedInstance(
                                 name,
                                 body.path("site").asText(),
                                 body.path("reclaimable").asBoolean(),
@@ -130,7 +135,7 @@
             }
             onDecision.accept(
                     Decision.rental(
-                            request,
+                            requestId,
                             body.path("howMany").asInt(),
                             body.path("flavour").asText(),
                             body.path("site").asText(),
@@ -139,7 +144,7 @@
             if (names.isEmpty()) {
                 return HttpReply.error(503, "no capacity");
             }
-            requests.put(request, names);
+            instancesByRequest.put(requestId, names);
         }
         ObjectNode reply = Json.object();
         ArrayNode hosts = reply.putArray("hosts");
@@ -150,15 +155,15 @@
     private HttpReply list() {
         ObjectNode reply = Json.object().put("truncated", false);
         ArrayNode hosts = reply.putArray("hosts");
-        for (Rented key : rented.values()) {
-            double age = clock.getAsDouble() - key.at;
+        for (RentedInstance instance : rentedInstances.values()) {
+            double age = clock.getAsDouble() - instance.rentedAt;
             if (age > 2) {
                 hosts.addObject()
-                        .put("nameId", key.name)
+                        .put("nameId", instance.name)
                         .put("addr", "")
                         .put("flavour", "box")
-                        .put("site", key.zone)
-                        .put("reclaimable", key.spot)
+                        .put("site", instance.zone)
+                        .put("reclaimable", instance.spot)
                         .put("status", "running")
                         .put("ageS", age);
             }
--- a/src/test/java/io/pepperfield/standin/ControllerProcess.java
+++ b/src/test/java/io/pepperfield/standin/ControllerProcess.java
@@ -12,25 +12,25 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** A controller in a process of its own, which can be killed and come back as another version. */
+/** A controller in a separate process that a test can kill and restart as another version. */
 public final class ControllerProcess {
 
     private final Path settings;
     private Process process;
 
-    /** Keeps the controller's settings in that directory. */
+    /** Writes the controller's settings file to {@code directory}. */
     public ControllerProcess(LoopbackRegion region, int node, Path directory) throws IOException {
         settings =
                 Files.writeString(
                         directory.resolve("node-" + node + ".toml"), region.settingsToml(node));
     }
 
-    /** Starts it as that version. */
+    /** Starts the controller as the given version with the rollout feature enabled. */
     public void start(Version version) throws IOException {
         start(version, Feature.ROLLOUT);
     }
 
-    /** Starts it as that version with a feature switched on. */
+    /** Starts the controller as the given version with one feature enabled. */
     public void start(Version version, Feature feature) throws IOException {
         Path log = settings.resolveSibling(settings.getFileName() + ".log");
         process =
@@ -52,23 +52,23 @@
                         .start();
     }
 
-    /** Stops it where it is, or lets it go on. */
-    public void setSuspended(boolean stop) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", stop ? "-STOP" : "-CONT", Long.toString(process.pid()))
+    /** Suspends the process with SIGSTOP, or resumes it with SIGCONT. */
+    public void setSuspended(boolean suspended) throws IOException, InterruptedException {
+        new ProcessBuilder("kill", suspended ? "-STOP" : "-CONT", Long.toString(process.pid()))
                 .start()
                 .waitFor(10, TimeUnit.SECONDS);
     }
 
-    /** Ends it without a signal that it could handle. */
+    /** Kills the process with a signal that it cannot handle. */
     public void kill() throws InterruptedException {
         process.destroyForcibly();
         process.waitFor(10, TimeUnit.SECONDS);
     }
 
-    /** The process: a settings file, the name of a version and that of a feature. */
+    /** Runs the controller. Arguments: the settings file, the version name and the feature name. */
     public static void main(String[] arguments) throws Exception {
         OperatorSettings defaults = OperatorSettings.DEFAULTS;
-        OperatorSettings operators =
+        OperatorSettings operatorSettings =
                 new OperatorSettings(
                         defaults.billingUnitS(),
                         defaults.restartCostShare(),
@@ -78,14 +78,14 @@
                         defaults.maxConcurrentSilentReleases(),
                         Set.of(Feature.valueOf(arguments[2])),
                         defaults.admission());
-        Settings settings = SettingsReader.read(Path.of(arguments[0]), operators);
-        ControllerServer service =
+        Settings settings = SettingsReader.read(Path.of(arguments[0]), operatorSettings);
+        ControllerServer server =
                 new ControllerServer(settings, Version.valueOf(arguments[1]).release());
-        // A test that is killed must not leave controllers behind.
+        // Exits with the parent process, so that a killed test leaves no controllers running.
         ProcessHandle.current()
                 .parent()
                 .ifPresent(test -> test.onExit().thenRun(() -> Runtime.getRuntime().halt(0)));
-        service.start();
-        service.run();
+        server.start();
+        server.run();
     }
 }
--- a/src/test/java/io/pepperfield/standin/HeartbeatReplays.java
+++ b/src/test/java/io/pepperfield/standin/HeartbeatReplays.java
@@ -3,33 +3,33 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Copies of workers' reports that come to every controller long after the reports themselves. */
+/** Delivers copies of workers' heartbeats to every running controller long after the originals. */
 final class HeartbeatReplays {
 
     private final SimWorld world;
     private final List<SimNode> nodes;
-    private final List<byte[]> kept = new ArrayList<>();
+    private final List<byte[]> retainedHeartbeats = new ArrayList<>();
     private double share;
     private double until;
-    private boolean forNext;
+    private boolean forNextLeader;
 
     HeartbeatReplays(SimWorld world, List<SimNode> nodes) {
         this.world = world;
         this.nodes = nodes;
     }
 
-    void replayHeartbeats(double ofShare, double untilThen, boolean keptForNextLeader) {
-        share = ofShare;
-        until = untilThen;
-        forNext = keptForNextLeader;
+    void replayHeartbeats(double newShare, double newUntil, boolean retainForNextLeader) {
+        share = newShare;
+        until = newUntil;
+        forNextLeader = retainForNextLeader;
     }
 
     void onHeartbeatSent(byte[] body) {
         if (world.now() >= until || world.random.nextDouble() >= share) {
             return;
         }
-        if (forNext) {
-            kept.add(body);
+        if (forNextLeader) {
+            retainedHeartbeats.add(body);
         } else {
             world.after(
                     Fault.ReplayedHeartbeats.LEAST_S
@@ -40,10 +40,13 @@
         }
     }
 
-    /** A new leader leads: what was kept for it comes in its first second. */
+    /**
+     * Delivers the copies retained for the new leader within the first second of its leadership.
+     */
     void onNewLeader() {
-        kept.forEach(body -> world.after(world.random.nextDouble(), () -> deliver(body)));
-        kept.clear();
+        retainedHeartbeats.forEach(
+                body -> world.after(world.random.nextDouble(), () -> deliver(body)));
+        retainedHeartbeats.clear();
     }
 
     private void deliver(byte[] body) {
--- a/src/test/java/io/pepperfield/standin/InMemoryKeyValueStore.java
+++ b/src/test/java/io/pepperfield/standin/InMemoryKeyValueStore.java
@@ -9,114 +9,122 @@
 import java.util.function.Consumer;
 
 /**
- * A state service that answers at once, without a network; transactions can be held back and
- * carried out later, or carried out without an answer.
+ * An in-memory state service that responds synchronously. Transactions can be held and applied
+ * later, or applied without a response, so that their outcome is unknown to the caller.
  */
 public final class InMemoryKeyValueStore implements NoOpKeyValueStore {
 
-    /** A transaction that was held back. */
-    private record HeldTransaction(List<Precondition> guards, List<Mutation> changes) {}
+    /** A transaction that has not been applied yet. */
+    private record HeldTransaction(List<Precondition> preconditions, List<Mutation> changes) {}
 
     private final TreeMap<String, KeyValue> keys = new TreeMap<>();
     private final List<KeyValue> events = new ArrayList<>();
-    private final List<HeldTransaction> held = new ArrayList<>();
+    private final List<HeldTransaction> heldTransactions = new ArrayList<>();
     private long revision;
-    private long grants;
+    private long lastGrantId;
 
-    /** Transactions get no answer and are carried out by {@link #applyHeldTransactions}. */
+    /**
+     * While true, transactions have an unknown outcome and are applied only by {@link
+     * #applyHeldTransactions}.
+     */
     public boolean holdTransactions;
 
-    /** Transactions are carried out and get no answer. */
+    /** While true, transactions are applied but their outcome is reported as unknown. */
     public boolean dropResponses;
 
-    /** Refused beyond so many changes in a transaction. */
+    /** Maximum number of mutations in a transaction; larger transactions are refused. */
     public int maxMutations = Integer.MAX_VALUE;
 
-    /** Refused beyond so many bytes in a value. */
+    /** Maximum size of a value in bytes; transactions with larger values are refused. */
     public int maxValueBytes = Integer.MAX_VALUE;
 
-    /** Single keys written or deleted, and transactions carried out. */
+    /** Number of keys written or deleted. */
     public int mutations;
 
+    /** Number of transactions applied that contain mutations. */
     public int transactions;
 
     @Override
     public void compareAndSwap(
-            RequestPriority urgency,
-            List<Precondition> guards,
-            List<Mutation> wanted,
-            Consumer<CompareAndSwapOutcome> done) {
+            RequestPriority priority,
+            List<Precondition> preconditions,
+            List<Mutation> changes,
+            Consumer<CompareAndSwapOutcome> onResult) {
         if (holdTransactions) {
-            held.add(new HeldTransaction(guards, wanted));
-            done.accept(new CompareAndSwapOutcome.Unknown());
+            heldTransactions.add(new HeldTransaction(preconditions, changes));
+            onResult.accept(new CompareAndSwapOutcome.Unknown());
             return;
         }
-        CompareAndSwapOutcome result = carryOut(guards, wanted);
-        done.accept(dropResponses ? new CompareAndSwapOutcome.Unknown() : result);
+        CompareAndSwapOutcome result = apply(preconditions, changes);
+        onResult.accept(dropResponses ? new CompareAndSwapOutcome.Unknown() : result);
     }
 
-    private CompareAndSwapOutcome carryOut(List<Precondition> guards, List<Mutation> wanted) {
-        boolean tooLong =
-                wanted.stream()
+    private CompareAndSwapOutcome apply(List<Precondition> preconditions, List<Mutation> changes) {
+        boolean hasOversizedValue =
+                changes.stream()
                         .anyMatch(
                                 change ->
                                         change.value() != null
                                                 && Json.write(change.value()).length
                                                         > maxValueBytes);
-        if (wanted.size() > maxMutations || tooLong) {
+        if (changes.size() > maxMutations || hasOversizedValue) {
             return new CompareAndSwapOutcome.Refused(400);
         }
         List<String> failed =
-                guards.stream()
-                        .filter(guard -> modRevision(guard.key()) != guard.modRevision())
+                preconditions.stream()
+                        .filter(
+                                precondition ->
+                                        modRevision(precondition.key())
+                                                != precondition.modRevision())
                         .map(Precondition::key)
                         .toList();
         if (!failed.isEmpty()) {
             return new CompareAndSwapOutcome.Conflict(failed);
         }
-        if (!wanted.isEmpty()) {
+        if (!changes.isEmpty()) {
             revision++;
             transactions++;
         }
-        for (Mutation change : wanted) {
+        for (Mutation mutation : changes) {
             mutations++;
-            KeyValue item = new KeyValue(change.key(), change.value(), revision);
-            events.add(item);
-            if (change.value() == null) {
-                keys.remove(change.key());
+            KeyValue written = new KeyValue(mutation.key(), mutation.value(), revision);
+            events.add(written);
+            if (mutation.value() == null) {
+                keys.remove(mutation.key());
             } else {
-                keys.put(change.key(), item);
+                keys.put(mutation.key(), written);
             }
         }
         return new CompareAndSwapOutcome.Committed(revision);
     }
 
-    /** Carries out what was held back; how each ended. */
+    /** Applies the held transactions and returns their outcomes. */
     public List<CompareAndSwapOutcome> applyHeldTransactions() {
         List<CompareAndSwapOutcome> results = new ArrayList<>();
-        held.forEach(late -> results.add(carryOut(late.guards, late.changes)));
-        held.clear();
+        heldTransactions.forEach(
+                transaction -> results.add(apply(transaction.preconditions, transaction.changes)));
+        heldTransactions.clear();
         return results;
     }
 
-    /** Writes a key as somebody else. */
+    /** Writes a key unconditionally, as another client would. */
     public void put(String key, JsonNode data) {
-        carryOut(List.of(), List.of(Mutation.set(key, data)));
+        apply(List.of(), List.of(Mutation.set(key, data)));
     }
 
-    /** The value under a key, or null. */
+    /** Returns the value of a key, or null if it does not exist. */
     public JsonNode get(String key) {
         KeyValue item = keys.get(key);
         return item == null ? null : item.value();
     }
 
-    /** The revision that wrote the key, or 0. */
+    /** Returns the revision of the last write to the key, or 0 if it does not exist. */
     public long modRevision(String key) {
         KeyValue item = keys.get(key);
         return item == null ? 0 : item.modRevision();
     }
 
-    /** How many keys have that prefix. */
+    /** Returns the number of keys with the given prefix. */
     public long count(String prefix) {
         return keys.tailMap(prefix).keySet().stream()
                 .takeWhile(key -> key.startsWith(prefix))
@@ -124,7 +132,7 @@
     }
 
     @Override
-    public void readPage(String after, Consumer<ReadResult> done) {
+    public void readPage(String after, Consumer<ReadResult> onResult) {
         List<KeyValue> page = new ArrayList<>();
         boolean more = false;
         for (Map.Entry<String, KeyValue> entry : keys.tailMap(after, after.isEmpty()).entrySet()) {
@@ -134,22 +142,23 @@
             }
             page.add(entry.getValue());
         }
-        done.accept(new ReadResult.Read(page, more, revision));
+        onResult.accept(new ReadResult.Read(page, more, revision));
     }
 
     @Override
-    public void watch(long since, double holdS, Consumer<ReadResult> done) {
-        List<KeyValue> news = events.stream().filter(event -> event.modRevision() > since).toList();
-        done.accept(new ReadResult.Read(news, false, revision));
+    public void watch(long since, double holdS, Consumer<ReadResult> onResult) {
+        List<KeyValue> newEvents =
+                events.stream().filter(event -> event.modRevision() > since).toList();
+        onResult.accept(new ReadResult.Read(newEvents, false, revision));
     }
 
     @Override
-    public void createGrant(double ttlS, Consumer<GrantOutcome> done) {
-        done.accept(new GrantOutcome.Granted(++grants));
+    public void createGrant(double ttlS, Consumer<GrantOutcome> onResult) {
+        onResult.accept(new GrantOutcome.Granted(++lastGrantId));
     }
 
     @Override
-    public void renewGrant(long id, Consumer<GrantOutcome> done) {
-        done.accept(new GrantOutcome.Granted(id));
+    public void renewGrant(long id, Consumer<GrantOutcome> onResult) {
+        onResult.accept(new GrantOutcome.Granted(id));
     }
 }
--- a/src/test/java/io/pepperfield/standin/JobSpecBuilder.java
+++ b/src/test/java/io/pepperfield/standin/JobSpecBuilder.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Describes a job by what matters to a test; all else is the smallest ordinary job: one task of a
- * CPU and a gigabyte, of an array of the standard rank.
+ * Builds job specs for tests. Defaults describe the smallest ordinary job: an array of standard
+ * priority with one task of 1 CPU and 1 GB of memory.
  */
 public final class JobSpecBuilder {
 
--- a/src/test/java/io/pepperfield/standin/LeaderWatch.java
+++ b/src/test/java/io/pepperfield/standin/LeaderWatch.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** Who leads a simulated region, as the durable leader key has it. */
+/** Tracks the leader of a simulated region by the leader key in the state service. */
 final class LeaderWatch {
 
     private static final String NODE_PREFIX = "node-";
@@ -14,14 +14,14 @@
     private int leaderChanges;
 
     /**
-     * @param onNewLeader told of each leadership that has begun
+     * @param onNewLeader called when a new leadership has begun
      */
     LeaderWatch(StoreStandIn store, Runnable onNewLeader) {
         this.store = store;
         this.onNewLeader = onNewLeader;
     }
 
-    /** To be called often. */
+    /** Checks the leader key for a new leadership; must be called frequently. */
     void tick() {
         JsonNode key = leaderKey();
         if (key != null && key.path("grant").longValue() != lastGrant) {
@@ -32,30 +32,33 @@
         }
     }
 
-    /** The name of the node that leads, or empty. */
+    /** Returns the name of the leader, or an empty string if there is none. */
     String leaderName() {
         JsonNode key = leaderKey();
         return key == null ? "" : key.path("node").asText();
     }
 
-    /** Which of the nodes leads; fails where none does. */
+    /** Returns the index of the leader; fails if there is none. */
     int leaderIndex() {
         return Integer.parseInt(leaderName().substring(NODE_PREFIX.length()));
     }
 
-    /** Which of the nodes leads, or led last. */
+    /** Returns the index of the current or most recent leader. */
     int lastLeaderIndex() {
         return lastLeader;
     }
 
-    /** How often another leadership has begun. */
+    /** Returns the number of leaderships that have begun. */
     int leaderChanges() {
         return leaderChanges;
     }
 
-    /** The leader key that is in use, or null where nobody leads. */
+    /**
+     * Returns the value of the leader key in use, or null if there is no leader. Once the first key
+     * holds the stored-version fence, the key of version 2 is in use.
+     */
     private JsonNode leaderKey() {
-        JsonNode first = store.get("pepperfield/leader");
-        return RolloutRules.isFence(first) ? store.get("pepperfield/v2/leader") : first;
+        JsonNode unversioned = store.get("pepperfield/leader");
+        return RolloutRules.isFence(unversioned) ? store.get("pepperfield/v2/leader") : unversioned;
     }
 }
--- a/src/test/java/io/pepperfield/standin/LoopbackRegion.java
+++ b/src/test/java/io/pepperfield/standin/LoopbackRegion.java
@@ -33,21 +33,21 @@
 import java.util.stream.IntStream;
 
 /**
- * Stand-ins of everything that controllers talk to, behind real sockets on this machine. What
- * breaks a rule is kept in {@link #violations}.
+ * Stand-ins for all systems that controllers communicate with, on loopback sockets. Violations of
+ * protocol rules are collected in {@link #violations}.
  */
 public final class LoopbackRegion implements WorkerStandIn.TaskOracle, AutoCloseable {
 
-    private static final double REPORT_S = 0.5;
+    private static final double HEARTBEAT_INTERVAL_S = 0.5;
     private static final double LEASE_S = 4;
-    private static final double TASK_S = 0.5;
+    private static final double TASK_DURATION_S = 0.5;
     private static final long TICK_MS = 20;
-    private static final long AGAIN_MS = 100;
+    private static final long RETRY_INTERVAL_MS = 100;
 
-    /** Longer than anything takes on a busy machine. */
-    private static final long PATIENCE_S = 60;
+    /** Upper bound for any test operation, generous enough for a heavily loaded machine. */
+    private static final long TIMEOUT_S = 60;
 
-    /** Answers a request that arrived over a socket. */
+    /** Handles a request received over a socket. */
     private interface Handler {
         void handle(InboundRequest request, Consumer<HttpReply> answer);
     }
@@ -78,7 +78,7 @@
         peerPorts.addAll(free.subList(controllers, 2 * controllers));
     }
 
-    /** Checks that stored-state versions change as they must. */
+    /** Enables checks of the transitions between stored-state versions. */
     public void enableRolloutChecks() {
         scheduler.execute(() -> state.rolloutRules = new RolloutRules(this::now, violations));
     }
@@ -102,13 +102,13 @@
     }
 
     private static List<Integer> freePorts(int count) throws IOException {
-        List<ServerSocket> held = new ArrayList<>();
+        List<ServerSocket> sockets = new ArrayList<>();
         List<Integer> free = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            held.add(new ServerSocket(0));
-            free.add(held.get(i).getLocalPort());
+            sockets.add(new ServerSocket(0));
+            free.add(sockets.get(i).getLocalPort());
         }
-        for (ServerSocket socket : held) {
+        for (ServerSocket socket : sockets) {
             socket.close();
         }
         return free;
@@ -116,12 +116,12 @@
 
     // ---- controllers
 
-    /** Where users and workers reach a controller. */
+    /** Returns the port on which a controller serves users and workers. */
     public int port(int node) {
         return ports.get(node);
     }
 
-    /** The platform's settings of a controller. */
+    /** Returns a controller's settings file as TOML. */
     public String settingsToml(int node) {
         StringBuilder toml =
                 new StringBuilder(
@@ -182,31 +182,33 @@
 
     // ---- machines
 
-    /** Machines whose workers listen on a socket of their own. */
+    /** Boots machines whose workers each listen on a separate socket. */
     private final class Machines implements CloudStandIn.Machines {
 
         @Override
         public void boot(String name, String type, String zone, boolean spot) {
-            WorkerStandIn[] made = new WorkerStandIn[1];
+            WorkerStandIn[] worker = new WorkerStandIn[1];
             Handler handler =
-                    (request, answer) -> made[0].handle(request.path(), request.body(), answer);
-            // Bound off the region's own thread, which must not wait for the network's.
+                    (request, answer) -> worker[0].handle(request.path(), request.body(), answer);
+            // Binds on another thread, because the region's thread must not block on the network
+            // thread.
             CompletableFuture.supplyAsync(() -> bind(handler))
                     .thenAccept(
                             port ->
                                     scheduler.execute(
                                             () -> {
-                                                made[0] = worker(name, type, zone, spot, port);
-                                                workers.put(name, made[0]);
+                                                worker[0] =
+                                                        createWorker(name, type, zone, spot, port);
+                                                workers.put(name, worker[0]);
                                             }));
         }
 
         @Override
         public void delete(String name) {
-            WorkerStandIn gone = workers.remove(name);
-            if (gone != null) {
-                gone.losePower();
-                runningTasks.values().removeIf(worker -> worker == gone);
+            WorkerStandIn removed = workers.remove(name);
+            if (removed != null) {
+                removed.losePower();
+                runningTasks.values().removeIf(worker -> worker == removed);
             }
         }
     }
@@ -219,7 +221,8 @@
         }
     }
 
-    private WorkerStandIn worker(String name, String type, String zone, boolean spot, int port) {
+    private WorkerStandIn createWorker(
+            String name, String type, String zone, boolean spot, int port) {
         List<String> names =
                 IntStream.range(0, ports.size()).mapToObj(node -> "node-" + node).toList();
         List<String> addresses =
@@ -231,7 +234,7 @@
                                 outcome -> scheduler.execute(() -> onOutcome.accept(outcome)));
         return new WorkerStandIn(
                 new WorkerStandIn.MachineIdentity(name, type, zone, spot, "127.0.0.1:" + port),
-                new WorkerStandIn.WorkerConfig(names, addresses, REPORT_S, LEASE_S),
+                new WorkerStandIn.WorkerConfig(names, addresses, HEARTBEAT_INTERVAL_S, LEASE_S),
                 this::now,
                 sender,
                 this);
@@ -239,7 +242,7 @@
 
     @Override
     public double runDurationS(String task) {
-        return TASK_S;
+        return TASK_DURATION_S;
     }
 
     @Override
@@ -268,14 +271,14 @@
         return completedTasks.contains(task);
     }
 
-    /** The value under a key, or null. */
+    /** Returns the value of a key in the state service, or null if it does not exist. */
     public JsonNode storedValue(String key) throws Exception {
-        return scheduler.submit(() -> state.get(key)).get(PATIENCE_S, TimeUnit.SECONDS);
+        return scheduler.submit(() -> state.get(key)).get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     // ---- users
 
-    /** A small array. */
+    /** Returns the submission of a small array job. */
     public static ObjectNode smallJob(int number) {
         return Json.object()
                 .put("nameId", String.format(Locale.ROOT, "run-%06d", number))
@@ -297,6 +300,7 @@
                 .put("snapshotS", 0.0);
     }
 
+    /** Sends a request and returns the response; fails if none arrives. */
     public HttpOutcome.Answered send(int node, String method, String path, byte[] body) {
         CompletableFuture<HttpOutcome> future = new CompletableFuture<>();
         client.send(
@@ -305,7 +309,7 @@
         return (HttpOutcome.Answered) future.join();
     }
 
-    /** The status of a controller's answer, or 0 where none comes. */
+    /** Returns the HTTP status of a controller's response, or 0 if none arrives within 2 s. */
     public int status(int node, String method, String path, byte[] body) {
         CompletableFuture<HttpOutcome> future = new CompletableFuture<>();
         client.send(
@@ -314,53 +318,64 @@
         return future.join() instanceof HttpOutcome.Answered answer ? answer.status() : 0;
     }
 
-    /** Asks again and again, as users do, until the answer is as wanted. */
+    /**
+     * Retries a request, as users do, until a response matches {@code expected}; returns its body.
+     */
     public JsonNode retryUntil(
             int node,
             String method,
             String path,
             byte[] body,
-            Predicate<HttpOutcome.Answered> wanted)
+            Predicate<HttpOutcome.Answered> expected)
             throws Exception {
-        CompletableFuture<JsonNode> found = new CompletableFuture<>();
-        again(List.of(node), 0, method, path, body, wanted, found);
-        return found.get(PATIENCE_S, TimeUnit.SECONDS);
+        CompletableFuture<JsonNode> result = new CompletableFuture<>();
+        retry(List.of(node), 0, method, path, body, expected, result);
+        return result.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    /** The same of all controllers in turn. */
+    /** Like {@link #retryUntil}, but sends the attempts to all controllers in turn. */
     public JsonNode retryAnyUntil(
-            String method, String path, byte[] body, Predicate<HttpOutcome.Answered> wanted)
+            String method, String path, byte[] body, Predicate<HttpOutcome.Answered> expected)
             throws Exception {
-        CompletableFuture<JsonNode> found = new CompletableFuture<>();
+        CompletableFuture<JsonNode> result = new CompletableFuture<>();
         List<Integer> all = IntStream.range(0, ports.size()).boxed().toList();
-        again(all, 0, method, path, body, wanted, found);
-        return found.get(PATIENCE_S, TimeUnit.SECONDS);
+        retry(all, 0, method, path, body, expected, result);
+        return result.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    private void again(
+    private void retry(
             List<Integer> nodes,
-            int turn,
+            int attempt,
             String method,
             String path,
             byte[] body,
-            Predicate<HttpOutcome.Answered> wanted,
-            CompletableFuture<JsonNode> found) {
+            Predicate<HttpOutcome.Answered> expected,
+            CompletableFuture<JsonNode> result) {
         client.send(
                 new OutboundRequest(
                         "127.0.0.1",
-                        ports.get(nodes.get(turn % nodes.size())),
+                        ports.get(nodes.get(attempt % nodes.size())),
                         4,
                         method,
                         path,
                         body,
                         5000),
                 outcome -> {
-                    if (outcome instanceof HttpOutcome.Answered answer && wanted.test(answer)) {
-                        found.complete(answer.json());
-                    } else if (!found.isDone()) {
+                    if (outcome instanceof HttpOutcome.Answered response
+                            && expected.test(response)) {
+                        result.complete(response.json());
+                    } else if (!result.isDone()) {
                         scheduler.schedule(
-                                () -> again(nodes, turn + 1, method, path, body, wanted, found),
-                                AGAIN_MS,
+                                () ->
+                                        retry(
+                                                nodes,
+                                                attempt + 1,
+                                                method,
+                                                path,
+                                                body,
+                                                expected,
+                                                result),
+                                RETRY_INTERVAL_MS,
                                 TimeUnit.MILLISECONDS);
                     }
                 });
--- a/src/test/java/io/pepperfield/standin/NetworkPartitions.java
+++ b/src/test/java/io/pepperfield/standin/NetworkPartitions.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Cuts between the hosts of a simulated region; what is sent meanwhile is held back. */
+/**
+ * Network partitions between the hosts of a simulated region. Messages sent during a partition are
+ * held until it ends.
+ */
 public final class NetworkPartitions {
 
     private final SimWorld world;
@@ -17,28 +20,34 @@
     }
 
     /**
-     * A zone's machines and one controller inside are cut off from everything else, and go on with
-     * each other.
+     * Isolates a zone's machines and one controller from everything else; they can still reach each
+     * other.
      */
-    public void isolateZone(String zone, int inside, double until) {
-        List<String> within =
-                new ArrayList<>(List.of("node-" + inside, "10.0.0." + (inside + 1) + ":"));
+    public void isolateZone(String zone, int controllerInside, double until) {
+        List<String> insideHosts =
+                new ArrayList<>(
+                        List.of(
+                                "node-" + controllerInside,
+                                "10.0.0." + (controllerInside + 1) + ":"));
         machines.all().stream()
                 .filter(worker -> worker.zone.equals(zone))
-                .forEach(worker -> within.addAll(List.of(worker.name, worker.address)));
-        List<String> without = new ArrayList<>(List.of("10.2.0.1", "10.2.0.2", "users"));
+                .forEach(worker -> insideHosts.addAll(List.of(worker.name, worker.address)));
+        List<String> outsideHosts = new ArrayList<>(List.of("10.2.0.1", "10.2.0.2", "users"));
         machines.all().stream()
                 .filter(worker -> !worker.zone.equals(zone))
-                .forEach(worker -> without.addAll(List.of(worker.name, worker.address)));
+                .forEach(worker -> outsideHosts.addAll(List.of(worker.name, worker.address)));
         for (int other = 0; other < nodeCount; other++) {
-            if (other != inside) {
-                without.addAll(List.of("node-" + other, "10.0.0." + (other + 1) + ":"));
+            if (other != controllerInside) {
+                outsideHosts.addAll(List.of("node-" + other, "10.0.0." + (other + 1) + ":"));
             }
         }
-        within.forEach(from -> without.forEach(to -> world.partition(from, to, until)));
+        insideHosts.forEach(from -> outsideHosts.forEach(to -> world.partition(from, to, until)));
     }
 
-    /** Cut from the state service and the other controllers, but not from the workers. */
+    /**
+     * Isolates a controller from the state service and the other controllers, but not from the
+     * workers.
+     */
     public void isolateFromStoreAndPeers(int index, double until) {
         world.partition("node-" + index, "10.2.0.1", until);
         for (int other = 0; other < nodeCount; other++) {
@@ -49,7 +58,7 @@
         }
     }
 
-    /** Cuts one controller from the others until then, and not from its users. */
+    /** Isolates a controller from the other controllers, but not from its users. */
     public void isolateFromPeers(int index, double until) {
         for (int other = 0; other < nodeCount; other++) {
             if (other != index) {
--- a/src/test/java/io/pepperfield/standin/NoOpCloud.java
+++ b/src/test/java/io/pepperfield/standin/NoOpCloud.java
@@ -6,11 +6,11 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** A cloud that answers nothing; a test overrides the calls that matter to it. */
+/** A cloud provider that never responds; tests override the calls they need. */
 public interface NoOpCloud extends CloudProvider {
 
     @Override
-    default void listMachineTypes(Consumer<Optional<List<MachineType>>> done) {}
+    default void listMachineTypes(Consumer<Optional<List<MachineType>>> onResult) {}
 
     @Override
     default void rentInstances(
@@ -19,11 +19,11 @@
             String zone,
             boolean spot,
             int count,
-            Consumer<RentalOutcome> done) {}
+            Consumer<RentalOutcome> onResult) {}
 
     @Override
-    default void releaseInstances(List<String> names, Consumer<Boolean> done) {}
+    default void releaseInstances(List<String> names, Consumer<Boolean> onResult) {}
 
     @Override
-    default void listInstances(Consumer<Optional<List<ListedInstance>>> done) {}
+    default void listInstances(Consumer<Optional<List<ListedInstance>>> onResult) {}
 }
--- a/src/test/java/io/pepperfield/standin/NoOpFleetListener.java
+++ b/src/test/java/io/pepperfield/standin/NoOpFleetListener.java
@@ -5,7 +5,7 @@
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.Machine;
 
-/** Ignores what happens in the fleet, for tests that look at the fleet itself. */
+/** Ignores all fleet events, for tests of the fleet itself. */
 public interface NoOpFleetListener extends Fleet.Listener {
 
     @Override
--- a/src/test/java/io/pepperfield/standin/RecordingKeyValueStore.java
+++ b/src/test/java/io/pepperfield/standin/RecordingKeyValueStore.java
@@ -6,37 +6,37 @@
 import java.util.function.Consumer;
 
 /**
- * A state service that only takes transactions, which the test answers when it likes, and a clock
- * that the test sets.
+ * A state service that records transactions without responding, and a loop with a manual clock. The
+ * test completes each transaction through {@link #pendingCallback}.
  */
 public final class RecordingKeyValueStore implements NoOpKeyValueStore, Loop {
 
-    /** The keys of each transaction. */
+    /** The keys written or deleted by each transaction. */
     public final List<List<String>> writtenKeys = new ArrayList<>();
 
-    /** The keys that each of them wants not to exist. */
+    /** The keys that each transaction requires not to exist. */
     public final List<List<String>> absentKeys = new ArrayList<>();
 
-    private final List<Runnable> waiting = new ArrayList<>();
+    private final List<Runnable> scheduled = new ArrayList<>();
 
-    /** To be called with the answer to the last one. */
+    /** Callback for the outcome of the latest transaction. */
     public Consumer<CompareAndSwapOutcome> pendingCallback;
 
     public double now;
 
     @Override
     public void compareAndSwap(
-            RequestPriority urgency,
+            RequestPriority priority,
             List<Precondition> guards,
             List<Mutation> changes,
-            Consumer<CompareAndSwapOutcome> done) {
+            Consumer<CompareAndSwapOutcome> onResult) {
         writtenKeys.add(changes.stream().map(Mutation::key).toList());
         absentKeys.add(
                 guards.stream()
                         .filter(guard -> guard.modRevision() == 0)
                         .map(Precondition::key)
                         .toList());
-        pendingCallback = done;
+        pendingCallback = onResult;
     }
 
     @Override
@@ -56,13 +56,13 @@
 
     @Override
     public void schedule(double seconds, Runnable command) {
-        waiting.add(command);
+        scheduled.add(command);
     }
 
-    /** What was put off for a while is due now. */
+    /** Runs all scheduled commands, whatever their delay. */
     public void runScheduled() {
-        List<Runnable> due = List.copyOf(waiting);
-        waiting.clear();
+        List<Runnable> due = List.copyOf(scheduled);
+        scheduled.clear();
         due.forEach(Runnable::run);
     }
 }
--- a/src/test/java/io/pepperfield/standin/RegionFaults.java
+++ b/src/test/java/io/pepperfield/standin/RegionFaults.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** What goes wrong in a simulated region: of services, controllers and machines. */
+/** Injects faults of services, controllers and machines into a simulated region. */
 public final class RegionFaults {
 
     private final SimulatedRegion region;
@@ -25,11 +25,11 @@
         this.cloudOutage = new Outage(world, cloud::setOutage);
     }
 
-    /** Outages of one service, which end with the last of them. */
+    /** Overlapping outages of one service; service resumes when the last outage ends. */
     private static final class Outage {
         private final SimWorld world;
         private final Consumer<Boolean> service;
-        private double lastUntil;
+        private double lastOutageEnd;
 
         Outage(SimWorld world, Consumer<Boolean> service) {
             this.world = world;
@@ -38,41 +38,44 @@
 
         void begin(double until) {
             service.accept(true);
-            lastUntil = Math.max(lastUntil, until);
-            world.at(until, this::endIfLast);
+            lastOutageEnd = Math.max(lastOutageEnd, until);
+            world.at(until, this::endAfterLast);
         }
 
-        private void endIfLast() {
-            if (world.now() >= lastUntil) {
+        private void endAfterLast() {
+            if (world.now() >= lastOutageEnd) {
                 service.accept(false);
             }
         }
     }
 
-    /** One fault drawn from the seed. */
+    /** Injects one fault drawn from the seeded random numbers. */
     public void injectRandomFault() {
         new RandomFault(region, machines).inject();
     }
 
     /**
-     * Machines that are rented until then take so many times as long to boot, and that part of them
-     * never comes up.
+     * Makes machines that are rented before {@code until} boot more slowly by the given factor; the
+     * given fraction of them never boots.
      */
-    public void slowBoots(double factor, double never, double until) {
-        machines.slowBoots(factor, never, until);
+    public void slowBoots(double factor, double failureShare, double until) {
+        machines.slowBoots(factor, failureShare, until);
     }
 
-    /** Ends a controller's process, which comes back after that time. */
+    /** Kills a controller's process and restarts it after the given time. */
     public void crash(int index, double forS) {
         nodes.get(index).crash(forS);
     }
 
-    /** The process stands still while its clocks run on; what comes for it waits. */
+    /**
+     * Pauses a controller's process while its clocks continue; incoming events are deferred until
+     * it resumes.
+     */
     public void pause(int index, double until) {
         nodes.get(index).pause(until);
     }
 
-    /** A third of the machines hang, as when a rack stands still. */
+    /** Hangs each machine with a probability of one third, as in a rack failure. */
     public void hangSomeMachines(double until) {
         machines.all().stream()
                 .filter(worker -> world.random.nextInt(3) == 0)
@@ -80,8 +83,8 @@
     }
 
     /**
-     * The leader ends for good, and until then nobody else can be elected, although the state
-     * service answers.
+     * Kills the leader until the given time and prevents the election of another one, although the
+     * state service responds.
      */
     public void preventElection(double until) {
         int leader = region.leaderIndex();
@@ -90,27 +93,27 @@
         world.at(until, () -> store.grantsStalled = false);
     }
 
-    /** The state service answers everybody 503. */
+    /** Makes the state service answer every request with 503. */
     public void storeOutage(double until) {
         storeOutage.begin(until);
     }
 
-    /** From now on the state service has its lower limits. */
+    /** Switches the state service to its reduced limits. */
     public void reduceStoreLimits() {
         store.limits = new StoreLimitsStandIn(RegionSettings.REDUCED_LIMITS, world.now());
     }
 
-    /** Until then every request about grants is refused as beyond the rate. */
+    /** Rejects every grant request with 429 until the given time. */
     public void refuseGrants(double until) {
         store.grantsRefusedUntil = Math.max(store.grantsRefusedUntil, until);
     }
 
-    /** Ends a controller's process, which comes back as that version. */
-    public void restartAs(int index, Version by, double downS) {
-        nodes.get(index).restartAs(by, downS);
+    /** Kills a controller's process and restarts it as the given version. */
+    public void restartAs(int index, Version version, double downS) {
+        nodes.get(index).restartAs(version, downS);
     }
 
-    /** The cloud answers everybody 503. */
+    /** Makes the cloud answer every request with 503. */
     void cloudOutage(double until) {
         cloudOutage.begin(until);
     }
--- a/src/test/java/io/pepperfield/standin/RegionSettings.java
+++ b/src/test/java/io/pepperfield/standin/RegionSettings.java
@@ -17,32 +17,32 @@
     private static final Map<String, Double> TEAM_LIMITS =
             Map.of("red", 24.0, "blue", 24.0, "guests", Double.POSITIVE_INFINITY);
 
-    /** What the state service allows at first. */
+    /** The state service's limits before an upgrade. */
     static final Settings.StoreLimits INITIAL_LIMITS = new Settings.StoreLimits(150, 60, 8, 32);
 
-    /** What it allows from some moment after an upgrade. */
+    /** The state service's limits once they are reduced after an upgrade. */
     static final Settings.StoreLimits REDUCED_LIMITS = new Settings.StoreLimits(100, 30, 1, 8);
 
-    /** What a fleet of thousands of machines comes with. */
+    /** The state service's limits for a fleet of thousands of machines. */
     static final Settings.StoreLimits LARGE_FLEET_LIMITS =
             new Settings.StoreLimits(600, 300, 8, 40);
 
     private RegionSettings() {}
 
-    /** What a team's tasks may use of CPUs together. */
+    /** Returns the maximum number of CPUs that a team's tasks may use in total. */
     static double teamCpuLimit(String team) {
         return TEAM_LIMITS.get(team);
     }
 
     /**
-     * Of the controller with that index among so many, which keeps these limits of the state
+     * Returns the settings of one of {@code nodes} controllers, with the given limits of the state
      * service.
      */
     public static Settings of(int index, int nodes, Settings.StoreLimits limits) {
         return of(index, nodes, limits, Set.of());
     }
 
-    /** The same with features switched on. */
+    /** Returns the settings of one of {@code nodes} controllers with the given features enabled. */
     public static Settings of(
             int index, int nodes, Settings.StoreLimits limits, Set<Feature> features) {
         List<Settings.Member> members = new ArrayList<>();
@@ -64,8 +64,8 @@
                         List.of("east", "west"),
                         5,
                         teams,
-                        // Services should find their image, so that placing and stopping have their
-                        // second way to go.
+                        // The objective makes services look for machines that cache their image, so
+                        // that tests cover this path of placement and preemption.
                         List.of(new Settings.Objective("wait", "gate", 0.5, 0.9, 0)),
                         new Settings.WorkerTimings(
                                 SimulatedRegion.HEARTBEAT_INTERVAL_S,
@@ -74,7 +74,7 @@
                         limits,
                         new Settings.CloudLimits(20, 2),
                         new Settings.ProcessQuota(1, 256, 1000));
-        OperatorSettings operators =
+        OperatorSettings operatorSettings =
                 new OperatorSettings(
                         10, 0.2, 0.2, 0.85, 0.85, 3, features, AdmissionSettings.DEFAULTS);
         return new Settings(
@@ -86,6 +86,6 @@
                 new Address("10.2.0.2", 8443),
                 new Address("10.2.0.1", 2379),
                 deployment,
-                operators);
+                operatorSettings);
     }
 }
--- a/src/test/java/io/pepperfield/standin/ReplayTrace.java
+++ b/src/test/java/io/pepperfield/standin/ReplayTrace.java
@@ -11,14 +11,17 @@
 import java.util.function.Function;
 
 /**
- * A kept trace: lines that begin with ">" are events, the lines with "=" after each are the
- * decisions they must lead to.
+ * Replays a recorded trace. A line that begins with ">" is an event; the "=" lines after it are the
+ * decisions that the event must produce.
  */
 public final class ReplayTrace {
 
     private ReplayTrace() {}
 
-    /** Plays the trace; {@code play} gets the words of an event and gives its decisions. */
+    /**
+     * Replays the trace and checks its decisions; {@code play} maps the words of an event to the
+     * decisions it produces.
+     */
     public static void check(String name, Function<String[], List<String>> play)
             throws IOException {
         String text;
@@ -27,25 +30,25 @@
             text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
         String event = null;
-        List<String> wanted = new ArrayList<>();
-        int number = 0;
-        int events = 0;
+        List<String> expected = new ArrayList<>();
+        int lineNumber = 0;
+        int eventCount = 0;
         for (String line : (text + "\n> end").split("\n")) {
-            number++;
+            lineNumber++;
             if (line.startsWith(">")) {
                 if (event != null) {
-                    events++;
+                    eventCount++;
                     assertEquals(
-                            wanted,
+                            expected,
                             play.apply(event.substring(1).strip().split(" +")),
-                            name + " before line " + number + ": " + event);
+                            name + " before line " + lineNumber + ": " + event);
                 }
                 event = line;
-                wanted = new ArrayList<>();
+                expected = new ArrayList<>();
             } else if (line.startsWith("=")) {
-                wanted.add(line.substring(1).strip());
+                expected.add(line.substring(1).strip());
             }
         }
-        assertEquals(true, events > 0, name + " holds no event");
+        assertEquals(true, eventCount > 0, name + " contains no events");
     }
 }
--- a/src/test/java/io/pepperfield/standin/SimMachines.java
+++ b/src/test/java/io/pepperfield/standin/SimMachines.java
@@ -15,7 +15,10 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** The rented machines: their boots, their links, and the rules that hold for what runs on them. */
+/**
+ * Simulates the rented machines and their network links, and checks the placement, quota and
+ * cancellation rules for the tasks that run on them.
+ */
 final class SimMachines implements WorkerStandIn.TaskOracle, CloudStandIn.Machines {
 
     static final double CPUS = 8;
@@ -27,7 +30,7 @@
                     SimulatedRegion.HEARTBEAT_INTERVAL_S,
                     SimulatedRegion.LEASE_S);
 
-    /** Until when orders to a machine are held back, and for how many seconds each. */
+    /** Delays each order to a machine by {@code forS} seconds until the given time. */
     private record OrderDelay(double until, double forS) {}
 
     private final SimWorld world;
@@ -36,20 +39,20 @@
     private final PipelineRules rules;
     private final Map<String, WorkerStandIn> workers = new TreeMap<>();
     private final Set<String> deleted = new HashSet<>();
-    private final Map<String, Double> sendFailureUntil = new HashMap<>();
+    private final Map<String, Double> sendFailuresUntil = new HashMap<>();
     private final Map<String, OrderDelay> orderDelays = new HashMap<>();
     private int port = 9000;
     private double slowBootsUntil;
     private double bootFactor;
     private double bootFailureShare;
 
-    /** Told of every report that leaves a machine. */
+    /** Called for every heartbeat that a machine sends. */
     Consumer<byte[]> onHeartbeatSent = body -> {};
 
-    /** Told of every order that a worker carries out. */
+    /** Called for every order that a worker executes. */
     Consumer<Decision> onDecision = decision -> {};
 
-    /** Told of every job whose last task has ended. */
+    /** Called for every job whose last task has completed. */
     Consumer<SimJob> onJobCompleted = job -> {};
 
     int taskStarts;
@@ -74,28 +77,28 @@
         return jobs.values().stream().mapToInt(job -> job.workersByTask.size()).sum();
     }
 
-    // ---- machines come and go
+    // ---- machine lifecycle
 
     @Override
     public void boot(String name, String type, String zone, boolean spot) {
         String address = "10.1.0.1:" + port++;
-        boolean fault = world.now() < slowBootsUntil;
-        if (fault && world.random.nextDouble() < bootFailureShare) {
+        boolean slowBoot = world.now() < slowBootsUntil;
+        if (slowBoot && world.random.nextDouble() < bootFailureShare) {
             return;
         }
         world.after(
-                (1 + 5 * world.random.nextDouble()) * (fault ? bootFactor : 1),
+                (1 + 5 * world.random.nextDouble()) * (slowBoot ? bootFactor : 1),
                 () -> startWorker(name, type, zone, spot, address));
     }
 
     /**
-     * Machines that are rented until then take so many times as long to boot, and that part of them
-     * never comes up.
+     * Makes machines that are rented before {@code until} boot more slowly by the given factor; the
+     * given fraction of them never boots.
      */
-    void slowBoots(double factor, double never, double until) {
+    void slowBoots(double factor, double failureShare, double until) {
         slowBootsUntil = until;
         bootFactor = factor;
-        bootFailureShare = never;
+        bootFailureShare = failureShare;
     }
 
     @Override
@@ -107,7 +110,7 @@
         }
     }
 
-    /** The machine loses power and is back at once, with a worker that knows nothing of before. */
+    /** Power-cycles a machine. It restarts after 0.3 s with a worker that has lost all state. */
     void reboot(WorkerStandIn worker) {
         worker.losePower();
         world.after(
@@ -143,9 +146,9 @@
                             String path,
                             byte[] body,
                             Consumer<HttpReply> answer) {
-                        OrderDelay hold = orderDelays.get(name);
-                        if (hold != null && world.now() < hold.until && path.equals("/orders")) {
-                            world.after(hold.forS, () -> deliver(worker, path, body, answer));
+                        OrderDelay delay = orderDelays.get(name);
+                        if (delay != null && world.now() < delay.until && path.equals("/orders")) {
+                            world.after(delay.forS, () -> deliver(worker, path, body, answer));
                         } else {
                             deliver(worker, path, body, answer);
                         }
@@ -167,52 +170,54 @@
         }
     }
 
-    /** A worker's way to the controllers. */
+    /** Returns the sender through which a worker reaches the controllers. */
     private HttpSender heartbeatSender(String name) {
-        HttpSender out = world.senderFrom(name);
+        HttpSender networkSender = world.senderFrom(name);
         return (request, onOutcome) -> {
-            if (world.now() < sendFailureUntil.getOrDefault(name, 0.0)) {
-                // No connection comes about, and one that was given up never does later.
+            if (world.now() < sendFailuresUntil.getOrDefault(name, 0.0)) {
+                // The connection attempt fails, so the request is never delivered, not even later.
                 world.after(
                         request.deadlineMs() / 1000.0,
                         () -> onOutcome.accept(new HttpOutcome.NotSent("no connection")));
                 return;
             }
             onHeartbeatSent.accept(request.body());
-            out.send(request, onOutcome);
+            networkSender.send(request, onOutcome);
         };
     }
 
     void failSending(WorkerStandIn worker, double until) {
-        sendFailureUntil.merge(worker.name, until, Math::max);
+        sendFailuresUntil.merge(worker.name, until, Math::max);
     }
 
     void delayOrders(WorkerStandIn worker, double forS, double until) {
         orderDelays.put(worker.name, new OrderDelay(until, forS));
     }
 
-    List<WorkerStandIn> select(Fault.MachineSelector which) {
-        List<WorkerStandIn> there =
+    List<WorkerStandIn> select(Fault.MachineSelector selector) {
+        List<WorkerStandIn> candidates =
                 new ArrayList<>(
                         workers.values().stream()
                                 .filter(WorkerStandIn::isAlive)
                                 .filter(
                                         other ->
-                                                which.zone() == null
-                                                        || other.zone.equals(which.zone()))
+                                                selector.zone() == null
+                                                        || other.zone.equals(selector.zone()))
                                 .toList());
-        Collections.shuffle(there, world.random);
-        there.sort((a, b) -> Boolean.compare(b.isBusy(), a.isBusy()));
+        Collections.shuffle(candidates, world.random);
+        candidates.sort((a, b) -> Boolean.compare(b.isBusy(), a.isBusy()));
         int count =
-                which.count() > 0 ? which.count() : (int) Math.ceil(which.share() * there.size());
-        return there.subList(0, Math.min(count, there.size()));
+                selector.count() > 0
+                        ? selector.count()
+                        : (int) Math.ceil(selector.share() * candidates.size());
+        return candidates.subList(0, Math.min(count, candidates.size()));
     }
 
     void tick() {
         all().forEach(WorkerStandIn::tick);
     }
 
-    // ---- what happens on them
+    // ---- tasks
 
     private SimJob jobOf(String task) {
         return jobs.get(SimJob.idOf(task));
@@ -251,36 +256,37 @@
         rules.taskStarted(job, task);
         WorkerStandIn other = job.workersByTask.put(SimJob.taskNumber(task), worker);
         if (other != null && other.isAlive()) {
-            violation("ran_twice: " + task + " on " + other.name + " and " + worker.name);
+            addViolation("ran_twice: " + task + " on " + other.name + " and " + worker.name);
         }
         if (worker.spot && !plan.spot()) {
-            violation("wrong_place: " + task + " on the spot machine " + worker.name);
+            addViolation("wrong_place: " + task + " on the spot machine " + worker.name);
         }
         if (plan.zone() != null && !plan.zone().equals(worker.zone)) {
-            violation("wrong_place: " + task + " in " + worker.zone + ", wants " + plan.zone());
+            addViolation(
+                    "wrong_place: " + task + " in " + worker.zone + ", requires " + plan.zone());
         }
-        long here =
+        long tasksInZone =
                 job.workersByTask.values().stream()
-                        .filter(near -> near.zone.equals(worker.zone))
+                        .filter(sibling -> sibling.zone.equals(worker.zone))
                         .count();
-        if (plan.spread() && here > (plan.tasks() + 1) / 2) {
-            violation("wrong_place: " + here + " of " + plan.id() + " in " + worker.zone);
+        if (plan.spread() && tasksInZone > (plan.tasks() + 1) / 2) {
+            addViolation("wrong_place: " + tasksInZone + " of " + plan.id() + " in " + worker.zone);
         }
-        if (plan.oneZone() && here < job.workersByTask.size()) {
-            violation(
+        if (plan.oneZone() && tasksInZone < job.workersByTask.size()) {
+            addViolation(
                     "wrong_place: "
                             + task
                             + " in "
                             + worker.zone
-                            + ", others of its job elsewhere");
+                            + ", other tasks of its one-zone job in other zones");
         }
         double used = cpusUsedBy(plan.team());
         if (used > RegionSettings.teamCpuLimit(plan.team()) + ROUNDING_TOLERANCE) {
-            violation("quota: " + plan.team() + " uses " + used + " with " + task);
+            addViolation("quota: " + plan.team() + " uses " + used + " with " + task);
         }
     }
 
-    /** What tasks of that team take of the machines that they are on. */
+    /** Returns the number of CPUs that a team's running tasks occupy. */
     private double cpusUsedBy(String team) {
         return jobs.values().stream()
                 .filter(job -> job.plan.team().equals(team))
@@ -298,13 +304,14 @@
         }
     }
 
-    private void violation(String what) {
-        violations.add(world.now() + " " + what);
+    private void addViolation(String message) {
+        violations.add(world.now() + " " + message);
     }
 
     /**
-     * A cancelled task counts until it has exited, was killed or its machine is gone; one on a
-     * machine that hangs does too.
+     * Reports cancelled tasks that are still running after the cancellation deadline. A task counts
+     * as running until it has exited, was killed or its machine was deleted, also if its machine
+     * hangs.
      */
     void checkCancelledTasks() {
         for (SimJob job : jobs.values()) {
@@ -312,7 +319,7 @@
                     && !job.workersByTask.isEmpty()
                     && world.now()
                             > rules.cancelledAt(job) + SimulatedRegion.CANCELLATION_DEADLINE_S) {
-                violation(
+                addViolation(
                         "ran_cancelled: "
                                 + job.plan.id()
                                 + " "
@@ -325,8 +332,8 @@
     }
 
     /**
-     * Whether one more task of that job could run now, on a machine that works and with the room
-     * that its team has left.
+     * Returns whether another task of the job could start now, given the free CPUs of working
+     * machines and the team's CPU limit.
      */
     boolean canStartAnotherTask(SimJob job) {
         JobPlan plan = job.plan;
@@ -335,16 +342,18 @@
             return false;
         }
         for (WorkerStandIn worker : workers.values()) {
-            long here =
+            long tasksInZone =
                     job.workersByTask.values().stream()
-                            .filter(near -> near.zone.equals(worker.zone))
+                            .filter(sibling -> sibling.zone.equals(worker.zone))
                             .count();
-            boolean may =
+            boolean allowed =
                     (plan.spot() || !worker.spot)
                             && (plan.zone() == null || plan.zone().equals(worker.zone))
-                            && !(plan.spread() && here >= (plan.tasks() + 1) / 2)
-                            && !(plan.oneZone() && here < job.workersByTask.size());
-            if (may && worker.isAlive() && freeCpus(worker) + ROUNDING_TOLERANCE >= plan.cpus()) {
+                            && !(plan.spread() && tasksInZone >= (plan.tasks() + 1) / 2)
+                            && !(plan.oneZone() && tasksInZone < job.workersByTask.size());
+            if (allowed
+                    && worker.isAlive()
+                    && freeCpus(worker) + ROUNDING_TOLERANCE >= plan.cpus()) {
                 return true;
             }
         }
@@ -359,7 +368,7 @@
                         .sum();
     }
 
-    /** The report of an idle machine that there is not. */
+    /** Returns the heartbeat of an idle machine that does not exist. */
     static byte[] syntheticHeartbeat(String zone, int serial) {
         JsonNode report =
                 Json.object()
--- a/src/test/java/io/pepperfield/standin/SimNode.java
+++ b/src/test/java/io/pepperfield/standin/SimNode.java
@@ -23,10 +23,10 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** A controller's process: it can end and begin anew, or stand still. */
+/** A simulated controller process that can crash, restart and pause. */
 final class SimNode implements SimWorld.Host {
 
-    /** Answers a request to a simulated controller. */
+    /** Handles a request to a simulated controller. */
     private interface Handler {
         void handle(InboundRequest request, Consumer<HttpReply> answer);
     }
@@ -42,8 +42,11 @@
     private int processIncarnation;
     private double pausedUntil;
 
-    /** When it last sent something that the state service or another controller has answered. */
-    private double heardOf;
+    /**
+     * Send time of the latest request that the state service or another controller answered with
+     * 200, or the start of the process.
+     */
+    private double lastConfirmedSendAt;
 
     SimNode(
             int index,
@@ -61,7 +64,7 @@
     void start() {
         alive = true;
         Loop loop = new NodeLoop(++processIncarnation);
-        heardOf = world.now();
+        lastConfirmedSendAt = world.now();
         Settings settings = settingsOf.apply(version);
         HttpSender sender = checkedSender(settings);
         HttpSender toStore = version == Version.RECORDED ? RecordedVersion.around(sender) : sender;
@@ -70,7 +73,7 @@
         Optional<Rollout> rollout =
                 Optional.ofNullable(version.release())
                         .map(release -> new Rollout(loop, settings, store, release));
-        ExternalSystems external =
+        ExternalSystems externalSystems =
                 new ExternalSystems(
                         rollout.<KeyValueStore>map(Rollout::keyValueStore).orElse(store),
                         new HttpCloudProvider(loop, sender, settings.cloudAddress(), 20),
@@ -78,11 +81,14 @@
                         peers,
                         new HeartbeatForwarder(loop, sender, settings),
                         store::setRates);
-        controller = new Controller(loop, settings, external, rollout);
+        controller = new Controller(loop, settings, externalSystems, rollout);
         controller.start();
     }
 
-    /** The event loop of one process, which ends with it and stands still while it is paused. */
+    /**
+     * The event loop of one process incarnation. It drops commands once the process has ended and
+     * defers them while it is paused.
+     */
     private final class NodeLoop implements Loop {
         private final int incarnation;
 
@@ -107,7 +113,7 @@
 
         @Override
         public void schedule(double seconds, Runnable command) {
-            world.after(Math.max(seconds, 0), () -> awake(incarnation, () -> run(command)));
+            world.after(Math.max(seconds, 0), () -> whenRunning(incarnation, () -> run(command)));
         }
 
         private void run(Runnable command) {
@@ -116,36 +122,39 @@
         }
     }
 
-    /** The way out, with checks of what a controller may send and when. */
+    /** Returns the controller's sender, which checks what the controller may send and when. */
     private HttpSender checkedSender(Settings settings) {
-        HttpSender out = world.senderFrom("node-" + index);
+        HttpSender networkSender = world.senderFrom("node-" + index);
         return (request, onOutcome) -> {
             String path = request.path();
             if (request.method().equals("POST")
                     && (path.endsWith("/orders") || path.startsWith("/rentals"))) {
-                mustBeAwake("sends " + path);
+                requireConfirmedState("sends " + path);
             }
-            mustHaveFeature(settings, path);
-            double sent = world.now();
-            out.send(
+            requireFeature(settings, path);
+            double sentAt = world.now();
+            networkSender.send(
                     request,
                     outcome -> {
                         if (outcome instanceof HttpOutcome.Answered answer
                                 && answer.status() == 200
                                 && isAuthoritative(request.port())) {
-                            heardOf = Math.max(heardOf, sent);
+                            lastConfirmedSendAt = Math.max(lastConfirmedSendAt, sentAt);
                         }
                         onOutcome.accept(outcome);
                     });
         };
     }
 
-    /** The state service and other controllers; their answers confirm what this one knows. */
+    /**
+     * Returns whether the port is that of the state service or of another controller, whose
+     * responses confirm this controller's state.
+     */
     private static boolean isAuthoritative(int port) {
         return port == 2379 || port == 8081;
     }
 
-    /** Ends the process, unless it has ended already, and starts it again after that time. */
+    /** Kills the process, unless it has ended already, and restarts it after the given time. */
     void crash(double forS) {
         if (alive) {
             alive = false;
@@ -153,9 +162,9 @@
         }
     }
 
-    /** Ends the process, unless it has ended already; it comes back as the other version. */
-    void restartAs(Version by, double forS) {
-        version = by;
+    /** Kills the process, unless it has ended already, and restarts it as the given version. */
+    void restartAs(Version newVersion, double forS) {
+        version = newVersion;
         crash(forS);
     }
 
@@ -163,7 +172,9 @@
         return version;
     }
 
-    /** The process stands still while its clocks run on; what comes for it waits. */
+    /**
+     * Pauses the process while its clocks continue; incoming events are deferred until it resumes.
+     */
     void pause(double until) {
         pausedUntil = until;
     }
@@ -171,38 +182,41 @@
     @Override
     public void request(
             String from, String method, String path, byte[] body, Consumer<HttpReply> answer) {
-        byte[] known =
+        byte[] understoodBody =
                 version == Version.RECORDED ? RecordedVersion.withoutAwaits(path, body) : body;
-        take(controller::handle, SimWorld.inboundRequest(method, path, known), answer);
+        dispatch(controller::handle, SimWorld.inboundRequest(method, path, understoodBody), answer);
     }
 
-    /** After a pause longer than a grant nothing may rest on what it knew before. */
-    private void mustBeAwake(String what) {
-        if (pausedUntil > heardOf) {
+    /**
+     * Records a violation if no response has confirmed the controller's state since its last pause:
+     * after a pause longer than a grant, the controller must not act on its earlier state.
+     */
+    private void requireConfirmedState(String action) {
+        if (pausedUntil > lastConfirmedSendAt) {
             violations.add(
                     world.now()
-                            + " asleep: node-"
+                            + " acted on stale state: node-"
                             + index
                             + " "
-                            + what
-                            + " without a word since "
+                            + action
+                            + " without a confirmed request since "
                             + pausedUntil);
         }
     }
 
     /**
-     * At once, or in the order in which things came once the process goes on; never in another life
-     * of it.
+     * Runs a command now or, while the process is paused, after it resumes, in order of arrival.
+     * Commands of an earlier process incarnation are dropped.
      */
-    private void awake(int in, Runnable then) {
-        // A process that was killed does nothing more, whatever still comes for it.
-        if (!alive || processIncarnation != in) {
+    private void whenRunning(int incarnation, Runnable command) {
+        // Events that arrive after the process was killed are dropped.
+        if (!alive || processIncarnation != incarnation) {
             return;
         }
         if (world.now() < pausedUntil) {
-            world.at(pausedUntil, () -> awake(in, then));
+            world.at(pausedUntil, () -> whenRunning(incarnation, command));
         } else {
-            then.run();
+            command.run();
         }
     }
 
@@ -221,12 +235,12 @@
                     byte[] body,
                     Consumer<HttpReply> answer) {
                 InboundRequest request = SimWorld.inboundRequest(method, path, body);
-                checkForm(isKnown(request), request);
-                take(
+                checkFormat(isKnownFormat(request), request);
+                dispatch(
                         peers::handle,
                         request,
                         reply -> {
-                            checkForm(
+                            checkFormat(
                                     reply.status() != 200
                                             || RecordedForms.answer(path, Json.read(reply.body())),
                                     request);
@@ -241,44 +255,58 @@
         };
     }
 
-    /** A feature's messages are known to nobody else; who sends them is checked at the sender. */
-    private static boolean isKnown(InboundRequest request) {
+    /**
+     * Returns whether the recorded version uses this message format. Admission messages are exempt:
+     * that version does not have the feature, and {@code requireFeature} checks their sender.
+     */
+    private static boolean isKnownFormat(InboundRequest request) {
         return request.path().equals(Admission.PATH)
                 || RecordedForms.request(
                         request.method(), request.path(), Json.read(request.body()));
     }
 
-    private void mustHaveFeature(Settings settings, String path) {
+    private void requireFeature(Settings settings, String path) {
         if (path.equals(Admission.PATH) && !settings.operators().isEnabled(Feature.ADMISSION)) {
-            violations.add(world.now() + " node-" + index + " has no admission and sends " + path);
+            violations.add(
+                    world.now()
+                            + " node-"
+                            + index
+                            + " has the admission feature disabled but sent "
+                            + path);
         }
     }
 
-    /** The admissions per minute that it may use at this moment; none while it is down. */
+    /** Returns the current admission rate limit per minute, or 0 while the process is down. */
     int admissionsPerMinute() {
         return alive ? controller.admission().map(Admission::admissionsPerMinute).orElse(0) : 0;
     }
 
-    private void checkForm(boolean known, InboundRequest request) {
-        if (!known) {
+    private void checkFormat(boolean knownFormat, InboundRequest request) {
+        if (!knownFormat) {
             violations.add(
-                    world.now() + " of another form: " + request.path() + " to node-" + index);
+                    world.now()
+                            + " unknown message format: "
+                            + request.path()
+                            + " to node-"
+                            + index);
         }
     }
 
-    /** An answer of a process that has ended meanwhile never leaves. */
-    private void take(Handler by, InboundRequest request, Consumer<HttpReply> answer) {
-        int mine = processIncarnation;
-        awake(
-                mine,
+    /**
+     * Passes a request to a handler; the reply is dropped if the process has ended in the meantime.
+     */
+    private void dispatch(Handler handler, InboundRequest request, Consumer<HttpReply> answer) {
+        int incarnation = processIncarnation;
+        whenRunning(
+                incarnation,
                 () -> {
-                    by.handle(
+                    handler.handle(
                             request,
                             reply -> {
-                                if (alive && processIncarnation == mine) {
+                                if (alive && processIncarnation == incarnation) {
                                     if (request.path().equals("/agent/beat")
                                             && reply.status() == 200) {
-                                        mustBeAwake("renews a lease");
+                                        requireConfirmedState("renews a lease");
                                     }
                                     answer.accept(reply);
                                 }
--- a/src/test/java/io/pepperfield/standin/SimWorld.java
+++ b/src/test/java/io/pepperfield/standin/SimWorld.java
@@ -13,22 +13,24 @@
 import java.util.function.Consumer;
 
 /**
- * Simulated time and a simulated network: delays, losses, late deliveries and cuts, all drawn from
- * one seed.
+ * Simulated time and a simulated network with delays, losses, late deliveries and partitions. All
+ * random numbers are drawn from one seed.
  */
 public final class SimWorld {
 
-    /** Whatever listens at an address. */
+    /** A host that listens at an address. */
     public interface Host {
-        /** A request of the host {@code senderFrom}; an answer may never come. */
+        /** Handles a request from the host {@code from}; {@code answer} may never be called. */
         void request(
                 String from, String method, String path, byte[] body, Consumer<HttpReply> answer);
 
-        /** Connections are refused while this is false. */
+        /** Returns whether the host accepts connections. */
         boolean isAlive();
     }
 
-    /** A step of the simulation, at its time and in its order. */
+    /**
+     * A scheduled event; events due at the same time run in the order in which they were scheduled.
+     */
     private record Event(double at, long order, Runnable run) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
@@ -39,19 +41,23 @@
     public final Random random;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final Map<String, Host> hosts = new HashMap<>();
-    private final Map<String, Double> cutUntil = new HashMap<>();
+    private final Map<String, Double> partitionedUntil = new HashMap<>();
     private final Map<String, Double> refusedUntil = new HashMap<>();
     private long order;
     private double now;
-    private double slowBy;
-    private double slowUntil;
+    private double extraDelayS;
+    private double extraDelayUntil;
 
-    /** Parts of all requests whose answer is lost, or which arrive only much later. */
+    /** Fraction of requests whose response is lost. */
     public double messageLossShare;
 
+    /** Fraction of requests that are delivered 5 to 65 s late. */
     public double lateDeliveryShare;
 
-    /** Part of all reports of which a copy comes once more, seconds to well over a lease later. */
+    /**
+     * Fraction of heartbeats that are delivered a second time, 2 to 60 s later, which may be well
+     * after a lease has expired.
+     */
     public double duplicateDeliveryShare;
 
     public SimWorld(long seed) {
@@ -84,42 +90,43 @@
     }
 
     /**
-     * Cuts the way between two hosts (by name; a prefix cuts all that begin so) until then; packets
-     * are held back.
+     * Partitions two hosts from each other until the given time; messages between them are held
+     * until then. A prefix of a host name or address selects all hosts that begin with it.
      */
     public void partition(String from, String to, double until) {
-        cutUntil.merge(from + ">" + to, until, Math::max);
+        partitionedUntil.merge(from + ">" + to, until, Math::max);
     }
 
-    /** As {@link #partition}, but connections are refused at once and nothing is held back. */
+    /** Like {@link #partition}, but refuses connections immediately instead of holding messages. */
     public void refuseConnections(String from, String to, double until) {
         refusedUntil.merge(from + ">" + to, until, Math::max);
     }
 
     private double heldUntil(String from, String to) {
-        return last(cutUntil, from, to);
+        return latestEnd(partitionedUntil, from, to);
     }
 
-    private double last(Map<String, Double> cuts, String from, String to) {
+    private double latestEnd(Map<String, Double> endTimes, String from, String to) {
         double until = now;
-        cuts.values().removeIf(over -> over <= now);
-        for (Map.Entry<String, Double> cut : cuts.entrySet()) {
-            int arrow = cut.getKey().indexOf('>');
-            String a = cut.getKey().substring(0, arrow);
-            String b = cut.getKey().substring(arrow + 1);
-            if (from.startsWith(a) && to.startsWith(b) || from.startsWith(b) && to.startsWith(a)) {
-                until = Math.max(until, cut.getValue());
+        endTimes.values().removeIf(end -> end <= now);
+        for (Map.Entry<String, Double> partition : endTimes.entrySet()) {
+            int arrow = partition.getKey().indexOf('>');
+            String source = partition.getKey().substring(0, arrow);
+            String destination = partition.getKey().substring(arrow + 1);
+            if (from.startsWith(source) && to.startsWith(destination)
+                    || from.startsWith(destination) && to.startsWith(source)) {
+                until = Math.max(until, partition.getValue());
             }
         }
         return until;
     }
 
-    /** A request as it is handed to whoever handles it. */
+    /** Builds a request as a server passes it to its handler. */
     public static InboundRequest inboundRequest(String method, String uri, byte[] body) {
         Map<String, List<String>> query = new HashMap<>();
-        int mark = uri.indexOf('?');
-        if (mark >= 0) {
-            for (String pair : uri.substring(mark + 1).split("&")) {
+        int queryStart = uri.indexOf('?');
+        if (queryStart >= 0) {
+            for (String pair : uri.substring(queryStart + 1).split("&")) {
                 query.put(
                         pair.substring(0, pair.indexOf('=')),
                         List.of(pair.substring(pair.indexOf('=') + 1)));
@@ -127,50 +134,50 @@
         }
         return new InboundRequest(
                 method,
-                mark < 0 ? uri : uri.substring(0, mark),
+                queryStart < 0 ? uri : uri.substring(0, queryStart),
                 query,
                 body == null ? new byte[0] : body);
     }
 
-    /** Until then every message takes so much longer. */
+    /** Delays every message by {@code byS} additional seconds until the given time. */
     public void delayMessages(double byS, double until) {
-        slowBy = byS;
-        slowUntil = until;
+        extraDelayS = byS;
+        extraDelayUntil = until;
     }
 
     private double delay() {
-        return 0.0005 + random.nextDouble() * 0.004 + (now < slowUntil ? slowBy : 0);
+        return 0.0005 + random.nextDouble() * 0.004 + (now < extraDelayUntil ? extraDelayS : 0);
     }
 
-    /** The way out of one host. */
+    /** Returns the sender of a host. */
     public HttpSender senderFrom(String name) {
         return (request, onOutcome) -> send(name, request, new OnceOnly(onOutcome));
     }
 
-    /** Passes the first outcome on; what comes after it is too late. */
+    /** Forwards the first outcome and ignores later ones. */
     private static final class OnceOnly implements Consumer<HttpOutcome> {
-        private final Consumer<HttpOutcome> next;
+        private final Consumer<HttpOutcome> delegate;
         private boolean completed;
 
-        OnceOnly(Consumer<HttpOutcome> next) {
-            this.next = next;
+        OnceOnly(Consumer<HttpOutcome> delegate) {
+            this.delegate = delegate;
         }
 
         @Override
         public void accept(HttpOutcome outcome) {
             if (!completed) {
                 completed = true;
-                next.accept(outcome);
+                delegate.accept(outcome);
             }
         }
     }
 
     private void send(String from, OutboundRequest request, OnceOnly onOutcome) {
         String to = request.host() + ":" + request.port();
-        double held = heldUntil(from, to);
+        double partitionEnd = heldUntil(from, to);
         Host target = hosts.get(to);
-        if (held <= now && (target == null || !target.isAlive())
-                || last(refusedUntil, from, to) > now) {
+        if (partitionEnd <= now && (target == null || !target.isAlive())
+                || latestEnd(refusedUntil, from, to) > now) {
             after(delay(), () -> onOutcome.accept(new HttpOutcome.NotSent("refused")));
             return;
         }
@@ -185,11 +192,11 @@
             after(2 + random.nextDouble() * 58, () -> deliver(from, to, request, reply -> {}));
         }
         at(
-                Math.max(held, now) + wait,
+                Math.max(partitionEnd, now) + wait,
                 () -> deliver(from, to, request, reply -> sendReply(from, to, reply, onOutcome)));
     }
 
-    /** Hands a request to its host, where there is one at that time. */
+    /** Delivers a request to its host, if that host is up at that time. */
     private void deliver(
             String from, String to, OutboundRequest request, Consumer<HttpReply> onReply) {
         Host target = hosts.get(to);
@@ -198,7 +205,7 @@
         }
     }
 
-    /** The way back, on which replies may be lost. */
+    /** Sends a reply, which may be lost. */
     private void sendReply(String from, String to, HttpReply reply, OnceOnly onOutcome) {
         if (random.nextDouble() >= messageLossShare) {
             HttpOutcome answered = new HttpOutcome.Answered(reply.status(), reply.body());
--- a/src/test/java/io/pepperfield/standin/SimulatedLoop.java
+++ b/src/test/java/io/pepperfield/standin/SimulatedLoop.java
@@ -4,15 +4,15 @@
 import java.util.PriorityQueue;
 
 /**
- * An owner's loop in simulated time: nothing happens but what is due when the test lets time pass.
+ * A loop in simulated time: commands run only when the test advances the time to their due time.
  */
 public final class SimulatedLoop implements Loop {
 
     /** A command and the time at which it is due. */
-    private record Timer(double at, Runnable run) {}
+    private record Timer(double dueAt, Runnable command) {}
 
     private final PriorityQueue<Timer> timers =
-            new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
+            new PriorityQueue<>((a, b) -> Double.compare(a.dueAt, b.dueAt));
     private double now;
 
     @Override
@@ -35,12 +35,12 @@
         timers.add(new Timer(now + seconds, command));
     }
 
-    /** Lets time pass until then. */
+    /** Advances the time and runs all commands that fall due. */
     public void run(double until) {
-        while (!timers.isEmpty() && timers.peek().at <= until) {
+        while (!timers.isEmpty() && timers.peek().dueAt <= until) {
             Timer timer = timers.poll();
-            now = timer.at;
-            timer.run.run();
+            now = timer.dueAt;
+            timer.command.run();
         }
         now = until;
     }
--- a/src/test/java/io/pepperfield/standin/SimulatedRegion.java
+++ b/src/test/java/io/pepperfield/standin/SimulatedRegion.java
@@ -17,23 +17,23 @@
 import java.util.stream.Collectors;
 
 /**
- * A simulated region: three real controllers over stand-ins of everything else, in simulated time.
- * Every rule of the protocol is checked as things happen; what breaks one is kept in {@link
- * #violations}.
+ * A simulated region: production controllers, three by default, with stand-ins for all other
+ * systems, in simulated time. Protocol rules are checked on every event; violations are collected
+ * in {@link #violations}.
  */
 public final class SimulatedRegion {
 
     public static final double HEARTBEAT_INTERVAL_S = 1;
     public static final double LEASE_S = 6;
     public static final double CANCELLATION_DEADLINE_S = 20;
-    private static final int FEW_NODES = 3;
+    private static final int DEFAULT_NODES = 3;
 
-    private static final int FEW_MACHINES = 14;
+    private static final int DEFAULT_MACHINES = 14;
 
-    /** As many as a rollout is tried with. */
-    private static final int MANY_NODES = 5;
+    /** Number of controllers in rollout tests. */
+    private static final int ROLLOUT_NODES = 5;
 
-    /** Answers a simulated node's requests. */
+    /** Handles requests of simulated nodes. */
     private interface Handler {
         void handle(String from, InboundRequest request, Consumer<HttpReply> answer);
     }
@@ -59,57 +59,79 @@
     private final LeaderWatch leaderWatch;
 
     public SimulatedRegion(long seed) {
-        this(seed, Version.CURRENT, RegionSettings.INITIAL_LIMITS, FEW_NODES, FEW_MACHINES);
+        this(seed, Version.CURRENT, RegionSettings.INITIAL_LIMITS, DEFAULT_NODES, DEFAULT_MACHINES);
     }
 
-    /** A region of so many controllers that divide admission, without the last few. */
+    /**
+     * Creates a region whose controllers share the admission rate; the last {@code without}
+     * controllers have the feature disabled.
+     */
     public static SimulatedRegion withAdmission(long seed, int nodes, int without) {
         return new SimulatedRegion(
                 seed,
                 Version.CURRENT,
                 RegionSettings.INITIAL_LIMITS,
                 nodes,
-                FEW_MACHINES,
+                DEFAULT_MACHINES,
                 index -> index < nodes - without ? Set.of(Feature.ADMISSION) : Set.of());
     }
 
-    /** A region that has so many machines to rent. */
+    /** Creates a region with the given number of machines to rent. */
     public static SimulatedRegion withRentableMachines(long seed, int machinesToRent) {
         return new SimulatedRegion(
                 seed,
                 Version.CURRENT,
                 RegionSettings.LARGE_FLEET_LIMITS,
-                FEW_NODES,
+                DEFAULT_NODES,
                 machinesToRent);
     }
 
-    /** A region of five controllers that know stored-state versions, or are going to. */
+    /**
+     * Creates a region of five controllers that support stored-state versions, or will after their
+     * upgrade.
+     */
     public static SimulatedRegion beforeRollout(long seed, Version version) {
         SimulatedRegion region =
                 new SimulatedRegion(
-                        seed, version, RegionSettings.REDUCED_LIMITS, MANY_NODES, FEW_MACHINES);
+                        seed,
+                        version,
+                        RegionSettings.REDUCED_LIMITS,
+                        ROLLOUT_NODES,
+                        DEFAULT_MACHINES);
         region.store.rolloutRules = new RolloutRules(region.world::now, region.violations);
         return region;
     }
 
-    /** A region before its upgrade: the recorded version runs, and the limits are going to fall. */
+    /**
+     * Creates a region before its upgrade: it runs the recorded version, and the state service's
+     * limits will be reduced.
+     */
     public static SimulatedRegion beforeUpgrade(long seed) {
         return new SimulatedRegion(
-                seed, Version.RECORDED, RegionSettings.REDUCED_LIMITS, FEW_NODES, FEW_MACHINES);
+                seed,
+                Version.RECORDED,
+                RegionSettings.REDUCED_LIMITS,
+                DEFAULT_NODES,
+                DEFAULT_MACHINES);
     }
 
     /**
-     * @param next the limits that this version knows of
+     * @param plannedLimits the limits of the state service that every version but the recorded one
+     *     is configured with
      */
     private SimulatedRegion(
-            long seed, Version version, Settings.StoreLimits next, int nodeCount, int capacity) {
-        this(seed, version, next, nodeCount, capacity, index -> Set.of());
+            long seed,
+            Version version,
+            Settings.StoreLimits plannedLimits,
+            int nodeCount,
+            int capacity) {
+        this(seed, version, plannedLimits, nodeCount, capacity, index -> Set.of());
     }
 
     private SimulatedRegion(
             long seed,
             Version version,
-            Settings.StoreLimits next,
+            Settings.StoreLimits plannedLimits,
             int nodeCount,
             int capacity,
             IntFunction<Set<Feature>> features) {
@@ -120,15 +142,15 @@
         store.onDecision = decisions::add;
         store.limits =
                 new StoreLimitsStandIn(
-                        next == RegionSettings.LARGE_FLEET_LIMITS
-                                ? next
+                        plannedLimits == RegionSettings.LARGE_FLEET_LIMITS
+                                ? plannedLimits
                                 : RegionSettings.INITIAL_LIMITS,
                         world.now());
         storeLink = new StoreLink(world, store);
-        Map<String, SimJob> submitted = new LinkedHashMap<>();
-        PipelineRules rules = new PipelineRules(world, violations, submitted, this::durablyDone);
-        machines = new SimMachines(world, violations, submitted, rules);
-        users = new SimUsers(world, violations, machines, submitted, rules, nodeCount);
+        Map<String, SimJob> jobs = new LinkedHashMap<>();
+        PipelineRules rules = new PipelineRules(world, violations, jobs, this::isStoredAsDone);
+        machines = new SimMachines(world, violations, jobs, rules);
+        users = new SimUsers(world, violations, machines, jobs, rules, nodeCount);
         jobMix = new JobMix(world, users);
         admissionLoad = new AdmissionLoad(world, users, nodes);
         networkPartitions = new NetworkPartitions(world, machines, nodeCount);
@@ -148,20 +170,20 @@
                 host((from, request, answer) -> answer.accept(cloud.handle(request))));
         operator = new SimOperator(world, nodes);
         for (int index = 0; index < nodeCount; index++) {
-            int number = index;
+            int nodeIndex = index;
             addNode(
                     index,
                     version,
                     running ->
                             RegionSettings.of(
-                                    number,
+                                    nodeIndex,
                                     nodeCount,
                                     running == Version.RECORDED
                                             ? RegionSettings.INITIAL_LIMITS
-                                            : next,
-                                    features.apply(number)));
+                                            : plannedLimits,
+                                    features.apply(nodeIndex)));
         }
-        everySoOften(
+        repeatEvery(
                 0.05,
                 () -> {
                     store.tick();
@@ -169,7 +191,7 @@
                     machines.checkCancelledTasks();
                     leaderWatch.tick();
                 });
-        everySoOften(1, users::check);
+        repeatEvery(1, users::check);
     }
 
     private void addNode(int index, Version version, Function<Version, Settings> settingsOf) {
@@ -199,24 +221,27 @@
         };
     }
 
-    private void everySoOften(double seconds, Runnable run) {
+    private void repeatEvery(double seconds, Runnable command) {
         world.after(
                 seconds,
                 () -> {
-                    run.run();
-                    everySoOften(seconds, run);
+                    command.run();
+                    repeatEvery(seconds, command);
                 });
     }
 
     // ---- scenarios
 
-    /** Plans a scenario's jobs and faults; to be run until {@link Scenario#endsAt}. */
+    /**
+     * Schedules a scenario's jobs and faults; the caller runs the world until {@link
+     * Scenario#endsAt}.
+     */
     public void schedule(Scenario scenario) {
         for (int i = 0; i < scenario.jobs(); i++) {
-            int number = i + 1;
+            int jobNumber = i + 1;
             world.at(
                     Scenario.FIRST_JOB_S + i * scenario.everyS(),
-                    () -> jobMix.submitOneOfAll(number));
+                    () -> jobMix.submitOneOfAll(jobNumber));
         }
         scenario.faults()
                 .forEach(
@@ -228,29 +253,29 @@
 
     // ---- users
 
-    /** Asks about a job that nobody submitted. */
+    /** Queries a job that was never submitted. */
     public void queryUnknownJob() {
         users.invalidRequests.queryUnknownJob();
     }
 
-    /** Users ask eight times as often until then. */
+    /** Makes users send queries eight times as often until the given time. */
     public void queryMoreOften(double until) {
         users.queryMoreOften(until);
     }
 
-    /** Every user whose job is not over cancels it now. */
+    /** Cancels every unfinished job on behalf of its user. */
     public void cancelAll() {
         users.cancelAll();
     }
 
-    // ---- who leads
+    // ---- leadership and membership
 
-    /** The name of the node that leads, as the durable key has it, or empty. */
+    /** Returns the name of the leader according to the stored leader key, or an empty string. */
     public String leaderName() {
         return leaderWatch.leaderName();
     }
 
-    /** How many machines are in that node's partition while all take part. */
+    /** Returns the number of machines in a node's partition when all controllers own partitions. */
     public long partitionSize(int index) {
         Set<String> all =
                 nodes.stream().map(node -> "node-" + node.index).collect(Collectors.toSet());
@@ -259,59 +284,62 @@
                 .count();
     }
 
-    /** How many controllers there are. */
+    /** Returns the number of controllers. */
     int nodeCount() {
         return nodes.size();
     }
 
-    /** Which of the nodes leads. */
+    /** Returns the index of the leader; fails if there is none. */
     public int leaderIndex() {
         return leaderWatch.leaderIndex();
     }
 
-    /** How often another leadership has begun. */
+    /** Returns the number of leaderships that have begun. */
     public int leaderChanges() {
         return leaderWatch.leaderChanges();
     }
 
-    /** Whether every controller runs this version, or will once it is started. */
+    /** Returns whether every controller runs the current version, or will once it is restarted. */
     public boolean allRunCurrentVersion() {
         return allRun(Version.CURRENT);
     }
 
-    /** Whether every controller runs that version, or will once it is started. */
+    /** Returns whether every controller runs the given version, or will once it is restarted. */
     public boolean allRun(Version version) {
         return nodes.stream().allMatch(node -> node.version() == version);
     }
 
-    /** Which of the nodes leads, or led last. */
+    /** Returns the index of the current or most recent leader. */
     int lastLeaderIndex() {
         return leaderWatch.lastLeaderIndex();
     }
 
-    // ---- what can be seen of it
+    // ---- observed state
 
-    /** Machines rented so far, whether they are still there or not. */
+    /** Returns the number of machines rented so far, including those already released. */
     public int rentalCount() {
         return cloud.rentalCount();
     }
 
-    /** How often a task has begun on a machine so far. */
+    /** Returns the number of task starts so far, counting every attempt. */
     public int taskStarts() {
         return machines.taskStarts;
     }
 
-    /** Changes that the state service has taken so far. */
+    /** Returns the number of keys that the state service has written or deleted so far. */
     public int storedMutations() {
         return store.mutations;
     }
 
-    /** Bytes of all values that the state service has taken so far. */
+    /** Returns the total size of all values that the state service has written so far. */
     public long bytesWritten() {
         return store.bytesWritten;
     }
 
-    /** Tasks that were killed with their machine or its lease, or stopped for others. */
+    /**
+     * Returns the number of tasks that failed, lost their machine or its lease, or were preempted,
+     * without those of cancelled jobs.
+     */
     public int lostTasks() {
         return machines.lostTasks;
     }
@@ -328,21 +356,21 @@
         return machines.runningTaskCount();
     }
 
-    /** The durable record under a key, or null. */
+    /** Returns the value of a key in the state service, or null if it does not exist. */
     public JsonNode storedValue(String key) {
         return store.get(key);
     }
 
-    private boolean durablyDone(String id) {
-        JsonNode end = store.get("pepperfield/end/" + id);
-        return end != null && end.path("s").asText().equals("done");
+    private boolean isStoredAsDone(String id) {
+        JsonNode finalState = store.get("pepperfield/end/" + id);
+        return finalState != null && finalState.path("s").asText().equals("done");
     }
 
     public List<String> reusedRentalRequestIds() {
         return cloud.reusedRequestIds;
     }
 
-    /** Accepted jobs whose prerequisites are not durable. */
+    /** Returns the accepted jobs whose stored dependencies differ from the submitted ones. */
     public List<String> jobsWithChangedDependencies() {
         List<String> altered = new ArrayList<>();
         users.jobs.values().stream()
@@ -352,16 +380,16 @@
         return altered;
     }
 
-    /** How many transactions were refused for their size since the limits last changed. */
+    /** Returns the number of transactions rejected for their size since the limits last changed. */
     public int oversizedTransactionCount() {
         return store.limits.oversizedRequestCount;
     }
 
-    // ---- what is left at the end
+    // ---- state at the end of a scenario
 
     /**
-     * Asks every node about every accepted job; what was not answered with 200 within the time that
-     * users wait.
+     * Queries every node for every accepted job, without message loss or late delivery. Returns the
+     * queries that were not answered with 200 within the users' time-out.
      */
     public List<String> unansweredQueries() {
         world.messageLossShare = 0;
@@ -369,14 +397,14 @@
         return users.unansweredQueries();
     }
 
-    /** Jobs that should be over by now and are not, as their users see it. */
+    /** Returns jobs that should have finished but have not, as seen by their users. */
     public List<String> unfinishedJobs() {
         return users.unfinishedJobs();
     }
 
     /**
-     * Accepted jobs that are neither over nor running, and those that waited for 90 s of calm
-     * though there was room for them.
+     * Returns accepted jobs that are neither finished nor running, and those that stayed pending
+     * for 90 s without faults although there was capacity for them.
      */
     public List<String> leftoverJobs() {
         return users.leftoverJobs();
--- a/src/test/java/io/pepperfield/standin/SingleNodeSettings.java
+++ b/src/test/java/io/pepperfield/standin/SingleNodeSettings.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 
 /**
- * Settings of a cluster of one controller: reports every second, leases of six, and limits that no
- * test of a single part comes near.
+ * Settings of a single-controller cluster with heartbeats every second, leases of 6 s and limits
+ * that no unit test reaches.
  */
 public final class SingleNodeSettings {
 
     private SingleNodeSettings() {}
 
-    /** The controller is in the first of the zones. */
+    /** Returns the settings; the controller is in the first of the given zones. */
     public static Settings of(
             List<String> zones,
             Map<String, Settings.Team> teams,
--- a/src/test/java/io/pepperfield/standin/StoreLimitsStandIn.java
+++ b/src/test/java/io/pepperfield/standin/StoreLimitsStandIn.java
@@ -6,8 +6,9 @@
 import io.pepperfield.http.Json;
 
 /**
- * What the state service allows: a larger value or transaction gets 400, what is beyond the rates
- * 429. Both rates allow bursts of one second's worth.
+ * Enforces the state service's limits. Oversized values and transactions are rejected with 400,
+ * requests beyond the request or write rate with 429. Both rates allow bursts of one second's
+ * worth.
  */
 final class StoreLimitsStandIn {
 
@@ -18,46 +19,51 @@
     private static final int PRECONDITIONS_PER_MUTATION = 4;
 
     private final Settings.StoreLimits limits;
-    private double requests;
-    private double changes;
-    private double filledAt;
+    private double requestTokens;
+    private double writeTokens;
+    private double lastRefillAt;
 
-    /** So many requests were refused for their size, and for the rates. */
+    /** Number of transactions rejected for their size. */
     int oversizedRequestCount;
 
+    /** Number of requests rejected by the rate limits. */
     int rateLimitedRequestCount;
 
     StoreLimitsStandIn(Settings.StoreLimits limits, double now) {
         this.limits = limits;
-        this.requests = limits.requestsPerS();
-        this.changes = limits.writesPerS();
-        this.filledAt = now;
+        this.requestTokens = limits.requestsPerS();
+        this.writeTokens = limits.writesPerS();
+        this.lastRefillAt = now;
     }
 
-    /** The status with which a request is refused, or {@link #ALLOWED}. */
+    /** Returns the status with which to reject a request, or {@link #ALLOWED}. */
     int refusalStatus(InboundRequest request, double now) {
-        requests =
+        requestTokens =
                 Math.min(
-                        limits.requestsPerS(), requests + (now - filledAt) * limits.requestsPerS());
-        changes = Math.min(limits.writesPerS(), changes + (now - filledAt) * limits.writesPerS());
-        filledAt = now;
+                        limits.requestsPerS(),
+                        requestTokens + (now - lastRefillAt) * limits.requestsPerS());
+        writeTokens =
+                Math.min(
+                        limits.writesPerS(),
+                        writeTokens + (now - lastRefillAt) * limits.writesPerS());
+        lastRefillAt = now;
         boolean transaction = request.path().equals("/txn");
         JsonNode body = transaction ? Json.read(request.body()) : null;
         int writes = transaction ? body.path("apply").size() : 0;
-        if (transaction && tooLarge(body, request.body().length)) {
+        if (transaction && isOversized(body, request.body().length)) {
             oversizedRequestCount++;
             return BAD_REQUEST;
         }
-        if (requests < 1 || changes < writes) {
+        if (requestTokens < 1 || writeTokens < writes) {
             rateLimitedRequestCount++;
             return TOO_MANY_REQUESTS;
         }
-        requests -= 1;
-        changes -= writes;
+        requestTokens -= 1;
+        writeTokens -= writes;
         return ALLOWED;
     }
 
-    private boolean tooLarge(JsonNode transaction, int bytes) {
+    private boolean isOversized(JsonNode transaction, int bytes) {
         if (bytes > MAX_BODY_BYTES
                 || transaction.path("apply").size() > limits.maxTransactionOps()
                 || transaction.path("guards").size()
--- a/src/test/java/io/pepperfield/standin/StoreLink.java
+++ b/src/test/java/io/pepperfield/standin/StoreLink.java
@@ -4,54 +4,57 @@
 import io.pepperfield.http.InboundRequest;
 import java.util.function.Consumer;
 
-/** The way to the state service, on which answers come late or get lost. */
+/** The network link to the state service, on which responses can be delayed or lost. */
 final class StoreLink {
 
     private final SimWorld world;
-    private final StoreStandIn state;
-    private double slowByS;
-    private double slowUntil;
-    private double lateShare;
-    private double lateUntil;
-    private boolean atOnce;
+    private final StoreStandIn store;
+    private double extraDelayS;
+    private double extraDelayUntil;
+    private double droppedResponseShare;
+    private double dropResponsesUntil;
+    private boolean applyImmediately;
 
-    StoreLink(SimWorld world, StoreStandIn state) {
+    StoreLink(SimWorld world, StoreStandIn store) {
         this.world = world;
-        this.state = state;
+        this.store = store;
     }
 
     void delayResponses(double byS, double until) {
-        slowByS = byS;
-        slowUntil = until;
+        extraDelayS = byS;
+        extraDelayUntil = until;
     }
 
     /**
-     * Until then that share of transactions gets no answer, and is carried out late or, if at once,
-     * in its turn.
+     * Drops the responses to the given share of transactions until the given time. The transactions
+     * are applied after a random delay or, with {@code immediately}, without one.
      */
-    void dropTransactionResponses(double share, double until, boolean carriedOutAtOnce) {
-        lateShare = share;
-        lateUntil = until;
-        atOnce = carriedOutAtOnce;
+    void dropTransactionResponses(double share, double until, boolean immediately) {
+        droppedResponseShare = share;
+        dropResponsesUntil = until;
+        applyImmediately = immediately;
     }
 
     void handle(String from, InboundRequest request, Consumer<HttpReply> answer) {
         if (request.path().equals("/txn")
-                && world.now() < lateUntil
-                && world.random.nextDouble() < lateShare) {
-            double after =
-                    atOnce
+                && world.now() < dropResponsesUntil
+                && world.random.nextDouble() < droppedResponseShare) {
+            double delayS =
+                    applyImmediately
                             ? 0
                             : Fault.DelayedWrites.LEAST_S
                                     + world.random.nextDouble()
                                             * (Fault.DelayedWrites.MOST_S
                                                     - Fault.DelayedWrites.LEAST_S);
-            world.after(after, () -> state.handle(from, request, lost -> {}));
-        } else if (world.now() < slowUntil) {
-            double by = slowByS;
-            state.handle(from, request, reply -> world.after(by, () -> answer.accept(reply)));
+            world.after(delayS, () -> store.handle(from, request, droppedReply -> {}));
+        } else if (world.now() < extraDelayUntil) {
+            double responseDelayS = extraDelayS;
+            store.handle(
+                    from,
+                    request,
+                    reply -> world.after(responseDelayS, () -> answer.accept(reply)));
         } else {
-            state.handle(from, request, answer);
+            store.handle(from, request, answer);
         }
     }
 }
--- a/src/test/java/io/pepperfield/standin/StoreStandIn.java
+++ b/src/test/java/io/pepperfield/standin/StoreStandIn.java
@@ -16,22 +16,22 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The state service by its published protocol, in memory. Not thread-safe: its host calls it from
- * one thread.
+ * In-memory implementation of the state service's published protocol. Not thread-safe: all calls
+ * must be made from one thread.
  */
 public final class StoreStandIn {
 
-    /** A key's value, the revision that wrote it and the grant it is tied to. */
+    /** A key's value, the revision of its last write and the grant it is attached to. */
     private record Entry(JsonNode data, long modRevision, long grant) {}
 
-    /** A change of a key; null data for a deletion. */
+    /** A change to a key; {@code data} is null for a deletion. */
     private record Event(String key, JsonNode data, long modRevision) {}
 
-    /** A follow request that waits for changes. */
+    /** A pending follow request. */
     private record Watch(
             String from, String prefix, long since, double until, Consumer<HttpReply> answer) {}
 
-    /** The lifetime of a grant and the time at which it ends. */
+    /** A grant's TTL in seconds and the time at which it expires. */
     private static final class Grant {
         final double ttl;
         double until;
@@ -45,69 +45,69 @@
     private static final String FINAL_STATES = "pepperfield/end/";
 
     private final DoubleSupplier clock;
-    private final int eventsKept;
+    private final int maxEvents;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
     private final List<Event> events = new ArrayList<>();
     private final Map<Long, Grant> grants = new HashMap<>();
     private final List<Watch> watches = new ArrayList<>();
     private long revision;
 
-    /** Single keys written or deleted. */
+    /** Number of keys written or deleted. */
     public int mutations;
 
-    /** Bytes of all values written. */
+    /** Total size in bytes of all values written. */
     long bytesWritten;
 
     private long nextGrant = 1;
     private long compactedRevision;
     private boolean outageActive;
 
-    /** Until when each of these gets 503, alone. */
+    /** Callers whose requests are answered with 503, with the end of that period. */
     private final Map<String, Double> refusedUntil = new HashMap<>();
 
-    public StoreStandIn(DoubleSupplier clock, int kept) {
+    public StoreStandIn(DoubleSupplier clock, int maxEvents) {
         this.clock = clock;
-        this.eventsKept = kept;
+        this.maxEvents = maxEvents;
     }
 
-    /** While true nobody gets a new grant, so that nobody can be elected. */
+    /** While true, no grants are created, so that no leader can be elected. */
     public boolean grantsStalled;
 
-    /** Until then every request about grants gets 429. */
+    /** Time until which every grant request is answered with 429. */
     double grantsRefusedUntil;
 
-    /** What it allows; null for everything. */
+    /** The rate and size limits to enforce, or null for none. */
     StoreLimitsStandIn limits;
 
     /**
-     * What no controller may ever write: an accepted job a second time, and what the recorded
-     * version could not read.
+     * Writes that no controller may make: accepting a job a second time, or storing a value that
+     * the recorded version could not read.
      */
     List<String> violations = new ArrayList<>();
 
-    /** Told of every final state of a job that is stored. */
+    /** Called for every final job state that is stored. */
     Consumer<Decision> onDecision = decision -> {};
 
-    /** What must hold of every transaction while stored-state versions change; null: nothing. */
+    /** Rules checked on every transaction while stored-state versions change, or null for none. */
     RolloutRules rolloutRules;
 
-    /** Begins or ends an outage; at its end every grant has its full time again. */
-    public void setOutage(boolean begins) {
-        outageActive = begins;
-        if (!begins) {
+    /** Begins or ends an outage. When it ends, every grant is renewed for its full TTL. */
+    public void setOutage(boolean active) {
+        outageActive = active;
+        if (!active) {
             grants.values().forEach(grant -> grant.until = clock.getAsDouble() + grant.ttl);
         }
     }
 
     /**
-     * Answers one caller 503 until then, while others are served; its open watches wait, and its
-     * grants run out.
+     * Answers one caller with 503 until the given time, while others are served. Its open watches
+     * stay pending and its grants cannot be renewed.
      */
     public void refuseCaller(String from, double until) {
         refusedUntil.merge(from, until, Math::max);
     }
 
-    private boolean refused(String from) {
+    private boolean isRefused(String from) {
         return clock.getAsDouble() < refusedUntil.getOrDefault(from, 0.0);
     }
 
@@ -120,7 +120,7 @@
         return entries.keySet();
     }
 
-    /** To be called often: ends grants and watches whose time is over. */
+    /** Expires grants and answers watches that are due; must be called frequently. */
     public void tick() {
         if (outageActive) {
             return;
@@ -136,14 +136,14 @@
 
     private void expireGrant(long id) {
         grants.remove(id);
-        List<String> gone =
+        List<String> expiredKeys =
                 entries.entrySet().stream()
                         .filter(entry -> entry.getValue().grant == id)
                         .map(Map.Entry::getKey)
                         .toList();
-        if (!gone.isEmpty()) {
+        if (!expiredKeys.isEmpty()) {
             revision++;
-            gone.forEach(
+            expiredKeys.forEach(
                     key -> {
                         entries.remove(key);
                         events.add(new Event(key, null, revision));
@@ -154,23 +154,23 @@
     private void answerWatches(double now) {
         for (Iterator<Watch> it = watches.iterator(); it.hasNext(); ) {
             Watch watch = it.next();
-            if (refused(watch.from)) {
+            if (isRefused(watch.from)) {
                 continue;
             }
-            boolean news =
+            boolean hasNewEvents =
                     events.stream()
                             .anyMatch(
                                     entry ->
                                             entry.modRevision > watch.since
                                                     && entry.key.startsWith(watch.prefix));
-            if (news || watch.until <= now) {
+            if (hasNewEvents || watch.until <= now) {
                 it.remove();
-                watch.answer.accept(since(watch.prefix, watch.since));
+                watch.answer.accept(eventsSince(watch.prefix, watch.since));
             }
         }
     }
 
-    private HttpReply since(String prefix, long since) {
+    private HttpReply eventsSince(String prefix, long since) {
         if (since < compactedRevision) {
             return HttpReply.empty(410);
         }
@@ -178,13 +178,13 @@
         ArrayNode all = body.putArray("events");
         for (Event event : events) {
             if (event.modRevision > since && event.key.startsWith(prefix)) {
-                ObjectNode node = all.addObject();
+                ObjectNode eventNode = all.addObject();
                 if (event.data == null) {
-                    node.put("delete", event.key);
+                    eventNode.put("delete", event.key);
                 } else {
-                    node.put("set", event.key).set("data", event.data);
+                    eventNode.put("set", event.key).set("data", event.data);
                 }
-                node.put("stamp", event.modRevision);
+                eventNode.put("stamp", event.modRevision);
             }
         }
         return HttpReply.json(200, body);
@@ -195,7 +195,7 @@
     }
 
     public void handle(String from, InboundRequest request, Consumer<HttpReply> answer) {
-        if (refused(from)) {
+        if (isRefused(from)) {
             answer.accept(HttpReply.empty(503));
             return;
         }
@@ -205,14 +205,14 @@
         } else if (request.path().equals("/follow")) {
             String prefix = request.queryParameter("starts", "");
             long since = Long.parseLong(request.queryParameter("since", "0"));
-            double hold = Double.parseDouble(request.queryParameter("holdMs", "0")) / 1000;
-            if (outageActive && hold == 0) {
+            double holdS = Double.parseDouble(request.queryParameter("holdMs", "0")) / 1000;
+            if (outageActive && holdS == 0) {
                 answer.accept(HttpReply.empty(503));
                 return;
             }
-            watches.add(new Watch(from, prefix, since, clock.getAsDouble() + hold, answer));
+            watches.add(new Watch(from, prefix, since, clock.getAsDouble() + holdS, answer));
         } else {
-            answer.accept(outageActive ? HttpReply.empty(503) : now(request));
+            answer.accept(outageActive ? HttpReply.empty(503) : reply(request));
         }
         if (!outageActive) {
             answerWatches(clock.getAsDouble());
@@ -227,7 +227,7 @@
         return limits == null ? StoreLimitsStandIn.ALLOWED : limits.refusalStatus(request, now);
     }
 
-    private HttpReply now(InboundRequest request) {
+    private HttpReply reply(InboundRequest request) {
         JsonNode body = Json.read(request.body());
         if (request.path().equals("/txn")) {
             return txn(body);
@@ -301,7 +301,7 @@
                 events.add(new Event(key, op.get("data"), revision));
             }
         }
-        while (events.size() > eventsKept) {
+        while (events.size() > maxEvents) {
             compactedRevision = events.remove(0).modRevision;
         }
         if (rolloutRules != null) {
@@ -314,9 +314,9 @@
         if (key.startsWith("pepperfield/job/") && entries.containsKey(key)) {
             violations.add(clock.getAsDouble() + " accepted twice: " + key);
         }
-        boolean newForm = rolloutRules != null && RolloutRules.isNewKey(key);
-        if (!newForm && !RecordedForms.value(key, data)) {
-            violations.add(clock.getAsDouble() + " of another form: " + key + " " + data);
+        boolean newFormat = rolloutRules != null && RolloutRules.isNewKey(key);
+        if (!newFormat && !RecordedForms.value(key, data)) {
+            violations.add(clock.getAsDouble() + " unknown record format: " + key + " " + data);
         }
     }
 
@@ -341,7 +341,7 @@
         return HttpReply.json(200, body.put("truncated", false));
     }
 
-    /** The jobs that a stored job waits for. */
+    /** Returns the dependencies of a stored job. */
     List<String> dependencies(String job) {
         List<String> ids = new ArrayList<>();
         get("pepperfield/job/" + job).path("aw").forEach(id -> ids.add(id.asText()));
--- a/src/test/java/io/pepperfield/standin/WorkerStandIn.java
+++ b/src/test/java/io/pepperfield/standin/WorkerStandIn.java
@@ -15,16 +15,20 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * One machine's worker by its published protocol. Its host calls {@link #tick} often, all from one
- * thread.
+ * In-memory implementation of the worker's published protocol for one machine. All calls must be
+ * made from one thread, which calls {@link #tick} frequently.
  */
 public final class WorkerStandIn {
 
     /**
-     * What the region knows of tasks; told of everything that physically happens on the machine.
+     * The region's information about tasks. It is notified of every task start and end on the
+     * machine.
      */
     public interface TaskOracle {
-        /** Seconds a task runs, negative for a replica, NaN for an unknown one. */
+        /**
+         * Returns a task's run time in seconds: negative for a service replica, which runs until it
+         * is stopped, and NaN for an unknown task.
+         */
         double runDurationS(String task);
 
         void taskStarted(WorkerStandIn worker, String task);
@@ -33,14 +37,14 @@
 
         boolean isDone(String task);
 
-        /** Whether it fails at the end of its run time. */
+        /** Returns whether the task fails at the end of its run time. */
         boolean failsAtEnd(String task);
 
-        /** An order that the worker carries out. */
+        /** Called for every order that the worker executes. */
         default void orderExecuted(Decision decision) {}
     }
 
-    /** An attempt that the worker holds, with its state. */
+    /** A task attempt on this worker, with its state. */
     private static final class HeldAttempt {
         final int number;
         String status = "pulling";
@@ -60,7 +64,7 @@
     public final String address;
     private final DoubleSupplier clock;
     private final HttpSender sender;
-    private final List<String> controllers;
+    private final List<String> controllerAddresses;
     private final List<String> controllerNames;
     private final double heartbeatIntervalS;
     private final double leaseS;
@@ -77,13 +81,13 @@
     private double lastHeartbeatAt = Double.NEGATIVE_INFINITY;
     private double hungUntil;
     private double receiveFailureUntil;
-    private boolean dead;
+    private boolean poweredOff;
 
-    /** A machine as the cloud rents it, and where its worker is reached. */
+    /** A machine's attributes in the cloud, and the address of its worker. */
     public record MachineIdentity(
             String name, String type, String zone, boolean spot, String address) {}
 
-    /** What a worker is started with: its controllers, in the same order, and its intervals. */
+    /** A worker's start configuration. Controller names and addresses are in the same order. */
     public record WorkerConfig(
             List<String> controllerNames,
             List<String> controllerAddresses,
@@ -104,15 +108,18 @@
         this.clock = clock;
         this.sender = sender;
         this.controllerNames = config.controllerNames();
-        this.controllers = config.controllerAddresses();
+        this.controllerAddresses = config.controllerAddresses();
         this.heartbeatIntervalS = config.heartbeatIntervalS();
         this.leaseS = config.leaseS();
         this.taskOracle = taskOracle;
         this.lastAnswerAt = clock.getAsDouble();
-        this.nextController = Math.abs(name.hashCode()) % controllers.size();
+        this.nextController = Math.abs(name.hashCode()) % controllerAddresses.size();
     }
 
-    /** The incarnation of its agent: 1 while its lease has never run out. */
+    /**
+     * Returns the worker's incarnation, which starts at 1 and increases each time its lease
+     * expires.
+     */
     public long incarnation() {
         return incarnation;
     }
@@ -121,7 +128,7 @@
         return !heldAttempts.isEmpty();
     }
 
-    /** The tasks that take room on it. */
+    /** Returns the tasks that occupy resources on the machine. */
     public List<String> tasks() {
         return heldAttempts.entrySet().stream()
                 .filter(held -> !held.getValue().status.equals("ended"))
@@ -130,14 +137,14 @@
     }
 
     public boolean isAlive() {
-        return !dead;
+        return !poweredOff;
     }
 
     public void losePower() {
-        dead = true;
+        poweredOff = true;
         heldAttempts.forEach(
-                (task, h) -> {
-                    if (h.status.equals("running")) {
+                (task, attempt) -> {
+                    if (attempt.status.equals("running")) {
                         taskOracle.taskEnded(this, task, false);
                     }
                 });
@@ -148,7 +155,9 @@
         hungUntil = until;
     }
 
-    /** Until then its reports leave, and neither answers nor orders reach it. */
+    /**
+     * Until the given time, the worker sends heartbeats but receives neither responses nor orders.
+     */
     public void failReceiving(double until) {
         receiveFailureUntil = until;
     }
@@ -163,13 +172,13 @@
 
     public void tick() {
         double now = clock.getAsDouble();
-        if (dead || isHung()) {
+        if (poweredOff || isHung()) {
             return;
         }
         if (now - lastAnswerAt > leaseS) {
             heldAttempts.forEach(
-                    (task, h) -> {
-                        if (h.status.equals("running")) {
+                    (task, attempt) -> {
+                        if (attempt.status.equals("running")) {
                             taskOracle.taskEnded(this, task, false);
                         }
                     });
@@ -178,7 +187,7 @@
             lastAnswerAt = now;
             changed = true;
         }
-        heldAttempts.forEach((task, h) -> advance(task, h, now));
+        heldAttempts.forEach((task, attempt) -> advance(task, attempt, now));
         if (!heartbeatInFlight
                 && (now >= nextHeartbeatAt || changed && now - lastHeartbeatAt >= 0.5)) {
             sendHeartbeat(now);
@@ -212,8 +221,8 @@
         lastHeartbeatAt = now;
         nextHeartbeatAt = now + heartbeatIntervalS;
         serial++;
-        long sentTenure = incarnation;
-        String[] address = controllers.get(nextController).split(":");
+        long sentIncarnation = incarnation;
+        String[] address = controllerAddresses.get(nextController).split(":");
         sender.send(
                 new OutboundRequest(
                         address[0],
@@ -225,41 +234,41 @@
                         4000),
                 outcome -> {
                     heartbeatInFlight = false;
-                    double later = clock.getAsDouble();
-                    if (dead) {
+                    double answeredAt = clock.getAsDouble();
+                    if (poweredOff) {
                         return;
                     }
                     if (isReceiveFailing()) {
-                        nextHeartbeatAt = later + 1;
-                        nextController = (nextController + 1) % controllers.size();
+                        nextHeartbeatAt = answeredAt + 1;
+                        nextController = (nextController + 1) % controllerAddresses.size();
                         return;
                     }
                     if (outcome instanceof HttpOutcome.Answered answer && answer.status() == 200) {
                         JsonNode json = answer.json();
-                        long seen = json.path("epoch").longValue();
-                        // Dropped: a lower token, an answer to an earlier incarnation, or one that
-                        // came
-                        // after the worker's patience.
+                        long receivedToken = json.path("epoch").longValue();
+                        // Ignores responses with a lower fencing token, responses to an earlier
+                        // incarnation, and responses that arrive later than the request deadline of
+                        // 4 s.
                         if (!isHung()
-                                && sentTenure == incarnation
-                                && seen >= fencingToken
-                                && later - now <= 4) {
-                            changed |= seen > fencingToken;
-                            fencingToken = seen;
+                                && sentIncarnation == incarnation
+                                && receivedToken >= fencingToken
+                                && answeredAt - now <= 4) {
+                            changed |= receivedToken > fencingToken;
+                            fencingToken = receivedToken;
                             lastAnswerAt = now;
-                            execute(json.path("orders"), later);
+                            execute(json.path("orders"), answeredAt);
                         }
                         return;
                     }
-                    nextHeartbeatAt = later + 1;
+                    nextHeartbeatAt = answeredAt + 1;
                     if (outcome instanceof HttpOutcome.Answered answer
                             && answer.status() == 421
                             && controllerNames.contains(answer.json().path("manager").asText())) {
                         nextController =
                                 controllerNames.indexOf(answer.json().path("manager").asText());
-                        nextHeartbeatAt = later + 0.1;
+                        nextHeartbeatAt = answeredAt + 0.1;
                     } else {
-                        nextController = (nextController + 1) % controllers.size();
+                        nextController = (nextController + 1) % controllerAddresses.size();
                     }
                 });
     }
@@ -278,14 +287,14 @@
         body.putNull("warningS");
         ArrayNode shards = body.putArray("shards");
         heldAttempts.forEach(
-                (task, h) -> {
-                    ObjectNode line =
+                (task, attempt) -> {
+                    ObjectNode shardNode =
                             shards.addObject()
                                     .put("shard", task)
-                                    .put("try", h.number)
-                                    .put("status", h.status);
-                    if (!h.cause.isEmpty()) {
-                        line.put("cause", h.cause);
+                                    .put("try", attempt.number)
+                                    .put("status", attempt.status);
+                    if (!attempt.cause.isEmpty()) {
+                        shardNode.put("cause", attempt.cause);
                     }
                 });
         return body;
@@ -295,39 +304,43 @@
         for (JsonNode order : orders) {
             String task = order.path("shard").asText();
             int number = order.path("try").intValue();
-            HeldAttempt h = heldAttempts.get(task);
+            HeldAttempt attempt = heldAttempts.get(task);
             switch (order.path("verb").asText()) {
                 case "run" -> {
-                    if (h != null && h.number == number) {
+                    if (attempt != null && attempt.number == number) {
                         continue;
                     }
                     changed = true;
-                    if (h != null) {
-                        // The stand-in holds one attempt of a task; a second one is refused and not
-                        // kept.
+                    if (attempt != null) {
+                        // Only one attempt per task is supported; a second one is rejected and not
+                        // recorded.
                         continue;
                     }
-                    HeldAttempt begun = new HeldAttempt(number, now);
-                    heldAttempts.put(task, begun);
+                    HeldAttempt newAttempt = new HeldAttempt(number, now);
+                    heldAttempts.put(task, newAttempt);
                     taskOracle.orderExecuted(Decision.start(task, number, name));
                     if (Double.isNaN(taskOracle.runDurationS(task))) {
-                        begun.status = "ended";
-                        begun.cause = "no_such";
+                        newAttempt.status = "ended";
+                        newAttempt.cause = "no_such";
                     }
                 }
                 case "stop" -> {
-                    if (h != null && h.number == number && !h.status.equals("ended")) {
+                    if (attempt != null
+                            && attempt.number == number
+                            && !attempt.status.equals("ended")) {
                         taskOracle.orderExecuted(Decision.stop(task, number, name));
-                        if (h.status.equals("running")) {
+                        if (attempt.status.equals("running")) {
                             taskOracle.taskEnded(this, task, false);
                         }
-                        h.status = "ended";
-                        h.cause = "stopped";
+                        attempt.status = "ended";
+                        attempt.cause = "stopped";
                         changed = true;
                     }
                 }
                 default -> {
-                    if (h != null && h.number == number && h.status.equals("ended")) {
+                    if (attempt != null
+                            && attempt.number == number
+                            && attempt.status.equals("ended")) {
                         heldAttempts.remove(task);
                         changed = true;
                     }
@@ -336,7 +349,10 @@
         }
     }
 
-    /** Direct messages. A hanging machine takes them up when it goes on. */
+    /**
+     * Handles a message sent directly to the worker. The caller defers messages to a hung machine
+     * until it resumes.
+     */
     public void handle(String path, byte[] bytes, Consumer<HttpReply> answer) {
         serial++;
         if (path.equals("/status")) {
