--- a/src/test/java/io/pepperfield/admission/AdmissionLoopbackTest.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionLoopbackTest.java
@@ -60,7 +60,8 @@
                 new Thread(
                         () -> {
                             while (flooding) {
-                                ObjectNode job = LoopbackRegion.job(lastFloodId.incrementAndGet());
+                                ObjectNode job =
+                                        LoopbackRegion.smallJob(lastFloodId.incrementAndGet());
                                 job.put("owner", "guests").put("workload", "flood");
                                 job.put("rank", "best_effort").put("shards", 1).put("vcpus", 0.1);
                                 byte[] body = Json.write(job);
@@ -79,9 +80,9 @@
      */
     private void submitJobs() throws Exception {
         for (int i = 0; i < JOBS_PER_ROUND; i++) {
-            byte[] body = Json.write(LoopbackRegion.job(++submittedJobs));
+            byte[] body = Json.write(LoopbackRegion.smallJob(++submittedJobs));
             long from = System.nanoTime();
-            region.untilAny(
+            region.retryAnyUntil(
                     "POST",
                     "/api/jobs",
                     body,
@@ -93,14 +94,14 @@
     }
 
     private JsonNode admissionOverview(int node) throws Exception {
-        return region.until(
+        return region.retryUntil(
                         node, "GET", "/api/nodes", null, answer -> answer.json().has("admission"))
                 .path("admission");
     }
 
     /** Returns the admission overview of the leader, once it lists at least two classes. */
     private JsonNode leaderAdmissionOverview() throws Exception {
-        return region.untilAny(
+        return region.retryAnyUntil(
                         "GET",
                         "/api/nodes",
                         null,
@@ -126,9 +127,9 @@
             controllers.get(round % CONTROLLERS).kill();
             submitJobs();
             controllers.get(round % CONTROLLERS).start(Version.CURRENT, Feature.ADMISSION);
-            controllers.get((round + 1) % CONTROLLERS).freeze(true);
+            controllers.get((round + 1) % CONTROLLERS).setSuspended(true);
             submitJobs();
-            controllers.get((round + 1) % CONTROLLERS).freeze(false);
+            controllers.get((round + 1) % CONTROLLERS).setSuspended(false);
             submitJobs();
         }
         JsonNode overview = leaderAdmissionOverview();
--- a/src/test/java/io/pepperfield/admission/AdmissionSimulationTest.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionSimulationTest.java
@@ -39,7 +39,7 @@
 
     /** Creates a region with running machines, whose users submit jobs from second 20 on. */
     private static SimulatedRegion region(long seed, int nodes, double untilS, Stream... streams) {
-        SimulatedRegion region = SimulatedRegion.admitting(seed, nodes, 0);
+        SimulatedRegion region = SimulatedRegion.withAdmission(seed, nodes, 0);
         region.admissionLoad.watch(TOTAL_PER_MINUTE);
         region.world.run(LOAD_START_S);
         for (Stream stream : streams) {
@@ -156,13 +156,14 @@
         SimulatedRegion region = region(5, 3, 70, RED, FLOOD);
         region.world.run(35);
         int partitioned = (region.leaderIndex() + 1) % 3;
-        region.networkPartitions.peers(partitioned, 50);
+        region.networkPartitions.isolateFromPeers(partitioned, 50);
         region.world.run(35 + 1.5);
         assertEquals(TOTAL_PER_MINUTE * 0.5 / 3, region.admissionLoad.perMinute(partitioned), 1);
         // The partition flaps afterwards.
         for (int i = 0; i < 5; i++) {
             double from = 51 + 3 * i;
-            region.world.at(from, () -> region.networkPartitions.peers(partitioned, from + 1.6));
+            region.world.at(
+                    from, () -> region.networkPartitions.isolateFromPeers(partitioned, from + 1.6));
         }
         region.world.run(70);
         checkAcceptedPromptly(region, "red", 12, "partitioned");
@@ -217,7 +218,7 @@
 
     @Test
     void controllersKeepToTheirFixedShareUnderALeaderWithoutAdmission() {
-        SimulatedRegion region = SimulatedRegion.admitting(12, 3, 1);
+        SimulatedRegion region = SimulatedRegion.withAdmission(12, 3, 1);
         region.admissionLoad.watch(TOTAL_PER_MINUTE);
         region.world.run(LOAD_START_S);
         // Crashes leaders until the controller without the feature leads.
@@ -225,7 +226,7 @@
             region.faults.crash(region.leaderIndex(), 6);
             region.world.run(region.world.now() + 5);
         }
-        assertEquals("node-2", region.leader());
+        assertEquals("node-2", region.leaderName());
         double from = region.world.now() + 7;
         region.world.run(from);
         int[] nextNode = new int[1];
@@ -287,10 +288,10 @@
         switch (kind) {
             case 0 -> region.faults.crash(node, durationS);
             case 1 -> region.faults.pause(node, until);
-            case 2 -> region.networkPartitions.peers(node, until);
+            case 2 -> region.networkPartitions.isolateFromPeers(node, until);
             case 3 -> region.faults.storeOutage(until);
             default -> {
-                if (!region.leader().isEmpty()) {
+                if (!region.leaderName().isEmpty()) {
                     region.faults.crash(region.leaderIndex(), Math.min(durationS, 0.3));
                 }
             }
--- a/src/test/java/io/pepperfield/controller/ConcurrentFailuresTest.java
+++ b/src/test/java/io/pepperfield/controller/ConcurrentFailuresTest.java
@@ -55,14 +55,14 @@
 
     private static void runScenario(Scenario scenario, long seed) {
         SimulatedRegion region = new SimulatedRegion(seed);
-        region.play(scenario);
+        region.schedule(scenario);
         region.world.run(scenario.endsAt());
         String context = "seed " + seed + " of " + scenario;
         assertEquals(List.of(), region.violations, context);
         assertEquals(List.of(), region.unfinishedJobs(), context);
         assertEquals(List.of(), region.unansweredQueries(), context);
         assertEquals(List.of(), region.leftoverJobs(), context);
-        assertEquals(List.of(), region.reusedRentalNames(), context);
+        assertEquals(List.of(), region.reusedRentalRequestIds(), context);
     }
 
     /** The old leader receives no cancellations while its workers still send heartbeats to it. */
--- a/src/test/java/io/pepperfield/controller/DecisionDay.java
+++ b/src/test/java/io/pepperfield/controller/DecisionDay.java
@@ -98,7 +98,7 @@
      */
     private static SimulatedRegion crowded(long seed) {
         SimulatedRegion region = new SimulatedRegion(seed);
-        region.play(
+        region.schedule(
                 Scenario.jobs(40, 2)
                         .at(20, new SubmissionFlood(4, 40), new LargeArrays(2, 150, 6))
                         .at(45, new CancelNow(4, 0))
@@ -111,7 +111,7 @@
     /** A pipeline for each job and moment of cancellation, during leader changes. */
     private static SimulatedRegion pipelines(long seed) {
         SimulatedRegion region = new SimulatedRegion(seed);
-        region.play(
+        region.schedule(
                 Scenario.jobs(0, 1)
                         .at(12, new DelayedWrites(0.2, 30, false))
                         .at(15, new LeaderChanges(4, 40)));
@@ -133,7 +133,7 @@
     /** Five controllers, upgraded one by one to the next stored-state version. */
     private static SimulatedRegion rollout(long seed) {
         SimulatedRegion region = SimulatedRegion.beforeRollout(seed, Version.GATED);
-        region.play(
+        region.schedule(
                 Scenario.jobs(30, 2)
                         .at(20, new Upgrade(20, Version.ROLLOUT))
                         .at(24, new LargeArrays(2, 150, 6))
@@ -145,8 +145,8 @@
 
     /** Five controllers that share admission, during a flood of submissions. */
     private static SimulatedRegion admission(long seed) {
-        SimulatedRegion region = SimulatedRegion.admitting(seed, 5, 0);
-        region.play(
+        SimulatedRegion region = SimulatedRegion.withAdmission(seed, 5, 0);
+        region.schedule(
                 Scenario.jobs(20, 3)
                         .at(20, new SubmissionFlood(6, 30))
                         .at(35, new ControllerCrash(ControllerSelector.LEADER, 0.5)));
@@ -156,7 +156,7 @@
     /** Machines that cannot receive or send, hang or restart, and a partitioned zone. */
     private static SimulatedRegion silentMachines(long seed) {
         SimulatedRegion region = new SimulatedRegion(seed);
-        region.play(
+        region.schedule(
                 Scenario.jobs(50, 2)
                         .at(20, new DelayedOrders(MachineSelector.share(0.3), 3, 30))
                         .at(25, new MachineReceiveFailure(MachineSelector.count(1), 30))
--- a/src/test/java/io/pepperfield/controller/LargeFleetTest.java
+++ b/src/test/java/io/pepperfield/controller/LargeFleetTest.java
@@ -19,7 +19,7 @@
 
     @Test
     void allMachinesOfALargeFleetAreRentedAndRunTasks() {
-        SimulatedRegion region = SimulatedRegion.large(1, MACHINES);
+        SimulatedRegion region = SimulatedRegion.withRentableMachines(1, MACHINES);
         region.world.run(5);
         // Machines are rented for about half of the deferrable work at a time.
         int arrays = 40;
@@ -30,7 +30,7 @@
         int peakTasks = 0;
         for (int second = 6; second <= 60; second++) {
             region.world.run(second);
-            peakTasks = Math.max(peakTasks, region.runningTasks());
+            peakTasks = Math.max(peakTasks, region.runningTaskCount());
         }
         Runtime runtime = Runtime.getRuntime();
         System.out.printf(
--- a/src/test/java/io/pepperfield/controller/LoopbackTest.java
+++ b/src/test/java/io/pepperfield/controller/LoopbackTest.java
@@ -35,7 +35,7 @@
         for (int i = 0; i < 3; i++) {
             Settings settings =
                     SettingsReader.parse(
-                            "node-" + i, region.settings(i), OperatorSettings.DEFAULTS);
+                            "node-" + i, region.settingsToml(i), OperatorSettings.DEFAULTS);
             ControllerServer controller = new ControllerServer(settings);
             controller.start();
             controllers.add(controller);
@@ -55,7 +55,7 @@
     }
 
     private int status(int node, ObjectNode job) {
-        return region.ask(node, "POST", "/api/jobs", Json.write(job)).status();
+        return region.send(node, "POST", "/api/jobs", Json.write(job)).status();
     }
 
     private static byte[] bytes(String text) {
@@ -79,11 +79,15 @@
 
     @Test
     void submitCommandPrintsTheInvalidFieldOnOneLine() throws Exception {
-        region.until(
-                1, "POST", "/api/jobs", Json.write(LoopbackRegion.job(1)), a -> a.status() == 201);
-        ObjectNode invalid = LoopbackRegion.job(2);
+        region.retryUntil(
+                1,
+                "POST",
+                "/api/jobs",
+                Json.write(LoopbackRegion.smallJob(1)),
+                a -> a.status() == 201);
+        ObjectNode invalid = LoopbackRegion.smallJob(2);
         invalid.putArray("awaits").add("run-000001").add(7);
-        ObjectNode unknownJob = LoopbackRegion.job(2);
+        ObjectNode unknownJob = LoopbackRegion.smallJob(2);
         unknownJob.putArray("awaits").add("run-000001").add("run-000009");
         ByteArrayOutputStream stderr = new ByteArrayOutputStream();
         assertEquals(1, submitByCommandLine(invalid, stderr));
@@ -102,8 +106,12 @@
 
     @Test
     void requestsAreAnsweredAndServiceContinuesAfterTheLeaderStops() throws Exception {
-        region.until(
-                0, "POST", "/api/jobs", Json.write(LoopbackRegion.job(1)), a -> a.status() == 201);
+        region.retryUntil(
+                0,
+                "POST",
+                "/api/jobs",
+                Json.write(LoopbackRegion.smallJob(1)),
+                a -> a.status() == 201);
         assertMalformedAndInfeasibleJobsAreRejected();
         assertKnownAndUnknownJobsAreAnswered();
         assertAnotherControllerTakesOverFromTheLeader();
@@ -119,34 +127,37 @@
                         "{\"nameId\":\"run-000002\"}",
                         "{} {}",
                         "{\"nameId\":1}")) {
-            assertEquals(400, region.ask(0, "POST", "/api/jobs", bytes(invalid)).status(), invalid);
+            assertEquals(
+                    400, region.send(0, "POST", "/api/jobs", bytes(invalid)).status(), invalid);
         }
-        assertEquals(400, status(0, LoopbackRegion.job(2).put("nameId", "../etc")));
-        assertEquals(400, status(0, LoopbackRegion.job(2).put("shards", 0)));
-        assertEquals(400, status(0, LoopbackRegion.job(2).put("shards", 100_001)));
-        assertEquals(400, status(0, LoopbackRegion.job(2).put("shards", 2.5)));
-        assertEquals(400, status(0, LoopbackRegion.job(2).put("vcpus", "2")));
-        assertEquals(400, status(0, LoopbackRegion.job(2).put("memGb", -1)));
-        assertEquals(400, status(0, LoopbackRegion.job(2).put("shape", "round")));
-        assertEquals(400, status(0, LoopbackRegion.job(2).put("rank", "first")));
-        assertEquals(400, status(0, LoopbackRegion.job(2).putNull("spread")));
-        assertEquals(400, status(0, LoopbackRegion.job(2).put("workload", "x".repeat(70_000))));
-        assertEquals(422, status(0, LoopbackRegion.job(2).put("owner", "nobody")));
-        assertEquals(422, status(0, LoopbackRegion.job(2).put("vcpus", 30.0)));
+        assertEquals(400, status(0, LoopbackRegion.smallJob(2).put("nameId", "../etc")));
+        assertEquals(400, status(0, LoopbackRegion.smallJob(2).put("shards", 0)));
+        assertEquals(400, status(0, LoopbackRegion.smallJob(2).put("shards", 100_001)));
+        assertEquals(400, status(0, LoopbackRegion.smallJob(2).put("shards", 2.5)));
+        assertEquals(400, status(0, LoopbackRegion.smallJob(2).put("vcpus", "2")));
+        assertEquals(400, status(0, LoopbackRegion.smallJob(2).put("memGb", -1)));
+        assertEquals(400, status(0, LoopbackRegion.smallJob(2).put("shape", "round")));
+        assertEquals(400, status(0, LoopbackRegion.smallJob(2).put("rank", "first")));
+        assertEquals(400, status(0, LoopbackRegion.smallJob(2).putNull("spread")));
+        assertEquals(
+                400, status(0, LoopbackRegion.smallJob(2).put("workload", "x".repeat(70_000))));
+        assertEquals(422, status(0, LoopbackRegion.smallJob(2).put("owner", "nobody")));
+        assertEquals(422, status(0, LoopbackRegion.smallJob(2).put("vcpus", 30.0)));
         assertEquals(
-                422, status(0, LoopbackRegion.job(2).put("shape", "standing").put("shards", 20)));
+                422,
+                status(0, LoopbackRegion.smallJob(2).put("shape", "standing").put("shards", 20)));
     }
 
     private void assertKnownAndUnknownJobsAreAnswered() throws Exception {
-        assertEquals(404, region.ask(1, "GET", "/api/jobs/run-000002", null).status());
+        assertEquals(404, region.send(1, "GET", "/api/jobs/run-000002", null).status());
         assertEquals(
-                404, region.ask(1, "POST", "/api/jobs/run-000002/cancel", new byte[0]).status());
-        assertEquals(404, region.ask(1, "GET", "/nowhere", null).status());
-        assertEquals(405, region.ask(1, "DELETE", "/api/jobs/run-000001", null).status());
+                404, region.send(1, "POST", "/api/jobs/run-000002/cancel", new byte[0]).status());
+        assertEquals(404, region.send(1, "GET", "/nowhere", null).status());
+        assertEquals(405, region.send(1, "DELETE", "/api/jobs/run-000001", null).status());
         // Every node answers a resubmission of a known job id with 200, even if its body is
         // invalid.
-        assertEquals(200, status(2, LoopbackRegion.job(1).put("shards", -5)));
-        region.until(
+        assertEquals(200, status(2, LoopbackRegion.smallJob(1).put("shards", -5)));
+        region.retryUntil(
                 1,
                 "GET",
                 "/api/jobs/run-000001",
@@ -154,7 +165,7 @@
                 a -> a.json().path("status").asText().equals("done"));
         assertEquals(
                 "done",
-                region.ask(2, "POST", "/api/jobs/run-000001/cancel", new byte[0])
+                region.send(2, "POST", "/api/jobs/run-000001/cancel", new byte[0])
                         .json()
                         .path("status")
                         .asText());
@@ -163,35 +174,35 @@
     private void assertAnotherControllerTakesOverFromTheLeader() throws Exception {
         int leader =
                 Integer.parseInt(
-                        region.ask(0, "GET", "/api/nodes", null)
+                        region.send(0, "GET", "/api/nodes", null)
                                 .json()
                                 .path("leader")
                                 .asText()
                                 .substring(5));
         controllers.get(leader).stop();
         int other = (leader + 1) % 3;
-        region.until(
+        region.retryUntil(
                 other,
                 "POST",
                 "/api/jobs",
-                Json.write(LoopbackRegion.job(3)),
+                Json.write(LoopbackRegion.smallJob(3)),
                 a -> a.status() == 201);
-        region.until(
+        region.retryUntil(
                 (leader + 2) % 3,
                 "GET",
                 "/api/jobs/run-000003",
                 null,
                 a -> a.json().path("status").asText().equals("done"));
-        assertEquals(201, status(other, LoopbackRegion.job(4).put("shape", "standing")));
+        assertEquals(201, status(other, LoopbackRegion.smallJob(4).put("shape", "standing")));
         assertEquals(
                 "cancelled",
-                region.ask(other, "POST", "/api/jobs/run-000004/cancel", new byte[0])
+                region.send(other, "POST", "/api/jobs/run-000004/cancel", new byte[0])
                         .json()
                         .path("status")
                         .asText());
         assertEquals(
                 "cancelled",
-                region.ask((leader + 2) % 3, "GET", "/api/jobs/run-000004", null)
+                region.send((leader + 2) % 3, "GET", "/api/jobs/run-000004", null)
                         .json()
                         .path("status")
                         .asText());
--- a/src/test/java/io/pepperfield/controller/PipelineSimulationTest.java
+++ b/src/test/java/io/pepperfield/controller/PipelineSimulationTest.java
@@ -67,7 +67,7 @@
 
     private static void runScenario(Scenario scenario, PipelineShape shape, long seed) {
         SimulatedRegion region = new SimulatedRegion(seed);
-        region.play(scenario);
+        region.schedule(scenario);
         submitAll(region, shape);
         region.world.run(scenario.endsAt());
         String context = "seed " + seed + ", " + shape + " in " + scenario;
--- a/src/test/java/io/pepperfield/controller/SimulationTest.java
+++ b/src/test/java/io/pepperfield/controller/SimulationTest.java
@@ -35,9 +35,9 @@
         region.world.at(30, region::queryUnknownJob);
         region.world.run(220);
         assertEquals(List.of(), region.violations);
-        assertEquals(12, region.accepted());
+        assertEquals(12, region.acceptedJobCount());
         assertEquals(List.of(), region.unfinishedJobs());
-        assertEquals(0, region.runningTasks());
+        assertEquals(0, region.runningTaskCount());
     }
 
     @Test
@@ -69,21 +69,21 @@
     void leaderIsolatedWithItsWorkersReleasesThemWithinTheirLeases() {
         SimulatedRegion region = region(4, 12, 2);
         region.world.run(40);
-        assertTrue(region.runningTasks() > 8, "running tasks " + region.runningTasks());
+        assertTrue(region.runningTaskCount() > 8, "running tasks " + region.runningTaskCount());
         int lostBefore = region.lostTasks();
-        String leader = region.leader();
+        String leader = region.leaderName();
         int isolated = region.leaderIndex();
-        region.networkPartitions.isolate(isolated, 70);
+        region.networkPartitions.isolateFromStoreAndPeers(isolated, 70);
         region.world.run(50);
         // The isolated controller cannot answer users: its health check fails, which removes it
         // from the load balancer, and it closes the connections that are still open.
-        assertEquals(503, region.directRequests.answer(isolated, "GET", "/up").status());
+        assertEquals(503, region.directRequests.request(isolated, "GET", "/up").status());
         assertTrue(
                 region.directRequests
-                        .answer(isolated, "GET", "/api/jobs/run-999998")
+                        .request(isolated, "GET", "/api/jobs/run-999998")
                         .closeConnection());
         region.world.run(68);
-        assertNotEquals(leader, region.leader());
+        assertNotEquals(leader, region.leaderName());
         // No lease expired, and no machine was released for heartbeats that were missing only
         // because the old leader was isolated.
         assertEquals(lostBefore, region.lostTasks());
@@ -114,7 +114,8 @@
         SimulatedRegion region = region(8, 12, 2);
         region.world.run(40);
         int leader = region.leaderIndex();
-        region.networkPartitions.zone("east", (leader + 1) % 3, 40 + 2.5 * SimulatedRegion.LEASE_S);
+        region.networkPartitions.isolateZone(
+                "east", (leader + 1) % 3, 40 + 2.5 * SimulatedRegion.LEASE_S);
         // The next leader is elected while half of the fleet is unreachable, after those machines
         // had booted.
         region.world.at(41, () -> region.faults.crash(leader, 5));
@@ -127,7 +128,7 @@
                         .toList();
         assertTrue(zoneMachines.size() >= 3, "machines in zone east " + zoneMachines);
         region.world.run(44);
-        assertNotEquals("node-" + leader, region.leader());
+        assertNotEquals("node-" + leader, region.leaderName());
         region.world.run(40 + 2.5 * SimulatedRegion.LEASE_S);
         assertTrue(
                 region.machines().stream().map(w -> w.name).toList().containsAll(zoneMachines),
@@ -147,7 +148,7 @@
             region.directRequests.sendHeartbeat(inside, i % 2 == 0 ? "east" : "west");
         }
         double cutAt = region.world.now();
-        region.networkPartitions.zone("east", inside, cutAt + 40);
+        region.networkPartitions.isolateZone("east", inside, cutAt + 40);
         region.world.run(cutAt + 4);
         // The controller appears to be isolated without its zone, so it rejects the worker,
         // which then uses another controller.
@@ -186,14 +187,14 @@
     void cancelledTasksEndInTimeWithoutALeader() {
         SimulatedRegion region = region(6, 12, 2);
         region.world.run(36);
-        assertTrue(region.runningTasks() > 4, "running tasks " + region.runningTasks());
+        assertTrue(region.runningTaskCount() > 4, "running tasks " + region.runningTaskCount());
         // The followers have read the cancellations but send no stop orders; their heartbeat
         // replies must not keep the tasks running.
         region.faults.preventElection(36 + 3 * SimulatedRegion.CANCELLATION_DEADLINE_S);
         region.cancelAll();
         region.world.run(36 + 2 * SimulatedRegion.CANCELLATION_DEADLINE_S);
         assertEquals(List.of(), region.violations);
-        assertEquals(0, region.runningTasks());
+        assertEquals(0, region.runningTaskCount());
         region.world.run(250);
         assertEquals(List.of(), region.violations);
         assertEquals(List.of(), region.unfinishedJobs());
@@ -211,7 +212,7 @@
         }
         region.world.run(250);
         assertEquals(List.of(), region.violations);
-        assertEquals(List.of(), region.reusedRentalNames());
+        assertEquals(List.of(), region.reusedRentalRequestIds());
         assertEquals(List.of(), region.unfinishedJobs());
         assertEquals(List.of(), region.unansweredQueries());
     }
@@ -250,7 +251,7 @@
             region.world.at(12 + i, () -> region.jobMix.submitFailing(number, 110));
         }
         region.world.run(60);
-        int rentalsBefore = region.rentals();
+        int rentalsBefore = region.rentalCount();
         int startsBefore = region.taskStarts();
         region.world.run(100);
         // Each failing job retries one task at a time, and its retry delay has grown by then.
@@ -259,12 +260,12 @@
                 "task starts " + (region.taskStarts() - startsBefore));
         assertEquals(
                 rentalsBefore,
-                region.rentals(),
+                region.rentalCount(),
                 "rented machines for failing jobs alone, or returned healthy machines as faulty");
         region.world.run(200);
         assertEquals(List.of(), region.violations);
         assertEquals(List.of(), region.unfinishedJobs());
-        assertEquals(0, region.runningTasks());
+        assertEquals(0, region.runningTaskCount());
     }
 
     @Test
@@ -278,11 +279,11 @@
         normal.world.run(140);
         assertEquals(List.of(), slow.unfinishedJobs());
         assertTrue(
-                slow.rentals() <= normal.rentals() + 1,
+                slow.rentalCount() <= normal.rentalCount() + 1,
                 "rented a second fleet: "
-                        + slow.rentals()
+                        + slow.rentalCount()
                         + " machines, with normal boots "
-                        + normal.rentals());
+                        + normal.rentalCount());
         SimulatedRegion failing = new SimulatedRegion(24);
         failing.faults.slowBoots(1, 1, 14);
         failing.world.at(10, () -> failing.jobMix.submitGuests(1, 64, 5));
@@ -304,9 +305,10 @@
         assertTrue(
                 region.partitionSize(leader) >= 2,
                 "machines in the partition " + region.partitionSize(leader));
-        region.world.cut("host-", "10.0.0." + (leader + 1), cutAt + 10 * SimulatedRegion.LEASE_S);
+        region.world.partition(
+                "host-", "10.0.0." + (leader + 1), cutAt + 10 * SimulatedRegion.LEASE_S);
         region.world.run(cutAt + 5 * SimulatedRegion.LEASE_S);
-        assertNotEquals("node-" + leader, region.leader());
+        assertNotEquals("node-" + leader, region.leaderName());
         int nextLeader = region.leaderIndex();
         // In this region a lease is hardly longer than the time after which a worker tries another
         // controller, so some leases expire before the partition is reassigned, none afterwards.
@@ -324,8 +326,8 @@
         SimulatedRegion region = region(27, 4, 1);
         region.world.run(30);
         // 1,000 sockets allow 125 concurrent queries, 62 of them for unknown jobs.
-        assertEquals(List.of(62, 38), region.directRequests.floodWithUnknownJobs(1, 100));
-        assertEquals(200, region.directRequests.answer(1, "GET", "/api/jobs/run-000001").status());
+        assertEquals(List.of(62, 38), region.directRequests.floodWithUnknownJobQueries(1, 100));
+        assertEquals(200, region.directRequests.request(1, "GET", "/api/jobs/run-000001").status());
     }
 
     @Test
@@ -336,7 +338,7 @@
         region.faults.pause(paused, 35 + 5 * SimulatedRegion.LEASE_S);
         region.queryMoreOften(35 + 6 * SimulatedRegion.LEASE_S);
         region.world.run(35 + 5 * SimulatedRegion.LEASE_S - 1);
-        assertNotEquals("node-" + paused, region.leader());
+        assertNotEquals("node-" + paused, region.leaderName());
         region.world.run(250);
         assertEquals(List.of(), region.violations);
         assertEquals(List.of(), region.unfinishedJobs());
@@ -378,7 +380,9 @@
         }
         region.world.run(420);
         assertEquals(List.of(), region.violations, "seed " + seed);
-        assertTrue(region.accepted() >= 35, "seed " + seed + " accepted " + region.accepted());
+        assertTrue(
+                region.acceptedJobCount() >= 35,
+                "seed " + seed + " accepted " + region.acceptedJobCount());
         assertEquals(List.of(), region.unfinishedJobs(), "seed " + seed);
         assertEquals(List.of(), region.unansweredQueries(), "seed " + seed);
     }
--- a/src/test/java/io/pepperfield/controller/UpgradeTest.java
+++ b/src/test/java/io/pepperfield/controller/UpgradeTest.java
@@ -49,7 +49,7 @@
 
     private static SimulatedRegion runScenario(Scenario scenario, long seed) {
         SimulatedRegion region = SimulatedRegion.beforeUpgrade(seed);
-        region.play(scenario);
+        region.schedule(scenario);
         region.world.run(scenario.endsAt());
         assertFinalState(region, "seed " + seed + " of " + scenario);
         return region;
@@ -60,9 +60,9 @@
         assertEquals(List.of(), region.unfinishedJobs(), context);
         assertEquals(List.of(), region.unansweredQueries(), context);
         assertEquals(List.of(), region.leftoverJobs(), context);
-        assertEquals(List.of(), region.reusedRentalNames(), context);
-        assertEquals(List.of(), region.alteredJobs(), context);
-        assertTrue(region.upgraded(), context);
+        assertEquals(List.of(), region.reusedRentalRequestIds(), context);
+        assertEquals(List.of(), region.jobsWithChangedDependencies(), context);
+        assertTrue(region.allRunCurrentVersion(), context);
     }
 
     @ParameterizedTest
@@ -101,10 +101,10 @@
                 Scenario.jobs(40, 2).at(50, new CancelNow(4, 0)).at(80, new Pipelines(4, 20));
         for (int round = 0; round <= Integer.getInteger("pepperfield.seeds", 0); round++) {
             SimulatedRegion region = SimulatedRegion.beforeUpgrade(seed + 1000L * round);
-            region.play(scenario);
+            region.schedule(scenario);
             region.world.run(30);
             int upgradedNode = region.leaderIndex();
-            region.faults.replace(upgradedNode, Version.CURRENT, 0.2);
+            region.faults.restartAs(upgradedNode, Version.CURRENT, 0.2);
             region.world.run(33);
             if (region.leaderIndex() != upgradedNode) {
                 // Leaves only the upgraded controller to be elected; the others restart in the old
@@ -118,8 +118,8 @@
                     upgradedNode,
                     region.leaderIndex(),
                     "leadership moved from the upgraded controller");
-            region.faults.replace((upgradedNode + 1) % NODES, Version.CURRENT, 5);
-            region.faults.replace((upgradedNode + 2) % NODES, Version.CURRENT, 5);
+            region.faults.restartAs((upgradedNode + 1) % NODES, Version.CURRENT, 5);
+            region.faults.restartAs((upgradedNode + 2) % NODES, Version.CURRENT, 5);
             region.world.run(scenario.endsAt());
             assertFinalState(region, "seed " + seed);
         }
@@ -174,7 +174,7 @@
                                 new Replace(
                                         ControllerSelector.afterLeader(1), Version.RECORDED, 0.5))
                         .at(66, new Replace(ControllerSelector.afterLeader(1), Version.CURRENT, 1));
-        region.play(scenario);
+        region.schedule(scenario);
         region.world.run(scenario.endsAt());
         assertFinalState(region, scenario.toString());
     }
@@ -198,7 +198,7 @@
                         .at(60, new LargeArrays(2, 150, 2))
                         .at(110, new Pipelines(6, 30))
                         .at(100 + region.world.random.nextInt(60), new StoreLimitsReduction());
-        region.play(scenario);
+        region.schedule(scenario);
         for (int i = 0; i < 12; i++) {
             region.world.at(20 + 11 * i, region.faults::injectRandomFault);
         }
@@ -207,9 +207,11 @@
         assertEquals(List.of(), region.violations, context);
         assertEquals(List.of(), region.unfinishedJobs(), context);
         assertEquals(List.of(), region.unansweredQueries(), context);
-        assertEquals(List.of(), region.alteredJobs(), context);
-        assertTrue(region.accepted() >= 40, context + " accepted " + region.accepted());
-        assertTrue(region.upgraded(), context);
+        assertEquals(List.of(), region.jobsWithChangedDependencies(), context);
+        assertTrue(
+                region.acceptedJobCount() >= 40,
+                context + " accepted " + region.acceptedJobCount());
+        assertTrue(region.allRunCurrentVersion(), context);
     }
 
     @ParameterizedTest
@@ -225,12 +227,15 @@
         for (int round = 0; round <= Integer.getInteger("pepperfield.seeds", 0); round++) {
             SimulatedRegion region = runScenario(scenario, seed + 1000L * round);
             assertTrue(
-                    region.refusedForSize() > 0,
+                    region.oversizedTransactionCount() > 0,
                     "no transaction was refused for its size, seed " + seed);
             // The first two records hold 68 tasks each; later ones are parts of a divided record.
             assertTrue(
                     IntStream.range(2, 8)
-                            .mapToObj(part -> region.durable("pepperfield/run/run-800001/" + part))
+                            .mapToObj(
+                                    part ->
+                                            region.storedValue(
+                                                    "pepperfield/run/run-800001/" + part))
                             .anyMatch(Objects::nonNull),
                     "no record was divided, seed " + seed);
         }
@@ -249,7 +254,7 @@
                         .at(75, new MachineReboot(MachineSelector.share(1)));
         for (int round = 0; round <= Integer.getInteger("pepperfield.seeds", 0); round++) {
             SimulatedRegion region = SimulatedRegion.beforeUpgrade(seed + 1000L * round);
-            region.play(scenario);
+            region.schedule(scenario);
             // Some tasks may have to wait until others have ended and freed their machine.
             region.world.run(scenario.endsAt() + runS);
             assertFinalState(region, "seed " + seed);
@@ -304,7 +309,7 @@
                         .at(50, new StoreLimitsReduction(), new SubmissionFlood(8, 10))
                         .at(52, new GrantsRefused(0.3))
                         .at(55, new GrantsRefused(0.3));
-        region.play(scenario);
+        region.schedule(scenario);
         region.world.run(48);
         int changesBefore = region.leaderChanges();
         region.world.run(scenario.endsAt());
--- a/src/test/java/io/pepperfield/rollout/RecordedVersionFencedTest.java
+++ b/src/test/java/io/pepperfield/rollout/RecordedVersionFencedTest.java
@@ -51,11 +51,12 @@
         KEYS.forEach((key, data) -> region.directRequests.write(key, json(data)));
         int mutationsBefore = region.storedMutations();
         region.world.run(region.world.now() + 40);
-        String leader = region.leader().equals("node-0") ? "nobody of them leads" : region.leader();
+        String leader =
+                region.leaderName().equals("node-0") ? "nobody of them leads" : region.leaderName();
         String writes =
                 leader + ", " + (region.storedMutations() - mutationsBefore) + " changes in 40 s";
         String jobStatus = jobStatus(region);
-        HttpReply health = region.directRequests.answer(0, "GET", "/up");
+        HttpReply health = region.directRequests.request(0, "GET", "/up");
         HttpReply heartbeat = region.directRequests.sendHeartbeat(0, "east");
         region.directRequests.write("pepperfield/end/run-000001", json("{\"s\":\"done\"}"));
         region.world.run(region.world.now() + 2);
@@ -71,7 +72,7 @@
     }
 
     private static String jobStatus(SimulatedRegion region) {
-        HttpReply reply = region.directRequests.answer(0, "GET", "/api/jobs/run-000001");
+        HttpReply reply = region.directRequests.request(0, "GET", "/api/jobs/run-000001");
         return reply.status() + " " + Json.read(reply.body()).path("status").asText();
     }
 }
--- a/src/test/java/io/pepperfield/rollout/RolloutCommandsTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutCommandsTest.java
@@ -15,9 +15,9 @@
 
     @Test
     void commandsCanBeRepeatedAfterALostResponse() {
-        store.losesAnswers = true;
+        store.dropResponses = true;
         assertEquals(503, leader.sendCommand("activate", ACTIVATE_BODY).status());
-        store.losesAnswers = false;
+        store.dropResponses = false;
         // The leader has not seen its write yet, so the command is neither completed nor refused.
         assertEquals(503, leader.sendCommand("activate", ACTIVATE_BODY).status());
         syncAll();
--- a/src/test/java/io/pepperfield/rollout/RolloutFixture.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutFixture.java
@@ -99,7 +99,7 @@
         HttpReply sendCommand(String name, String body) {
             HttpReply[] received = new HttpReply[1];
             rollout.handle(
-                    SimWorld.call("POST", "/api/rollout/" + name, bytes(body)),
+                    SimWorld.inboundRequest("POST", "/api/rollout/" + name, bytes(body)),
                     reply -> received[0] = reply);
             return received[0];
         }
--- a/src/test/java/io/pepperfield/rollout/RolloutLoopbackTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutLoopbackTest.java
@@ -60,7 +60,8 @@
         String leader = "";
         while (leader.isEmpty()) {
             leader =
-                    region.untilAny("GET", "/api/rollout", null, answer -> answer.status() == 200)
+                    region.retryAnyUntil(
+                                    "GET", "/api/rollout", null, answer -> answer.status() == 200)
                             .path("leader")
                             .asText();
         }
@@ -70,25 +71,27 @@
     private void submitJobs() throws Exception {
         for (int i = 0; i < JOBS_PER_BATCH; i++) {
             int number = acceptedJobs.size() + 1;
-            region.untilAny(
+            region.retryAnyUntil(
                     "POST",
                     "/api/jobs",
-                    Json.write(LoopbackRegion.job(number)),
+                    Json.write(LoopbackRegion.smallJob(number)),
                     answer -> answer.status() == 201 || answer.status() == 200);
             acceptedJobs.add(String.format(Locale.ROOT, "run-%06d", number));
         }
     }
 
     private void sendCommand(String name, byte[] body) throws Exception {
-        region.untilAny("POST", "/api/rollout/" + name, body, answer -> answer.status() == 200);
+        region.retryAnyUntil(
+                "POST", "/api/rollout/" + name, body, answer -> answer.status() == 200);
     }
 
     private ClusterVersion version() throws Exception {
-        return ClusterVersion.fromJson(region.durable("pepperfield/rollout/version")).orElseThrow();
+        return ClusterVersion.fromJson(region.storedValue("pepperfield/rollout/version"))
+                .orElseThrow();
     }
 
     private void awaitDeclaration(int node, String release) throws Exception {
-        region.untilAny(
+        region.retryAnyUntil(
                 "GET", "/api/rollout", null, answer -> release.equals(declared(answer, node)));
     }
 
@@ -108,7 +111,7 @@
     @Test
     void jobsAndRecordsSurviveUpgradesCrashesAndRollback() throws Exception {
         region = new LoopbackRegion(CONTROLLERS);
-        region.checkRollout();
+        region.enableRolloutChecks();
         List<Integer> order = new ArrayList<>();
         for (int node = 0; node < CONTROLLERS; node++) {
             controllers.add(new ControllerProcess(region, node, directory));
@@ -129,7 +132,7 @@
         awaitDeclaration(downgraded, Version.GATED.name().toLowerCase(Locale.ROOT));
         // The leader refuses because of this node; if this node itself leads, it does not support
         // the version.
-        region.untilAny(
+        region.retryAnyUntil(
                 "POST", "/api/rollout/activate", ACTIVATE, answer -> answer.status() == CONFLICT);
         restart(downgraded, Version.ROLLOUT);
         sendCommand("activate", ACTIVATE);
@@ -152,12 +155,13 @@
         assertEquals(Phase.ACTIVE, version().phase());
         for (String id : acceptedJobs) {
             for (int node = 0; node < CONTROLLERS; node++) {
-                region.until(node, "GET", "/api/jobs/" + id, null, RolloutLoopbackTest::isDone);
+                region.retryUntil(
+                        node, "GET", "/api/jobs/" + id, null, RolloutLoopbackTest::isDone);
             }
         }
         assertEquals(List.of(), region.violations);
         sendCommand("rollback", EMPTY_BODY);
-        region.untilAny(
+        region.retryAnyUntil(
                 "GET",
                 "/api/rollout",
                 null,
--- a/src/test/java/io/pepperfield/rollout/RolloutMeasurement.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutMeasurement.java
@@ -132,7 +132,7 @@
         if (command == Command.ROLLBACK) {
             scenario = scenario.at(10, new OperatorCommand(Command.ACTIVATE, 5));
         }
-        region.play(scenario.at(20, new OperatorCommand(command, 5)));
+        region.schedule(scenario.at(20, new OperatorCommand(command, 5)));
         int[] refused = new int[2];
         double[] longestS = new double[2];
         for (int i = 0; i < 200; i++) {
@@ -165,7 +165,7 @@
             scenario = scenario.at(10, new OperatorCommand(Command.ACTIVATE, 10));
         }
         scenario = scenario.at(20, new LargeArrays(ARRAY_JOBS, TASKS_PER_ARRAY, 20));
-        region.play(scenario);
+        region.schedule(scenario);
         region.world.run(19);
         int mutations = region.storedMutations();
         long bytes = region.bytesWritten();
--- a/src/test/java/io/pepperfield/rollout/RolloutSimulationTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutSimulationTest.java
@@ -40,7 +40,7 @@
 
     private static SimulatedRegion play(Scenario scenario, long seed) {
         SimulatedRegion region = SimulatedRegion.beforeRollout(seed, Version.GATED);
-        region.play(scenario);
+        region.schedule(scenario);
         region.world.run(scenario.endsAt());
         return region;
     }
@@ -51,12 +51,12 @@
         assertEquals(List.of(), region.unfinishedJobs(), description);
         assertEquals(List.of(), region.unansweredQueries(), description);
         assertEquals(List.of(), region.leftoverJobs(), description);
-        assertEquals(List.of(), region.reusedRentalNames(), description);
-        assertEquals(List.of(), region.alteredJobs(), description);
+        assertEquals(List.of(), region.reusedRentalRequestIds(), description);
+        assertEquals(List.of(), region.jobsWithChangedDependencies(), description);
     }
 
     private static ClusterVersion version(SimulatedRegion region) {
-        JsonNode record = region.durable("pepperfield/rollout/version");
+        JsonNode record = region.storedValue("pepperfield/rollout/version");
         return record == null
                 ? ClusterVersion.INITIAL
                 : ClusterVersion.fromJson(record).orElseThrow();
@@ -145,12 +145,13 @@
                             .at(60, new StoreLimitsReduction())
                             .at(61, new OperatorCommand(Command.ROLLBACK, 10))
                             .at(62, new ControllerCrash(ControllerSelector.LEADER, 2));
-            region.play(scenario);
+            region.schedule(scenario);
             region.world.run(59);
-            assertNotNull(region.durable("pepperfield/v2/run/run-800000/0"), "seed " + seed);
+            assertNotNull(region.storedValue("pepperfield/v2/run/run-800000/0"), "seed " + seed);
             region.world.run(100);
             assertEquals(ClusterVersion.INITIAL, version(region), "seed " + seed);
-            assertNotNull(region.durable("pepperfield/run/run-800000/2"), "no record was split");
+            assertNotNull(
+                    region.storedValue("pepperfield/run/run-800000/2"), "no record was split");
             region.world.run(scenario.endsAt() + 100);
             checkEnd(region, Phase.FINALIZED, "seed " + seed);
         }
@@ -178,15 +179,15 @@
                         .at(125, new LargeArrays(2, 150, 5))
                         .at(135, new OperatorCommand(Command.ACTIVATE, 60))
                         .at(150, new Pipelines(4, 20));
-        region.play(scenario);
+        region.schedule(scenario);
         for (int i = 0; i < 14; i++) {
             region.world.at(20 + 11 * i, region.faults::injectRandomFault);
         }
         for (int i = 0; i < 4; i++) {
             int node = region.world.random.nextInt(5);
             double at = 90 + 10 * region.world.random.nextDouble() * (i + 1);
-            region.world.at(at, () -> region.faults.replace(node, Version.GATED, 0.2));
-            region.world.at(at + 8, () -> region.faults.replace(node, Version.ROLLOUT, 0.2));
+            region.world.at(at, () -> region.faults.restartAs(node, Version.GATED, 0.2));
+            region.world.at(at + 8, () -> region.faults.restartAs(node, Version.ROLLOUT, 0.2));
         }
         region.world.run(440);
         String description = "seed " + seed;
@@ -194,8 +195,10 @@
         assertEquals(List.of(), region.unfinishedJobs(), description);
         assertTrue(region.allRun(Version.ROLLOUT), description);
         assertEquals(List.of(), region.unansweredQueries(), description);
-        assertEquals(List.of(), region.alteredJobs(), description);
-        assertTrue(region.accepted() >= 45, description + " accepted " + region.accepted());
+        assertEquals(List.of(), region.jobsWithChangedDependencies(), description);
+        assertTrue(
+                region.acceptedJobCount() >= 45,
+                description + " accepted " + region.acceptedJobCount());
         assertTrue(region.operator.confirmed.contains(Command.ACTIVATE), description);
     }
 
@@ -203,9 +206,9 @@
     void controllerOnOldReleaseBlocksActivation() {
         SimulatedRegion region = SimulatedRegion.beforeRollout(7, Version.ROLLOUT);
         Scenario scenario = Scenario.jobs(10, 2).at(20, new OperatorCommand(Command.ACTIVATE, 5));
-        region.play(scenario);
+        region.schedule(scenario);
         region.world.run(12);
-        region.faults.replace(3, Version.GATED, 0.2);
+        region.faults.restartAs(3, Version.GATED, 0.2);
         region.world.run(40);
         assertEquals(Phase.FINALIZED, version(region).phase());
         assertTrue(
@@ -250,12 +253,12 @@
                         .at(50, new Replace(ControllerSelector.node(0), Version.ROLLOUT, 0.2))
                         .at(51, new Replace(ControllerSelector.node(1), Version.ROLLOUT, 0.2))
                         .at(60, new OperatorCommand(Command.ROLLBACK, 10));
-        region.play(scenario);
+        region.schedule(scenario);
         for (double at = 35; at < 50; at += 0.5) {
             region.world.run(at);
             assertTrue(
-                    region.leader().isEmpty() || region.leaderIndex() > 1,
-                    region.leader() + " leads at " + at);
+                    region.leaderName().isEmpty() || region.leaderIndex() > 1,
+                    region.leaderName() + " leads at " + at);
         }
         region.world.run(scenario.endsAt());
         checkEnd(region, Phase.FINALIZED, "seed " + seed);
--- a/src/test/java/io/pepperfield/rollout/RolloutWritesTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutWritesTest.java
@@ -21,11 +21,12 @@
 
     @Test
     void delayedWriteFromBeforeActivationConflicts() {
-        store.holdsTransactions = true;
+        store.holdTransactions = true;
         leader.writeRunRecord(TASK_STATES);
-        store.holdsTransactions = false;
+        store.holdTransactions = false;
         activate();
-        assertInstanceOf(CompareAndSwapOutcome.Conflict.class, store.carryOutHeld().get(0));
+        assertInstanceOf(
+                CompareAndSwapOutcome.Conflict.class, store.applyHeldTransactions().get(0));
         assertNull(store.get(RUN_RECORD_KEY));
     }
 
@@ -126,12 +127,13 @@
         leader.sync();
         leader.sendCommand("rollback", "{}");
         // The rollback reads the record, and its rewriting transaction is delayed.
-        store.holdsTransactions = true;
+        store.holdTransactions = true;
         leader.sync();
-        store.holdsTransactions = false;
+        store.holdTransactions = false;
         assertInstanceOf(
                 CompareAndSwapOutcome.Committed.class, leader.writeRunRecord(UPDATED_TASK_STATES));
-        assertInstanceOf(CompareAndSwapOutcome.Conflict.class, store.carryOutHeld().get(0));
+        assertInstanceOf(
+                CompareAndSwapOutcome.Conflict.class, store.applyHeldTransactions().get(0));
         advanceTime();
         assertEquals(UPDATED_TASK_STATES, store.get(RUN_RECORD_KEY));
     }
