--- a/src/test/java/io/pepperfield/admission/AdmissionSimulationTest.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionSimulationTest.java
@@ -40,7 +40,7 @@
     /** Creates a region with running machines, whose users submit jobs from second 20 on. */
     private static SimulatedRegion region(long seed, int nodes, double untilS, Stream... streams) {
         SimulatedRegion region = SimulatedRegion.admitting(seed, nodes, 0);
-        region.admissionLoad.watch(TOTAL_PER_MINUTE);
+        region.admissionLoad.watchTotalRate(TOTAL_PER_MINUTE);
         region.world.run(LOAD_START_S);
         for (Stream stream : streams) {
             region.admissionLoad.submit(stream, untilS);
@@ -50,17 +50,17 @@
 
     private static void checkInvariants(SimulatedRegion region, double settledAt, String scenario) {
         region.world.run(settledAt + 100);
-        assertEquals(List.of(), region.admissionLoad.overAllotted(), scenario);
+        assertEquals(List.of(), region.admissionLoad.rateViolations(), scenario);
         assertEquals(List.of(), region.violations, scenario);
         assertEquals(List.of(), region.unansweredQueries(), scenario);
         assertEquals(List.of(), region.leftoverJobs(), scenario);
         // Adds a second's worth of accumulated tokens, one of debt, and the rounding on each node.
         double maxIn10S = TOTAL_PER_MINUTE / 60.0 * 12 + 10;
         assertTrue(
-                region.admissionLoad.mostAcceptedWithin(10) <= maxIn10S,
+                region.admissionLoad.maxAcceptedWithin(10) <= maxIn10S,
                 scenario
                         + ": "
-                        + region.admissionLoad.mostAcceptedWithin(10)
+                        + region.admissionLoad.maxAcceptedWithin(10)
                         + " accepted within 10 s");
     }
 
@@ -68,9 +68,9 @@
     private static double[] checkAccepted(
             SimulatedRegion region, String team, double maxS, String scenario) {
         region.world.run(region.world.now() + 15);
-        List<Submission> all = region.admissionLoad.of(team);
+        List<Submission> all = region.admissionLoad.submissionsOf(team);
         assertFalse(all.isEmpty());
-        double[] times = all.stream().mapToDouble(Submission::tookS).sorted().toArray();
+        double[] times = all.stream().mapToDouble(Submission::acceptanceDelayS).sorted().toArray();
         double longest = times[times.length - 1];
         assertTrue(longest <= maxS, scenario + ": " + team + " job accepted after " + longest);
         return times;
@@ -88,7 +88,7 @@
     void floodThatIgnoresRetryAfterDoesNotDelayOtherTeams() {
         SimulatedRegion region = region(1, 3, 60, RED, BLUE, FLOOD);
         region.world.run(60);
-        Map<String, Integer> accepted = region.admissionLoad.accepted(30, 60);
+        Map<String, Integer> accepted = region.admissionLoad.acceptedByTeam(30, 60);
         // The flood gets what the others leave of 30 per second, less 5% for unreported classes.
         assertTrue(accepted.get("guests") >= 0.75 * 30 * (30 - 8 - 6), "" + accepted);
         checkAcceptedPromptly(region, "red", 6, "flood");
@@ -107,7 +107,7 @@
                         new Stream("blue", "flood", 60, true),
                         PATIENT_FLOOD);
         region.world.run(70);
-        Map<String, Integer> accepted = region.admissionLoad.accepted(30, 70);
+        Map<String, Integer> accepted = region.admissionLoad.acceptedByTeam(30, 70);
         // All three have the same weight: a team without a guarantee has the smallest weight. The
         // leader's own writes at times leave less of the store limit than the admission rate.
         int all = accepted.values().stream().mapToInt(count -> count).sum();
@@ -126,9 +126,9 @@
     void demandSplitOverTwoControllersIsDividedAsOnOne() {
         SimulatedRegion region = region(3, 3, 60, RED, FLOOD);
         int[] nextNode = new int[1];
-        region.admissionLoad.node = () -> nextNode[0]++ % 2;
+        region.admissionLoad.nodeChooser = () -> nextNode[0]++ % 2;
         region.world.run(60);
-        Map<String, Integer> accepted = region.admissionLoad.accepted(30, 60);
+        Map<String, Integer> accepted = region.admissionLoad.acceptedByTeam(30, 60);
         assertTrue(accepted.get("guests") >= 0.75 * 30 * (30 - 4 - 4), "" + accepted);
         checkAcceptedPromptly(region, "red", 6, "split demand");
         checkInvariants(region, 60, "split demand");
@@ -137,15 +137,15 @@
     @Test
     void allotmentFollowsDemandToAnotherController() {
         SimulatedRegion region = region(4, 3, 70, RED, FLOOD);
-        region.admissionLoad.node = () -> 0;
+        region.admissionLoad.nodeChooser = () -> 0;
         region.world.run(45);
-        int before = region.admissionLoad.perMinute(0);
+        int before = region.admissionLoad.admissionsPerMinute(0);
         assertTrue(before > TOTAL_PER_MINUTE * 0.6, "before " + before);
-        region.admissionLoad.node = () -> 1;
+        region.admissionLoad.nodeChooser = () -> 1;
         region.world.run(49);
         assertTrue(
-                region.admissionLoad.perMinute(1) > TOTAL_PER_MINUTE * 0.6,
-                "" + region.admissionLoad.perMinute(1));
+                region.admissionLoad.admissionsPerMinute(1) > TOTAL_PER_MINUTE * 0.6,
+                "" + region.admissionLoad.admissionsPerMinute(1));
         region.world.run(70);
         checkAcceptedPromptly(region, "red", 8, "moved demand");
         checkInvariants(region, 70, "moved demand");
@@ -158,7 +158,10 @@
         int partitioned = (region.leaderIndex() + 1) % 3;
         region.networkPartitions.peers(partitioned, 50);
         region.world.run(35 + 1.5);
-        assertEquals(TOTAL_PER_MINUTE * 0.5 / 3, region.admissionLoad.perMinute(partitioned), 1);
+        assertEquals(
+                TOTAL_PER_MINUTE * 0.5 / 3,
+                region.admissionLoad.admissionsPerMinute(partitioned),
+                1);
         // The partition flaps afterwards.
         for (int i = 0; i < 5; i++) {
             double from = 51 + 3 * i;
@@ -218,7 +221,7 @@
     @Test
     void controllersKeepToTheirFixedShareUnderALeaderWithoutAdmission() {
         SimulatedRegion region = SimulatedRegion.admitting(12, 3, 1);
-        region.admissionLoad.watch(TOTAL_PER_MINUTE);
+        region.admissionLoad.watchTotalRate(TOTAL_PER_MINUTE);
         region.world.run(LOAD_START_S);
         // Crashes leaders until the controller without the feature leads.
         for (int i = 0; i < 8 && region.leaderIndex() != 2; i++) {
@@ -229,13 +232,14 @@
         double from = region.world.now() + 7;
         region.world.run(from);
         int[] nextNode = new int[1];
-        region.admissionLoad.node = () -> nextNode[0]++ % 2;
+        region.admissionLoad.nodeChooser = () -> nextNode[0]++ % 2;
         region.admissionLoad.submit(FLOOD, from + 30);
         region.world.run(from + 30);
         for (int i = 0; i < 2; i++) {
-            assertEquals(TOTAL_PER_MINUTE * 0.5 / 3, region.admissionLoad.perMinute(i), 1);
+            assertEquals(
+                    TOTAL_PER_MINUTE * 0.5 / 3, region.admissionLoad.admissionsPerMinute(i), 1);
         }
-        int accepted = region.admissionLoad.accepted(from + 10, from + 30).get("guests");
+        int accepted = region.admissionLoad.acceptedByTeam(from + 10, from + 30).get("guests");
         assertEquals(20 * 2 * 4.75, accepted, 20);
         checkInvariants(region, from + 30, "leader without admission");
     }
@@ -256,7 +260,7 @@
                 region(seed, nodes, 70, RED, BLUE, random.nextBoolean() ? FLOOD : PATIENT_FLOOD);
         int receivingNodes = 1 + random.nextInt(nodes);
         if (random.nextBoolean()) {
-            region.admissionLoad.node = () -> random.nextInt(receivingNodes);
+            region.admissionLoad.nodeChooser = () -> random.nextInt(receivingNodes);
         }
         region.world.messageLossShare = random.nextBoolean() ? 0.02 : 0;
         for (int i = 0; i < 4; i++) {
@@ -270,13 +274,18 @@
         region.world.messageLossShare = 0;
         region.world.run(85);
         String scenario = "seed " + seed;
-        assertTrue(region.admissionLoad.accepted(60, 70).get("red") > 0, scenario);
+        assertTrue(region.admissionLoad.acceptedByTeam(60, 70).get("red") > 0, scenario);
         double maxS = 45;
         for (String team : List.of("red", "blue")) {
-            for (Submission submission : region.admissionLoad.of(team)) {
+            for (Submission submission : region.admissionLoad.submissionsOf(team)) {
                 assertTrue(
-                        submission.tookS() <= maxS,
-                        () -> scenario + ": " + team + " job submitted at " + submission.firstAt);
+                        submission.acceptanceDelayS() <= maxS,
+                        () ->
+                                scenario
+                                        + ": "
+                                        + team
+                                        + " job submitted at "
+                                        + submission.firstSentAt);
             }
         }
         checkInvariants(region, 85, scenario);
--- a/src/test/java/io/pepperfield/controller/ConcurrentFailuresTest.java
+++ b/src/test/java/io/pepperfield/controller/ConcurrentFailuresTest.java
@@ -10,8 +10,10 @@
 import io.pepperfield.standin.Fault.ControllerSelector;
 import io.pepperfield.standin.Fault.DelayedOrders;
 import io.pepperfield.standin.Fault.DelayedWrites;
+import io.pepperfield.standin.Fault.FastBoots;
 import io.pepperfield.standin.Fault.InvalidRequests;
-import io.pepperfield.standin.Fault.LeaderChanges;
+import io.pepperfield.standin.Fault.LeaderCrashes;
+import io.pepperfield.standin.Fault.Link;
 import io.pepperfield.standin.Fault.MachineHang;
 import io.pepperfield.standin.Fault.MachineLoss;
 import io.pepperfield.standin.Fault.MachinePartition;
@@ -19,18 +21,16 @@
 import io.pepperfield.standin.Fault.MachineReceiveFailure;
 import io.pepperfield.standin.Fault.MachineSelector;
 import io.pepperfield.standin.Fault.MachineSendFailure;
+import io.pepperfield.standin.Fault.Mode;
 import io.pepperfield.standin.Fault.NetworkLatency;
 import io.pepperfield.standin.Fault.Pipelines;
 import io.pepperfield.standin.Fault.QueryFlood;
-import io.pepperfield.standin.Fault.QuickBoots;
 import io.pepperfield.standin.Fault.ReadAfterWriteChecks;
 import io.pepperfield.standin.Fault.ReplayedHeartbeats;
-import io.pepperfield.standin.Fault.Side;
 import io.pepperfield.standin.Fault.StoreLatency;
 import io.pepperfield.standin.Fault.StoreOutage;
 import io.pepperfield.standin.Fault.StorePartition;
 import io.pepperfield.standin.Fault.SubmissionFlood;
-import io.pepperfield.standin.Fault.Way;
 import io.pepperfield.standin.Fault.ZonePartition;
 import io.pepperfield.standin.Scenario;
 import io.pepperfield.standin.SimulatedRegion;
@@ -75,7 +75,7 @@
                         .at(
                                 40,
                                 new StorePartition(
-                                        ControllerSelector.LEADER, Way.REFUSE, apartS + 1))
+                                        ControllerSelector.LEADER, Mode.REFUSE, apartS + 1))
                         .at(40.1, new CancelNow(6, 0))
                         .at(
                                 40 + apartS,
@@ -114,7 +114,7 @@
     @ValueSource(longs = {1, 2, 3})
     void leadersChangeTenTimesInTwoMinutesAndInAnOutage(long seed) {
         play(
-                Scenario.jobs(40, 3).at(30, new LeaderChanges(10, 120)).at(70, new StoreOutage(15)),
+                Scenario.jobs(40, 3).at(30, new LeaderCrashes(10, 120)).at(70, new StoreOutage(15)),
                 seed);
     }
 
@@ -166,7 +166,7 @@
     void newMachinesGetWorkAtOnceWhileWritesLagAndTheLeaderEnds(long seed) {
         play(
                 Scenario.jobs(30, 1)
-                        .at(9, new QuickBoots(60), new DelayedWrites(0.3, 40, false))
+                        .at(9, new FastBoots(60), new DelayedWrites(0.3, 40, false))
                         .at(14, new ControllerCrash(ControllerSelector.LEADER, 3))
                         .at(30, new ControllerCrash(ControllerSelector.LEADER, 0.2)),
                 seed);
@@ -191,9 +191,9 @@
                         .at(
                                 30,
                                 new QueryFlood(60),
-                                new StorePartition(ControllerSelector.LEADER, Way.REFUSE, 1))
+                                new StorePartition(ControllerSelector.LEADER, Mode.REFUSE, 1))
                         .at(30.2, new CancelNow(3, 0))
-                        .at(36, new StorePartition(ControllerSelector.LEADER, Way.REFUSE, 8))
+                        .at(36, new StorePartition(ControllerSelector.LEADER, Mode.REFUSE, 8))
                         .at(37, new CancelNow(3, 0))
                         .at(42, new StoreOutage(1.5 * SimulatedRegion.CANCELLATION_DEADLINE_S)),
                 seed);
@@ -231,8 +231,8 @@
                                 35,
                                 new ControllerPartition(
                                         ControllerSelector.LEADER,
-                                        Set.of(Side.STATE, Side.PEERS),
-                                        Way.HOLD,
+                                        Set.of(Link.STATE, Link.PEERS),
+                                        Mode.HOLD,
                                         2 * SimulatedRegion.CANCELLATION_DEADLINE_S))
                         .at(38, new CancelNow(4, 0))
                         .at(45, new CancelNow(4, 0)),
@@ -244,7 +244,7 @@
     void controllersHandOverAndBackAllEndAndOneIsBackWithinASecond(long seed) {
         play(
                 Scenario.jobs(30, 2)
-                        .at(25, new LeaderChanges(4, 16))
+                        .at(25, new LeaderCrashes(4, 16))
                         .at(
                                 45,
                                 new ControllerCrash(ControllerSelector.node(0), 0.3),
@@ -296,7 +296,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void tasksOfSmallJobsEndFarApartAcrossChangesOfLeader(long seed) {
-        play(Scenario.jobs(36, 2).at(25, new LeaderChanges(6, 60)), seed);
+        play(Scenario.jobs(36, 2).at(25, new LeaderCrashes(6, 60)), seed);
     }
 
     @ParameterizedTest
@@ -490,7 +490,7 @@
         play(
                 Scenario.jobs(12, 4)
                         .at(10, new Pipelines(15, 60), new DelayedWrites(0.15, 60, false))
-                        .at(30, new LeaderChanges(5, 40))
+                        .at(30, new LeaderCrashes(5, 40))
                         .at(45, new StoreOutage(12))
                         .at(50, new CancelNow(4, 0)),
                 seed);
@@ -503,7 +503,7 @@
                 Scenario.jobs(12, 4)
                         .at(10, new Pipelines(15, 50), new ReadAfterWriteChecks(60))
                         .at(25, new CancelAtEnd(0.3, 40))
-                        .at(35, new StorePartition(ControllerSelector.LEADER, Way.REFUSE, 2))
+                        .at(35, new StorePartition(ControllerSelector.LEADER, Mode.REFUSE, 2))
                         .at(35.1, new CancelNow(6, 0))
                         .at(36, new StoreOutage(1.5 * SimulatedRegion.CANCELLATION_DEADLINE_S)),
                 seed);
--- a/src/test/java/io/pepperfield/controller/DecisionDay.java
+++ b/src/test/java/io/pepperfield/controller/DecisionDay.java
@@ -7,7 +7,7 @@
 import io.pepperfield.standin.Fault.DelayedOrders;
 import io.pepperfield.standin.Fault.DelayedWrites;
 import io.pepperfield.standin.Fault.LargeArrays;
-import io.pepperfield.standin.Fault.LeaderChanges;
+import io.pepperfield.standin.Fault.LeaderCrashes;
 import io.pepperfield.standin.Fault.MachineHang;
 import io.pepperfield.standin.Fault.MachineLoss;
 import io.pepperfield.standin.Fault.MachineReboot;
@@ -112,7 +112,7 @@
         region.play(
                 Scenario.jobs(0, 1)
                         .at(12, new DelayedWrites(0.2, 30, false))
-                        .at(15, new LeaderChanges(4, 40)));
+                        .at(15, new LeaderCrashes(4, 40)));
         PipelineShape shape = PipelineShape.MIXED;
         int pipelines = 0;
         for (CancelMoment moment : CancelMoment.values()) {
--- a/src/test/java/io/pepperfield/controller/PipelineSimulationTest.java
+++ b/src/test/java/io/pepperfield/controller/PipelineSimulationTest.java
@@ -9,13 +9,13 @@
 import io.pepperfield.standin.Fault.ControllerSelector;
 import io.pepperfield.standin.Fault.DelayedWrites;
 import io.pepperfield.standin.Fault.InvalidRequests;
-import io.pepperfield.standin.Fault.LeaderChanges;
+import io.pepperfield.standin.Fault.LeaderCrashes;
+import io.pepperfield.standin.Fault.Mode;
 import io.pepperfield.standin.Fault.ReadAfterWriteChecks;
 import io.pepperfield.standin.Fault.ReplayedHeartbeats;
 import io.pepperfield.standin.Fault.StoreLatency;
 import io.pepperfield.standin.Fault.StoreOutage;
 import io.pepperfield.standin.Fault.StorePartition;
-import io.pepperfield.standin.Fault.Way;
 import io.pepperfield.standin.PipelineShape;
 import io.pepperfield.standin.Scenario;
 import io.pepperfield.standin.SimulatedRegion;
@@ -71,10 +71,10 @@
         String which = "seed " + seed + ", " + shape + " in " + scenario;
         assertEquals(List.of(), region.violations, which);
         assertEquals(List.of(), region.unfinishedJobs(), which);
-        assertEquals(List.of(), region.pipelines.wronglyEnded(), which);
+        assertEquals(List.of(), region.pipelines.unexpectedFinalStates(), which);
         assertEquals(List.of(), region.unansweredQueries(), which);
         assertEquals(List.of(), region.leftoverJobs(), which);
-        assertTrue(region.pipelines.cancelled() >= shape.jobs(), which);
+        assertTrue(region.pipelines.cancelledCount() >= shape.jobs(), which);
     }
 
     @ParameterizedTest
@@ -92,7 +92,7 @@
                                 12,
                                 new DelayedWrites(0.2, 50, false),
                                 new ReplayedHeartbeats(0.2, 50, false))
-                        .at(15, new LeaderChanges(6, 50)),
+                        .at(15, new LeaderCrashes(6, 50)),
                 shape,
                 2);
     }
@@ -131,7 +131,7 @@
                         .at(
                                 30,
                                 new StorePartition(
-                                        ControllerSelector.LEADER, Way.REFUSE, apartS + 1))
+                                        ControllerSelector.LEADER, Mode.REFUSE, apartS + 1))
                         .at(30.1, new CancelNow(4, 0))
                         .at(
                                 30 + apartS,
@@ -156,7 +156,7 @@
             region.world.run(330);
             assertEquals(List.of(), region.violations, "seed " + seed);
             assertEquals(List.of(), region.unfinishedJobs(), "seed " + seed);
-            assertEquals(List.of(), region.pipelines.wronglyEnded(), "seed " + seed);
+            assertEquals(List.of(), region.pipelines.unexpectedFinalStates(), "seed " + seed);
             assertEquals(List.of(), region.unansweredQueries(), "seed " + seed);
         }
     }
--- a/src/test/java/io/pepperfield/controller/UpgradeTest.java
+++ b/src/test/java/io/pepperfield/controller/UpgradeTest.java
@@ -6,21 +6,21 @@
 import io.pepperfield.standin.Fault.CancelNow;
 import io.pepperfield.standin.Fault.ControllerCrash;
 import io.pepperfield.standin.Fault.ControllerPartition;
+import io.pepperfield.standin.Fault.ControllerReplacement;
 import io.pepperfield.standin.Fault.ControllerSelector;
 import io.pepperfield.standin.Fault.DelayedWrites;
 import io.pepperfield.standin.Fault.GrantsRefused;
 import io.pepperfield.standin.Fault.LargeArrays;
-import io.pepperfield.standin.Fault.LeaderChanges;
+import io.pepperfield.standin.Fault.LeaderCrashes;
+import io.pepperfield.standin.Fault.Link;
 import io.pepperfield.standin.Fault.MachineReboot;
 import io.pepperfield.standin.Fault.MachineSelector;
+import io.pepperfield.standin.Fault.Mode;
 import io.pepperfield.standin.Fault.Pipelines;
-import io.pepperfield.standin.Fault.Replace;
-import io.pepperfield.standin.Fault.Side;
 import io.pepperfield.standin.Fault.StoreLimitsReduction;
 import io.pepperfield.standin.Fault.StoreOutage;
 import io.pepperfield.standin.Fault.SubmissionFlood;
 import io.pepperfield.standin.Fault.Upgrade;
-import io.pepperfield.standin.Fault.Way;
 import io.pepperfield.standin.Scenario;
 import io.pepperfield.standin.SimulatedRegion;
 import io.pepperfield.standin.Version;
@@ -85,8 +85,14 @@
     void anOldLeaderHasNewFollowersForLong(long seed) {
         play(
                 Scenario.jobs(40, 2)
-                        .at(30, new Replace(ControllerSelector.afterLeader(1), Version.CURRENT, 4))
-                        .at(40, new Replace(ControllerSelector.afterLeader(2), Version.CURRENT, 4))
+                        .at(
+                                30,
+                                new ControllerReplacement(
+                                        ControllerSelector.afterLeader(1), Version.CURRENT, 4))
+                        .at(
+                                40,
+                                new ControllerReplacement(
+                                        ControllerSelector.afterLeader(2), Version.CURRENT, 4))
                         .at(50, new CancelNow(4, 0))
                         .at(70, new Upgrade(10))
                         .at(90, new Pipelines(4, 20)),
@@ -125,9 +131,12 @@
     void processesEndBeforeTheirTurnAndComeBackOld(long seed) {
         play(
                 Scenario.jobs(40, 2)
-                        .at(24, new Replace(ControllerSelector.LEADER, Version.CURRENT, 5))
+                        .at(
+                                24,
+                                new ControllerReplacement(
+                                        ControllerSelector.LEADER, Version.CURRENT, 5))
                         .at(25, new ControllerCrash(ControllerSelector.afterLeader(1), 0.2))
-                        .at(32, new LeaderChanges(6, 24))
+                        .at(32, new LeaderCrashes(6, 24))
                         .at(40, new DelayedWrites(0.2, 20, false))
                         .at(44, new Upgrade(30))
                         .at(85, new Pipelines(4, 20)),
@@ -140,9 +149,18 @@
         play(
                 Scenario.jobs(40, 2)
                         .at(20, new Upgrade(20))
-                        .at(50, new Replace(ControllerSelector.LEADER, Version.RECORDED, 1))
-                        .at(56, new Replace(ControllerSelector.afterLeader(1), Version.RECORDED, 1))
-                        .at(62, new Replace(ControllerSelector.afterLeader(2), Version.RECORDED, 1))
+                        .at(
+                                50,
+                                new ControllerReplacement(
+                                        ControllerSelector.LEADER, Version.RECORDED, 1))
+                        .at(
+                                56,
+                                new ControllerReplacement(
+                                        ControllerSelector.afterLeader(1), Version.RECORDED, 1))
+                        .at(
+                                62,
+                                new ControllerReplacement(
+                                        ControllerSelector.afterLeader(2), Version.RECORDED, 1))
                         .at(75, new Upgrade(15))
                         .at(100, new Pipelines(3, 15)),
                 seed);
@@ -160,14 +178,17 @@
                                 56,
                                 new ControllerPartition(
                                         ControllerSelector.afterLeader(1),
-                                        Set.of(Side.USERS),
-                                        Way.REFUSE,
+                                        Set.of(Link.USERS),
+                                        Mode.REFUSE,
                                         14))
                         .at(
                                 56,
-                                new Replace(
+                                new ControllerReplacement(
                                         ControllerSelector.afterLeader(1), Version.RECORDED, 0.5))
-                        .at(66, new Replace(ControllerSelector.afterLeader(1), Version.CURRENT, 1));
+                        .at(
+                                66,
+                                new ControllerReplacement(
+                                        ControllerSelector.afterLeader(1), Version.CURRENT, 1));
         region.play(day);
         region.world.run(day.endsAt());
         checkEnd(region, day.toString());
--- a/src/test/java/io/pepperfield/rollout/RolloutSimulationTest.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutSimulationTest.java
@@ -9,15 +9,15 @@
 import io.pepperfield.standin.Fault.CancelNow;
 import io.pepperfield.standin.Fault.ControllerCrash;
 import io.pepperfield.standin.Fault.ControllerPause;
+import io.pepperfield.standin.Fault.ControllerReplacement;
 import io.pepperfield.standin.Fault.ControllerSelector;
 import io.pepperfield.standin.Fault.DelayedWrites;
 import io.pepperfield.standin.Fault.LargeArrays;
-import io.pepperfield.standin.Fault.LeaderChanges;
+import io.pepperfield.standin.Fault.LeaderCrashes;
 import io.pepperfield.standin.Fault.MachineReboot;
 import io.pepperfield.standin.Fault.MachineSelector;
 import io.pepperfield.standin.Fault.OperatorCommand;
 import io.pepperfield.standin.Fault.Pipelines;
-import io.pepperfield.standin.Fault.Replace;
 import io.pepperfield.standin.Fault.StoreLimitsReduction;
 import io.pepperfield.standin.Fault.StoreOutage;
 import io.pepperfield.standin.Fault.Upgrade;
@@ -95,15 +95,27 @@
         Scenario scenario =
                 upgraded(50)
                         .at(25, new ControllerCrash(ControllerSelector.LEADER, 0.2))
-                        .at(32, new Replace(ControllerSelector.node(1), Version.GATED, 0.2))
-                        .at(36, new LeaderChanges(6, 24))
+                        .at(
+                                32,
+                                new ControllerReplacement(
+                                        ControllerSelector.node(1), Version.GATED, 0.2))
+                        .at(36, new LeaderCrashes(6, 24))
                         .at(38, new DelayedWrites(0.2, 30, false))
-                        .at(44, new Replace(ControllerSelector.node(1), Version.ROLLOUT, 0.3))
-                        .at(58, new Replace(ControllerSelector.node(2), Version.GATED, 0.2))
+                        .at(
+                                44,
+                                new ControllerReplacement(
+                                        ControllerSelector.node(1), Version.ROLLOUT, 0.3))
+                        .at(
+                                58,
+                                new ControllerReplacement(
+                                        ControllerSelector.node(2), Version.GATED, 0.2))
                         .at(60, new LargeArrays(2, 150, 8), new CancelNow(4, 0))
                         .at(64, new OperatorCommand(Command.ROLLBACK, 30))
                         .at(65, new ControllerCrash(ControllerSelector.LEADER, 1))
-                        .at(66, new Replace(ControllerSelector.node(2), Version.ROLLOUT, 1))
+                        .at(
+                                66,
+                                new ControllerReplacement(
+                                        ControllerSelector.node(2), Version.ROLLOUT, 1))
                         .at(67, new OperatorCommand(Command.ACTIVATE, 40))
                         .at(70, new DelayedWrites(0.2, 20, true))
                         .at(90, new Pipelines(4, 10));
@@ -244,11 +256,23 @@
                 Scenario.jobs(30, 2)
                         .at(15, new OperatorCommand(Command.ACTIVATE, 10))
                         .at(24, new LargeArrays(2, 150, 6))
-                        .at(30, new Replace(ControllerSelector.node(0), Version.RECORDED, 0.2))
-                        .at(32, new Replace(ControllerSelector.node(1), Version.RECORDED, 0.2))
-                        .at(34, new LeaderChanges(4, 12))
-                        .at(50, new Replace(ControllerSelector.node(0), Version.ROLLOUT, 0.2))
-                        .at(51, new Replace(ControllerSelector.node(1), Version.ROLLOUT, 0.2))
+                        .at(
+                                30,
+                                new ControllerReplacement(
+                                        ControllerSelector.node(0), Version.RECORDED, 0.2))
+                        .at(
+                                32,
+                                new ControllerReplacement(
+                                        ControllerSelector.node(1), Version.RECORDED, 0.2))
+                        .at(34, new LeaderCrashes(4, 12))
+                        .at(
+                                50,
+                                new ControllerReplacement(
+                                        ControllerSelector.node(0), Version.ROLLOUT, 0.2))
+                        .at(
+                                51,
+                                new ControllerReplacement(
+                                        ControllerSelector.node(1), Version.ROLLOUT, 0.2))
                         .at(60, new OperatorCommand(Command.ROLLBACK, 10));
         region.play(scenario);
         for (double at = 35; at < 50; at += 0.5) {
--- a/src/test/java/io/pepperfield/standin/AdmissionLoad.java
+++ b/src/test/java/io/pepperfield/standin/AdmissionLoad.java
@@ -24,23 +24,24 @@
      *
      * @param ignoresRetryAfter retries after a second, whatever it is told
      */
-    public record Stream(String team, String workload, double perS, boolean ignoresRetryAfter) {}
+    public record Stream(
+            String team, String workload, double jobsPerS, boolean ignoresRetryAfter) {}
 
     /** One submission; {@code acceptedAt} is infinite while it is not accepted. */
     public static final class Submission {
         public final String team;
         public final String workload;
-        public final double firstAt;
+        public final double firstSentAt;
         public double acceptedAt = Double.POSITIVE_INFINITY;
 
         Submission(Stream stream, double firstAt) {
             this.team = stream.team;
             this.workload = stream.workload;
-            this.firstAt = firstAt;
+            this.firstSentAt = firstAt;
         }
 
-        public double tookS() {
-            return acceptedAt - firstAt;
+        public double acceptanceDelayS() {
+            return acceptedAt - firstSentAt;
         }
     }
 
@@ -52,13 +53,13 @@
     private int ids = FIRST_ID;
 
     /** Which node a submission goes to. */
-    public IntSupplier node;
+    public IntSupplier nodeChooser;
 
     AdmissionLoad(SimWorld world, SimUsers users, List<SimNode> nodes) {
         this.world = world;
         this.users = users;
         this.nodes = nodes;
-        this.node = () -> world.random.nextInt(nodes.size());
+        this.nodeChooser = () -> world.random.nextInt(nodes.size());
     }
 
     /** Submits at that rate until then. */
@@ -79,17 +80,17 @@
         Submission submission = new Submission(stream, world.now());
         submissions.add(submission);
         ask(new SimJob(plan), submission, stream.ignoresRetryAfter);
-        world.after(1 / stream.perS, () -> submit(stream, until));
+        world.after(1 / stream.jobsPerS, () -> submit(stream, until));
     }
 
     private void ask(SimJob job, Submission submission, boolean heedless) {
-        if (world.now() - submission.firstAt > GIVE_UP_S
+        if (world.now() - submission.firstSentAt > GIVE_UP_S
                 || Double.isFinite(submission.acceptedAt)) {
             return;
         }
         // The description must be there before a worker may ask for it.
         users.jobs.putIfAbsent(job.plan.id(), job);
-        SimNode to = nodes.get(node.getAsInt());
+        SimNode to = nodes.get(nodeChooser.getAsInt());
         boolean[] answered = new boolean[1];
         if (to.alive()) {
             to.request(
@@ -128,25 +129,25 @@
     }
 
     /** Watches from now on that all controllers together keep the rate. */
-    public void watch(int allPerMinute) {
+    public void watchTotalRate(int allPerMinute) {
         int sum = nodes.stream().mapToInt(SimNode::admissionsPerMinute).sum();
         if (sum > allPerMinute) {
             overAllotted.add(world.now() + ": " + sum + " of " + allPerMinute);
         }
-        world.after(WATCH_S, () -> watch(allPerMinute));
+        world.after(WATCH_S, () -> watchTotalRate(allPerMinute));
     }
 
     /** When more could have been admitted than the rate; empty where that never was. */
-    public List<String> overAllotted() {
+    public List<String> rateViolations() {
         return overAllotted;
     }
 
-    public List<Submission> of(String team) {
+    public List<Submission> submissionsOf(String team) {
         return submissions.stream().filter(one -> one.team.equals(team)).toList();
     }
 
     /** How many jobs of each team were accepted between two times. */
-    public Map<String, Integer> accepted(double from, double until) {
+    public Map<String, Integer> acceptedByTeam(double from, double until) {
         Map<String, Integer> counts = new HashMap<>();
         for (Submission one : submissions) {
             if (one.acceptedAt >= from && one.acceptedAt < until) {
@@ -157,7 +158,7 @@
     }
 
     /** The most that was accepted in any window of that length. */
-    public int mostAcceptedWithin(double seconds) {
+    public int maxAcceptedWithin(double seconds) {
         List<Double> times =
                 submissions.stream()
                         .map(one -> one.acceptedAt)
@@ -176,7 +177,7 @@
     }
 
     /** What one controller may admit a minute now. */
-    public int perMinute(int index) {
+    public int admissionsPerMinute(int index) {
         return nodes.get(index).admissionsPerMinute();
     }
 }
--- a/src/test/java/io/pepperfield/standin/CancelMoment.java
+++ b/src/test/java/io/pepperfield/standin/CancelMoment.java
@@ -5,7 +5,7 @@
     /** As soon as it is accepted. */
     ACCEPTED,
     /** At the same time as the first job that needs it is submitted, perhaps at another node. */
-    NAMED,
+    DEPENDENT_SUBMITTED,
     /** Once a task of it has started. */
     RUNNING,
     /** Once its last task has ended, while its final state may not be durable yet. */
--- a/src/test/java/io/pepperfield/standin/FaultInjector.java
+++ b/src/test/java/io/pepperfield/standin/FaultInjector.java
@@ -1,7 +1,7 @@
 package io.pepperfield.standin;
 
-import io.pepperfield.standin.Fault.Side;
-import io.pepperfield.standin.Fault.Way;
+import io.pepperfield.standin.Fault.Link;
+import io.pepperfield.standin.Fault.Mode;
 import java.util.function.Consumer;
 
 /** Makes the faults of a scenario happen in a region. */
@@ -22,7 +22,7 @@
     }
 
     void inject(Fault fault) {
-        double until = world.now() + fault.forS();
+        double until = world.now() + fault.durationS();
         boolean begun =
                 injectIntoServices(fault, until)
                         || injectIntoMachines(fault, until)
@@ -43,15 +43,15 @@
         } else if (fault instanceof Fault.CloudOutage) {
             region.faults.cloudOutage(until);
         } else if (fault instanceof Fault.StorePartition cut) {
-            each(cut.who(), node -> cut(node, Side.STATE, cut.way(), until));
+            each(cut.controllers(), node -> cut(node, Link.STATE, cut.mode(), until));
         } else if (fault instanceof Fault.StoreLatency slow) {
-            region.storeLink.slow(slow.byS(), until);
+            region.storeLink.slow(slow.addedS(), until);
         } else if (fault instanceof Fault.DelayedWrites late) {
-            region.storeLink.late(late.share(), until, late.atOnce());
+            region.storeLink.late(late.share(), until, late.appliedAtOnce());
         } else if (fault instanceof Fault.ReplayedHeartbeats late) {
-            region.heartbeatReplays.copy(late.share(), until, late.forNext());
+            region.heartbeatReplays.copy(late.share(), until, late.heldForNextLeader());
         } else if (fault instanceof Fault.NetworkLatency slow) {
-            world.slow(slow.byS(), until);
+            world.slow(slow.addedS(), until);
         } else if (fault instanceof Fault.StoreLimitsReduction) {
             region.faults.reduceStoreLimits();
         } else if (fault instanceof Fault.GrantsRefused) {
@@ -65,25 +65,25 @@
     /** Machines and their workers. False where the fault is of another kind. */
     private boolean injectIntoMachines(Fault fault, double until) {
         if (fault instanceof Fault.MachineReceiveFailure failure) {
-            each(failure.which(), worker -> worker.failReceiving(until));
+            each(failure.machines(), worker -> worker.failReceiving(until));
         } else if (fault instanceof Fault.MachineSendFailure failure) {
-            each(failure.which(), worker -> machines.failSending(worker, until));
+            each(failure.machines(), worker -> machines.failSending(worker, until));
         } else if (fault instanceof Fault.MachineHang hang) {
-            each(hang.which(), worker -> worker.hang(until));
+            each(hang.machines(), worker -> worker.hang(until));
         } else if (fault instanceof Fault.MachinePartition cut) {
             each(
-                    cut.which(),
+                    cut.machines(),
                     worker -> {
                         world.cut(worker.name, "10.", until);
                         world.cut("node-", worker.address, until);
                     });
         } else if (fault instanceof Fault.MachineLoss loss) {
-            each(loss.which(), WorkerStandIn::losePower);
+            each(loss.machines(), WorkerStandIn::losePower);
         } else if (fault instanceof Fault.MachineReboot reboot) {
-            each(reboot.which(), machines::reboot);
+            each(reboot.machines(), machines::reboot);
         } else if (fault instanceof Fault.DelayedOrders held) {
-            each(held.which(), worker -> machines.delayOrders(worker, held.heldS(), until));
-        } else if (fault instanceof Fault.QuickBoots) {
+            each(held.machines(), worker -> machines.delayOrders(worker, held.delayS(), until));
+        } else if (fault instanceof Fault.FastBoots) {
             machines.slowBoots(0.3, 0, until);
         } else {
             return false;
@@ -94,25 +94,29 @@
     /** Controllers. False where the fault is of another kind. */
     private boolean injectIntoControllers(Fault fault, double until) {
         if (fault instanceof Fault.ZonePartition cut) {
-            each(cut.inside(), node -> region.networkPartitions.zone(cut.zone(), node, until));
+            each(cut.controllers(), node -> region.networkPartitions.zone(cut.zone(), node, until));
         } else if (fault instanceof Fault.ControllerPartition cut) {
-            each(cut.who(), node -> cut.from().forEach(side -> cut(node, side, cut.way(), until)));
+            each(
+                    cut.controllers(),
+                    node -> cut.links().forEach(side -> cut(node, side, cut.mode(), until)));
         } else if (fault instanceof Fault.ControllerCrash crash) {
-            each(crash.who(), node -> region.faults.crash(node, crash.forS()));
-        } else if (fault instanceof Fault.LeaderChanges changes) {
+            each(crash.controllers(), node -> region.faults.crash(node, crash.durationS()));
+        } else if (fault instanceof Fault.LeaderCrashes changes) {
             for (int i = 0; i < changes.times(); i++) {
                 world.after(
-                        i * changes.forS() / changes.times(),
+                        i * changes.durationS() / changes.times(),
                         () -> region.faults.crash(region.lastLeader(), downS()));
             }
         } else if (fault instanceof Fault.ControllerPause pause) {
-            each(pause.who(), node -> region.faults.pause(node, until));
+            each(pause.controllers(), node -> region.faults.pause(node, until));
         } else if (fault instanceof Fault.Upgrade upgrade) {
-            new RollingUpgrade(region, region.nodeCount(), upgrade.by()).begin(upgrade);
+            new RollingUpgrade(region, region.nodeCount(), upgrade.toVersion()).begin(upgrade);
         } else if (fault instanceof Fault.OperatorCommand asks) {
-            region.operator.repeat(asks.command(), until);
-        } else if (fault instanceof Fault.Replace replace) {
-            each(replace.who(), node -> region.faults.replace(node, replace.by(), replace.forS()));
+            region.operator.repeatUntilConfirmed(asks.command(), until);
+        } else if (fault instanceof Fault.ControllerReplacement replace) {
+            each(
+                    replace.controllers(),
+                    node -> region.faults.replace(node, replace.toVersion(), replace.durationS()));
         } else {
             return false;
         }
@@ -122,29 +126,29 @@
     /** Users and what they ask for. False where the fault is of another kind. */
     private boolean injectIntoUsers(Fault fault, double until) {
         if (fault instanceof Fault.CancelNow cancel) {
-            users.cancelRunning(cancel.count(), Fault.CancelNow.WITHIN_S).stream()
-                    .limit(cancel.hangS() > 0 ? Fault.CancelNow.MOST_HUNG : 0)
+            users.cancelRunning(cancel.count(), Fault.CancelNow.CANCEL_WINDOW_S).stream()
+                    .limit(cancel.hangS() > 0 ? Fault.CancelNow.MAX_HUNG_MACHINES : 0)
                     .forEach(worker -> worker.hang(world.now() + cancel.hangS()));
         } else if (fault instanceof Fault.CancelAtEnd cancel) {
             users.cancelAtEnd(cancel.share(), until);
         } else if (fault instanceof Fault.ReadAfterWriteChecks) {
             users.checkReadsAfterWrites(until);
         } else if (fault instanceof Fault.InvalidRequests invalid) {
-            for (int i = 0; i < invalid.forS() * 4; i++) {
+            for (int i = 0; i < invalid.durationS() * 4; i++) {
                 world.after(i / 4.0, users.invalidRequests::sendOne);
             }
         } else if (fault instanceof Fault.SubmissionFlood flood) {
             int first = 100_000 * ++submissionFloods;
-            for (int i = 0; i < flood.perS() * flood.forS(); i++) {
+            for (int i = 0; i < flood.jobsPerS() * flood.durationS(); i++) {
                 int number = first + i;
-                world.after(i / flood.perS(), () -> region.jobMix.submitSingle(number));
+                world.after(i / flood.jobsPerS(), () -> region.jobMix.submitSingle(number));
             }
         } else if (fault instanceof Fault.Pipelines pipelines) {
             for (int i = 0; i < pipelines.count(); i++) {
                 int number = 700_000 + 10 * i;
                 world.after(
-                        i * pipelines.forS() / pipelines.count(),
-                        () -> region.pipelines.submitAny(number));
+                        i * pipelines.durationS() / pipelines.count(),
+                        () -> region.pipelines.submitRandom(number));
             }
         } else if (fault instanceof Fault.QueryFlood) {
             users.queryMoreOften(until);
@@ -161,13 +165,13 @@
     }
 
     private double downS() {
-        return Fault.LeaderChanges.LEAST_DOWN_S
+        return Fault.LeaderCrashes.MIN_DOWN_S
                 + world.random.nextDouble()
-                        * (Fault.LeaderChanges.MOST_DOWN_S - Fault.LeaderChanges.LEAST_DOWN_S);
+                        * (Fault.LeaderCrashes.MAX_DOWN_S - Fault.LeaderCrashes.MIN_DOWN_S);
     }
 
     private void each(Fault.ControllerSelector who, Consumer<Integer> then) {
-        for (int node : who.of(region.lastLeader(), region.nodeCount())) {
+        for (int node : who.resolve(region.lastLeader(), region.nodeCount())) {
             then.accept(node);
         }
     }
@@ -176,12 +180,12 @@
         machines.choose(which).forEach(then);
     }
 
-    private void cut(int node, Side side, Way way, double until) {
+    private void cut(int node, Link side, Mode way, double until) {
         String name = "node-" + node;
         String host = "10.0.0." + (node + 1) + ":";
         switch (side) {
             case STATE -> {
-                if (way == Way.REFUSE) {
+                if (way == Mode.REFUSE) {
                     region.store.refuse(name, until);
                 } else {
                     world.cut(name, "10.2.0.1", until);
@@ -199,8 +203,8 @@
         }
     }
 
-    private void cut(String from, String to, Way way, double until) {
-        if (way == Way.REFUSE) {
+    private void cut(String from, String to, Mode way, double until) {
+        if (way == Mode.REFUSE) {
             world.refuse(from, to, until);
         } else {
             world.cut(from, to, until);
--- a/src/test/java/io/pepperfield/standin/HeartbeatReplays.java
+++ b/src/test/java/io/pepperfield/standin/HeartbeatReplays.java
@@ -32,10 +32,10 @@
             kept.add(body);
         } else {
             world.after(
-                    Fault.ReplayedHeartbeats.LEAST_S
+                    Fault.ReplayedHeartbeats.MIN_DELAY_S
                             + world.random.nextDouble()
-                                    * (Fault.ReplayedHeartbeats.MOST_S
-                                            - Fault.ReplayedHeartbeats.LEAST_S),
+                                    * (Fault.ReplayedHeartbeats.MAX_DELAY_S
+                                            - Fault.ReplayedHeartbeats.MIN_DELAY_S),
                     () -> deliver(body));
         }
     }
--- a/src/test/java/io/pepperfield/standin/InvalidRequests.java
+++ b/src/test/java/io/pepperfield/standin/InvalidRequests.java
@@ -31,7 +31,7 @@
 
     /** Asks about a job that nobody submitted. */
     void queryUnknownJob() {
-        expect(UserRequest.statusOfUnknown("run-999999"), 404, "invented");
+        expect(UserRequest.statusOfUnknownJob("run-999999"), 404, "invented");
     }
 
     /** One request, drawn at random. */
@@ -41,7 +41,7 @@
         switch (world.random.nextInt(KINDS)) {
             case 0, 1 -> job.ifPresent(this::repeatSubmission);
             case 2 -> job.ifPresent(this::submitOtherBody);
-            case 3 -> job.filter(SimJob::isOver).ifPresent(this::repeatCancellation);
+            case 3 -> job.filter(SimJob::isFinished).ifPresent(this::repeatCancellation);
             case 4 ->
                     expect(UserRequest.cancellation(good.path("nameId").asText()), 404, "invented");
             case 5 -> queryUnknownJob();
@@ -65,24 +65,24 @@
     }
 
     private void repeatSubmission(SimJob job) {
-        client.ask(job, client.randomNode(), UserRequest.submission(job.plan));
+        client.sendChecked(job, client.randomNode(), UserRequest.submission(job.plan));
     }
 
     private void submitOtherBody(SimJob job) {
         ObjectNode other = job.plan.body();
         other.put("vcpus", 1000).remove(world.random.nextBoolean() ? "rank" : "dueS");
-        client.ask(job, client.randomNode(), UserRequest.submission(Json.write(other)));
+        client.sendChecked(job, client.randomNode(), UserRequest.submission(Json.write(other)));
     }
 
     private void repeatCancellation(SimJob job) {
-        client.ask(job, client.randomNode(), UserRequest.cancellation(job.plan.id()));
+        client.sendChecked(job, client.randomNode(), UserRequest.cancellation(job.plan.id()));
     }
 
     /** A job that must not be accepted, and that nobody may know afterwards. */
     private void expectRefusal(ObjectNode body, int status) {
         expect(UserRequest.submission(Json.write(body)), status, "wrongly_accepted");
         String id = body.path("nameId").asText();
-        world.after(2, () -> expect(UserRequest.statusOfUnknown(id), 404, "invented"));
+        world.after(2, () -> expect(UserRequest.statusOfUnknownJob(id), 404, "invented"));
     }
 
     /** Any other answer breaks a rule, but for those that ask the user to come back. */
@@ -99,7 +99,7 @@
         if (answer.status() == status || answer.status() >= FIRST_RETRY_STATUS) {
             return;
         }
-        client.violation(
+        client.reportViolation(
                 (answer.status() < 300 ? rule : "wrong_answer")
                         + ": "
                         + answer.status()
--- a/src/test/java/io/pepperfield/standin/JobMix.java
+++ b/src/test/java/io/pepperfield/standin/JobMix.java
@@ -14,11 +14,11 @@
     }
 
     /** The jobs of a scenario: each kind in its turn. */
-    void submitOneOfAll(int number) {
+    void submitScenarioJob(int number) {
         switch (number % 6) {
             case 1 -> submitUneven(number);
-            case 3 -> submitBound(number);
-            case 5 -> submitTogether(number);
+            case 3 -> submitZoneBound(number);
+            case 5 -> submitInOneZone(number);
             default -> submit(number);
         }
     }
@@ -74,7 +74,7 @@
     }
 
     /** An array of which each task may only run in one zone. */
-    public void submitBound(int number) {
+    public void submitZoneBound(int number) {
         users.submit(
                 JobPlan.array(
                                 number,
@@ -85,11 +85,11 @@
                                 2,
                                 List.of(6.0, 14.0),
                                 true)
-                        .boundTo(world.random.nextBoolean() ? "east" : "west"));
+                        .inZone(world.random.nextBoolean() ? "east" : "west"));
     }
 
     /** An array whose tasks must all be in one zone, whichever it is. */
-    public void submitTogether(int number) {
+    public void submitInOneZone(int number) {
         users.submit(
                 JobPlan.array(
                                 number,
--- a/src/test/java/io/pepperfield/standin/JobPlan.java
+++ b/src/test/java/io/pepperfield/standin/JobPlan.java
@@ -121,7 +121,7 @@
                 dependencies);
     }
 
-    JobPlan boundTo(String only) {
+    JobPlan inZone(String only) {
         return new JobPlan(
                 id,
                 workload,
--- a/src/test/java/io/pepperfield/standin/PipelineRules.java
+++ b/src/test/java/io/pepperfield/standin/PipelineRules.java
@@ -38,7 +38,7 @@
      * A task starts. That the tasks of a needed job are completed is not enough: a final state that
      * is not durable may still become {@code cancelled}.
      */
-    void taskStarted(SimJob job, String task) {
+    void checkTaskStart(SimJob job, String task) {
         for (String needed : job.plan.dependencies()) {
             if (!jobs.get(needed).isComplete() || !durablyDone.test(needed)) {
                 violation("too_early: " + task + " before " + needed + " is durably done");
@@ -69,9 +69,9 @@
     }
 
     /** Whether its user or that of a job that it needs has asked to cancel it. */
-    boolean mayBeCancelled(SimJob job) {
-        boolean[] asked = {job.cancelAsked};
-        ancestors(job, before -> asked[0] |= before.cancelAsked);
+    boolean isCancellationRequested(SimJob job) {
+        boolean[] asked = {job.cancelRequested};
+        ancestors(job, before -> asked[0] |= before.cancelRequested);
         return asked[0];
     }
 
@@ -93,7 +93,7 @@
      *
      * @param ancestorCancelledAt as of when the question left
      */
-    void answered(SimJob job, String status, double askedAt, double ancestorCancelledAt) {
+    void checkAnswer(SimJob job, String status, double askedAt, double ancestorCancelledAt) {
         String told = job.plan.id() + " is " + status + ", asked at " + askedAt;
         if (!SimJob.isFinal(status)
                 && askedAt > SimulatedRegion.CANCELLATION_DEADLINE_S + ancestorCancelledAt) {
--- a/src/test/java/io/pepperfield/standin/Pipelines.java
+++ b/src/test/java/io/pepperfield/standin/Pipelines.java
@@ -23,7 +23,7 @@
      * A pipeline of five jobs. Of one pipeline in three the last is submitted only when the others
      * are over, of one in three a job is cancelled.
      */
-    void submitAny(int number) {
+    void submitRandom(int number) {
         PipelineShape shape = PipelineShape.MIXED;
         int cancelled = world.random.nextInt(3 * shape.jobs());
         List<JobPlan> plans = plans(number, shape, 4);
@@ -34,7 +34,7 @@
         users.submitPipeline(plans, world.random.nextInt(3) == 0);
     }
 
-    /** A pipeline whose {@code cancelled}th job is cancelled at that moment. */
+    /** A pipeline whose {@code cancelledCount}th job is cancelled at that moment. */
     public void submit(int number, PipelineShape shape, int cancelled, CancelMoment moment) {
         SimPipeline pipeline =
                 new SimPipeline(world, users, shape, plans(number, shape, 2), cancelled, moment);
@@ -82,12 +82,14 @@
     }
 
     /** Jobs that have not ended as the cancellation in their pipeline demands. */
-    public List<String> wronglyEnded() {
-        return submitted.stream().flatMap(pipeline -> pipeline.wronglyEnded().stream()).toList();
+    public List<String> unexpectedFinalStates() {
+        return submitted.stream()
+                .flatMap(pipeline -> pipeline.unexpectedFinalStates().stream())
+                .toList();
     }
 
     /** How many pipelines lost the job that was to be cancelled, and did not get it done before. */
-    public long cancelled() {
+    public long cancelledCount() {
         return submitted.stream().filter(SimPipeline::wasCancelled).count();
     }
 }
--- a/src/test/java/io/pepperfield/standin/RecordedForms.java
+++ b/src/test/java/io/pepperfield/standin/RecordedForms.java
@@ -32,7 +32,7 @@
     private RecordedForms() {}
 
     /** Whether a value has a form that the recorded version reads under that key. */
-    static boolean value(String key, JsonNode data) {
+    static boolean isReadableValue(String key, JsonNode data) {
         if (key.equals(ROOT + "leader")) {
             return leader(data);
         } else if (key.equals(ROOT + "types")) {
@@ -113,7 +113,7 @@
     }
 
     /** Whether a message to a controller has a form that the recorded version reads. */
-    static boolean request(String method, String path, JsonNode body) {
+    static boolean isReadableRequest(String method, String path, JsonNode body) {
         return switch (method + " " + path) {
             case "GET /peer/contact" -> true;
             case "POST /peer/cancelled" -> has(body, Set.of("jobs")) && body.path("jobs").isArray();
@@ -135,7 +135,7 @@
     }
 
     /** Whether a controller's answer to such a message has a form that the recorded one reads. */
-    static boolean answer(String path, JsonNode body) {
+    static boolean isReadableAnswer(String path, JsonNode body) {
         return switch (path) {
             case "/peer/contact" -> has(body, Set.of("contactAgoMs", "epoch"));
             case "/peer/relay" ->
--- a/src/test/java/io/pepperfield/standin/RecordedVersion.java
+++ b/src/test/java/io/pepperfield/standin/RecordedVersion.java
@@ -35,7 +35,7 @@
     }
 
     /** The way to the state service as that version uses and understands it. */
-    static HttpSender around(HttpSender sender) {
+    static HttpSender filterStoreResponses(HttpSender sender) {
         return (request, onOutcome) ->
                 sender.send(
                         request,
--- a/src/test/java/io/pepperfield/standin/RollingUpgrade.java
+++ b/src/test/java/io/pepperfield/standin/RollingUpgrade.java
@@ -25,12 +25,12 @@
 
     void begin(Fault.Upgrade upgrade) {
         Collections.shuffle(left, world.random);
-        double everyS = upgrade.forS() / left.size();
+        double everyS = upgrade.durationS() / left.size();
         replaceNext(everyS);
     }
 
     private void replaceNext(double everyS) {
-        int count = Math.min(left.size(), 1 + world.random.nextInt(Fault.Upgrade.MOST_AT_ONCE));
+        int count = Math.min(left.size(), 1 + world.random.nextInt(Fault.Upgrade.MAX_CONCURRENT));
         for (int i = 0; i < count; i++) {
             region.faults.replace(left.remove(0), by, Fault.Upgrade.DOWN_S);
         }
--- a/src/test/java/io/pepperfield/standin/RolloutRules.java
+++ b/src/test/java/io/pepperfield/standin/RolloutRules.java
@@ -47,7 +47,7 @@
     }
 
     /** A transaction was carried out; {@code keys} and {@code get} show what there is now. */
-    void committed(
+    void checkCommit(
             JsonNode transaction, NavigableSet<String> keys, Function<String, JsonNode> get) {
         JsonNode version = get.apply(VERSION);
         int writes = version == null ? 1 : version.path("writes").asInt();
--- a/src/test/java/io/pepperfield/standin/Scenario.java
+++ b/src/test/java/io/pepperfield/standin/Scenario.java
@@ -7,7 +7,7 @@
  * A day in a region: jobs of all kinds at even intervals, and faults at their times. Played by
  * {@link SimulatedRegion#play}, and fully told by it and a seed.
  */
-public record Scenario(int jobs, double everyS, List<PlannedFault> faults) {
+public record Scenario(int jobs, double intervalS, List<PlannedFault> faults) {
 
     /** A fault and when it begins. */
     public record PlannedFault(double at, Fault fault) {}
@@ -32,19 +32,22 @@
         for (Fault fault : more) {
             all.add(new PlannedFault(time, fault));
         }
-        return new Scenario(jobs, everyS, all);
+        return new Scenario(jobs, intervalS, all);
     }
 
     /** When all faults are over and the last job has come. */
-    public double calmAt() {
-        double calm = FIRST_JOB_S + jobs * everyS;
+    public double faultsOverAt() {
+        double calm = FIRST_JOB_S + jobs * intervalS;
         for (PlannedFault planned : faults) {
-            calm = Math.max(calm, planned.at + planned.fault.forS() + planned.fault.aftermathS());
+            calm =
+                    Math.max(
+                            calm,
+                            planned.at + planned.fault.durationS() + planned.fault.aftermathS());
         }
         return calm;
     }
 
     public double endsAt() {
-        return calmAt() + CALM_S;
+        return faultsOverAt() + CALM_S;
     }
 }
--- a/src/test/java/io/pepperfield/standin/SimJob.java
+++ b/src/test/java/io/pepperfield/standin/SimJob.java
@@ -10,7 +10,7 @@
 
     final JobPlan plan;
     boolean accepted;
-    boolean cancelAsked;
+    boolean cancelRequested;
 
     /** When its user was told that it is cancelled. */
     double cancelledAt = Double.NaN;
@@ -19,8 +19,8 @@
     String lastStatus = "";
 
     double lastAnswerAt;
-    boolean forgottenReported;
-    boolean ranCancelledReported;
+    boolean unansweredReported;
+    boolean runAfterCancelReported;
 
     /**
      * Since when it has waited although there was room, or when it was seen without need to wait.
@@ -36,7 +36,7 @@
         this.plan = plan;
     }
 
-    boolean isOver() {
+    boolean isFinished() {
         return isFinal(lastStatus);
     }
 
@@ -52,7 +52,7 @@
         return Integer.parseInt(task.substring(task.indexOf('/') + 1));
     }
 
-    static String idOf(String task) {
+    static String jobIdOf(String task) {
         return task.substring(0, task.indexOf('/'));
     }
 }
--- a/src/test/java/io/pepperfield/standin/SimMachines.java
+++ b/src/test/java/io/pepperfield/standin/SimMachines.java
@@ -215,7 +215,7 @@
     // ---- what happens on them
 
     private SimJob jobOf(String task) {
-        return jobs.get(SimJob.idOf(task));
+        return jobs.get(SimJob.jobIdOf(task));
     }
 
     @Override
@@ -248,7 +248,7 @@
         SimJob job = jobOf(task);
         JobPlan plan = job.plan;
         taskStarts++;
-        rules.taskStarted(job, task);
+        rules.checkTaskStart(job, task);
         WorkerStandIn other = job.workersByTask.put(SimJob.taskNumber(task), worker);
         if (other != null && other.isAlive()) {
             violation("ran_twice: " + task + " on " + other.name + " and " + worker.name);
@@ -292,7 +292,7 @@
     public void taskEnded(WorkerStandIn worker, String task, boolean done) {
         SimJob job = jobOf(task);
         job.workersByTask.remove(SimJob.taskNumber(task), worker);
-        lostTasks += done || job.cancelAsked ? 0 : 1;
+        lostTasks += done || job.cancelRequested ? 0 : 1;
         if (done && job.completedTasks.add(SimJob.taskNumber(task)) && job.isComplete()) {
             onJobCompleted.accept(job);
         }
@@ -308,7 +308,7 @@
      */
     void check() {
         for (SimJob job : jobs.values()) {
-            if (!job.ranCancelledReported
+            if (!job.runAfterCancelReported
                     && !job.workersByTask.isEmpty()
                     && world.now()
                             > rules.cancelledAt(job) + SimulatedRegion.CANCELLATION_DEADLINE_S) {
@@ -319,7 +319,7 @@
                                 + job.workersByTask.keySet()
                                 + ", cancelled at "
                                 + rules.cancelledAt(job));
-                job.ranCancelledReported = true;
+                job.runAfterCancelReported = true;
             }
         }
     }
--- a/src/test/java/io/pepperfield/standin/SimNode.java
+++ b/src/test/java/io/pepperfield/standin/SimNode.java
@@ -64,7 +64,8 @@
         heardOf = world.now();
         Settings settings = settingsOf.apply(version);
         HttpSender sender = checkedSender(settings);
-        HttpSender toStore = version == Version.RECORDED ? RecordedVersion.around(sender) : sender;
+        HttpSender toStore =
+                version == Version.RECORDED ? RecordedVersion.filterStoreResponses(sender) : sender;
         HttpKeyValueStore store = new HttpKeyValueStore(loop, toStore, settings.storeAddress());
         peers = new Peers(loop, settings, sender);
         Optional<Rollout> rollout =
@@ -228,7 +229,8 @@
                         reply -> {
                             checkForm(
                                     reply.status() != 200
-                                            || RecordedForms.answer(path, Json.read(reply.body())),
+                                            || RecordedForms.isReadableAnswer(
+                                                    path, Json.read(reply.body())),
                                     request);
                             answer.accept(reply);
                         });
@@ -244,7 +246,7 @@
     /** A feature's messages are known to nobody else; who sends them is checked at the sender. */
     private static boolean isKnown(InboundRequest request) {
         return request.path().equals(Admission.PATH)
-                || RecordedForms.request(
+                || RecordedForms.isReadableRequest(
                         request.method(), request.path(), Json.read(request.body()));
     }
 
--- a/src/test/java/io/pepperfield/standin/SimOperator.java
+++ b/src/test/java/io/pepperfield/standin/SimOperator.java
@@ -49,7 +49,7 @@
     }
 
     /** Asks until then at the latest, once what was asked for before is confirmed or given up. */
-    void repeat(Command command, double until) {
+    void repeatUntilConfirmed(Command command, double until) {
         tasks.add(new Task(command, until));
         if (!asking) {
             ask();
--- a/src/test/java/io/pepperfield/standin/SimPipeline.java
+++ b/src/test/java/io/pepperfield/standin/SimPipeline.java
@@ -64,7 +64,7 @@
         SimJob job = job(cancelled);
         return switch (moment) {
             case ACCEPTED -> true;
-            case NAMED -> named || cancelled == plans.size() - 1;
+            case DEPENDENT_SUBMITTED -> named || cancelled == plans.size() - 1;
             case RUNNING -> !job.workersByTask.isEmpty() || job.isComplete();
             case COMPLETE -> job.isComplete();
             case DONE -> job.lastStatus.equals("done");
@@ -76,7 +76,7 @@
     }
 
     /** Jobs that are not cancelled though one before them is, or are though nobody asked. */
-    List<String> wronglyEnded() {
+    List<String> unexpectedFinalStates() {
         List<String> wrong = new ArrayList<>();
         Set<Integer> lost = new TreeSet<>();
         for (int i = 0; i < plans.size(); i++) {
@@ -84,7 +84,7 @@
             for (int needed : shape.dependencies(i)) {
                 needsLost |= lost.contains(needed);
             }
-            if (needsLost || job(i).cancelAsked && job(i).lastStatus.equals("cancelled")) {
+            if (needsLost || job(i).cancelRequested && job(i).lastStatus.equals("cancelled")) {
                 lost.add(i);
             }
             String want = lost.contains(i) ? "cancelled" : "done";
--- a/src/test/java/io/pepperfield/standin/SimUserClient.java
+++ b/src/test/java/io/pepperfield/standin/SimUserClient.java
@@ -31,7 +31,7 @@
         return world.random.nextInt(nodeCount);
     }
 
-    void violation(String what) {
+    void reportViolation(String what) {
         violations.add(world.now() + " " + what);
     }
 
@@ -54,15 +54,15 @@
     }
 
     /** Asks a node about a job, and checks the answer. */
-    void ask(SimJob job, int node, UserRequest request) {
-        ask(job, node, request, status -> {});
+    void sendChecked(SimJob job, int node, UserRequest request) {
+        sendChecked(job, node, request, status -> {});
     }
 
     /**
      * Asks a node about a job, checks the answer, and goes on with its status, or {@link
      * #NO_ANSWER}.
      */
-    void ask(SimJob job, int node, UserRequest request, IntConsumer onStatus) {
+    void sendChecked(SimJob job, int node, UserRequest request, IntConsumer onStatus) {
         Question question =
                 new Question(
                         job,
@@ -93,12 +93,12 @@
         SimJob job = question.job;
         int status = answer.status();
         if (status == 404 && question.accepted || status == 400 || status == 422) {
-            violation(
+            reportViolation(
                     "forgotten: " + job.plan.id() + " got " + status + ", " + question.description);
         } else if (status == 200 || status == 201) {
             String told = answer.json().path("status").asText();
             if (SimJob.isFinal(question.statusBefore) && !told.equals(question.statusBefore)) {
-                violation(
+                reportViolation(
                         "went_back: "
                                 + job.plan.id()
                                 + " was "
@@ -109,7 +109,7 @@
                                 + question.description);
             }
             if (status == 200) {
-                rules.answered(job, told, question.askedAt, question.ancestorCancelledAt);
+                rules.checkAnswer(job, told, question.askedAt, question.ancestorCancelledAt);
             }
             recordStatus(job, told);
         }
@@ -118,21 +118,22 @@
     private void recordStatus(SimJob job, String status) {
         job.lastAnswerAt = world.now();
         if (status.equals("done") && !job.isComplete()) {
-            violation("not_done: " + job.plan.id() + " has completed " + job.completedTasks);
+            reportViolation("not_done: " + job.plan.id() + " has completed " + job.completedTasks);
         }
         if (status.equals("cancelled")) {
-            if (!rules.mayBeCancelled(job)) {
-                violation("went_back: " + job.plan.id() + " is cancelled and nobody asked");
+            if (!rules.isCancellationRequested(job)) {
+                reportViolation("went_back: " + job.plan.id() + " is cancelled and nobody asked");
             }
             if (Double.isNaN(job.cancelledAt)) {
                 job.cancelledAt = world.now();
             }
         }
-        if (!job.isOver()) {
+        if (!job.isFinished()) {
             job.lastStatus = status;
         } else if (SimJob.isFinal(status) && !status.equals(job.lastStatus)) {
             // Whenever the two were asked: at most one of them is true.
-            violation("went_back: " + job.plan.id() + " is " + job.lastStatus + " and " + status);
+            reportViolation(
+                    "went_back: " + job.plan.id() + " is " + job.lastStatus + " and " + status);
         }
     }
 }
--- a/src/test/java/io/pepperfield/standin/SimUserExpectations.java
+++ b/src/test/java/io/pepperfield/standin/SimUserExpectations.java
@@ -46,13 +46,13 @@
                 continue;
             }
             if (now - Math.max(calmAt, job.lastAnswerAt) > MAX_UNANSWERED_S
-                    && !job.forgottenReported) {
+                    && !job.unansweredReported) {
                 violation(
                         "forgotten: no question about "
                                 + job.plan.id()
                                 + " answered since "
                                 + job.lastAnswerAt);
-                job.forgottenReported = true;
+                job.unansweredReported = true;
             }
             boolean ready =
                     job.plan.dependencies().stream()
@@ -60,7 +60,7 @@
             boolean waits =
                     now > calmAt
                             && ready
-                            && !job.isOver()
+                            && !job.isFinished()
                             && !job.plan.alwaysFails()
                             && !job.isComplete()
                             && job.workersByTask.isEmpty()
@@ -84,14 +84,14 @@
     List<String> leftoverJobs() {
         List<String> left = new ArrayList<>(leftWaiting);
         jobs.values().stream()
-                .filter(job -> job.accepted && !job.isOver() && job.workersByTask.isEmpty())
+                .filter(job -> job.accepted && !job.isFinished() && job.workersByTask.isEmpty())
                 .forEach(job -> left.add(job.plan.id() + " is " + job.lastStatus + " at the end"));
         return left;
     }
 
     List<String> unfinishedJobs() {
         return jobs.values().stream()
-                .filter(job -> !job.isOver())
+                .filter(job -> !job.isFinished())
                 .map(
                         job ->
                                 job.plan.id()
--- a/src/test/java/io/pepperfield/standin/SimUsers.java
+++ b/src/test/java/io/pepperfield/standin/SimUsers.java
@@ -27,7 +27,7 @@
     private double cancelAtEndShare;
 
     /** When all faults are over; only then users expect to be served. */
-    double calmAt = Double.POSITIVE_INFINITY;
+    double faultsOverAt = Double.POSITIVE_INFINITY;
 
     private final int nodeCount;
 
@@ -81,7 +81,7 @@
         boolean may =
                 next.dependencies().stream()
                         .map(jobs::get)
-                        .allMatch(job -> late ? job.isOver() : job.accepted);
+                        .allMatch(job -> late ? job.isFinished() : job.accepted);
         if (may) {
             submit(next);
         }
@@ -93,12 +93,12 @@
 
     /** Once, at that node. */
     void cancelAt(SimJob job, int node) {
-        job.cancelAsked = true;
-        client.ask(job, node, UserRequest.cancellation(job.plan.id()));
+        job.cancelRequested = true;
+        client.sendChecked(job, node, UserRequest.cancellation(job.plan.id()));
     }
 
     void cancel(SimJob job) {
-        job.cancelAsked = true;
+        job.cancelRequested = true;
         repeat(
                 job,
                 UserRequest.cancellation(job.plan.id()),
@@ -120,7 +120,7 @@
 
     /** As users do: again after a second, at any node, until there is a proper answer. */
     private void repeat(SimJob job, UserRequest request, Runnable done) {
-        client.ask(
+        client.sendChecked(
                 job,
                 client.randomNode(),
                 request,
@@ -137,12 +137,12 @@
      * Users may ask at any time, also after the end; a crowd of them stops asking once it is told.
      */
     void poll(SimJob job, boolean untilOver) {
-        client.ask(
+        client.sendChecked(
                 job,
                 client.randomNode(),
                 UserRequest.status(job.plan),
                 status -> {
-                    if (!untilOver || !job.isOver()) {
+                    if (!untilOver || !job.isFinished()) {
                         world.after(
                                 (2 + world.random.nextDouble())
                                         / (world.now() < queryFloodUntil ? 8 : 1),
@@ -163,9 +163,9 @@
 
     private void queryAllAndSubmitAgain(SimJob job) {
         for (int node = 0; node < nodeCount; node++) {
-            client.ask(job, node, UserRequest.status(job.plan));
+            client.sendChecked(job, node, UserRequest.status(job.plan));
         }
-        client.ask(job, client.randomNode(), UserRequest.submission(job.plan));
+        client.sendChecked(job, client.randomNode(), UserRequest.submission(job.plan));
     }
 
     // ---- faults that users make
@@ -201,7 +201,7 @@
                                 .filter(
                                         job ->
                                                 job.accepted
-                                                        && !job.cancelAsked
+                                                        && !job.cancelRequested
                                                         && !job.workersByTask.isEmpty())
                                 .toList());
         Collections.shuffle(running, world.random);
@@ -217,7 +217,7 @@
 
     /** To be called every second. */
     void check() {
-        expectations.check(calmAt);
+        expectations.check(faultsOverAt);
     }
 
     /**
@@ -241,7 +241,7 @@
             for (int node = 0; node < nodeCount && job.accepted; node++) {
                 String question = job.plan.id() + " at node " + (node + 1);
                 open.put(question, job);
-                client.ask(
+                client.sendChecked(
                         job,
                         node,
                         UserRequest.status(job.plan),
--- a/src/test/java/io/pepperfield/standin/SimulatedRegion.java
+++ b/src/test/java/io/pepperfield/standin/SimulatedRegion.java
@@ -207,15 +207,15 @@
         for (int i = 0; i < scenario.jobs(); i++) {
             int number = i + 1;
             world.at(
-                    Scenario.FIRST_JOB_S + i * scenario.everyS(),
-                    () -> jobMix.submitOneOfAll(number));
+                    Scenario.FIRST_JOB_S + i * scenario.intervalS(),
+                    () -> jobMix.submitScenarioJob(number));
         }
         scenario.faults()
                 .forEach(
                         planned ->
                                 world.at(
                                         planned.at(), () -> faultInjector.inject(planned.fault())));
-        users.calmAt = scenario.calmAt();
+        users.faultsOverAt = scenario.faultsOverAt();
     }
 
     // ---- users
--- a/src/test/java/io/pepperfield/standin/StoreLink.java
+++ b/src/test/java/io/pepperfield/standin/StoreLink.java
@@ -42,10 +42,10 @@
             double after =
                     atOnce
                             ? 0
-                            : Fault.DelayedWrites.LEAST_S
+                            : Fault.DelayedWrites.MIN_DELAY_S
                                     + world.random.nextDouble()
-                                            * (Fault.DelayedWrites.MOST_S
-                                                    - Fault.DelayedWrites.LEAST_S);
+                                            * (Fault.DelayedWrites.MAX_DELAY_S
+                                                    - Fault.DelayedWrites.MIN_DELAY_S);
             world.after(after, () -> state.handle(from, request, lost -> {}));
         } else if (world.now() < slowUntil) {
             double by = slowByS;
--- a/src/test/java/io/pepperfield/standin/StoreStandIn.java
+++ b/src/test/java/io/pepperfield/standin/StoreStandIn.java
@@ -305,7 +305,7 @@
             compactedRevision = events.remove(0).modRevision;
         }
         if (rolloutRules != null) {
-            rolloutRules.committed(body, entries.navigableKeySet(), this::get);
+            rolloutRules.checkCommit(body, entries.navigableKeySet(), this::get);
         }
         return HttpReply.json(200, result.put("generation", revision));
     }
@@ -315,7 +315,7 @@
             violations.add(clock.getAsDouble() + " accepted twice: " + key);
         }
         boolean newForm = rolloutRules != null && RolloutRules.isNewKey(key);
-        if (!newForm && !RecordedForms.value(key, data)) {
+        if (!newForm && !RecordedForms.isReadableValue(key, data)) {
             violations.add(clock.getAsDouble() + " of another form: " + key + " " + data);
         }
     }
--- a/src/test/java/io/pepperfield/standin/UserRequest.java
+++ b/src/test/java/io/pepperfield/standin/UserRequest.java
@@ -14,7 +14,7 @@
     }
 
     /** As {@link #status}, of an id that nobody submitted; its user waits as for a change. */
-    static UserRequest statusOfUnknown(String id) {
+    static UserRequest statusOfUnknownJob(String id) {
         return new UserRequest("GET", JOBS + "/" + id, null, CHANGE_DEADLINE_MS);
     }
 
