--- a/src/test/java/io/pepperfield/controller/ConcurrentFailuresTest.java
+++ b/src/test/java/io/pepperfield/controller/ConcurrentFailuresTest.java
@@ -13,7 +13,6 @@
 import io.pepperfield.standin.Fault.FastBoots;
 import io.pepperfield.standin.Fault.InvalidRequests;
 import io.pepperfield.standin.Fault.LeaderCrashes;
-import io.pepperfield.standin.Fault.Link;
 import io.pepperfield.standin.Fault.MachineHang;
 import io.pepperfield.standin.Fault.MachineLoss;
 import io.pepperfield.standin.Fault.MachinePartition;
@@ -21,16 +20,17 @@
 import io.pepperfield.standin.Fault.MachineReceiveFailure;
 import io.pepperfield.standin.Fault.MachineSelector;
 import io.pepperfield.standin.Fault.MachineSendFailure;
-import io.pepperfield.standin.Fault.Mode;
 import io.pepperfield.standin.Fault.NetworkLatency;
 import io.pepperfield.standin.Fault.Pipelines;
 import io.pepperfield.standin.Fault.QueryFlood;
 import io.pepperfield.standin.Fault.ReadAfterWriteChecks;
 import io.pepperfield.standin.Fault.ReplayedHeartbeats;
+import io.pepperfield.standin.Fault.Side;
 import io.pepperfield.standin.Fault.StoreLatency;
 import io.pepperfield.standin.Fault.StoreOutage;
 import io.pepperfield.standin.Fault.StorePartition;
 import io.pepperfield.standin.Fault.SubmissionFlood;
+import io.pepperfield.standin.Fault.Way;
 import io.pepperfield.standin.Fault.ZonePartition;
 import io.pepperfield.standin.Scenario;
 import io.pepperfield.standin.SimulatedRegion;
@@ -75,7 +75,7 @@
                         .at(
                                 40,
                                 new StorePartition(
-                                        ControllerSelector.LEADER, Mode.REFUSE, apartS + 1))
+                                        ControllerSelector.LEADER, Way.REFUSE, apartS + 1))
                         .at(40.1, new CancelNow(6, 0))
                         .at(
                                 40 + apartS,
@@ -191,9 +191,9 @@
                         .at(
                                 30,
                                 new QueryFlood(60),
-                                new StorePartition(ControllerSelector.LEADER, Mode.REFUSE, 1))
+                                new StorePartition(ControllerSelector.LEADER, Way.REFUSE, 1))
                         .at(30.2, new CancelNow(3, 0))
-                        .at(36, new StorePartition(ControllerSelector.LEADER, Mode.REFUSE, 8))
+                        .at(36, new StorePartition(ControllerSelector.LEADER, Way.REFUSE, 8))
                         .at(37, new CancelNow(3, 0))
                         .at(42, new StoreOutage(1.5 * SimulatedRegion.CANCELLATION_DEADLINE_S)),
                 seed);
@@ -231,8 +231,8 @@
                                 35,
                                 new ControllerPartition(
                                         ControllerSelector.LEADER,
-                                        Set.of(Link.STATE, Link.PEERS),
-                                        Mode.HOLD,
+                                        Set.of(Side.STATE, Side.PEERS),
+                                        Way.HOLD,
                                         2 * SimulatedRegion.CANCELLATION_DEADLINE_S))
                         .at(38, new CancelNow(4, 0))
                         .at(45, new CancelNow(4, 0)),
@@ -503,7 +503,7 @@
                 Scenario.jobs(12, 4)
                         .at(10, new Pipelines(15, 50), new ReadAfterWriteChecks(60))
                         .at(25, new CancelAtEnd(0.3, 40))
-                        .at(35, new StorePartition(ControllerSelector.LEADER, Mode.REFUSE, 2))
+                        .at(35, new StorePartition(ControllerSelector.LEADER, Way.REFUSE, 2))
                         .at(35.1, new CancelNow(6, 0))
                         .at(36, new StoreOutage(1.5 * SimulatedRegion.CANCELLATION_DEADLINE_S)),
                 seed);
--- a/src/test/java/io/pepperfield/controller/PipelineSimulationTest.java
+++ b/src/test/java/io/pepperfield/controller/PipelineSimulationTest.java
@@ -10,12 +10,12 @@
 import io.pepperfield.standin.Fault.DelayedWrites;
 import io.pepperfield.standin.Fault.InvalidRequests;
 import io.pepperfield.standin.Fault.LeaderCrashes;
-import io.pepperfield.standin.Fault.Mode;
 import io.pepperfield.standin.Fault.ReadAfterWriteChecks;
 import io.pepperfield.standin.Fault.ReplayedHeartbeats;
 import io.pepperfield.standin.Fault.StoreLatency;
 import io.pepperfield.standin.Fault.StoreOutage;
 import io.pepperfield.standin.Fault.StorePartition;
+import io.pepperfield.standin.Fault.Way;
 import io.pepperfield.standin.PipelineShape;
 import io.pepperfield.standin.Scenario;
 import io.pepperfield.standin.SimulatedRegion;
@@ -131,7 +131,7 @@
                         .at(
                                 30,
                                 new StorePartition(
-                                        ControllerSelector.LEADER, Mode.REFUSE, apartS + 1))
+                                        ControllerSelector.LEADER, Way.REFUSE, apartS + 1))
                         .at(30.1, new CancelNow(4, 0))
                         .at(
                                 30 + apartS,
--- a/src/test/java/io/pepperfield/controller/UpgradeTest.java
+++ b/src/test/java/io/pepperfield/controller/UpgradeTest.java
@@ -12,15 +12,15 @@
 import io.pepperfield.standin.Fault.GrantsRefused;
 import io.pepperfield.standin.Fault.LargeArrays;
 import io.pepperfield.standin.Fault.LeaderCrashes;
-import io.pepperfield.standin.Fault.Link;
 import io.pepperfield.standin.Fault.MachineReboot;
 import io.pepperfield.standin.Fault.MachineSelector;
-import io.pepperfield.standin.Fault.Mode;
 import io.pepperfield.standin.Fault.Pipelines;
+import io.pepperfield.standin.Fault.Side;
 import io.pepperfield.standin.Fault.StoreLimitsReduction;
 import io.pepperfield.standin.Fault.StoreOutage;
 import io.pepperfield.standin.Fault.SubmissionFlood;
 import io.pepperfield.standin.Fault.Upgrade;
+import io.pepperfield.standin.Fault.Way;
 import io.pepperfield.standin.Scenario;
 import io.pepperfield.standin.SimulatedRegion;
 import io.pepperfield.standin.Version;
@@ -178,8 +178,8 @@
                                 56,
                                 new ControllerPartition(
                                         ControllerSelector.afterLeader(1),
-                                        Set.of(Link.USERS),
-                                        Mode.REFUSE,
+                                        Set.of(Side.USERS),
+                                        Way.REFUSE,
                                         14))
                         .at(
                                 56,
--- a/src/test/java/io/pepperfield/standin/Fault.java
+++ b/src/test/java/io/pepperfield/standin/Fault.java
@@ -13,7 +13,7 @@
     double durationS();
 
     /** How long something of it may still be under way after its end. */
-    default double aftermathS() {
+    default double maxAfterEffectS() {
         return 0;
     }
 
@@ -21,13 +21,13 @@
      * What a cut does to messages: hold them back and deliver them at its end, or refuse them at
      * once.
      */
-    enum Mode {
+    enum Way {
         HOLD,
         REFUSE
     }
 
     /** What a controller can be cut from. */
-    enum Link {
+    enum Side {
         STATE,
         PEERS,
         WORKERS,
@@ -95,7 +95,7 @@
      * The state service is lost to these controllers alone: held back, or 503 while their open
      * watches wait and grants run out.
      */
-    record StorePartition(ControllerSelector controllers, Mode mode, double durationS)
+    record StorePartition(ControllerSelector controllers, Way mode, double durationS)
             implements Fault {}
 
     /** Each answer of the state service comes so much later. */
@@ -109,7 +109,7 @@
         static final double MAX_DELAY_S = 12;
 
         @Override
-        public double aftermathS() {
+        public double maxAfterEffectS() {
             return appliedAtOnce ? 0 : MAX_DELAY_S;
         }
     }
@@ -124,7 +124,7 @@
         static final double MAX_DELAY_S = 3 * SimulatedRegion.LEASE_S;
 
         @Override
-        public double aftermathS() {
+        public double maxAfterEffectS() {
             return MAX_DELAY_S;
         }
     }
@@ -164,7 +164,7 @@
     record DelayedOrders(MachineSelector machines, double delayS, double durationS)
             implements Fault {
         @Override
-        public double aftermathS() {
+        public double maxAfterEffectS() {
             return delayS;
         }
     }
@@ -178,7 +178,7 @@
      * others a refused connection.
      */
     record ControllerPartition(
-            ControllerSelector controllers, Set<Link> links, Mode mode, double durationS)
+            ControllerSelector controllers, Set<Side> sides, Way mode, double durationS)
             implements Fault {}
 
     /** Controllers end, and are back after that time. */
@@ -190,7 +190,7 @@
         static final double MAX_DOWN_S = 3;
 
         @Override
-        public double aftermathS() {
+        public double maxAfterEffectS() {
             return MAX_DOWN_S;
         }
     }
@@ -258,7 +258,7 @@
         }
 
         @Override
-        public double aftermathS() {
+        public double maxAfterEffectS() {
             return DOWN_S;
         }
     }
--- a/src/test/java/io/pepperfield/standin/FaultInjector.java
+++ b/src/test/java/io/pepperfield/standin/FaultInjector.java
@@ -1,7 +1,7 @@
 package io.pepperfield.standin;
 
-import io.pepperfield.standin.Fault.Link;
-import io.pepperfield.standin.Fault.Mode;
+import io.pepperfield.standin.Fault.Side;
+import io.pepperfield.standin.Fault.Way;
 import java.util.function.Consumer;
 
 /** Makes the faults of a scenario happen in a region. */
@@ -43,7 +43,7 @@
         } else if (fault instanceof Fault.CloudOutage) {
             region.faults.cloudOutage(until);
         } else if (fault instanceof Fault.StorePartition cut) {
-            each(cut.controllers(), node -> cut(node, Link.STATE, cut.mode(), until));
+            each(cut.controllers(), node -> cut(node, Side.STATE, cut.mode(), until));
         } else if (fault instanceof Fault.StoreLatency slow) {
             region.storeLink.slow(slow.addedS(), until);
         } else if (fault instanceof Fault.DelayedWrites late) {
@@ -98,7 +98,7 @@
         } else if (fault instanceof Fault.ControllerPartition cut) {
             each(
                     cut.controllers(),
-                    node -> cut.links().forEach(side -> cut(node, side, cut.mode(), until)));
+                    node -> cut.sides().forEach(side -> cut(node, side, cut.mode(), until)));
         } else if (fault instanceof Fault.ControllerCrash crash) {
             each(crash.controllers(), node -> region.faults.crash(node, crash.durationS()));
         } else if (fault instanceof Fault.LeaderCrashes changes) {
@@ -180,12 +180,12 @@
         machines.choose(which).forEach(then);
     }
 
-    private void cut(int node, Link side, Mode way, double until) {
+    private void cut(int node, Side side, Way way, double until) {
         String name = "node-" + node;
         String host = "10.0.0." + (node + 1) + ":";
         switch (side) {
             case STATE -> {
-                if (way == Mode.REFUSE) {
+                if (way == Way.REFUSE) {
                     region.store.refuse(name, until);
                 } else {
                     world.cut(name, "10.2.0.1", until);
@@ -203,8 +203,8 @@
         }
     }
 
-    private void cut(String from, String to, Mode way, double until) {
-        if (way == Mode.REFUSE) {
+    private void cut(String from, String to, Way way, double until) {
+        if (way == Way.REFUSE) {
             world.refuse(from, to, until);
         } else {
             world.cut(from, to, until);
--- a/src/test/java/io/pepperfield/standin/Scenario.java
+++ b/src/test/java/io/pepperfield/standin/Scenario.java
@@ -42,7 +42,9 @@
             calm =
                     Math.max(
                             calm,
-                            planned.at + planned.fault.durationS() + planned.fault.aftermathS());
+                            planned.at
+                                    + planned.fault.durationS()
+                                    + planned.fault.maxAfterEffectS());
         }
         return calm;
     }
