--- a/src/test/java/io/pepperfield/standin/AdmissionLoad.java
+++ b/src/test/java/io/pepperfield/standin/AdmissionLoad.java
@@ -9,35 +9,37 @@
 import java.util.function.IntSupplier;
 
 /**
- * Users that submit one-task jobs at a rate, each for up to a minute, and what became of it. Also
- * watches that the controllers together may never admit more than there is.
+ * Users that submit one-task jobs at a constant rate and retry each submission for up to a minute,
+ * with the outcome of each submission. Also checks that the admission rates of all controllers
+ * together never exceed the total rate.
  */
 public final class AdmissionLoad {
 
-    private static final double GIVE_UP_S = 60;
-    private static final int MAX_HEEDED_RETRY_S = 30;
+    private static final double SUBMISSION_TIMEOUT_S = 60;
+    private static final int MAX_RETRY_AFTER_S = 30;
     private static final int FIRST_ID = 100_000;
-    private static final double WATCH_S = 0.05;
+    private static final double CHECK_INTERVAL_S = 0.05;
 
     /**
-     * Who submits.
+     * A stream of submissions of one team and workload.
      *
-     * @param ignoresRetryAfter retries after a second, whatever it is told
+     * @param ignoresRetryAfter whether the user retries after a second and ignores the Retry-After
+     *     header
      */
     public record Stream(
             String team, String workload, double jobsPerS, boolean ignoresRetryAfter) {}
 
-    /** One submission; {@code acceptedAt} is infinite while it is not accepted. */
+    /** A submission; {@code acceptedAt} is infinite until it is accepted. */
     public static final class Submission {
         public final String team;
         public final String workload;
         public final double firstSentAt;
         public double acceptedAt = Double.POSITIVE_INFINITY;
 
-        Submission(Stream stream, double firstAt) {
+        Submission(Stream stream, double firstSentAt) {
             this.team = stream.team;
             this.workload = stream.workload;
-            this.firstSentAt = firstAt;
+            this.firstSentAt = firstSentAt;
         }
 
         public double acceptanceDelayS() {
@@ -49,10 +51,10 @@
     private final SimUsers users;
     private final List<SimNode> nodes;
     private final List<Submission> submissions = new ArrayList<>();
-    private final List<String> overAllotted = new ArrayList<>();
-    private int ids = FIRST_ID;
+    private final List<String> rateViolations = new ArrayList<>();
+    private int nextId = FIRST_ID;
 
-    /** Which node a submission goes to. */
+    /** Chooses the node that a submission is sent to. */
     public IntSupplier nodeChooser;
 
     AdmissionLoad(SimWorld world, SimUsers users, List<SimNode> nodes) {
@@ -62,14 +64,14 @@
         this.nodeChooser = () -> world.random.nextInt(nodes.size());
     }
 
-    /** Submits at that rate until then. */
+    /** Submits jobs at the rate of the stream until a time. */
     public void submit(Stream stream, double until) {
         if (world.now() >= until) {
             return;
         }
         JobPlan plan =
                 JobPlan.array(
-                        ids++,
+                        nextId++,
                         stream.workload,
                         stream.team,
                         stream.workload.equals("flood") ? "best_effort" : "standard",
@@ -79,43 +81,44 @@
                         true);
         Submission submission = new Submission(stream, world.now());
         submissions.add(submission);
-        ask(new SimJob(plan), submission, stream.ignoresRetryAfter);
+        send(new SimJob(plan), submission, stream.ignoresRetryAfter);
         world.after(1 / stream.jobsPerS, () -> submit(stream, until));
     }
 
-    private void ask(SimJob job, Submission submission, boolean heedless) {
-        if (world.now() - submission.firstSentAt > GIVE_UP_S
+    private void send(SimJob job, Submission submission, boolean ignoresRetryAfter) {
+        if (world.now() - submission.firstSentAt > SUBMISSION_TIMEOUT_S
                 || Double.isFinite(submission.acceptedAt)) {
             return;
         }
-        // The description must be there before a worker may ask for it.
+        // The job must be registered before a worker can request its description.
         users.jobs.putIfAbsent(job.plan.id(), job);
-        SimNode to = nodes.get(nodeChooser.getAsInt());
-        boolean[] answered = new boolean[1];
-        if (to.alive()) {
-            to.request(
+        SimNode target = nodes.get(nodeChooser.getAsInt());
+        boolean[] completed = new boolean[1];
+        if (target.alive()) {
+            target.request(
                     "users",
                     "POST",
                     "/api/jobs",
                     Json.write(job.plan.body()),
                     reply -> {
-                        if (!answered[0]) {
-                            answered[0] = true;
-                            answered(job, submission, heedless, reply);
+                        if (!completed[0]) {
+                            completed[0] = true;
+                            handleReply(job, submission, ignoresRetryAfter, reply);
                         }
                     });
         }
         world.after(
-                to.alive() ? 5 : 0.5,
+                target.alive() ? 5 : 0.5,
                 () -> {
-                    if (!answered[0]) {
-                        answered[0] = true;
-                        ask(job, submission, heedless);
+                    if (!completed[0]) {
+                        completed[0] = true;
+                        send(job, submission, ignoresRetryAfter);
                     }
                 });
     }
 
-    private void answered(SimJob job, Submission submission, boolean heedless, HttpReply reply) {
+    private void handleReply(
+            SimJob job, Submission submission, boolean ignoresRetryAfter, HttpReply reply) {
         if (reply.status() == 201 || reply.status() == 200) {
             submission.acceptedAt = world.now();
             job.accepted = true;
@@ -124,59 +127,62 @@
             users.poll(job, true);
             return;
         }
-        double wait = Math.max(1, Math.min(MAX_HEEDED_RETRY_S, reply.retryAfterS()));
-        world.after(heedless ? 1 : wait, () -> ask(job, submission, heedless));
+        double wait = Math.max(1, Math.min(MAX_RETRY_AFTER_S, reply.retryAfterS()));
+        world.after(ignoresRetryAfter ? 1 : wait, () -> send(job, submission, ignoresRetryAfter));
     }
 
-    /** Watches from now on that all controllers together keep the rate. */
-    public void watchTotalRate(int allPerMinute) {
+    /**
+     * Checks repeatedly from now on that the admission rates of all controllers together do not
+     * exceed the total rate per minute.
+     */
+    public void watchTotalRate(int totalPerMinute) {
         int sum = nodes.stream().mapToInt(SimNode::admissionsPerMinute).sum();
-        if (sum > allPerMinute) {
-            overAllotted.add(world.now() + ": " + sum + " of " + allPerMinute);
+        if (sum > totalPerMinute) {
+            rateViolations.add(world.now() + ": " + sum + " of " + totalPerMinute);
         }
-        world.after(WATCH_S, () -> watchTotalRate(allPerMinute));
+        world.after(CHECK_INTERVAL_S, () -> watchTotalRate(totalPerMinute));
     }
 
-    /** When more could have been admitted than the rate; empty where that never was. */
+    /** Returns the times at which the sum exceeded the total rate; empty if it never did. */
     public List<String> rateViolations() {
-        return overAllotted;
+        return rateViolations;
     }
 
     public List<Submission> submissionsOf(String team) {
-        return submissions.stream().filter(one -> one.team.equals(team)).toList();
+        return submissions.stream().filter(submission -> submission.team.equals(team)).toList();
     }
 
-    /** How many jobs of each team were accepted between two times. */
+    /** Returns the number of jobs per team that were accepted between two times. */
     public Map<String, Integer> acceptedByTeam(double from, double until) {
         Map<String, Integer> counts = new HashMap<>();
-        for (Submission one : submissions) {
-            if (one.acceptedAt >= from && one.acceptedAt < until) {
-                counts.merge(one.team, 1, Integer::sum);
+        for (Submission submission : submissions) {
+            if (submission.acceptedAt >= from && submission.acceptedAt < until) {
+                counts.merge(submission.team, 1, Integer::sum);
             }
         }
         return counts;
     }
 
-    /** The most that was accepted in any window of that length. */
+    /** Returns the largest number of jobs accepted in any time window of the given length. */
     public int maxAcceptedWithin(double seconds) {
         List<Double> times =
                 submissions.stream()
-                        .map(one -> one.acceptedAt)
+                        .map(submission -> submission.acceptedAt)
                         .filter(Double::isFinite)
                         .sorted()
                         .toList();
-        int most = 0;
+        int max = 0;
         int first = 0;
         for (int last = 0; last < times.size(); last++) {
             while (times.get(last) - times.get(first) > seconds) {
                 first++;
             }
-            most = Math.max(most, last - first + 1);
+            max = Math.max(max, last - first + 1);
         }
-        return most;
+        return max;
     }
 
-    /** What one controller may admit a minute now. */
+    /** Returns the current admission rate of a controller, in jobs per minute. */
     public int admissionsPerMinute(int index) {
         return nodes.get(index).admissionsPerMinute();
     }
--- a/src/test/java/io/pepperfield/standin/Decision.java
+++ b/src/test/java/io/pepperfield/standin/Decision.java
@@ -4,13 +4,14 @@
 import java.util.Locale;
 
 /**
- * Something that the controllers have decided, as whoever carries it out was told.
+ * A decision of the controllers, as received by the machine or service that executes it.
  *
- * @param subject what it is about, in words that are free of names from the code
+ * @param subject description of the decision that contains no names from the code, so that renames
+ *     do not change the test data
  */
 public record Decision(Kind kind, String subject) {
 
-    /** What a decision does. */
+    /** The kind of a decision. */
     public enum Kind {
         START,
         STOP,
@@ -18,7 +19,7 @@
         RETURN,
         FINAL_STATE;
 
-        /** The name in test data. */
+        /** Returns the name of the kind in test data. */
         public String label() {
             return name().toLowerCase(Locale.ROOT).replace('_', ' ');
         }
--- a/src/test/java/io/pepperfield/standin/DecisionDigest.java
+++ b/src/test/java/io/pepperfield/standin/DecisionDigest.java
@@ -8,27 +8,28 @@
 import java.util.List;
 
 /**
- * A day's decisions in few lines: for each span of simulated time the number of decisions of each
- * kind and a hash over them, and the same for the whole day. The first line that differs tells when
- * two days part.
+ * Summarizes the decisions of a simulated run: for each interval of simulated time the number of
+ * decisions of each kind and a hash over them, and the same for the whole run. The first line that
+ * differs between two runs shows in which interval they diverge.
  */
 public final class DecisionDigest {
 
-    private static final double SPAN_S = 20;
+    private static final double INTERVAL_S = 20;
 
     private DecisionDigest() {}
 
-    /** The lines of the digest. */
+    /** Returns the lines of the digest. */
     public static List<String> of(List<DecisionLog.Entry> entries) {
         List<String> lines = new ArrayList<>();
-        int next = 0;
-        for (int span = 0; next < entries.size(); span++) {
-            int first = next;
-            while (next < entries.size() && entries.get(next).at() < (span + 1) * SPAN_S) {
-                next++;
+        int index = 0;
+        for (int interval = 0; index < entries.size(); interval++) {
+            int first = index;
+            while (index < entries.size()
+                    && entries.get(index).at() < (interval + 1) * INTERVAL_S) {
+                index++;
             }
-            String name = "from second " + Math.round(span * SPAN_S);
-            lines.add(line(name, entries.subList(first, next)));
+            String name = "from second " + Math.round(interval * INTERVAL_S);
+            lines.add(line(name, entries.subList(first, index)));
         }
         lines.add(line("in all", entries));
         return lines;
--- a/src/test/java/io/pepperfield/standin/DecisionLog.java
+++ b/src/test/java/io/pepperfield/standin/DecisionLog.java
@@ -6,13 +6,13 @@
 import java.util.Locale;
 import java.util.function.DoubleSupplier;
 
-/** The decisions of a simulated day in their order, with the simulated time of each. */
+/** The decisions of a simulated run in order, with the simulated time of each. */
 public final class DecisionLog {
 
     /** A decision and the simulated time, in seconds, at which it was received. */
     public record Entry(double at, Decision decision) {
 
-        /** Its line in test data. */
+        /** Returns the line of the entry in test data. */
         @Override
         public String toString() {
             return String.format(Locale.ROOT, "%.6f %s", at, decision);
@@ -30,12 +30,12 @@
         entries.add(new Entry(clock.getAsDouble(), decision));
     }
 
-    /** All decisions so far, the earliest first. */
+    /** Returns all decisions so far, in order of time. */
     public List<Entry> entries() {
         return Collections.unmodifiableList(entries);
     }
 
-    /** A line for each decision so far. */
+    /** Returns one line for each decision so far. */
     public List<String> lines() {
         return entries.stream().map(Entry::toString).toList();
     }
--- a/src/test/java/io/pepperfield/standin/Fault.java
+++ b/src/test/java/io/pepperfield/standin/Fault.java
@@ -4,29 +4,29 @@
 import java.util.stream.IntStream;
 
 /**
- * Something that goes wrong in a region: who is hit, and for how long. When it begins is the
- * scenario's.
+ * A fault that is injected into a simulated region: its target and its duration. The scenario sets
+ * the time at which it begins.
  */
 public sealed interface Fault {
 
-    /** How long it lasts. */
+    /** Duration of the fault, in seconds. */
     double durationS();
 
-    /** How long something of it may still be under way after its end. */
+    /** Longest time, in seconds, for which effects of the fault may continue after its end. */
     default double maxAfterEffectS() {
         return 0;
     }
 
     /**
-     * What a cut does to messages: hold them back and deliver them at its end, or refuse them at
-     * once.
+     * How a network partition treats messages: hold them until its end and then deliver them, or
+     * refuse them immediately.
      */
     enum Way {
         HOLD,
         REFUSE
     }
 
-    /** What a controller can be cut from. */
+    /** What a controller can be partitioned from. */
     enum Side {
         STATE,
         PEERS,
@@ -35,12 +35,12 @@
     }
 
     /**
-     * Controllers, chosen when the fault begins: the leader, others in their order after it, one by
-     * its index, or all.
+     * Selects controllers when the fault begins: the leader, the controller a number of places
+     * after the leader in index order, the controller with an index, or all.
      */
     record ControllerSelector(Kind kind, int index) {
 
-        /** Which controllers a fault is aimed at. */
+        /** How the target controllers are selected. */
         private enum Kind {
             LEADER,
             AFTER_LEADER,
@@ -70,8 +70,8 @@
     }
 
     /**
-     * Machines, chosen when the fault begins, those with tasks first: so many, that share of all,
-     * or a zone's.
+     * Selects machines when the fault begins, those with tasks first: a number of machines, a
+     * fraction of all machines, or all machines of a zone.
      */
     record MachineSelector(int count, double share, String zone) {
 
@@ -88,21 +88,22 @@
         }
     }
 
-    /** The state service answers everybody 503. */
+    /** The state service answers every request with 503. */
     record StoreOutage(double durationS) implements Fault {}
 
     /**
-     * The state service is lost to these controllers alone: held back, or 503 while their open
-     * watches wait and grants run out.
+     * The state service is unreachable for these controllers only. Their messages are held back, or
+     * refused with 503 while their open watches stay pending and their grants expire.
      */
     record StorePartition(ControllerSelector controllers, Way mode, double durationS)
             implements Fault {}
 
-    /** Each answer of the state service comes so much later. */
+    /** Each response of the state service is delayed by {@code addedS}. */
     record StoreLatency(double addedS, double durationS) implements Fault {}
 
     /**
-     * That share of transactions gets no answer, and is carried out 2 to 12 s later, or at once.
+     * A fraction of transactions gets no response. They are applied 2 to 12 s later, or immediately
+     * if {@code appliedAtOnce} is set.
      */
     record DelayedWrites(double share, double durationS, boolean appliedAtOnce) implements Fault {
         static final double MIN_DELAY_S = 2;
@@ -115,8 +116,8 @@
     }
 
     /**
-     * Of that share of reports a copy comes to every controller, 2 s to well over a lease later, or
-     * once a new leader leads.
+     * A copy of a fraction of the heartbeats reaches every controller, 2 s to three lease durations
+     * later, or once a new leader is elected if {@code heldForNextLeader} is set.
      */
     record ReplayedHeartbeats(double share, double durationS, boolean heldForNextLeader)
             implements Fault {
@@ -129,19 +130,21 @@
         }
     }
 
-    /** Reports leave; neither their answers nor direct commands arrive. */
+    /** The machines send heartbeats but receive neither the responses nor direct commands. */
     record MachineReceiveFailure(MachineSelector machines, double durationS) implements Fault {}
 
-    /** No controller is reached; direct commands and questions arrive and are answered. */
+    /**
+     * The machines cannot reach any controller, but receive and answer direct commands and queries.
+     */
     record MachineSendFailure(MachineSelector machines, double durationS) implements Fault {}
 
-    /** Nothing is done; what comes is taken up at the end. */
+    /** The machines hang; messages that arrive meanwhile are processed at the end. */
     record MachineHang(MachineSelector machines, double durationS) implements Fault {}
 
-    /** Cut off from everything; what is under way is held back. */
+    /** The machines are partitioned from everything; messages in flight are held until the end. */
     record MachinePartition(MachineSelector machines, double durationS) implements Fault {}
 
-    /** Lost with all that is on it, though it stays rented. */
+    /** The machines and everything on them are lost, but they stay rented. */
     record MachineLoss(MachineSelector machines) implements Fault {
         @Override
         public double durationS() {
@@ -149,7 +152,10 @@
         }
     }
 
-    /** Lost with all that is on it, and back at once with a worker that knows nothing of before. */
+    /**
+     * The machines and everything on them are lost, and each restarts immediately with a worker
+     * that has no earlier state.
+     */
     record MachineReboot(MachineSelector machines) implements Fault {
         @Override
         public double durationS() {
@@ -158,8 +164,8 @@
     }
 
     /**
-     * Direct commands to these machines are held up so long, and then carried out if fencing token
-     * and incarnation still match.
+     * Direct commands to these machines are delayed by {@code delayS}, and then executed if the
+     * fencing token and incarnation still match.
      */
     record DelayedOrders(MachineSelector machines, double delayS, double durationS)
             implements Fault {
@@ -169,22 +175,28 @@
         }
     }
 
-    /** A zone's machines and the controllers inside are cut off, and go on with each other. */
+    /**
+     * The machines of a zone and these controllers in it are partitioned from the rest, and can
+     * still reach each other.
+     */
     record ZonePartition(String zone, ControllerSelector controllers, double durationS)
             implements Fault {}
 
     /**
-     * Controllers lose some of those they talk to. Refused by the state service means 503, by
-     * others a refused connection.
+     * Controllers are partitioned from some of their peers. With {@link Way#REFUSE} the state
+     * service answers 503, and others refuse the connection.
      */
     record ControllerPartition(
             ControllerSelector controllers, Set<Side> sides, Way mode, double durationS)
             implements Fault {}
 
-    /** Controllers end, and are back after that time. */
+    /** Controllers crash and restart after {@code durationS}. */
     record ControllerCrash(ControllerSelector controllers, double durationS) implements Fault {}
 
-    /** So many times within that time whoever leads ends, and is back after 0.1 to 3 s. */
+    /**
+     * The current leader crashes {@code times} times within {@code durationS}, and restarts 0.1 to
+     * 3 s after each crash.
+     */
     record LeaderCrashes(int times, double durationS) implements Fault {
         static final double MIN_DOWN_S = 0.1;
         static final double MAX_DOWN_S = 3;
@@ -195,12 +207,12 @@
         }
     }
 
-    /** Processes stand still while their clocks run on. */
+    /** Controller processes are paused while their clocks continue to advance. */
     record ControllerPause(ControllerSelector controllers, double durationS) implements Fault {}
 
     /**
-     * Up to that many running jobs are cancelled within a fifth of a second; where hangS is
-     * positive, up to eight of their machines hang.
+     * Cancels up to {@code count} running jobs within 0.2 s. If {@code hangS} is positive, up to
+     * eight of their machines hang for that time.
      */
     record CancelNow(int count, double hangS) implements Fault {
         static final double CANCEL_WINDOW_S = 0.2;
@@ -212,42 +224,42 @@
         }
     }
 
-    /** That share of the jobs that end is cancelled the moment their last task ends. */
+    /** A fraction of the jobs is cancelled at the moment at which their last task ends. */
     record CancelAtEnd(double share, double durationS) implements Fault {}
 
     /**
-     * Users ask at all nodes within milliseconds after a job was accepted, ended or cancelled, and
-     * submit it again.
+     * Users query all nodes, starting within milliseconds, after a job was accepted, ended or
+     * cancelled, and submit it again.
      */
     record ReadAfterWriteChecks(double durationS) implements Fault {}
 
     /**
-     * Repeated submissions, also with another body, cancellations of what is over or unknown, and
-     * jobs that can't be accepted.
+     * Users repeat submissions, also with a different body, cancel finished or unknown jobs, and
+     * submit jobs that must be rejected.
      */
     record InvalidRequests(double durationS) implements Fault {}
 
-    /** Machines are up within two seconds. */
+    /** Machines boot within two seconds. */
     record FastBoots(double durationS) implements Fault {}
 
-    /** So many one-task jobs a second, a quarter of them cancelled. */
+    /** Users submit {@code jobsPerS} one-task jobs per second and cancel a quarter of them. */
     record SubmissionFlood(double jobsPerS, double durationS) implements Fault {}
 
-    /** So many pipelines of dependent jobs at even intervals. */
+    /** Users submit {@code count} pipelines of dependent jobs at even intervals. */
     record Pipelines(int count, double durationS) implements Fault {}
 
-    /** Every message takes so much longer. */
+    /** Every message is delayed by {@code addedS}. */
     record NetworkLatency(double addedS, double durationS) implements Fault {}
 
-    /** Users ask eight times as often. */
+    /** Users query eight times as often. */
     record QueryFlood(double durationS) implements Fault {}
 
-    /** The cloud answers everybody 503. */
+    /** The cloud provider answers every request with 503. */
     record CloudOutage(double durationS) implements Fault {}
 
     /**
-     * Controllers are replaced by that version in random order, one or two at a time, within that
-     * time.
+     * Rolling upgrade of all controllers to a version, in random order, one or two at a time,
+     * within {@code durationS}.
      */
     record Upgrade(double durationS, Version toVersion) implements Fault {
         static final int MAX_CONCURRENT = 2;
@@ -263,14 +275,14 @@
         }
     }
 
-    /** An operator repeats a rollout command until it is confirmed, for at most that time. */
+    /** An operator repeats a rollout command until it is confirmed or the time is over. */
     record OperatorCommand(SimOperator.Command command, double durationS) implements Fault {}
 
-    /** Controllers end and come back as that version. */
+    /** Controllers stop, and restart with another version after {@code durationS}. */
     record ControllerReplacement(
             ControllerSelector controllers, Version toVersion, double durationS) implements Fault {}
 
-    /** The state service has its lower limits from now on. */
+    /** The limits of the state service are lowered permanently. */
     record StoreLimitsReduction() implements Fault {
         @Override
         public double durationS() {
@@ -278,10 +290,13 @@
         }
     }
 
-    /** Every request about grants is refused as beyond the rate. */
+    /** The state service refuses every request about grants as over the rate limit. */
     record GrantsRefused(double durationS) implements Fault {}
 
-    /** Arrays of many small tasks of a team without a limit, one a second. */
+    /**
+     * Users of a team without a limit submit {@code count} arrays of many small tasks, one array
+     * per second.
+     */
     record LargeArrays(int count, int tasks, double runS) implements Fault {
         @Override
         public double durationS() {
--- a/src/test/java/io/pepperfield/standin/FaultInjector.java
+++ b/src/test/java/io/pepperfield/standin/FaultInjector.java
@@ -4,15 +4,15 @@
 import io.pepperfield.standin.Fault.Way;
 import java.util.function.Consumer;
 
-/** Makes the faults of a scenario happen in a region. */
+/** Injects the faults of a scenario into a simulated region. */
 final class FaultInjector {
 
     private final SimulatedRegion region;
     private final SimWorld world;
     private final SimMachines machines;
     private final SimUsers users;
-    private int submissionFloods;
-    private int largeArrays;
+    private int submissionFloodCount;
+    private int largeArraysSubmitted;
 
     FaultInjector(SimulatedRegion region, SimMachines machines, SimUsers users) {
         this.region = region;
@@ -23,19 +23,19 @@
 
     void inject(Fault fault) {
         double until = world.now() + fault.durationS();
-        boolean begun =
+        boolean handled =
                 injectIntoServices(fault, until)
                         || injectIntoMachines(fault, until)
                         || injectIntoControllers(fault, until)
                         || injectIntoUsers(fault, until);
-        if (!begun) {
+        if (!handled) {
             throw new IllegalArgumentException(fault.toString());
         }
     }
 
     /**
-     * The state service, the cloud, and the network between all. False where the fault is of
-     * another kind.
+     * Injects faults of the state service, the cloud provider and the network. Returns false if the
+     * fault is of another kind.
      */
     private boolean injectIntoServices(Fault fault, double until) {
         if (fault instanceof Fault.StoreOutage) {
@@ -43,15 +43,15 @@
         } else if (fault instanceof Fault.CloudOutage) {
             region.faults.cloudOutage(until);
         } else if (fault instanceof Fault.StorePartition cut) {
-            each(cut.controllers(), node -> cut(node, Side.STATE, cut.mode(), until));
-        } else if (fault instanceof Fault.StoreLatency slow) {
-            region.storeLink.slow(slow.addedS(), until);
-        } else if (fault instanceof Fault.DelayedWrites late) {
-            region.storeLink.late(late.share(), until, late.appliedAtOnce());
-        } else if (fault instanceof Fault.ReplayedHeartbeats late) {
-            region.heartbeatReplays.copy(late.share(), until, late.heldForNextLeader());
-        } else if (fault instanceof Fault.NetworkLatency slow) {
-            world.slow(slow.addedS(), until);
+            forEach(cut.controllers(), node -> cut(node, Side.STATE, cut.mode(), until));
+        } else if (fault instanceof Fault.StoreLatency latency) {
+            region.storeLink.slow(latency.addedS(), until);
+        } else if (fault instanceof Fault.DelayedWrites delayed) {
+            region.storeLink.late(delayed.share(), until, delayed.appliedAtOnce());
+        } else if (fault instanceof Fault.ReplayedHeartbeats replayed) {
+            region.heartbeatReplays.copy(replayed.share(), until, replayed.heldForNextLeader());
+        } else if (fault instanceof Fault.NetworkLatency latency) {
+            world.slow(latency.addedS(), until);
         } else if (fault instanceof Fault.StoreLimitsReduction) {
             region.faults.reduceStoreLimits();
         } else if (fault instanceof Fault.GrantsRefused) {
@@ -62,27 +62,31 @@
         return true;
     }
 
-    /** Machines and their workers. False where the fault is of another kind. */
+    /**
+     * Injects faults of machines and their workers. Returns false if the fault is of another kind.
+     */
     private boolean injectIntoMachines(Fault fault, double until) {
         if (fault instanceof Fault.MachineReceiveFailure failure) {
-            each(failure.machines(), worker -> worker.failReceiving(until));
+            forEach(failure.machines(), worker -> worker.failReceiving(until));
         } else if (fault instanceof Fault.MachineSendFailure failure) {
-            each(failure.machines(), worker -> machines.failSending(worker, until));
+            forEach(failure.machines(), worker -> machines.failSending(worker, until));
         } else if (fault instanceof Fault.MachineHang hang) {
-            each(hang.machines(), worker -> worker.hang(until));
+            forEach(hang.machines(), worker -> worker.hang(until));
         } else if (fault instanceof Fault.MachinePartition cut) {
-            each(
+            forEach(
                     cut.machines(),
                     worker -> {
                         world.cut(worker.name, "10.", until);
                         world.cut("node-", worker.address, until);
                     });
         } else if (fault instanceof Fault.MachineLoss loss) {
-            each(loss.machines(), WorkerStandIn::losePower);
+            forEach(loss.machines(), WorkerStandIn::losePower);
         } else if (fault instanceof Fault.MachineReboot reboot) {
-            each(reboot.machines(), machines::reboot);
-        } else if (fault instanceof Fault.DelayedOrders held) {
-            each(held.machines(), worker -> machines.delayOrders(worker, held.delayS(), until));
+            forEach(reboot.machines(), machines::reboot);
+        } else if (fault instanceof Fault.DelayedOrders delayed) {
+            forEach(
+                    delayed.machines(),
+                    worker -> machines.delayOrders(worker, delayed.delayS(), until));
         } else if (fault instanceof Fault.FastBoots) {
             machines.slowBoots(0.3, 0, until);
         } else {
@@ -91,30 +95,32 @@
         return true;
     }
 
-    /** Controllers. False where the fault is of another kind. */
+    /** Injects faults of controllers. Returns false if the fault is of another kind. */
     private boolean injectIntoControllers(Fault fault, double until) {
         if (fault instanceof Fault.ZonePartition cut) {
-            each(cut.controllers(), node -> region.networkPartitions.zone(cut.zone(), node, until));
+            forEach(
+                    cut.controllers(),
+                    node -> region.networkPartitions.zone(cut.zone(), node, until));
         } else if (fault instanceof Fault.ControllerPartition cut) {
-            each(
+            forEach(
                     cut.controllers(),
                     node -> cut.sides().forEach(side -> cut(node, side, cut.mode(), until)));
         } else if (fault instanceof Fault.ControllerCrash crash) {
-            each(crash.controllers(), node -> region.faults.crash(node, crash.durationS()));
-        } else if (fault instanceof Fault.LeaderCrashes changes) {
-            for (int i = 0; i < changes.times(); i++) {
+            forEach(crash.controllers(), node -> region.faults.crash(node, crash.durationS()));
+        } else if (fault instanceof Fault.LeaderCrashes crashes) {
+            for (int i = 0; i < crashes.times(); i++) {
                 world.after(
-                        i * changes.durationS() / changes.times(),
-                        () -> region.faults.crash(region.lastLeader(), downS()));
+                        i * crashes.durationS() / crashes.times(),
+                        () -> region.faults.crash(region.lastLeader(), randomDowntimeS()));
             }
         } else if (fault instanceof Fault.ControllerPause pause) {
-            each(pause.controllers(), node -> region.faults.pause(node, until));
+            forEach(pause.controllers(), node -> region.faults.pause(node, until));
         } else if (fault instanceof Fault.Upgrade upgrade) {
             new RollingUpgrade(region, region.nodeCount(), upgrade.toVersion()).begin(upgrade);
-        } else if (fault instanceof Fault.OperatorCommand asks) {
-            region.operator.repeatUntilConfirmed(asks.command(), until);
+        } else if (fault instanceof Fault.OperatorCommand request) {
+            region.operator.repeatUntilConfirmed(request.command(), until);
         } else if (fault instanceof Fault.ControllerReplacement replace) {
-            each(
+            forEach(
                     replace.controllers(),
                     node -> region.faults.replace(node, replace.toVersion(), replace.durationS()));
         } else {
@@ -123,7 +129,7 @@
         return true;
     }
 
-    /** Users and what they ask for. False where the fault is of another kind. */
+    /** Starts unusual user load. Returns false if the fault is of another kind. */
     private boolean injectIntoUsers(Fault fault, double until) {
         if (fault instanceof Fault.CancelNow cancel) {
             users.cancelRunning(cancel.count(), Fault.CancelNow.CANCEL_WINDOW_S).stream()
@@ -138,7 +144,7 @@
                 world.after(i / 4.0, users.invalidRequests::sendOne);
             }
         } else if (fault instanceof Fault.SubmissionFlood flood) {
-            int first = 100_000 * ++submissionFloods;
+            int first = 100_000 * ++submissionFloodCount;
             for (int i = 0; i < flood.jobsPerS() * flood.durationS(); i++) {
                 int number = first + i;
                 world.after(i / flood.jobsPerS(), () -> region.jobMix.submitSingle(number));
@@ -154,7 +160,7 @@
             users.queryMoreOften(until);
         } else if (fault instanceof Fault.LargeArrays arrays) {
             for (int i = 0; i < arrays.count(); i++) {
-                int number = 800_000 + largeArrays++;
+                int number = 800_000 + largeArraysSubmitted++;
                 world.after(
                         i, () -> region.jobMix.submitGuests(number, arrays.tasks(), arrays.runS()));
             }
@@ -164,20 +170,20 @@
         return true;
     }
 
-    private double downS() {
+    private double randomDowntimeS() {
         return Fault.LeaderCrashes.MIN_DOWN_S
                 + world.random.nextDouble()
                         * (Fault.LeaderCrashes.MAX_DOWN_S - Fault.LeaderCrashes.MIN_DOWN_S);
     }
 
-    private void each(Fault.ControllerSelector who, Consumer<Integer> then) {
-        for (int node : who.resolve(region.lastLeader(), region.nodeCount())) {
-            then.accept(node);
+    private void forEach(Fault.ControllerSelector selector, Consumer<Integer> action) {
+        for (int node : selector.resolve(region.lastLeader(), region.nodeCount())) {
+            action.accept(node);
         }
     }
 
-    private void each(Fault.MachineSelector which, Consumer<WorkerStandIn> then) {
-        machines.choose(which).forEach(then);
+    private void forEach(Fault.MachineSelector selector, Consumer<WorkerStandIn> action) {
+        machines.choose(selector).forEach(action);
     }
 
     private void cut(int node, Side side, Way way, double until) {
--- a/src/test/java/io/pepperfield/standin/InvalidRequests.java
+++ b/src/test/java/io/pepperfield/standin/InvalidRequests.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Requests that a user has no good reason for, and the answers that they must get. */
+/** Sends redundant or invalid requests as a user, and checks the responses. */
 final class InvalidRequests {
 
-    /** Ids from here on are never accepted. */
-    private static final int FIRST_REFUSABLE_ID = 900_000;
+    /** First id of the jobs that must be rejected. */
+    private static final int FIRST_REJECTED_ID = 900_000;
 
-    /** Answers from here on ask the user to come back, and decide nothing. */
+    /** Statuses from this one on mean that the request must be retried, without a decision. */
     private static final int FIRST_RETRY_STATUS = 429;
 
     private static final int KINDS = 9;
@@ -21,7 +21,7 @@
     private final SimWorld world;
     private final SimUserClient client;
     private final Map<String, SimJob> jobs;
-    private int nextRefusableId = FIRST_REFUSABLE_ID;
+    private int nextRejectedId = FIRST_REJECTED_ID;
 
     InvalidRequests(SimWorld world, SimUserClient client, Map<String, SimJob> jobs) {
         this.world = world;
@@ -29,38 +29,40 @@
         this.jobs = jobs;
     }
 
-    /** Asks about a job that nobody submitted. */
+    /** Queries the status of a job that was never submitted. */
     void queryUnknownJob() {
         expect(UserRequest.statusOfUnknownJob("run-999999"), 404, "invented");
     }
 
-    /** One request, drawn at random. */
+    /** Sends one random request. */
     void sendOne() {
         Optional<SimJob> job = randomJob();
-        ObjectNode good = acceptableJob();
+        ObjectNode valid = validJob();
         switch (world.random.nextInt(KINDS)) {
             case 0, 1 -> job.ifPresent(this::repeatSubmission);
             case 2 -> job.ifPresent(this::submitOtherBody);
             case 3 -> job.filter(SimJob::isFinished).ifPresent(this::repeatCancellation);
             case 4 ->
-                    expect(UserRequest.cancellation(good.path("nameId").asText()), 404, "invented");
+                    expect(
+                            UserRequest.cancellation(valid.path("nameId").asText()),
+                            404,
+                            "invented");
             case 5 -> queryUnknownJob();
-            case 6 -> expectRefusal(good.put("vcpus", SimMachines.CPUS + 1), 422);
-            case 7 -> expectRefusal(good.put("owner", "nobody"), 422);
-            default -> expectRefusal(good.without(List.of("shards")), 400);
+            case 6 -> expectRejection(valid.put("vcpus", SimMachines.CPUS + 1), 422);
+            case 7 -> expectRejection(valid.put("owner", "nobody"), 422);
+            default -> expectRejection(valid.without(List.of("shards")), 400);
         }
     }
 
     private Optional<SimJob> randomJob() {
-        List<SimJob> known = jobs.values().stream().filter(job -> job.accepted).toList();
-        return known.isEmpty()
+        List<SimJob> accepted = jobs.values().stream().filter(job -> job.accepted).toList();
+        return accepted.isEmpty()
                 ? Optional.empty()
-                : Optional.of(known.get(world.random.nextInt(known.size())));
+                : Optional.of(accepted.get(world.random.nextInt(accepted.size())));
     }
 
-    private ObjectNode acceptableJob() {
-        return JobPlan.array(
-                        nextRefusableId++, "batch", "red", "standard", 1, 1, List.of(1.0), true)
+    private ObjectNode validJob() {
+        return JobPlan.array(nextRejectedId++, "batch", "red", "standard", 1, 1, List.of(1.0), true)
                 .body();
     }
 
@@ -78,25 +80,34 @@
         client.sendChecked(job, client.randomNode(), UserRequest.cancellation(job.plan.id()));
     }
 
-    /** A job that must not be accepted, and that nobody may know afterwards. */
-    private void expectRefusal(ObjectNode body, int status) {
+    /** Submits a job that must be rejected, and checks that its status is unknown 2 s later. */
+    private void expectRejection(ObjectNode body, int status) {
         expect(UserRequest.submission(Json.write(body)), status, "wrongly_accepted");
         String id = body.path("nameId").asText();
         world.after(2, () -> expect(UserRequest.statusOfUnknownJob(id), 404, "invented"));
     }
 
-    /** Any other answer breaks a rule, but for those that ask the user to come back. */
-    private void expect(UserRequest request, int status, String rule) {
+    /**
+     * Sends a request and reports a violation for any response that has neither the expected status
+     * nor a retry status.
+     */
+    private void expect(UserRequest request, int expectedStatus, String rule) {
         int node = client.randomNode();
         client.send(
                 node,
                 request,
-                answer -> answer.ifPresent(given -> check(given, request, node, status, rule)));
+                answer ->
+                        answer.ifPresent(
+                                response -> check(response, request, node, expectedStatus, rule)));
     }
 
     private void check(
-            HttpOutcome.Answered answer, UserRequest request, int node, int status, String rule) {
-        if (answer.status() == status || answer.status() >= FIRST_RETRY_STATUS) {
+            HttpOutcome.Answered answer,
+            UserRequest request,
+            int node,
+            int expectedStatus,
+            String rule) {
+        if (answer.status() == expectedStatus || answer.status() >= FIRST_RETRY_STATUS) {
             return;
         }
         client.reportViolation(
@@ -109,7 +120,7 @@
                         + request.path()
                         + " at node-"
                         + node
-                        + " instead of "
-                        + status);
+                        + ", expected "
+                        + expectedStatus);
     }
 }
--- a/src/test/java/io/pepperfield/standin/JobMix.java
+++ b/src/test/java/io/pepperfield/standin/JobMix.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The kinds of jobs that a simulated region's users submit, drawn from its seed. */
+/** Submits jobs of various kinds as users of a simulated region, with random parameters. */
 public final class JobMix {
 
     private final SimWorld world;
@@ -13,7 +13,7 @@
         this.users = users;
     }
 
-    /** The jobs of a scenario: each kind in its turn. */
+    /** Submits a job of a scenario; the number determines its kind, so that all kinds alternate. */
     void submitScenarioJob(int number) {
         switch (number % 6) {
             case 1 -> submitUneven(number);
@@ -24,8 +24,8 @@
     }
 
     /**
-     * Submits a job and follows it to its end; a third of the arrays and all services are cancelled
-     * at some time.
+     * Submits an array or a service and polls it until its end. A third of the arrays and all
+     * services are cancelled after 5 to 65 s.
      */
     public void submit(int number) {
         boolean service = world.random.nextInt(4) == 0;
@@ -59,7 +59,7 @@
         return world.random.nextBoolean() ? "red" : "blue";
     }
 
-    /** An array of two or three tasks that end far apart. */
+    /** Submits an array of two or three tasks with very different run times. */
     public void submitUneven(int number) {
         users.submit(
                 JobPlan.array(
@@ -73,7 +73,7 @@
                         true));
     }
 
-    /** An array of which each task may only run in one zone. */
+    /** Submits an array whose tasks may only run in one given zone. */
     public void submitZoneBound(int number) {
         users.submit(
                 JobPlan.array(
@@ -88,7 +88,7 @@
                         .inZone(world.random.nextBoolean() ? "east" : "west"));
     }
 
-    /** An array whose tasks must all be in one zone, whichever it is. */
+    /** Submits an array whose tasks must all run in the same zone, which is not given. */
     public void submitInOneZone(int number) {
         users.submit(
                 JobPlan.array(
@@ -103,7 +103,7 @@
                         .inOneZone());
     }
 
-    /** A single small task, of one in four its user calls off. */
+    /** Submits a job with one small task; one in four of these jobs is cancelled by its user. */
     public void submitSingle(int number) {
         JobPlan plan =
                 JobPlan.array(
@@ -122,7 +122,8 @@
     }
 
     /**
-     * An array of a team without a guarantee or a limit: many small short tasks of the lowest rank.
+     * Submits an array of small tasks of the lowest priority for a team that has neither guaranteed
+     * capacity nor a limit.
      */
     public void submitGuests(int number, int tasks, double runS) {
         users.submit(
@@ -130,14 +131,14 @@
                         number, "idle", "guests", "best_effort", tasks, 0.25, List.of(runS), true));
     }
 
-    /** An array of the team without a limit, of tasks that run for long. */
+    /** Submits an array of tasks that run for 120 s, for the team without a limit. */
     public void submitWide(int number, int tasks, int cpus) {
         users.submit(
                 JobPlan.array(
                         number, "idle", "guests", "standard", tasks, cpus, List.of(120.0), true));
     }
 
-    /** An array whose tasks fail on every machine until its user cancels it. */
+    /** Submits an array whose tasks fail on every machine until its user cancels it. */
     public void submitFailing(int number, double cancelAt) {
         users.submit(
                 JobPlan.array(number, "batch", "red", "standard", 12, 2, List.of(1.0), true)
--- a/src/test/java/io/pepperfield/standin/JobPlan.java
+++ b/src/test/java/io/pepperfield/standin/JobPlan.java
@@ -6,12 +6,13 @@
 import java.util.Locale;
 
 /**
- * A job as its user submits it, and what its tasks do.
+ * A job as its user submits it, and how its tasks behave.
  *
- * @param runDurationsS run times of the tasks in turn; a service's tasks run until it is cancelled
- * @param alwaysFails submitted with a mistake: its tasks fail wherever they run
- * @param cancelAt when its user cancels it, or {@link #NEVER}
- * @param dependencies jobs that must be done before any of its tasks starts
+ * @param runDurationsS run times in seconds, assigned to the tasks in turn; tasks of a service run
+ *     until it is cancelled
+ * @param alwaysFails whether the job is faulty, so that its tasks fail on every machine
+ * @param cancelAt time at which its user cancels it, or {@link #NEVER}
+ * @param dependencies ids of the jobs that must be done before any of its tasks starts
  */
 record JobPlan(
         String id,
@@ -32,7 +33,7 @@
 
     static final double NEVER = Double.MAX_VALUE;
 
-    /** An array that may run anywhere. */
+    /** Creates an array without placement constraints. */
     static JobPlan array(
             int number,
             String workload,
@@ -83,7 +84,7 @@
                 dependencies);
     }
 
-    JobPlan dependingOn(List<String> needed) {
+    JobPlan dependingOn(List<String> required) {
         return new JobPlan(
                 id,
                 workload,
@@ -99,7 +100,7 @@
                 zone,
                 alwaysFails,
                 cancelAt,
-                needed);
+                required);
     }
 
     JobPlan inOneZone() {
@@ -121,7 +122,7 @@
                 dependencies);
     }
 
-    JobPlan inZone(String only) {
+    JobPlan inZone(String requiredZone) {
         return new JobPlan(
                 id,
                 workload,
@@ -134,7 +135,7 @@
                 spot,
                 spread,
                 oneZone,
-                only,
+                requiredZone,
                 alwaysFails,
                 cancelAt,
                 dependencies);
--- a/src/test/java/io/pepperfield/standin/PipelineRules.java
+++ b/src/test/java/io/pepperfield/standin/PipelineRules.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** The rules for jobs that need others, checked as things happen. */
+/** Rules for jobs with dependencies, checked while a simulation runs. */
 final class PipelineRules {
 
     private final SimWorld world;
@@ -17,7 +17,8 @@
     private final Predicate<String> durablyDone;
 
     /**
-     * @param durablyDone whether the state service holds the job's final state {@code done}
+     * @param durablyDone tests whether the state service stores {@code done} as the final state of
+     *     a job
      */
     PipelineRules(
             SimWorld world,
@@ -30,86 +31,89 @@
         this.durablyDone = durablyDone;
     }
 
-    private void violation(String what) {
-        violations.add(world.now() + " " + what);
+    private void reportViolation(String description) {
+        violations.add(world.now() + " " + description);
     }
 
     /**
-     * A task starts. That the tasks of a needed job are completed is not enough: a final state that
-     * is not durable may still become {@code cancelled}.
+     * Checks, when a task starts, that all dependencies of its job are durably done. Completed
+     * tasks of a dependency are not enough: a final state that is not durable may still become
+     * {@code cancelled}.
      */
     void checkTaskStart(SimJob job, String task) {
         for (String needed : job.plan.dependencies()) {
             if (!jobs.get(needed).isComplete() || !durablyDone.test(needed)) {
-                violation("too_early: " + task + " before " + needed + " is durably done");
+                reportViolation("too_early: " + task + " before " + needed + " is durably done");
             }
         }
     }
 
     /**
-     * The first moment at which a user was told that one of the jobs it needs, directly or through
-     * others, is cancelled; infinite where there is none.
+     * Returns the earliest time at which a direct or indirect dependency of the job was reported to
+     * a user as cancelled, or infinity if there is none.
      */
     double ancestorCancelledAt(SimJob job) {
         double[] first = {Double.POSITIVE_INFINITY};
-        ancestors(
+        visitAncestors(
                 job,
-                before -> {
-                    if (!Double.isNaN(before.cancelledAt)) {
-                        first[0] = Math.min(first[0], before.cancelledAt);
+                ancestor -> {
+                    if (!Double.isNaN(ancestor.cancelledAt)) {
+                        first[0] = Math.min(first[0], ancestor.cancelledAt);
                     }
                 });
         return first[0];
     }
 
-    /** As {@link #ancestorCancelledAt}, of the job itself too. */
+    /** Like {@link #ancestorCancelledAt}, but includes the job itself. */
     double cancelledAt(SimJob job) {
         double own = Double.isNaN(job.cancelledAt) ? Double.POSITIVE_INFINITY : job.cancelledAt;
         return Math.min(own, ancestorCancelledAt(job));
     }
 
-    /** Whether its user or that of a job that it needs has asked to cancel it. */
+    /** Whether a cancellation of the job, or of one of its dependencies, was requested. */
     boolean isCancellationRequested(SimJob job) {
-        boolean[] asked = {job.cancelRequested};
-        ancestors(job, before -> asked[0] |= before.cancelRequested);
-        return asked[0];
+        boolean[] requested = {job.cancelRequested};
+        visitAncestors(job, ancestor -> requested[0] |= ancestor.cancelRequested);
+        return requested[0];
     }
 
-    private void ancestors(SimJob job, Consumer<SimJob> visit) {
-        ArrayDeque<SimJob> open = new ArrayDeque<>(List.of(job));
+    private void visitAncestors(SimJob job, Consumer<SimJob> visit) {
+        ArrayDeque<SimJob> pending = new ArrayDeque<>(List.of(job));
         Set<String> seen = new HashSet<>();
-        while (!open.isEmpty()) {
-            for (String needed : open.poll().plan.dependencies()) {
+        while (!pending.isEmpty()) {
+            for (String needed : pending.poll().plan.dependencies()) {
                 if (seen.add(needed)) {
                     visit.accept(jobs.get(needed));
-                    open.add(jobs.get(needed));
+                    pending.add(jobs.get(needed));
                 }
             }
         }
     }
 
     /**
-     * A node has answered with a job's state.
+     * Checks the status of a job in a response.
      *
-     * @param ancestorCancelledAt as of when the question left
+     * @param requestedAt when the request was sent
+     * @param ancestorCancelledAt value of {@link #ancestorCancelledAt(SimJob)} when the request was
+     *     sent
      */
-    void checkAnswer(SimJob job, String status, double askedAt, double ancestorCancelledAt) {
-        String told = job.plan.id() + " is " + status + ", asked at " + askedAt;
+    void checkAnswer(SimJob job, String status, double requestedAt, double ancestorCancelledAt) {
+        String report = job.plan.id() + " is " + status + ", requested at " + requestedAt;
         if (!SimJob.isFinal(status)
-                && askedAt > SimulatedRegion.CANCELLATION_DEADLINE_S + ancestorCancelledAt) {
-            violation("orphaned: " + told);
+                && requestedAt > SimulatedRegion.CANCELLATION_DEADLINE_S + ancestorCancelledAt) {
+            reportViolation("orphaned: " + report);
         }
-        // Beyond the letter, which leaves cancel_s for it: no answer is older than what a user was
-        // told of a job before it.
-        if (!SimJob.isFinal(status) && askedAt > ancestorCancelledAt) {
-            violation(
+        // Stricter than the specification, which allows cancel_s for the cancellation to take
+        // effect: a response must not be older than an earlier report on a dependency of the job.
+        if (!SimJob.isFinal(status) && requestedAt > ancestorCancelledAt) {
+            reportViolation(
                     "went_back: "
-                            + told
-                            + ", one before it was cancelled at "
+                            + report
+                            + ", although a dependency was cancelled at "
                             + ancestorCancelledAt);
         }
         if (status.equals("done") && ancestorCancelledAt(job) < Double.POSITIVE_INFINITY) {
-            violation("went_back: " + told + ", but one before it is cancelled");
+            reportViolation("went_back: " + report + ", although a dependency is cancelled");
         }
     }
 }
--- a/src/test/java/io/pepperfield/standin/PipelineShape.java
+++ b/src/test/java/io/pepperfield/standin/PipelineShape.java
@@ -1,17 +1,20 @@
 package io.pepperfield.standin;
 
-/** A form of pipeline: for each of its jobs the earlier ones that it needs. */
+/** Shape of a pipeline: for each job the indexes of the earlier jobs that it depends on. */
 public enum PipelineShape {
     CHAIN(new int[][] {{}, {0}, {1}, {2}}),
     DIAMOND(new int[][] {{}, {0}, {0}, {1, 2}}),
     FAN(new int[][] {{}, {0}, {0}, {0}, {0}, {1, 2, 3, 4}}),
-    /** Two need the first, one needs both, and the last needs that and the first. */
+    /**
+     * Two jobs depend on the first, one depends on both of them, and the last depends on that one
+     * and the first.
+     */
     MIXED(new int[][] {{}, {0}, {0}, {1, 2}, {0, 3}});
 
     private final int[][] dependencies;
 
-    PipelineShape(int[][] needs) {
-        this.dependencies = needs;
+    PipelineShape(int[][] dependencies) {
+        this.dependencies = dependencies;
     }
 
     public int jobs() {
--- a/src/test/java/io/pepperfield/standin/Pipelines.java
+++ b/src/test/java/io/pepperfield/standin/Pipelines.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.function.Supplier;
 
-/** Users' pipelines in a region: their plans, and how they must have ended. */
+/** Submits pipelines of jobs as users of a region, and checks the final states of their jobs. */
 public final class Pipelines {
 
     private final SimWorld world;
@@ -20,8 +20,9 @@
     }
 
     /**
-     * A pipeline of five jobs. Of one pipeline in three the last is submitted only when the others
-     * are over, of one in three a job is cancelled.
+     * Submits a pipeline of five jobs. In one of three pipelines the last job is submitted only
+     * when its dependencies are finished, and in one of three a random job is cancelled within 30
+     * s.
      */
     void submitRandom(int number) {
         PipelineShape shape = PipelineShape.MIXED;
@@ -34,7 +35,9 @@
         users.submitPipeline(plans, world.random.nextInt(3) == 0);
     }
 
-    /** A pipeline whose {@code cancelledCount}th job is cancelled at that moment. */
+    /**
+     * Submits a pipeline whose job with index {@code cancelled} is cancelled at the given moment.
+     */
     public void submit(int number, PipelineShape shape, int cancelled, CancelMoment moment) {
         SimPipeline pipeline =
                 new SimPipeline(world, users, shape, plans(number, shape, 2), cancelled, moment);
@@ -42,12 +45,12 @@
         pipeline.step();
     }
 
-    /** An array that needs the jobs with these numbers, which must be accepted. */
+    /** Submits an array that depends on the jobs with these numbers, which must be accepted. */
     public void submitArray(
-            int number, String rank, int tasks, double cpus, double runS, int... needed) {
+            int number, String rank, int tasks, double cpus, double runS, int... dependencies) {
         users.submit(
                 JobPlan.array(number, "batch", "red", rank, tasks, cpus, List.of(runS), true)
-                        .dependingOn(Arrays.stream(needed).mapToObj(JobPlan::id).toList()));
+                        .dependingOn(Arrays.stream(dependencies).mapToObj(JobPlan::id).toList()));
     }
 
     public void cancel(int number, int node) {
@@ -58,11 +61,11 @@
         users.cancel(users.jobs.get(JobPlan.id(number)));
     }
 
-    private List<JobPlan> plans(int number, PipelineShape shape, int mostTasks) {
+    private List<JobPlan> plans(int number, PipelineShape shape, int maxTasks) {
         List<JobPlan> plans = new ArrayList<>();
-        String of = team.get();
+        String owner = team.get();
         for (int i = 0; i < shape.jobs(); i++) {
-            List<String> needed =
+            List<String> dependencies =
                     Arrays.stream(shape.dependencies(i))
                             .mapToObj(n -> JobPlan.id(number + n))
                             .toList();
@@ -70,25 +73,27 @@
                     JobPlan.array(
                                     number + i,
                                     "batch",
-                                    of,
+                                    owner,
                                     i == shape.jobs() - 1 ? "urgent" : "best_effort",
-                                    1 + world.random.nextInt(mostTasks),
+                                    1 + world.random.nextInt(maxTasks),
                                     2,
                                     List.of(2 + 4 * world.random.nextDouble()),
                                     true)
-                            .dependingOn(needed));
+                            .dependingOn(dependencies));
         }
         return plans;
     }
 
-    /** Jobs that have not ended as the cancellation in their pipeline demands. */
+    /**
+     * Returns the jobs whose final states do not follow from the cancellation in their pipeline.
+     */
     public List<String> unexpectedFinalStates() {
         return submitted.stream()
                 .flatMap(pipeline -> pipeline.unexpectedFinalStates().stream())
                 .toList();
     }
 
-    /** How many pipelines lost the job that was to be cancelled, and did not get it done before. */
+    /** Returns the number of pipelines whose job was cancelled, rather than done before that. */
     public long cancelledCount() {
         return submitted.stream().filter(SimPipeline::wasCancelled).count();
     }
--- a/src/test/java/io/pepperfield/standin/RandomFault.java
+++ b/src/test/java/io/pepperfield/standin/RandomFault.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.stream.IntStream;
 
-/** A fault of any kind, drawn from a region's seed. */
+/** Injects a fault of a random kind, drawn from the random generator of the region. */
 final class RandomFault {
 
     private final SimulatedRegion region;
@@ -30,8 +30,10 @@
             case 4 -> world.cut("node-" + node, "10.2.0.1", until);
             case 5 -> cutFromWorkers(node, until);
             case 6 -> world.cut("node-" + node, "10.", until);
-            case 7 -> worker.ifPresent(hit -> hit.hang(until));
-            case 8 -> worker.ifPresent(hit -> hit.failReceiving(until + SimulatedRegion.LEASE_S));
+            case 7 -> worker.ifPresent(target -> target.hang(until));
+            case 8 ->
+                    worker.ifPresent(
+                            target -> target.failReceiving(until + SimulatedRegion.LEASE_S));
             case 9 -> region.networkPartitions.isolate(node, until);
             case 10 -> world.cut("node-", "10.0.", until);
             case 11 -> worker.ifPresent(machines::reboot);
@@ -46,7 +48,7 @@
                 region.faults.storeOutage(until);
                 world.after(1, () -> crashAll(0.2, 3));
             }
-            default -> worker.ifPresent(hit -> hit.losePower());
+            default -> worker.ifPresent(target -> target.losePower());
         }
     }
 
@@ -57,9 +59,11 @@
                 : Optional.of(all.get(world.random.nextInt(all.size())));
     }
 
-    /** Ends all controllers, each for at least that time and up to so much more. */
+    /**
+     * Crashes all controllers, each for a random time from {@code minS} to {@code minS + spreadS}.
+     */
     private void crashAll(double minS, double spreadS) {
-        everyNode()
+        allNodes()
                 .forEach(
                         node ->
                                 region.faults.crash(
@@ -71,7 +75,7 @@
         world.cut("host-", "10.0.0." + (index + 1) + ":", until);
     }
 
-    private IntStream everyNode() {
+    private IntStream allNodes() {
         return IntStream.range(0, region.nodeCount());
     }
 }
--- a/src/test/java/io/pepperfield/standin/RecordedVersion.java
+++ b/src/test/java/io/pepperfield/standin/RecordedVersion.java
@@ -8,10 +8,10 @@
 import java.util.Iterator;
 
 /**
- * The habits of the recorded version (c7a624d) as filters around a controller of today: what that
- * version does not know never reaches it, and what it cannot tell apart is made alike. Its record
- * sizes follow from its settings, which lack {@code state.next}; see {@link SimulatedRegion}. The
- * messages between controllers are the same in both.
+ * Emulates the recorded version (c7a624d) by filters around a controller of the current version:
+ * they remove data that the recorded version does not support, and unify responses that it does not
+ * distinguish. Its record sizes follow from its settings, which lack {@code state.next}; see {@link
+ * SimulatedRegion}. The messages between controllers are the same in both versions.
  */
 final class RecordedVersion {
 
@@ -22,7 +22,7 @@
 
     private RecordedVersion() {}
 
-    /** The body of a user's request without the field that is new. */
+    /** Returns the body of a user's request without {@code awaits}, which is a new field. */
     static byte[] withoutAwaits(String path, byte[] body) {
         if (!path.equals("/api/jobs") || body == null) {
             return body;
@@ -34,7 +34,10 @@
         return Json.write(object.without("awaits"));
     }
 
-    /** The way to the state service as that version uses and understands it. */
+    /**
+     * Wraps a sender to the state service so that responses appear as the recorded version
+     * interprets them.
+     */
     static HttpSender filterStoreResponses(HttpSender sender) {
         return (request, onOutcome) ->
                 sender.send(
@@ -42,36 +45,37 @@
                         outcome ->
                                 onOutcome.accept(
                                         outcome instanceof HttpOutcome.Answered answer
-                                                ? understood(request.path(), answer)
+                                                ? asRecordedVersion(request.path(), answer)
                                                 : outcome));
     }
 
-    private static HttpOutcome understood(String path, HttpOutcome.Answered answer) {
+    private static HttpOutcome asRecordedVersion(String path, HttpOutcome.Answered answer) {
         if (path.equals("/txn") && answer.status() == MALFORMED) {
-            // It knows no refusal for good: the same transaction is tried again and again.
+            // The recorded version has no permanent rejection, and retries the transaction
+            // repeatedly.
             return new HttpOutcome.Answered(UNAVAILABLE, answer.body());
         }
         if (answer.status() != 200 || !path.startsWith("/kv?") && !path.startsWith("/follow?")) {
             return answer;
         }
         JsonNode body = answer.json();
-        body.path("pairs").forEach(pair -> forgetAwaits(pair, "k"));
-        body.path("events").forEach(event -> forgetAwaits(event, "set"));
-        // It reads them, and no part of it asks for them.
-        forgetRollout(body.path("pairs"), "k");
-        forgetRollout(body.path("events"), "set");
+        body.path("pairs").forEach(pair -> removeAwaits(pair, "k"));
+        body.path("events").forEach(event -> removeAwaits(event, "set"));
+        // The recorded version reads these records, but no part of it uses them.
+        removeRolloutRecords(body.path("pairs"), "k");
+        removeRolloutRecords(body.path("events"), "set");
         return new HttpOutcome.Answered(answer.status(), Json.write(body));
     }
 
-    private static void forgetRollout(JsonNode items, String keyField) {
-        for (Iterator<JsonNode> all = items.iterator(); all.hasNext(); ) {
-            if (all.next().path(keyField).asText().startsWith(ROLLOUT_PREFIX)) {
-                all.remove();
+    private static void removeRolloutRecords(JsonNode items, String keyField) {
+        for (Iterator<JsonNode> iterator = items.iterator(); iterator.hasNext(); ) {
+            if (iterator.next().path(keyField).asText().startsWith(ROLLOUT_PREFIX)) {
+                iterator.remove();
             }
         }
     }
 
-    private static void forgetAwaits(JsonNode item, String keyField) {
+    private static void removeAwaits(JsonNode item, String keyField) {
         if (item.path(keyField).asText().startsWith(JOB_PREFIX)
                 && item.path("data") instanceof ObjectNode job) {
             job.remove("aw");
--- a/src/test/java/io/pepperfield/standin/RollingUpgrade.java
+++ b/src/test/java/io/pepperfield/standin/RollingUpgrade.java
@@ -4,38 +4,37 @@
 import java.util.Collections;
 import java.util.List;
 
-/**
- * Replaces all controllers by another version, a few at a time, in an order drawn from the seed.
- */
+/** Upgrades all controllers to another version, a few at a time, in random order. */
 final class RollingUpgrade {
 
     private final SimulatedRegion region;
     private final SimWorld world;
-    private final Version by;
-    private final List<Integer> left = new ArrayList<>();
+    private final Version toVersion;
+    private final List<Integer> remaining = new ArrayList<>();
 
-    RollingUpgrade(SimulatedRegion region, int nodes, Version by) {
+    RollingUpgrade(SimulatedRegion region, int nodes, Version toVersion) {
         this.region = region;
-        this.by = by;
+        this.toVersion = toVersion;
         this.world = region.world;
         for (int node = 0; node < nodes; node++) {
-            left.add(node);
+            remaining.add(node);
         }
     }
 
     void begin(Fault.Upgrade upgrade) {
-        Collections.shuffle(left, world.random);
-        double everyS = upgrade.durationS() / left.size();
-        replaceNext(everyS);
+        Collections.shuffle(remaining, world.random);
+        double intervalS = upgrade.durationS() / remaining.size();
+        replaceNext(intervalS);
     }
 
-    private void replaceNext(double everyS) {
-        int count = Math.min(left.size(), 1 + world.random.nextInt(Fault.Upgrade.MAX_CONCURRENT));
+    private void replaceNext(double intervalS) {
+        int count =
+                Math.min(remaining.size(), 1 + world.random.nextInt(Fault.Upgrade.MAX_CONCURRENT));
         for (int i = 0; i < count; i++) {
-            region.faults.replace(left.remove(0), by, Fault.Upgrade.DOWN_S);
+            region.faults.replace(remaining.remove(0), toVersion, Fault.Upgrade.DOWN_S);
         }
-        if (!left.isEmpty()) {
-            world.after(everyS * count, () -> replaceNext(everyS));
+        if (!remaining.isEmpty()) {
+            world.after(intervalS * count, () -> replaceNext(intervalS));
         }
     }
 }
--- a/src/test/java/io/pepperfield/standin/RolloutRules.java
+++ b/src/test/java/io/pepperfield/standin/RolloutRules.java
@@ -9,27 +9,27 @@
 import java.util.function.Function;
 
 /**
- * What must hold of the keys after every transaction while stored-state versions change: a run
- * record is in one form only, nobody writes under a version that is not in force, and the leader
- * key is where the version says.
+ * Invariants of the keys after every transaction while stored-state versions change: a run record
+ * exists in one format only, no controller writes under a version that is not active, and the
+ * leader key is at the location that the active version defines.
  */
 final class RolloutRules {
 
     private static final String ROOT = "pepperfield/";
-    private static final String VERSION = ROOT + "rollout/version";
-    private static final String MEMBER = ROOT + "rollout/member/";
-    private static final String SECOND_RUN = ROOT + "v2/run/";
-    private static final String FIRST_RUN = ROOT + "run/";
-    private static final Set<String> NEW_KEYS = Set.of(ROOT + "rollout/", ROOT + "v2/");
+    private static final String VERSION_KEY = ROOT + "rollout/version";
+    private static final String MEMBER_PREFIX = ROOT + "rollout/member/";
+    private static final String V2_RUN_PREFIX = ROOT + "v2/run/";
+    private static final String V1_RUN_PREFIX = ROOT + "run/";
+    private static final Set<String> NEW_KEY_PREFIXES = Set.of(ROOT + "rollout/", ROOT + "v2/");
 
-    /** Created once in the first form by every release, and read by every release. */
-    private static final Set<String> FIRST_FORM_FOR_EVER = Set.of(ROOT + "job/", ROOT + "end/");
+    /** Every release creates these records once in the first format and reads that format. */
+    private static final Set<String> ALWAYS_V1_PREFIXES = Set.of(ROOT + "job/", ROOT + "end/");
 
     private final DoubleSupplier clock;
     private final List<String> violations;
 
-    /** Records of the second form since the version last changed. */
-    private final Set<String> known = new HashSet<>();
+    /** Keys of records in the second format since the last change of the version. */
+    private final Set<String> v2RecordKeys = new HashSet<>();
 
     private int finalized = 1;
 
@@ -43,31 +43,33 @@
     }
 
     static boolean isNewKey(String key) {
-        return NEW_KEYS.stream().anyMatch(key::startsWith);
+        return NEW_KEY_PREFIXES.stream().anyMatch(key::startsWith);
     }
 
-    /** A transaction was carried out; {@code keys} and {@code get} show what there is now. */
+    /**
+     * Checks a committed transaction; {@code keys} and {@code get} show the state after the commit.
+     */
     void checkCommit(
             JsonNode transaction, NavigableSet<String> keys, Function<String, JsonNode> get) {
-        JsonNode version = get.apply(VERSION);
+        JsonNode version = get.apply(VERSION_KEY);
         int writes = version == null ? 1 : version.path("writes").asInt();
         boolean fenced = version != null && version.path("highest").asInt() > 1;
         boolean guarded = guardsVersion(transaction);
         for (JsonNode change : transaction.path("apply")) {
             String key = change.path(change.has("set") ? "set" : "delete").asText();
             if (!guarded && fenced && !mayBeUnguarded(key)) {
-                violation("written without the version's guard", key);
+                reportViolation("written without a guard on the stored-state version", key);
             }
             if (change.has("delete")) {
-                known.remove(key);
-            } else if (key.equals(VERSION)) {
-                versionChanged(version, fenced, keys, get);
-            } else if (key.startsWith(SECOND_RUN)) {
-                secondForm(key, writes, change, keys);
-            } else if (key.startsWith(FIRST_RUN)) {
-                String second = SECOND_RUN + key.substring(FIRST_RUN.length());
-                if (keys.contains(second)) {
-                    violation("in two forms", key);
+                v2RecordKeys.remove(key);
+            } else if (key.equals(VERSION_KEY)) {
+                checkVersionChange(version, fenced, keys, get);
+            } else if (key.startsWith(V2_RUN_PREFIX)) {
+                checkV2Record(key, writes, change, keys);
+            } else if (key.startsWith(V1_RUN_PREFIX)) {
+                String v2Key = V2_RUN_PREFIX + key.substring(V1_RUN_PREFIX.length());
+                if (keys.contains(v2Key)) {
+                    reportViolation("run record in two formats", key);
                 }
             }
         }
@@ -75,7 +77,7 @@
 
     private static boolean guardsVersion(JsonNode transaction) {
         for (JsonNode guard : transaction.path("guards")) {
-            if (guard.path("k").asText().equals(VERSION)) {
+            if (guard.path("k").asText().equals(VERSION_KEY)) {
                 return true;
             }
         }
@@ -83,46 +85,48 @@
     }
 
     private static boolean mayBeUnguarded(String key) {
-        return key.startsWith(MEMBER) || FIRST_FORM_FOR_EVER.stream().anyMatch(key::startsWith);
+        return key.startsWith(MEMBER_PREFIX)
+                || ALWAYS_V1_PREFIXES.stream().anyMatch(key::startsWith);
     }
 
-    private void secondForm(String key, int writes, JsonNode change, NavigableSet<String> keys) {
-        if (keys.contains(FIRST_RUN + key.substring(SECOND_RUN.length()))) {
-            violation("in two forms", key);
+    private void checkV2Record(String key, int writes, JsonNode change, NavigableSet<String> keys) {
+        if (keys.contains(V1_RUN_PREFIX + key.substring(V2_RUN_PREFIX.length()))) {
+            reportViolation("run record in two formats", key);
         }
         if (change.path("data").path("v").asInt() != 2) {
-            violation("without its version", key);
+            reportViolation("record without its format version", key);
         }
-        if (writes < 2 && !known.contains(key)) {
-            violation("newly in the second form while the first is written", key);
+        if (writes < 2 && !v2RecordKeys.contains(key)) {
+            reportViolation("new record in the second format while the first is active", key);
         }
-        known.add(key);
+        v2RecordKeys.add(key);
     }
 
-    private void versionChanged(
+    private void checkVersionChange(
             JsonNode version,
             boolean fenced,
             NavigableSet<String> keys,
             Function<String, JsonNode> get) {
-        int nowFinal = version.path("finalized").asInt();
-        if (nowFinal < finalized) {
-            violation("no longer final", version.toString());
+        int newFinalized = version.path("finalized").asInt();
+        if (newFinalized < finalized) {
+            reportViolation("finalized version decreased", version.toString());
         }
-        finalized = nowFinal;
+        finalized = newFinalized;
         if (isFence(get.apply(ROOT + "leader")) != fenced) {
-            violation("the leader key is not where the version says", version.toString());
+            reportViolation(
+                    "leader key not at the location of the active version", version.toString());
         }
-        String record = keys.ceiling(SECOND_RUN);
-        if (!fenced && record != null && record.startsWith(SECOND_RUN)) {
-            violation("left in the second form by a rollback", record);
+        String record = keys.ceiling(V2_RUN_PREFIX);
+        if (!fenced && record != null && record.startsWith(V2_RUN_PREFIX)) {
+            reportViolation("record still in the second format after a rollback", record);
         }
-        known.clear();
-        keys.tailSet(SECOND_RUN).stream()
-                .filter(key -> key.startsWith(SECOND_RUN))
-                .forEach(known::add);
+        v2RecordKeys.clear();
+        keys.tailSet(V2_RUN_PREFIX).stream()
+                .filter(key -> key.startsWith(V2_RUN_PREFIX))
+                .forEach(v2RecordKeys::add);
     }
 
-    private void violation(String what, String where) {
-        violations.add(clock.getAsDouble() + " " + what + ": " + where);
+    private void reportViolation(String description, String location) {
+        violations.add(clock.getAsDouble() + " " + description + ": " + location);
     }
 }
--- a/src/test/java/io/pepperfield/standin/Scenario.java
+++ b/src/test/java/io/pepperfield/standin/Scenario.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * A day in a region: jobs of all kinds at even intervals, and faults at their times. Played by
- * {@link SimulatedRegion#play}, and fully told by it and a seed.
+ * A scenario of a simulated region: jobs of all kinds at even intervals, and faults at given times.
+ * It is run by {@link SimulatedRegion#play}; the scenario and the seed fully determine the run.
  */
 public record Scenario(int jobs, double intervalS, List<PlannedFault> faults) {
 
-    /** A fault and when it begins. */
+    /** A fault and the time, in seconds, at which it begins. */
     public record PlannedFault(double at, Fault fault) {}
 
-    /** The first job comes then: a leader leads and knows the machine types. */
+    /** Time of the first job; a leader is elected and has loaded the machine types by then. */
     public static final double FIRST_JOB_S = 8;
 
-    /** Longer than any of the times within which users expect something once all is well again. */
-    private static final double CALM_S = 130;
+    /** Longer than any time limit of the users' expectations once all faults are over. */
+    private static final double FAULT_FREE_S = 130;
 
     public Scenario {
         faults = List.copyOf(faults);
@@ -26,7 +26,7 @@
         return new Scenario(jobs, everyS, List.of());
     }
 
-    /** The same with these faults too, all beginning at that time. */
+    /** Returns a copy of this scenario with more faults, which all begin at {@code time}. */
     public Scenario at(double time, Fault... more) {
         List<PlannedFault> all = new ArrayList<>(faults);
         for (Fault fault : more) {
@@ -35,21 +35,21 @@
         return new Scenario(jobs, intervalS, all);
     }
 
-    /** When all faults are over and the last job has come. */
+    /** When all faults are over and the last job has been submitted. */
     public double faultsOverAt() {
-        double calm = FIRST_JOB_S + jobs * intervalS;
+        double last = FIRST_JOB_S + jobs * intervalS;
         for (PlannedFault planned : faults) {
-            calm =
+            last =
                     Math.max(
-                            calm,
+                            last,
                             planned.at
                                     + planned.fault.durationS()
                                     + planned.fault.maxAfterEffectS());
         }
-        return calm;
+        return last;
     }
 
     public double endsAt() {
-        return faultsOverAt() + CALM_S;
+        return faultsOverAt() + FAULT_FREE_S;
     }
 }
--- a/src/test/java/io/pepperfield/standin/SimJob.java
+++ b/src/test/java/io/pepperfield/standin/SimJob.java
@@ -5,17 +5,17 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** One job: what its user has asked and heard, and what has become of its tasks. */
+/** A job: the requests and responses of its user, and the progress of its tasks. */
 final class SimJob {
 
     final JobPlan plan;
     boolean accepted;
     boolean cancelRequested;
 
-    /** When its user was told that it is cancelled. */
+    /** When the job was first reported to its user as cancelled; NaN if it was not. */
     double cancelledAt = Double.NaN;
 
-    /** The last status that its user heard; a final one stays. */
+    /** The last status reported to its user; a final status does not change. */
     String lastStatus = "";
 
     double lastAnswerAt;
@@ -23,13 +23,14 @@
     boolean runAfterCancelReported;
 
     /**
-     * Since when it has waited although there was room, or when it was seen without need to wait.
+     * Start of the current wait despite available capacity, or the last time at which the job was
+     * not waiting in that way.
      */
     double waitingSince;
 
     final Set<Integer> completedTasks = new HashSet<>();
 
-    /** Where its tasks are now, by their numbers. */
+    /** The worker of each running task, by task number. */
     final Map<Integer, WorkerStandIn> workersByTask = new TreeMap<>();
 
     SimJob(JobPlan plan) {
--- a/src/test/java/io/pepperfield/standin/SimOperator.java
+++ b/src/test/java/io/pepperfield/standin/SimOperator.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Queue;
 
-/** An operator at the console, who repeats a command at every controller until one confirms it. */
+/** An operator that repeats a command at every controller until one confirms it. */
 public final class SimOperator {
 
-    /** What the operator asks for. */
+    /** Rollout commands of the operator. */
     public enum Command {
         ACTIVATE("activate", "{\"to\":2,\"olderReleasesRetired\":true}"),
         FINALIZE("finalize", "{}"),
@@ -26,21 +26,21 @@
         }
     }
 
-    /** A command that is not confirmed yet, and until when it is asked for. */
+    /** A command that is not confirmed yet, and the time until which it is repeated. */
     private record Task(Command command, double until) {}
 
-    private static final double EVERY_S = 0.7;
+    private static final double RETRY_INTERVAL_S = 0.7;
 
     private final SimWorld world;
     private final List<SimNode> nodes;
     private final Queue<Task> tasks = new ArrayDeque<>();
 
-    private boolean asking;
+    private boolean polling;
 
-    /** Commands that were confirmed, in their order. */
+    /** Confirmed commands, in order. */
     public final List<Command> confirmed = new ArrayList<>();
 
-    /** Why commands were refused, in their order. */
+    /** Reasons for refused commands, in order. */
     public final List<String> refusals = new ArrayList<>();
 
     SimOperator(SimWorld world, List<SimNode> nodes) {
@@ -48,16 +48,19 @@
         this.nodes = nodes;
     }
 
-    /** Asks until then at the latest, once what was asked for before is confirmed or given up. */
+    /**
+     * Repeats a command until it is confirmed or the time is over. It starts once all earlier
+     * commands are confirmed or have timed out.
+     */
     void repeatUntilConfirmed(Command command, double until) {
         tasks.add(new Task(command, until));
-        if (!asking) {
-            ask();
+        if (!polling) {
+            sendCurrent();
         }
     }
 
-    private void ask() {
-        asking = true;
+    private void sendCurrent() {
+        polling = true;
         Task task = tasks.peek();
         for (SimNode node : nodes) {
             node.request(
@@ -65,12 +68,12 @@
                     "POST",
                     task.command.path,
                     task.command.body.getBytes(StandardCharsets.UTF_8),
-                    reply -> answered(task, reply));
+                    reply -> handleReply(task, reply));
         }
-        world.after(EVERY_S, this::askAgain);
+        world.after(RETRY_INTERVAL_S, this::continueOrStop);
     }
 
-    private void answered(Task task, HttpReply reply) {
+    private void handleReply(Task task, HttpReply reply) {
         if (reply.status() != 200) {
             refusals.add(Json.read(reply.body()).path("error").asText());
         } else if (tasks.peek() == task) {
@@ -79,11 +82,11 @@
         }
     }
 
-    private void askAgain() {
+    private void continueOrStop() {
         tasks.removeIf(task -> task.until < world.now());
-        asking = !tasks.isEmpty();
-        if (asking) {
-            ask();
+        polling = !tasks.isEmpty();
+        if (polling) {
+            sendCurrent();
         }
     }
 }
--- a/src/test/java/io/pepperfield/standin/SimPipeline.java
+++ b/src/test/java/io/pepperfield/standin/SimPipeline.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** One pipeline of which a job is cancelled at a chosen moment. */
+/** A pipeline with one job that is cancelled at a given moment. */
 final class SimPipeline {
 
     private static final double STEP_S = 0.05;
@@ -17,7 +17,7 @@
     private final int cancelled;
     private final CancelMoment moment;
     private int submitted;
-    private boolean cancelAsked;
+    private boolean cancelSent;
 
     SimPipeline(
             SimWorld world,
@@ -34,20 +34,26 @@
         this.moment = moment;
     }
 
-    /** Submits what may be submitted by now, cancels when it is time, and comes back soon. */
+    /**
+     * Submits the jobs whose dependencies are accepted, cancels the chosen job if its moment has
+     * come, and schedules the next step until both are complete.
+     */
     void step() {
-        boolean named = false;
-        while (submitted < plans.size() && acceptedBefore(submitted)) {
+        boolean dependentSubmitted = false;
+        while (submitted < plans.size() && dependenciesAccepted(submitted)) {
             JobPlan next = plans.get(submitted++);
             users.submit(next);
-            named |= next.dependencies().contains(plans.get(cancelled).id());
+            dependentSubmitted |= next.dependencies().contains(plans.get(cancelled).id());
         }
-        if (!cancelAsked && submitted > cancelled && job(cancelled).accepted && due(named)) {
-            cancelAsked = true;
+        if (!cancelSent
+                && submitted > cancelled
+                && job(cancelled).accepted
+                && isCancellationDue(dependentSubmitted)) {
+            cancelSent = true;
             users.cancel(job(cancelled));
         }
         if (submitted < plans.size()
-                || !cancelAsked && !job(cancelled).lastStatus.equals("cancelled")) {
+                || !cancelSent && !job(cancelled).lastStatus.equals("cancelled")) {
             world.after(STEP_S, this::step);
         }
     }
@@ -56,15 +62,15 @@
         return users.jobs.get(plans.get(index).id());
     }
 
-    private boolean acceptedBefore(int index) {
+    private boolean dependenciesAccepted(int index) {
         return plans.get(index).dependencies().stream().allMatch(id -> users.jobs.get(id).accepted);
     }
 
-    private boolean due(boolean named) {
+    private boolean isCancellationDue(boolean dependentSubmitted) {
         SimJob job = job(cancelled);
         return switch (moment) {
             case ACCEPTED -> true;
-            case DEPENDENT_SUBMITTED -> named || cancelled == plans.size() - 1;
+            case DEPENDENT_SUBMITTED -> dependentSubmitted || cancelled == plans.size() - 1;
             case RUNNING -> !job.workersByTask.isEmpty() || job.isComplete();
             case COMPLETE -> job.isComplete();
             case DONE -> job.lastStatus.equals("done");
@@ -75,23 +81,28 @@
         return job(cancelled).lastStatus.equals("cancelled");
     }
 
-    /** Jobs that are not cancelled though one before them is, or are though nobody asked. */
+    /**
+     * Returns the jobs that are not cancelled although a dependency is, or are cancelled without a
+     * request.
+     */
     List<String> unexpectedFinalStates() {
-        List<String> wrong = new ArrayList<>();
-        Set<Integer> lost = new TreeSet<>();
+        List<String> unexpected = new ArrayList<>();
+        Set<Integer> cancelledJobs = new TreeSet<>();
         for (int i = 0; i < plans.size(); i++) {
-            boolean needsLost = false;
-            for (int needed : shape.dependencies(i)) {
-                needsLost |= lost.contains(needed);
+            boolean dependencyCancelled = false;
+            for (int dependency : shape.dependencies(i)) {
+                dependencyCancelled |= cancelledJobs.contains(dependency);
             }
-            if (needsLost || job(i).cancelRequested && job(i).lastStatus.equals("cancelled")) {
-                lost.add(i);
+            if (dependencyCancelled
+                    || job(i).cancelRequested && job(i).lastStatus.equals("cancelled")) {
+                cancelledJobs.add(i);
             }
-            String want = lost.contains(i) ? "cancelled" : "done";
-            if (!job(i).lastStatus.equals(want)) {
-                wrong.add(plans.get(i).id() + " is " + job(i).lastStatus + ", not " + want);
+            String expected = cancelledJobs.contains(i) ? "cancelled" : "done";
+            if (!job(i).lastStatus.equals(expected)) {
+                unexpected.add(
+                        plans.get(i).id() + " is " + job(i).lastStatus + ", expected " + expected);
             }
         }
-        return wrong;
+        return unexpected;
     }
 }
--- a/src/test/java/io/pepperfield/standin/SimUserClient.java
+++ b/src/test/java/io/pepperfield/standin/SimUserClient.java
@@ -7,10 +7,10 @@
 import java.util.function.Consumer;
 import java.util.function.IntConsumer;
 
-/** Asks controllers as a user, and checks what they say of a job. */
+/** Sends requests to controllers as a user, and checks the responses about jobs. */
 final class SimUserClient {
 
-    /** Goes on with this status where no answer came. */
+    /** Passed as the status if no response arrived. */
     static final int NO_ANSWER = 0;
 
     private static final int USER_PORT = 8080;
@@ -31,8 +31,8 @@
         return world.random.nextInt(nodeCount);
     }
 
-    void reportViolation(String what) {
-        violations.add(world.now() + " " + what);
+    void reportViolation(String description) {
+        violations.add(world.now() + " " + description);
     }
 
     void send(int node, UserRequest request, Consumer<Optional<HttpOutcome.Answered>> onAnswer) {
@@ -53,18 +53,18 @@
                                                 : Optional.empty()));
     }
 
-    /** Asks a node about a job, and checks the answer. */
+    /** Sends a request about a job to a node, and checks the response. */
     void sendChecked(SimJob job, int node, UserRequest request) {
         sendChecked(job, node, request, status -> {});
     }
 
     /**
-     * Asks a node about a job, checks the answer, and goes on with its status, or {@link
-     * #NO_ANSWER}.
+     * Sends a request about a job to a node, checks the response, and passes its status, or {@link
+     * #NO_ANSWER}, to {@code onStatus}.
      */
     void sendChecked(SimJob job, int node, UserRequest request, IntConsumer onStatus) {
-        Question question =
-                new Question(
+        RequestContext context =
+                new RequestContext(
                         job,
                         job.accepted,
                         job.lastStatus,
@@ -75,54 +75,66 @@
                 node,
                 request,
                 answer -> {
-                    answer.ifPresent(given -> check(question, given));
+                    answer.ifPresent(response -> check(context, response));
                     onStatus.accept(answer.map(HttpOutcome.Answered::status).orElse(NO_ANSWER));
                 });
     }
 
-    /** What was known of a job when its user asked. */
-    private record Question(
+    /** State of a job, as its user knew it, when a request about it was sent. */
+    private record RequestContext(
             SimJob job,
             boolean accepted,
             String statusBefore,
-            double askedAt,
+            double sentAt,
             double ancestorCancelledAt,
             String description) {}
 
-    private void check(Question question, HttpOutcome.Answered answer) {
-        SimJob job = question.job;
+    private void check(RequestContext context, HttpOutcome.Answered answer) {
+        SimJob job = context.job;
         int status = answer.status();
-        if (status == 404 && question.accepted || status == 400 || status == 422) {
+        if (status == 404 && context.accepted || status == 400 || status == 422) {
             reportViolation(
-                    "forgotten: " + job.plan.id() + " got " + status + ", " + question.description);
+                    "forgotten: "
+                            + job.plan.id()
+                            + " got status "
+                            + status
+                            + ", "
+                            + context.description);
         } else if (status == 200 || status == 201) {
-            String told = answer.json().path("status").asText();
-            if (SimJob.isFinal(question.statusBefore) && !told.equals(question.statusBefore)) {
+            String reported = answer.json().path("status").asText();
+            if (SimJob.isFinal(context.statusBefore) && !reported.equals(context.statusBefore)) {
                 reportViolation(
                         "went_back: "
                                 + job.plan.id()
                                 + " was "
-                                + question.statusBefore
-                                + ", is "
-                                + told
+                                + context.statusBefore
+                                + ", is now "
+                                + reported
                                 + ", "
-                                + question.description);
+                                + context.description);
             }
             if (status == 200) {
-                rules.checkAnswer(job, told, question.askedAt, question.ancestorCancelledAt);
+                rules.checkAnswer(job, reported, context.sentAt, context.ancestorCancelledAt);
             }
-            recordStatus(job, told);
+            recordStatus(job, reported);
         }
     }
 
     private void recordStatus(SimJob job, String status) {
         job.lastAnswerAt = world.now();
         if (status.equals("done") && !job.isComplete()) {
-            reportViolation("not_done: " + job.plan.id() + " has completed " + job.completedTasks);
+            reportViolation(
+                    "not_done: "
+                            + job.plan.id()
+                            + " is reported done with completed tasks "
+                            + job.completedTasks);
         }
         if (status.equals("cancelled")) {
             if (!rules.isCancellationRequested(job)) {
-                reportViolation("went_back: " + job.plan.id() + " is cancelled and nobody asked");
+                reportViolation(
+                        "went_back: "
+                                + job.plan.id()
+                                + " is cancelled without a cancellation request");
             }
             if (Double.isNaN(job.cancelledAt)) {
                 job.cancelledAt = world.now();
@@ -131,7 +143,7 @@
         if (!job.isFinished()) {
             job.lastStatus = status;
         } else if (SimJob.isFinal(status) && !status.equals(job.lastStatus)) {
-            // Whenever the two were asked: at most one of them is true.
+            // A job has one final status, whichever of the two requests was sent first.
             reportViolation(
                     "went_back: " + job.plan.id() + " is " + job.lastStatus + " and " + status);
         }
--- a/src/test/java/io/pepperfield/standin/SimUserExpectations.java
+++ b/src/test/java/io/pepperfield/standin/SimUserExpectations.java
@@ -4,20 +4,26 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the users expect once all is well: answers about every job, and no waiting beside room. */
+/**
+ * What users expect once all faults are over: responses for every job, and no job that waits while
+ * capacity for it is available.
+ */
 final class SimUserExpectations {
 
-    /** A job of which nothing is heard for so long once all is well counts as forgotten. */
+    /**
+     * A job whose status queries have not been answered for this long, while no fault is active,
+     * counts as forgotten.
+     */
     private static final double MAX_UNANSWERED_S = 75;
 
-    /** A job may wait so long although there is room for it. */
+    /** Longest time for which a job may wait although capacity for it is available. */
     private static final double MAX_WAIT_S = 90;
 
     private final SimWorld world;
     private final List<String> violations;
     private final SimMachines machines;
     private final Map<String, SimJob> jobs;
-    private final List<String> leftWaiting = new ArrayList<>();
+    private final List<String> starvedJobs = new ArrayList<>();
 
     SimUserExpectations(
             SimWorld world,
@@ -30,27 +36,27 @@
         this.jobs = jobs;
     }
 
-    private void violation(String what) {
-        violations.add(world.now() + " " + what);
+    private void reportViolation(String description) {
+        violations.add(world.now() + " " + description);
     }
 
     /**
-     * To be called every second.
+     * Must be called once per second.
      *
-     * @param calmAt when all faults are over; only then users expect to be served
+     * @param faultsOverAt when all faults are over; from then on users expect to be served
      */
-    void check(double calmAt) {
+    void check(double faultsOverAt) {
         double now = world.now();
         for (SimJob job : jobs.values()) {
             if (!job.accepted) {
                 continue;
             }
-            if (now - Math.max(calmAt, job.lastAnswerAt) > MAX_UNANSWERED_S
+            if (now - Math.max(faultsOverAt, job.lastAnswerAt) > MAX_UNANSWERED_S
                     && !job.unansweredReported) {
-                violation(
-                        "forgotten: no question about "
+                reportViolation(
+                        "forgotten: no status query answered for job "
                                 + job.plan.id()
-                                + " answered since "
+                                + " since "
                                 + job.lastAnswerAt);
                 job.unansweredReported = true;
             }
@@ -58,7 +64,7 @@
                     job.plan.dependencies().stream()
                             .allMatch(needed -> jobs.get(needed).isComplete());
             boolean waits =
-                    now > calmAt
+                    now > faultsOverAt
                             && ready
                             && !job.isFinished()
                             && !job.plan.alwaysFails()
@@ -68,25 +74,29 @@
             if (!waits) {
                 job.waitingSince = now;
             } else if (now - job.waitingSince > MAX_WAIT_S) {
-                leftWaiting.add(
+                starvedJobs.add(
                         job.plan.id()
-                                + " waits since "
+                                + " has been waiting since "
                                 + job.waitingSince
-                                + " though there is room");
+                                + " although capacity is available");
                 job.waitingSince = Double.POSITIVE_INFINITY;
             }
         }
     }
 
     /**
-     * Jobs that are neither over nor running, and those that waited too long though there was room.
+     * Returns the jobs that are neither finished nor running, and those that waited too long while
+     * capacity was available.
      */
     List<String> leftoverJobs() {
-        List<String> left = new ArrayList<>(leftWaiting);
+        List<String> leftover = new ArrayList<>(starvedJobs);
         jobs.values().stream()
                 .filter(job -> job.accepted && !job.isFinished() && job.workersByTask.isEmpty())
-                .forEach(job -> left.add(job.plan.id() + " is " + job.lastStatus + " at the end"));
-        return left;
+                .forEach(
+                        job ->
+                                leftover.add(
+                                        job.plan.id() + " is " + job.lastStatus + " at the end"));
+        return leftover;
     }
 
     List<String> unfinishedJobs() {
--- a/src/test/java/io/pepperfield/standin/SimUsers.java
+++ b/src/test/java/io/pepperfield/standin/SimUsers.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The users: they submit, follow and cancel jobs, and check what they are told. */
+/** Simulated users that submit, poll and cancel jobs, and check the responses. */
 final class SimUsers {
 
-    /** Answers from here on ask the user to come back. */
+    /** Statuses from this one on mean that the request must be retried. */
     private static final int FIRST_RETRY_STATUS = 429;
 
     private static final double[] READ_AFTER_WRITE_DELAYS_S = {
@@ -26,7 +26,7 @@
     private double cancelAtEndUntil;
     private double cancelAtEndShare;
 
-    /** When all faults are over; only then users expect to be served. */
+    /** When all faults are over; from then on users expect every request to be served. */
     double faultsOverAt = Double.POSITIVE_INFINITY;
 
     private final int nodeCount;
@@ -44,7 +44,7 @@
         this.client = new SimUserClient(world, violations, rules, nodeCount);
         this.invalidRequests = new InvalidRequests(world, client, jobs);
         this.expectations = new SimUserExpectations(world, violations, machines, jobs);
-        machines.onJobCompleted = this::onJobEnded;
+        machines.onJobCompleted = this::onJobCompleted;
     }
 
     // ---- jobs
@@ -52,7 +52,7 @@
     void submit(JobPlan plan) {
         SimJob job = new SimJob(plan);
         jobs.put(plan.id(), job);
-        repeat(
+        sendUntilAnswered(
                 job,
                 UserRequest.submission(plan),
                 () -> {
@@ -72,26 +72,26 @@
     }
 
     /**
-     * One after the other, each as soon as those that it needs are accepted; the last perhaps only
-     * when these are over.
+     * Submits the jobs in order, each as soon as its dependencies are accepted. If {@code
+     * lastIsLate} is set, the last job is submitted only once its dependencies are finished.
      */
     void submitPipeline(List<JobPlan> plans, boolean lastIsLate) {
         JobPlan next = plans.get(0);
         boolean late = lastIsLate && plans.size() == 1;
-        boolean may =
+        boolean ready =
                 next.dependencies().stream()
                         .map(jobs::get)
                         .allMatch(job -> late ? job.isFinished() : job.accepted);
-        if (may) {
+        if (ready) {
             submit(next);
         }
-        List<JobPlan> left = may ? plans.subList(1, plans.size()) : plans;
-        if (!left.isEmpty()) {
-            world.after(0.1, () -> submitPipeline(left, lastIsLate));
+        List<JobPlan> remaining = ready ? plans.subList(1, plans.size()) : plans;
+        if (!remaining.isEmpty()) {
+            world.after(0.1, () -> submitPipeline(remaining, lastIsLate));
         }
     }
 
-    /** Once, at that node. */
+    /** Sends one cancellation to a node, without retries. */
     void cancelAt(SimJob job, int node) {
         job.cancelRequested = true;
         client.sendChecked(job, node, UserRequest.cancellation(job.plan.id()));
@@ -99,7 +99,7 @@
 
     void cancel(SimJob job) {
         job.cancelRequested = true;
-        repeat(
+        sendUntilAnswered(
                 job,
                 UserRequest.cancellation(job.plan.id()),
                 () -> {
@@ -109,7 +109,7 @@
                 });
     }
 
-    private void onJobEnded(SimJob job) {
+    private void onJobCompleted(SimJob job) {
         if (world.now() < cancelAtEndUntil && world.random.nextDouble() < cancelAtEndShare) {
             cancel(job);
         }
@@ -118,46 +118,51 @@
         }
     }
 
-    /** As users do: again after a second, at any node, until there is a proper answer. */
-    private void repeat(SimJob job, UserRequest request, Runnable done) {
+    /**
+     * Sends a request to random nodes, with a retry every second, until a response other than a
+     * retry status arrives.
+     */
+    private void sendUntilAnswered(SimJob job, UserRequest request, Runnable onResponse) {
         client.sendChecked(
                 job,
                 client.randomNode(),
                 request,
                 status -> {
                     if (status != SimUserClient.NO_ANSWER && status < FIRST_RETRY_STATUS) {
-                        done.run();
+                        onResponse.run();
                     } else {
-                        world.after(1, () -> repeat(job, request, done));
+                        world.after(1, () -> sendUntilAnswered(job, request, onResponse));
                     }
                 });
     }
 
     /**
-     * Users may ask at any time, also after the end; a crowd of them stops asking once it is told.
+     * Queries the status of a job repeatedly, also after the job has finished, as users ready query
+     * at any time. With {@code untilFinished}, stops once the user has received a final status,
+     * which limits the load of many users.
      */
-    void poll(SimJob job, boolean untilOver) {
+    void poll(SimJob job, boolean untilFinished) {
         client.sendChecked(
                 job,
                 client.randomNode(),
                 UserRequest.status(job.plan),
                 status -> {
-                    if (!untilOver || !job.isFinished()) {
+                    if (!untilFinished || !job.isFinished()) {
                         world.after(
                                 (2 + world.random.nextDouble())
                                         / (world.now() < queryFloodUntil ? 8 : 1),
-                                () -> poll(job, untilOver));
+                                () -> poll(job, untilFinished));
                     }
                 });
     }
 
     /**
-     * At all nodes again and again, from within a millisecond on; the submission is repeated among
-     * the questions.
+     * Queries a job at all nodes repeatedly, starting within a millisecond, and repeats its
+     * submission between the queries.
      */
     private void checkReadAfterWrite(SimJob job) {
-        for (double after : READ_AFTER_WRITE_DELAYS_S) {
-            world.after(after, () -> queryAllAndSubmitAgain(job));
+        for (double delayS : READ_AFTER_WRITE_DELAYS_S) {
+            world.after(delayS, () -> queryAllAndSubmitAgain(job));
         }
     }
 
@@ -168,7 +173,7 @@
         client.sendChecked(job, client.randomNode(), UserRequest.submission(job.plan));
     }
 
-    // ---- faults that users make
+    // ---- unusual load
 
     void queryMoreOften(double until) {
         queryFloodUntil = until;
@@ -191,8 +196,8 @@
     }
 
     /**
-     * Cancels up to that many jobs that run, within that time; gives the machines on which they
-     * run.
+     * Cancels up to {@code count} running jobs within {@code withinS} seconds. Returns the machines
+     * on which they run.
      */
     List<WorkerStandIn> cancelRunning(int count, double withinS) {
         List<SimJob> running =
@@ -213,15 +218,16 @@
                 .toList();
     }
 
-    // ---- what they expect
+    // ---- expectations
 
-    /** To be called every second. */
+    /** Must be called once per second. */
     void check() {
         expectations.check(faultsOverAt);
     }
 
     /**
-     * Jobs that are neither over nor running, and those that waited too long though there was room.
+     * Returns the jobs that are neither finished nor running, and those that waited too long while
+     * capacity was available.
      */
     List<String> leftoverJobs() {
         return expectations.leftoverJobs();
@@ -232,27 +238,27 @@
     }
 
     /**
-     * Asks every node about every accepted job; what was not answered with 200 within the time that
-     * users wait.
+     * Queries every node for every accepted job. Returns the queries that were not answered with
+     * 200 within 3 s, which is longer than the deadline of a query.
      */
     List<String> unansweredQueries() {
-        Map<String, SimJob> open = new LinkedHashMap<>();
+        Map<String, SimJob> unanswered = new LinkedHashMap<>();
         for (SimJob job : jobs.values()) {
             for (int node = 0; node < nodeCount && job.accepted; node++) {
-                String question = job.plan.id() + " at node " + (node + 1);
-                open.put(question, job);
+                String query = job.plan.id() + " at node " + (node + 1);
+                unanswered.put(query, job);
                 client.sendChecked(
                         job,
                         node,
                         UserRequest.status(job.plan),
                         status -> {
                             if (status == 200) {
-                                open.remove(question);
+                                unanswered.remove(query);
                             }
                         });
             }
         }
         world.run(world.now() + 3);
-        return List.copyOf(open.keySet());
+        return List.copyOf(unanswered.keySet());
     }
 }
--- a/src/test/java/io/pepperfield/standin/UserRequest.java
+++ b/src/test/java/io/pepperfield/standin/UserRequest.java
@@ -2,7 +2,7 @@
 
 import io.pepperfield.http.Json;
 
-/** A request as users send it to a controller. */
+/** A request that a user sends to a controller. */
 record UserRequest(String method, String path, byte[] body, long deadlineMs) {
 
     private static final String JOBS = "/api/jobs";
@@ -13,7 +13,10 @@
         return new UserRequest("GET", JOBS + "/" + plan.id(), null, QUERY_DEADLINE_MS);
     }
 
-    /** As {@link #status}, of an id that nobody submitted; its user waits as for a change. */
+    /**
+     * Like {@link #status}, for an id that was never submitted; it has the longer deadline of a
+     * change.
+     */
     static UserRequest statusOfUnknownJob(String id) {
         return new UserRequest("GET", JOBS + "/" + id, null, CHANGE_DEADLINE_MS);
     }
@@ -31,7 +34,7 @@
                 "POST", JOBS + "/" + id + "/cancel", new byte[0], CHANGE_DEADLINE_MS);
     }
 
-    /** What is asked of whom, for the text of a violation. */
+    /** Describes the request and its target node, for the text of a violation. */
     String describe(double sentAt, int node) {
         return path.replace(JOBS, method) + " at " + sentAt + " from node-" + node;
     }
--- a/src/test/java/io/pepperfield/standin/Version.java
+++ b/src/test/java/io/pepperfield/standin/Version.java
@@ -2,18 +2,18 @@
 
 import io.pepperfield.rollout.Release;
 
-/** Which version a controller's process runs. */
+/** Software versions that a controller process of a simulation can run. */
 public enum Version {
-    /** The version in production before the upgrade, see {@link RecordedVersion}. */
+    /** The version in production before the upgrade; see {@link RecordedVersion}. */
     RECORDED,
-    /** This one, with the rollout switched off. */
+    /** The current version, with the rollout feature disabled. */
     CURRENT,
-    /** A release that knows the version gate, and reads and writes the first version only. */
+    /** A release with the version gate that reads and writes stored-state version 1 only. */
     GATED,
-    /** This one, with the rollout switched on. */
+    /** The current version, with the rollout feature enabled. */
     ROLLOUT;
 
-    /** What it declares, or null where it knows of no versions. */
+    /** Returns the release that it declares, or null if it does not support versions. */
     Release release() {
         return switch (this) {
             case RECORDED, CURRENT -> null;
