--- a/src/test/java/io/pepperfield/standin/PipelineRules.java
+++ b/src/test/java/io/pepperfield/standin/PipelineRules.java
@@ -41,9 +41,10 @@
      * {@code cancelled}.
      */
     void checkTaskStart(SimJob job, String task) {
-        for (String needed : job.plan.dependencies()) {
-            if (!jobs.get(needed).isComplete() || !durablyDone.test(needed)) {
-                reportViolation("too_early: " + task + " before " + needed + " is durably done");
+        for (String dependency : job.plan.dependencies()) {
+            if (!jobs.get(dependency).isComplete() || !durablyDone.test(dependency)) {
+                reportViolation(
+                        "too_early: " + task + " before " + dependency + " is durably done");
             }
         }
     }
@@ -81,10 +82,10 @@
         ArrayDeque<SimJob> pending = new ArrayDeque<>(List.of(job));
         Set<String> seen = new HashSet<>();
         while (!pending.isEmpty()) {
-            for (String needed : pending.poll().plan.dependencies()) {
-                if (seen.add(needed)) {
-                    visit.accept(jobs.get(needed));
-                    pending.add(jobs.get(needed));
+            for (String dependency : pending.poll().plan.dependencies()) {
+                if (seen.add(dependency)) {
+                    visit.accept(jobs.get(dependency));
+                    pending.add(jobs.get(dependency));
                 }
             }
         }
--- a/src/test/java/io/pepperfield/standin/RolloutRules.java
+++ b/src/test/java/io/pepperfield/standin/RolloutRules.java
@@ -29,7 +29,7 @@
     private final List<String> violations;
 
     /** Keys of records in the second format since the last change of the version. */
-    private final Set<String> v2RecordKeys = new HashSet<>();
+    private final Set<String> secondFormatKeys = new HashSet<>();
 
     private int finalized = 1;
 
@@ -61,7 +61,7 @@
                 reportViolation("written without a guard on the stored-state version", key);
             }
             if (change.has("delete")) {
-                v2RecordKeys.remove(key);
+                secondFormatKeys.remove(key);
             } else if (key.equals(VERSION_KEY)) {
                 checkVersionChange(version, fenced, keys, get);
             } else if (key.startsWith(V2_RUN_PREFIX)) {
@@ -96,10 +96,10 @@
         if (change.path("data").path("v").asInt() != 2) {
             reportViolation("record without its format version", key);
         }
-        if (writes < 2 && !v2RecordKeys.contains(key)) {
+        if (writes < 2 && !secondFormatKeys.contains(key)) {
             reportViolation("new record in the second format while the first is active", key);
         }
-        v2RecordKeys.add(key);
+        secondFormatKeys.add(key);
     }
 
     private void checkVersionChange(
@@ -120,10 +120,10 @@
         if (!fenced && record != null && record.startsWith(V2_RUN_PREFIX)) {
             reportViolation("record still in the second format after a rollback", record);
         }
-        v2RecordKeys.clear();
+        secondFormatKeys.clear();
         keys.tailSet(V2_RUN_PREFIX).stream()
                 .filter(key -> key.startsWith(V2_RUN_PREFIX))
-                .forEach(v2RecordKeys::add);
+                .forEach(secondFormatKeys::add);
     }
 
     private void reportViolation(String description, String location) {
--- a/src/test/java/io/pepperfield/standin/SimUserExpectations.java
+++ b/src/test/java/io/pepperfield/standin/SimUserExpectations.java
@@ -62,7 +62,7 @@
             }
             boolean ready =
                     job.plan.dependencies().stream()
-                            .allMatch(needed -> jobs.get(needed).isComplete());
+                            .allMatch(dependency -> jobs.get(dependency).isComplete());
             boolean waits =
                     now > faultsOverAt
                             && ready
