--- a/src/test/java/io/pepperfield/standin/Decision.java
+++ b/src/test/java/io/pepperfield/standin/Decision.java
@@ -6,8 +6,7 @@
 /**
  * A decision of the controllers, as received by the machine or service that executes it.
  *
- * @param subject description of the decision that contains no names from the code, so that renames
- *     do not change the test data
+ * @param subject description of the decision that contains no names from the code
  */
 public record Decision(Kind kind, String subject) {
 
--- a/src/test/java/io/pepperfield/standin/SimUsers.java
+++ b/src/test/java/io/pepperfield/standin/SimUsers.java
@@ -137,9 +137,9 @@
     }
 
     /**
-     * Queries the status of a job repeatedly, also after the job has finished, as users ready query
-     * at any time. With {@code untilFinished}, stops once the user has received a final status,
-     * which limits the load of many users.
+     * Queries the status of a job repeatedly, also after the job has finished, as users may query
+     * at any time. With {@code untilFinished}, stops once the user has received a final status, as
+     * large numbers of users do.
      */
     void poll(SimJob job, boolean untilFinished) {
         client.sendChecked(
