--- a/src/test/java/io/pepperfield/admission/AdmissionForms.java
+++ b/src/test/java/io/pepperfield/admission/AdmissionForms.java
@@ -4,7 +4,7 @@
 import io.pepperfield.admission.Allotment.ClassShare;
 import io.pepperfield.admission.DemandReport.ClassDemand;
 import io.pepperfield.fencing.FencingToken;
-import io.pepperfield.forms.FormFile;
+import io.pepperfield.forms.GoldenFile;
 import io.pepperfield.jobs.JobSpec;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -21,9 +21,9 @@
     private AdmissionForms() {}
 
     /** Adds the path and the messages to a file of forms. */
-    public static void write(FormFile file) {
+    public static void write(GoldenFile file) {
         file.add("path", Admission.PATH);
-        file.addRewrittenByField(
+        file.addRoundTripWithFieldMutations(
                 "report",
                 AdmissionMessages.write(
                         new DemandReport(
@@ -41,7 +41,7 @@
                 Stream.of(JobSpec.Priority.values())
                         .map(priority -> new QueueWait("red", priority, 90))
                         .toList();
-        file.addRewrittenByField(
+        file.addRoundTripWithFieldMutations(
                 "allotment",
                 AdmissionMessages.write(
                         new Allotment(
--- a/src/test/java/io/pepperfield/forms/CloudForms.java
+++ b/src/test/java/io/pepperfield/forms/CloudForms.java
@@ -14,27 +14,29 @@
 /** What is asked of the cloud, and what is read of its answers. */
 final class CloudForms {
 
-    private final FormFile file;
+    private final GoldenFile file;
     private final SimulatedLoop loop = new SimulatedLoop();
     private final RecordingSender sender;
     private final HttpCloudProvider cloud;
 
-    private CloudForms(FormFile file) {
+    private CloudForms(GoldenFile file) {
         this.file = file;
         sender = new RecordingSender(file);
         cloud = new HttpCloudProvider(loop, sender, new Address("10.2.0.2", 8443), 2);
     }
 
-    static void write(FormFile file) {
+    static void write(GoldenFile file) {
         CloudForms forms = new CloudForms(file);
-        file.addRead("machine types", FormFile.json("machine-types.json"), forms::types);
-        file.addRead("machines", FormFile.json("machines.json"), forms::list);
+        file.addWithFieldMutations(
+                "machine types", GoldenFile.readJsonInput("machine-types.json"), forms::types);
+        file.addWithFieldMutations(
+                "machines", GoldenFile.readJsonInput("machines.json"), forms::list);
         forms.rent();
         forms.release();
     }
 
     private String types(JsonNode answer) {
-        sender.answer(200, Json.write(answer));
+        sender.respondWith(200, Json.write(answer));
         StringBuilder read = new StringBuilder();
         cloud.listMachineTypes(
                 types ->
@@ -48,12 +50,12 @@
 
     /** The second page is empty. */
     private String list(JsonNode answer) {
-        sender.answer(200, Json.write(answer));
+        sender.respondWith(200, Json.write(answer));
         StringBuilder read = new StringBuilder();
         cloud.listInstances(
                 machines -> read.append(machines.map(CloudForms::told).orElse("refused")));
         loop.run(loop.now() + 0.1);
-        sender.answer(200, "{\"hosts\":[],\"truncated\":false}");
+        sender.respondWith(200, "{\"hosts\":[],\"truncated\":false}");
         loop.run(loop.now() + 10);
         return read.toString();
     }
@@ -84,7 +86,7 @@
     }
 
     private void rent(int status, String answer) {
-        sender.answer(status, answer.getBytes(StandardCharsets.UTF_8));
+        sender.respondWith(status, answer.getBytes(StandardCharsets.UTF_8));
         cloud.rentInstances(
                 "p41-1",
                 "lekker-big",
@@ -106,7 +108,7 @@
 
     private void release() {
         for (int status : new int[] {200, 503}) {
-            sender.answer(status, "{}");
+            sender.respondWith(status, "{}");
             cloud.releaseInstances(
                     List.of("host-000012", "host-000013"),
                     gone -> file.add("answered " + status, gone ? "gone" : "not known"));
--- a/src/test/java/io/pepperfield/forms/CommandLineForms.java
+++ b/src/test/java/io/pepperfield/forms/CommandLineForms.java
@@ -60,11 +60,12 @@
 
     private CommandLineForms() {}
 
-    static void write(FormFile file) throws IOException {
+    static void write(GoldenFile file) throws IOException {
         describe(file, new CommandLine(new Main()));
         Path directory = Files.createTempDirectory("forms");
-        Path good = Files.write(directory.resolve("a.toml"), FormFile.input("settings.toml"));
-        Path operators = Files.write(directory.resolve("b.xml"), FormFile.input("operators.xml"));
+        Path good = Files.write(directory.resolve("a.toml"), GoldenFile.readInput("settings.toml"));
+        Path operators =
+                Files.write(directory.resolve("b.xml"), GoldenFile.readInput("operators.xml"));
         for (String line : LINES) {
             String[] arguments =
                     Stream.of(line.split(" "))
@@ -87,7 +88,7 @@
                 .execute(arguments);
     }
 
-    private static void describe(FormFile file, CommandLine command) {
+    private static void describe(GoldenFile file, CommandLine command) {
         CommandSpec spec = command.getCommandSpec();
         String name = spec.qualifiedName();
         file.add(
--- a/src/test/java/io/pepperfield/forms/FormFile.java
+++ b/src/test/java/io/pepperfield/forms/GoldenFile.java
@@ -13,19 +13,19 @@
 import java.util.List;
 
 /** The content of one golden file: forms with their names, one a line, in the order of adding. */
-public final class FormFile {
+public final class GoldenFile {
 
     /** Reads a form and says what was read, or writes it again; may fail. */
-    public interface Reader {
+    public interface Decoder {
         /** What is read, null where the form is refused. */
-        String read(JsonNode form) throws Exception;
+        String decode(JsonNode form) throws Exception;
     }
 
     private final StringBuilder text = new StringBuilder();
 
     /** An input of the tests, which no run writes. */
-    public static byte[] input(String name) {
-        try (InputStream in = FormFile.class.getResourceAsStream("/golden/input/" + name)) {
+    public static byte[] readInput(String name) {
+        try (InputStream in = GoldenFile.class.getResourceAsStream("/golden/input/" + name)) {
             return in.readAllBytes();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -33,8 +33,8 @@
     }
 
     /** An input that is JSON. */
-    public static JsonNode json(String name) {
-        return Json.read(input(name));
+    public static JsonNode readJsonInput(String name) {
+        return Json.read(readInput(name));
     }
 
     /** Adds a form. */
@@ -63,7 +63,7 @@
      * missing and where it has a value of another type. A reader that looks for another name reads
      * the whole form as if that field were missing.
      */
-    public void addRead(String name, JsonNode form, Reader reader) {
+    public void addWithFieldMutations(String name, JsonNode form, Decoder reader) {
         add(name, form);
         String whole = result(reader, form);
         add(name + " read", whole);
@@ -83,12 +83,12 @@
     }
 
     /** Adds a form, which must come back byte for byte from reading and writing it again. */
-    public void addRewritten(String name, byte[] form, Reader rewrite) {
+    public void addRoundTrip(String name, byte[] form, Decoder rewrite) {
         add(name, form);
         checkRewritten(name, form, rewrite);
     }
 
-    private static void checkRewritten(String name, byte[] form, Reader rewrite) {
+    private static void checkRewritten(String name, byte[] form, Decoder rewrite) {
         String written = new String(form, StandardCharsets.UTF_8);
         String again = result(rewrite, Json.read(form));
         if (!again.equals(written)) {
@@ -96,25 +96,25 @@
         }
     }
 
-    /** As {@link #addRewritten(String, byte[], Reader)}. */
-    public void addRewritten(String name, JsonNode form, Reader rewrite) {
-        addRewritten(name, Json.write(form), rewrite);
+    /** As {@link #addRoundTrip(String, byte[], Decoder)}. */
+    public void addRoundTrip(String name, JsonNode form, Decoder rewrite) {
+        addRoundTrip(name, Json.write(form), rewrite);
     }
 
-    /** As {@link #addRewritten} and {@link #addRead}. */
-    public void addRewrittenByField(String name, byte[] form, Reader rewrite) {
+    /** As {@link #addRoundTrip} and {@link #addWithFieldMutations}. */
+    public void addRoundTripWithFieldMutations(String name, byte[] form, Decoder rewrite) {
         checkRewritten(name, form, rewrite);
-        addRead(name, Json.read(form), rewrite);
+        addWithFieldMutations(name, Json.read(form), rewrite);
     }
 
-    /** As {@link #addRewrittenByField(String, byte[], Reader)}. */
-    public void addRewrittenByField(String name, JsonNode form, Reader rewrite) {
-        addRewrittenByField(name, Json.write(form), rewrite);
+    /** As {@link #addRoundTripWithFieldMutations(String, byte[], Decoder)}. */
+    public void addRoundTripWithFieldMutations(String name, JsonNode form, Decoder rewrite) {
+        addRoundTripWithFieldMutations(name, Json.write(form), rewrite);
     }
 
-    private static String result(Reader reader, JsonNode form) {
+    private static String result(Decoder reader, JsonNode form) {
         try {
-            String read = reader.read(form);
+            String read = reader.decode(form);
             return read == null ? "refused" : read;
         } catch (RuntimeException e) {
             return "fails";
@@ -154,7 +154,7 @@
     }
 
     /** The lines. */
-    String text() {
+    String content() {
         return text.toString();
     }
 }
--- a/src/test/java/io/pepperfield/forms/GoldenFormsTest.java
+++ b/src/test/java/io/pepperfield/forms/GoldenFormsTest.java
@@ -36,7 +36,7 @@
 
     /** Adds the forms of one kind. */
     private interface Forms {
-        void write(FormFile file) throws Exception;
+        void write(GoldenFile file) throws Exception;
     }
 
     private static final Map<String, Forms> KINDS =
@@ -66,14 +66,14 @@
 
     @ParameterizedTest
     @MethodSource("kinds")
-    void isAsRecorded(String name) throws Exception {
-        FormFile file = new FormFile();
+    void generatedFormsMatchGoldenFile(String name) throws Exception {
+        GoldenFile file = new GoldenFile();
         KINDS.get(name).write(file);
-        compare(GOLDEN.resolve(name), file.text().getBytes(StandardCharsets.UTF_8));
+        compare(GOLDEN.resolve(name), file.content().getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void deployFilesAreAsRecorded() throws IOException {
+    void deployFilesMatchGoldenCopies() throws IOException {
         for (String name : names(DEPLOY)) {
             compare(
                     GOLDEN.resolve("deploy").resolve(name),
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void everyRecordedFileIsCompared() throws IOException {
+    void everyGoldenFileIsCompared() throws IOException {
         TreeSet<String> expected = new TreeSet<>(KINDS.keySet());
         expected.addAll(List.of("deploy", "input"));
         assertEquals(List.copyOf(expected), names(GOLDEN));
@@ -112,7 +112,7 @@
     }
 
     @AfterEach
-    void writingIsNoPass() {
+    void failAfterWritingGoldenFiles() {
         if (Boolean.getBoolean(WRITE)) {
             fail("golden files were written, and nothing compared: run again without -D" + WRITE);
         }
--- a/src/test/java/io/pepperfield/forms/HttpForms.java
+++ b/src/test/java/io/pepperfield/forms/HttpForms.java
@@ -43,16 +43,16 @@
                     "rollout finalize",
                     "rollout rollback");
 
-    private final FormFile file;
+    private final GoldenFile file;
     private final EventLoopGroup network =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private volatile HttpReply answer;
 
-    private HttpForms(FormFile file) {
+    private HttpForms(GoldenFile file) {
         this.file = file;
     }
 
-    static void write(FormFile file) throws Exception {
+    static void write(GoldenFile file) throws Exception {
         HttpForms forms = new HttpForms(file);
         try {
             forms.answers();
@@ -146,11 +146,11 @@
         BlockingHttpClient client = new BlockingHttpClient(1 << 16);
         SnapshotSource source =
                 new HttpSnapshotSource(client, new Settings.Address(HOST, port), 1000);
-        answer = HttpReply.json(200, FormFile.json("state-range.json"));
+        answer = HttpReply.json(200, GoldenFile.readJsonInput("state-range.json"));
         for (String after : List.of("", "pepperfield/job/run-000001")) {
             add(source.readPage(after));
         }
-        answer = HttpReply.json(200, FormFile.json("state-follow.json"));
+        answer = HttpReply.json(200, GoldenFile.readJsonInput("state-follow.json"));
         add(source.changesSince(16));
         answer = HttpReply.empty(410);
         String why = assertThrows(IOException.class, () -> source.changesSince(16)).getMessage();
--- a/src/test/java/io/pepperfield/forms/ListenerForms.java
+++ b/src/test/java/io/pepperfield/forms/ListenerForms.java
@@ -37,7 +37,7 @@
 
     private ListenerForms() {}
 
-    static void write(FormFile file) {
+    static void write(GoldenFile file) {
         SimulatedRegion region = SimulatedRegion.beforeRollout(1, Version.ROLLOUT);
         file.add(
                 "a worker's report before anybody leads",
@@ -75,7 +75,8 @@
     }
 
     /** Of a machine that belongs to one of the controllers; also cut off from the leader. */
-    private static void writeReports(FormFile file, SimulatedRegion region, int leader, int other) {
+    private static void writeReports(
+            GoldenFile file, SimulatedRegion region, int leader, int other) {
         for (int i = 0; i < 2; i++) {
             file.add("leader, report", region.directRequests.sendHeartbeat(leader, "east"));
             file.add("other, report", region.directRequests.sendHeartbeat(other, "east"));
@@ -102,7 +103,7 @@
     }
 
     /** All fields with their types: the values depend on the moment. */
-    private static void addShape(FormFile file, String name, HttpReply reply) {
+    private static void addShape(GoldenFile file, String name, HttpReply reply) {
         TreeSet<String> fields = new TreeSet<>();
         collect(Json.read(reply.body()), "", fields);
         fields.forEach(field -> file.add(name, field));
--- a/src/test/java/io/pepperfield/forms/RecordingSender.java
+++ b/src/test/java/io/pepperfield/forms/RecordingSender.java
@@ -9,23 +9,23 @@
 /** Adds each request to a golden file, and answers it with what the test has set. */
 public final class RecordingSender implements HttpSender {
 
-    private final FormFile file;
+    private final GoldenFile file;
     private HttpOutcome answer = new HttpOutcome.NoAnswer("");
 
     /** Creates a sender that answers nothing yet. */
-    public RecordingSender(FormFile file) {
+    public RecordingSender(GoldenFile file) {
         this.file = file;
     }
 
     /** Sets the answer to all requests from now on. */
-    public RecordingSender answer(int status, byte[] body) {
+    public RecordingSender respondWith(int status, byte[] body) {
         answer = new HttpOutcome.Answered(status, body);
         return this;
     }
 
     /** Sets an answer with this text as its body. */
-    public RecordingSender answer(int status, String body) {
-        return answer(status, body.getBytes(StandardCharsets.UTF_8));
+    public RecordingSender respondWith(int status, String body) {
+        return respondWith(status, body.getBytes(StandardCharsets.UTF_8));
     }
 
     @Override
--- a/src/test/java/io/pepperfield/forms/SettingsForms.java
+++ b/src/test/java/io/pepperfield/forms/SettingsForms.java
@@ -22,7 +22,7 @@
     private SettingsForms() {}
 
     /** With each line missing, and with a value of another type in each. */
-    static void writePlatform(FormFile file) {
+    static void writePlatform(GoldenFile file) {
         List<String> lines = lines("settings.toml");
         file.add("all", platform(lines));
         writeTables(file, lines);
@@ -43,7 +43,7 @@
     }
 
     /** With each table and those in it missing, and with a number in its place. */
-    private static void writeTables(FormFile file, List<String> lines) {
+    private static void writeTables(GoldenFile file, List<String> lines) {
         for (int i = 0; i < lines.size(); i++) {
             if (lines.get(i).startsWith("[")) {
                 String name = lines.get(i).replaceAll("[\\[\\]]", "");
@@ -66,7 +66,7 @@
     }
 
     /** The kinds of objectives that count. */
-    private static void writeObjectives(FormFile file) {
+    private static void writeObjectives(GoldenFile file) {
         for (String kind : List.of("wait", "finished", "submit", "useful")) {
             Objectives aims =
                     new Objectives(List.of(new Settings.Objective(kind, "recon", 30, 0.9, 0)));
@@ -77,7 +77,7 @@
     }
 
     private static List<String> lines(String name) {
-        String text = new String(FormFile.input(name), StandardCharsets.UTF_8);
+        String text = new String(GoldenFile.readInput(name), StandardCharsets.UTF_8);
         return Arrays.asList(text.split("\n"));
     }
 
@@ -137,7 +137,7 @@
     }
 
     /** With each element missing, with values at and beyond the bounds, and twice. */
-    static void writeOperators(FormFile file) {
+    static void writeOperators(GoldenFile file) {
         file.add("no file", told(OperatorSettings.DEFAULTS));
         file.add("empty file", operators(List.of("<pepperfield/>")));
         List<String> lines = lines("operators.xml");
--- a/src/test/java/io/pepperfield/forms/StateServiceForms.java
+++ b/src/test/java/io/pepperfield/forms/StateServiceForms.java
@@ -16,12 +16,12 @@
 /** What is asked of the state service, and what is read of its answers. */
 final class StateServiceForms {
 
-    private final FormFile file;
+    private final GoldenFile file;
     private final SimulatedLoop loop = new SimulatedLoop();
     private final RecordingSender sender;
     private final HttpKeyValueStore state;
 
-    private StateServiceForms(FormFile file) {
+    private StateServiceForms(GoldenFile file) {
         this.file = file;
         sender = new RecordingSender(file);
         state = new HttpKeyValueStore(loop, sender, new Address("10.2.0.1", 2379));
@@ -29,14 +29,16 @@
         loop.run(1);
     }
 
-    static void write(FormFile file) {
+    static void write(GoldenFile file) {
         StateServiceForms forms = new StateServiceForms(file);
         for (int status : new int[] {200, 400, 409, 410, 429, 500, 503}) {
             forms.write(status, "{\"generation\":17,\"failed\":[\"pepperfield/leader\"]}");
         }
         forms.write(200, "{}");
-        file.addRead("range", FormFile.json("state-range.json"), forms::range);
-        file.addRead("follow", FormFile.json("state-follow.json"), forms::follow);
+        file.addWithFieldMutations(
+                "range", GoldenFile.readJsonInput("state-range.json"), forms::range);
+        file.addWithFieldMutations(
+                "follow", GoldenFile.readJsonInput("state-follow.json"), forms::follow);
         forms.unread();
         forms.grants();
     }
@@ -46,7 +48,7 @@
     }
 
     private void write(int status, String answer) {
-        sender.answer(status, answer);
+        sender.respondWith(status, answer);
         state.compareAndSwap(
                 RequestPriority.LEADER_WRITE,
                 List.of(
@@ -72,7 +74,7 @@
     }
 
     private String range(JsonNode answer) {
-        sender.answer(200, Json.write(answer));
+        sender.respondWith(200, Json.write(answer));
         StringBuilder read = new StringBuilder();
         state.readPage("pepperfield/job/run-000001", result -> read.append(told(result)));
         pass();
@@ -80,7 +82,7 @@
     }
 
     private String follow(JsonNode answer) {
-        sender.answer(200, Json.write(answer));
+        sender.respondWith(200, Json.write(answer));
         StringBuilder read = new StringBuilder();
         state.watch(16, 2.5, result -> read.append(told(result)));
         pass();
@@ -106,7 +108,7 @@
 
     private void unread() {
         for (int status : new int[] {410, 503}) {
-            sender.answer(status, "{}");
+            sender.respondWith(status, "{}");
             state.readPage("", result -> file.add("range answered " + status, told(result)));
             state.watch(16, 0, result -> file.add("follow answered " + status, told(result)));
             pass();
@@ -115,7 +117,7 @@
 
     private void grants() {
         for (int status : new int[] {200, 404, 503}) {
-            sender.answer(status, "{\"claim\":7}");
+            sender.respondWith(status, "{\"claim\":7}");
             state.createGrant(6.5, result -> file.add("grant answered " + status, told(result)));
             state.renewGrant(7, result -> file.add("touch answered " + status, told(result)));
             state.revokeGrant(7);
--- a/src/test/java/io/pepperfield/forms/StoredForms.java
+++ b/src/test/java/io/pepperfield/forms/StoredForms.java
@@ -52,7 +52,7 @@
     private StoredForms() {}
 
     /** The constants by their values alone, since their names may change. */
-    static void writeKeys(FormFile file) throws IllegalAccessException {
+    static void writeKeys(GoldenFile file) throws IllegalAccessException {
         TreeSet<String> names = new TreeSet<>();
         for (Field field : Keys.class.getFields()) {
             if (field.getType() == String.class) {
@@ -74,36 +74,44 @@
         return new Job(new JobSpecBuilder().id(JOB_ID).chunk(64).build(), 0);
     }
 
-    static void write(FormFile file) {
-        file.addRewrittenByField("job", JobCodec.encodeSpec(fullJob()), StoredForms::rewriteJob);
-        file.addRewritten(
+    static void write(GoldenFile file) {
+        file.addRoundTripWithFieldMutations(
+                "job", JobCodec.encodeSpec(fullJob()), StoredForms::rewriteJob);
+        file.addRoundTrip(
                 "job of defaults",
                 JobCodec.encodeSpec(new JobSpecBuilder().id(JOB_ID).build()),
                 StoredForms::rewriteJob);
         for (JobSpec.Shape shape : JobSpec.Shape.values()) {
             JobSpec job = new JobSpecBuilder().id(JOB_ID).shape(shape).build();
-            file.addRewritten("shape", JobCodec.encodeSpec(job), StoredForms::rewriteJob);
+            file.addRoundTrip("shape", JobCodec.encodeSpec(job), StoredForms::rewriteJob);
         }
         for (JobSpec.Priority rank : JobSpec.Priority.values()) {
             JobSpec job = new JobSpecBuilder().id(JOB_ID).rank(rank).build();
-            file.addRewritten("rank", JobCodec.encodeSpec(job), StoredForms::rewriteJob);
+            file.addRoundTrip("rank", JobCodec.encodeSpec(job), StoredForms::rewriteJob);
         }
-        file.addRewritten("run record", TaskState.encode(LINES), StoredForms::rewriteRunRecord);
+        file.addRoundTrip("run record", TaskState.encode(LINES), StoredForms::rewriteRunRecord);
         writeSharedRecords(file);
         for (Status end : List.of(Status.DONE, Status.CANCELLED)) {
-            file.addRewritten("end", JobCodec.encodeFinalStatus(end), StoredForms::rewriteEnd);
+            file.addRoundTrip("end", JobCodec.encodeFinalStatus(end), StoredForms::rewriteEnd);
         }
-        file.addRewrittenByField("end", JobCodec.encodeDone(DONE_MS), StoredForms::rewriteEnd);
-        file.addRewritten("types", MachineTypesCodec.encode(types()), StoredForms::rewriteTypes);
-        JsonNode type = MachineTypesCodec.encode(types()).path(0);
-        file.addRead("type", type, form -> rewriteTypes(Json.array().add(form)));
-        file.addRead("leader", FormFile.json("leader.json"), StoredForms::leaderOf);
+        file.addRoundTripWithFieldMutations(
+                "end", JobCodec.encodeDone(DONE_MS), StoredForms::rewriteEnd);
+        file.addRoundTrip(
+                "types", MachineTypesCodec.encode(machineTypes()), StoredForms::rewriteTypes);
+        JsonNode type = MachineTypesCodec.encode(machineTypes()).path(0);
+        file.addWithFieldMutations("type", type, form -> rewriteTypes(Json.array().add(form)));
+        file.addWithFieldMutations(
+                "leader", GoldenFile.readJsonInput("leader.json"), StoredForms::leaderOf);
         writeRentals(file);
-        file.addRead("rental", FormFile.json("rental.json"), form -> restored(file, form));
-        file.addRead("asked", FormFile.json("rental-asked.json"), form -> restored(file, form));
+        file.addWithFieldMutations(
+                "rental", GoldenFile.readJsonInput("rental.json"), form -> restored(file, form));
+        file.addWithFieldMutations(
+                "asked",
+                GoldenFile.readJsonInput("rental-asked.json"),
+                form -> restored(file, form));
     }
 
-    static List<MachineType> types() {
+    static List<MachineType> machineTypes() {
         return List.of(
                 new MachineType(
                         "lekker-big", 16, 2, 64, 120, 1.5, 0.69, 0.2, 25, List.of("east", "west")),
@@ -196,7 +204,7 @@
     }
 
     /** Read by the index of jobs, see the tests of the production version's values. */
-    private static void writeSharedRecords(FormFile file) {
+    private static void writeSharedRecords(GoldenFile file) {
         SharedRunRecords records = new SharedRunRecords(new FencingToken(41), 64);
         String key = records.recordKeyFor(small(), false).orElseThrow();
         records.encodeRecord(key, job -> LINES).forEach(file::add);
@@ -205,7 +213,7 @@
     }
 
     /** A rental before and after the cloud's answer, and what the next leader asks for. */
-    private static void writeRentals(FormFile file) {
+    private static void writeRentals(GoldenFile file) {
         SimulatedLoop loop = new SimulatedLoop();
         NoOpKeyValueStore state =
                 new NoOpKeyValueStore() {
@@ -260,7 +268,7 @@
         writer.flush();
     }
 
-    private static String restored(FormFile file, JsonNode form) {
+    private static String restored(GoldenFile file, JsonNode form) {
         SimulatedLoop loop = new SimulatedLoop();
         RecordingSender sender = new RecordingSender(file);
         HttpCloudProvider cloud =
--- a/src/test/java/io/pepperfield/forms/UserAnswerForms.java
+++ b/src/test/java/io/pepperfield/forms/UserAnswerForms.java
@@ -20,7 +20,7 @@
 /** What a controller answers its users, word for word, with status and time to come back. */
 final class UserAnswerForms implements NoOpKeyValueStore {
 
-    private final FormFile file;
+    private final GoldenFile file;
     private final SimulatedLoop loop = new SimulatedLoop();
     private CompareAndSwapOutcome written = new CompareAndSwapOutcome.Committed(6);
     private ReadResult read = new ReadResult.Read(List.of(), false, 5);
@@ -28,7 +28,7 @@
     private final UserRequests users;
     private int number;
 
-    private UserAnswerForms(FormFile file) {
+    private UserAnswerForms(GoldenFile file) {
         this.file = file;
         JobIndex catalog = new JobIndex(() -> 0);
         Replica replica = new Replica((key, data, stamp) -> catalog.applyChange(key, data));
@@ -70,7 +70,7 @@
         };
     }
 
-    static void write(FormFile file) {
+    static void write(GoldenFile file) {
         UserAnswerForms answers = new UserAnswerForms(file);
         answers.submissions();
         answers.withoutTheStateService();
@@ -135,7 +135,7 @@
     }
 
     private ObjectNode body() {
-        ObjectNode body = (ObjectNode) FormFile.json("submission.json");
+        ObjectNode body = (ObjectNode) GoldenFile.readJsonInput("submission.json");
         body.remove(List.of("awaits", "flavours"));
         return body.put("nameId", String.format(Locale.ROOT, "run-%06d", 100 + ++number));
     }
--- a/src/test/java/io/pepperfield/forms/UserForms.java
+++ b/src/test/java/io/pepperfield/forms/UserForms.java
@@ -26,9 +26,9 @@
 
     private UserForms() {}
 
-    static void write(FormFile file) {
-        JsonNode submission = FormFile.json("submission.json");
-        file.addRead("submission", submission, UserForms::accepted);
+    static void write(GoldenFile file) {
+        JsonNode submission = GoldenFile.readJsonInput("submission.json");
+        file.addWithFieldMutations("submission", submission, UserForms::accepted);
         for (String shape : List.of("sweep", "standing", "gang", "swarm")) {
             file.add("shape " + shape, with(submission, "shape", shape));
         }
@@ -67,7 +67,7 @@
     }
 
     /** Of a job that waits for more others than are named, runs, fails in part, and is done. */
-    private static void writeAnswers(FormFile file) {
+    private static void writeAnswers(GoldenFile file) {
         JobIndex catalog = new JobIndex(() -> 0);
         List<String> prerequisites =
                 IntStream.range(0, 18)
--- a/src/test/java/io/pepperfield/forms/WorkerForms.java
+++ b/src/test/java/io/pepperfield/forms/WorkerForms.java
@@ -22,35 +22,35 @@
 
     private WorkerForms() {}
 
-    static void write(FormFile file) {
-        JsonNode report = FormFile.json("report.json");
-        file.addRead("report", report, WorkerForms::read);
+    static void write(GoldenFile file) {
+        JsonNode report = GoldenFile.readJsonInput("report.json");
+        file.addWithFieldMutations("report", report, WorkerForms::describe);
         for (String status : List.of("pulling", "running", "saving", "ended", "waiting")) {
-            file.add("status " + status, read(withTask(report, "status", status)));
+            file.add("status " + status, describe(withTask(report, "status", status)));
         }
         for (String cause :
                 List.of("done", "stopped", "error", "no_room", "busy", "no_such", "unheard-of")) {
-            file.add("cause " + cause, read(withTask(report, "cause", cause)));
+            file.add("cause " + cause, describe(withTask(report, "cause", cause)));
         }
-        file.add("answer", WorkerProtocol.heartbeatReply(TOKEN, orders()));
+        file.add("answer", WorkerProtocol.heartbeatReply(TOKEN, sampleOrders()));
         file.add("answer without orders", WorkerProtocol.heartbeatReply(TOKEN, List.of()));
-        for (Order order : orders()) {
+        for (Order order : sampleOrders()) {
             JsonNode alone = WorkerProtocol.encodeOrders(List.of(order));
             file.add("a stop among " + alone, String.valueOf(WorkerProtocol.containsStop(alone)));
         }
-        file.add("message", WorkerProtocol.directMessage(TOKEN, TENURE, orders()));
+        file.add("message", WorkerProtocol.directMessage(TOKEN, TENURE, sampleOrders()));
         writeRequests(file);
     }
 
     /** One order of each kind. */
-    public static List<Order> orders() {
+    public static List<Order> sampleOrders() {
         TaskRef task = new TaskRef("run-000412", 3);
         return List.of(
                 new Order.Run(task, 1), new Order.Stop(task, 2, 4.5), new Order.Clear(task, 3));
     }
 
     /** What is read of a report; names of enum constants may change, their order may not. */
-    public static String read(Heartbeat report) {
+    public static String describe(Heartbeat report) {
         if (report == null) {
             return "refused";
         }
@@ -77,8 +77,8 @@
                 + tasks;
     }
 
-    private static String read(JsonNode message) {
-        return read(WorkerProtocol.parseHeartbeat(message).orElse(null));
+    private static String describe(JsonNode message) {
+        return describe(WorkerProtocol.parseHeartbeat(message).orElse(null));
     }
 
     private static JsonNode withTask(JsonNode report, String field, String value) {
@@ -87,42 +87,43 @@
         return changed;
     }
 
-    private static void writeRequests(FormFile file) {
+    private static void writeRequests(GoldenFile file) {
         SimulatedLoop loop = new SimulatedLoop();
         RecordingSender sender = new RecordingSender(file);
         HttpWorkerClient workers = new HttpWorkerClient(loop, sender, 2.5);
-        byte[] report = FormFile.input("report.json");
+        byte[] report = GoldenFile.readInput("report.json");
         for (int status : new int[] {200, 409, 400}) {
-            sender.answer(status, report);
+            sender.respondWith(status, report);
             workers.sendOrders(
                     ADDRESS,
                     TOKEN,
                     TENURE,
-                    orders(),
+                    sampleOrders(),
                     result -> file.add("orders answered " + status, told(result)));
             workers.forwardOrders(
                     ADDRESS,
                     TOKEN,
                     TENURE,
-                    WorkerProtocol.encodeOrders(orders()),
+                    WorkerProtocol.encodeOrders(sampleOrders()),
                     heard -> file.add("forwarded orders answered " + status, heard));
             workers.probe(
                     ADDRESS,
-                    answer -> file.add("probe answered " + status, read(answer.orElse(null))));
+                    answer -> file.add("probe answered " + status, describe(answer.orElse(null))));
             loop.run(loop.now() + 1);
         }
     }
 
     private static String told(WorkerClient.Result result) {
         if (result instanceof WorkerClient.Result.Responded heard) {
-            return (heard.executed() ? "executed, " : "not executed, ") + read(heard.heartbeat());
+            return (heard.executed() ? "executed, " : "not executed, ")
+                    + describe(heard.heartbeat());
         }
         return result instanceof WorkerClient.Result.NotSent ? "not sent" : "no answer";
     }
 
     /** A report as a worker sends it. */
-    public static byte[] report() {
-        String text = new String(FormFile.input("report.json"), StandardCharsets.UTF_8);
+    public static byte[] heartbeatBody() {
+        String text = new String(GoldenFile.readInput("report.json"), StandardCharsets.UTF_8);
         return text.strip().getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/src/test/java/io/pepperfield/peer/PeerForms.java
+++ b/src/test/java/io/pepperfield/peer/PeerForms.java
@@ -6,7 +6,7 @@
 import io.pepperfield.fleet.Heartbeat;
 import io.pepperfield.fleet.HttpWorkerClient;
 import io.pepperfield.fleet.WorkerProtocol;
-import io.pepperfield.forms.FormFile;
+import io.pepperfield.forms.GoldenFile;
 import io.pepperfield.forms.RecordingSender;
 import io.pepperfield.forms.WorkerForms;
 import io.pepperfield.http.HttpReply;
@@ -30,12 +30,12 @@
     private static final Settings SETTINGS =
             RegionSettings.of(0, 3, new Settings.StoreLimits(150, 60, 8, 32));
 
-    private final FormFile file;
+    private final GoldenFile file;
     private final SimulatedLoop loop = new SimulatedLoop();
     private final RecordingSender sender;
     private final Peers peers;
 
-    private PeerForms(FormFile file) {
+    private PeerForms(GoldenFile file) {
         this.file = file;
         sender = new RecordingSender(file);
         peers = new Peers(loop, SETTINGS, sender);
@@ -43,22 +43,23 @@
     }
 
     /** Adds all forms to the file. */
-    public static void write(FormFile file) {
+    public static void write(GoldenFile file) {
         byte[] batch = batch();
-        file.addRead(
+        file.addWithFieldMutations(
                 "batch",
                 Json.read(batch),
                 form -> PeerMessages.readBatch(form).map(PeerForms::describe).orElse("refused"));
         List<LeaderVerdict> verdicts =
                 List.of(
-                        new LeaderVerdict.Orders(WorkerProtocol.encodeOrders(WorkerForms.orders())),
+                        new LeaderVerdict.Orders(
+                                WorkerProtocol.encodeOrders(WorkerForms.sampleOrders())),
                         new LeaderVerdict.FullHeartbeatRequired(),
                         new LeaderVerdict.Refused());
-        file.addRewrittenByField(
+        file.addRoundTripWithFieldMutations(
                 "answer",
                 PeerMessages.writeBatchReply(TOKEN, 0.25, List.of("node-0", "node-1"), verdicts),
                 PeerForms::rewriteReply);
-        file.addRewrittenByField(
+        file.addRoundTripWithFieldMutations(
                 "orders",
                 PeerMessages.writeDirectOrders(
                         TOKEN,
@@ -66,13 +67,13 @@
                                 new PeerMessages.DirectOrderMessage(
                                         "10.1.0.14:9000",
                                         3,
-                                        WorkerProtocol.encodeOrders(WorkerForms.orders())))),
+                                        WorkerProtocol.encodeOrders(WorkerForms.sampleOrders())))),
                 form ->
                         toText(
                                 PeerMessages.writeDirectOrders(
                                         new FencingToken(form.path("epoch").longValue()),
                                         PeerMessages.readDirectOrders(form))));
-        file.addRewrittenByField(
+        file.addRoundTripWithFieldMutations(
                 "cancelled",
                 PeerMessages.writeCancelledJobs(List.of("run-000412", "run-000413")),
                 form ->
@@ -86,12 +87,12 @@
 
     private static byte[] batch() {
         Heartbeat heartbeat =
-                WorkerProtocol.parseHeartbeat(Json.read(WorkerForms.report())).orElseThrow();
+                WorkerProtocol.parseHeartbeat(Json.read(WorkerForms.heartbeatBody())).orElseThrow();
         HeartbeatBatchBuilder batch = new HeartbeatBatchBuilder("node-0", "a-process", 7, TOKEN);
-        batch.addFull(WorkerForms.report());
+        batch.addFull(WorkerForms.heartbeatBody());
         batch.addRepeated(heartbeat, heartbeat);
-        batch.addDirectOrderReply(WorkerForms.report());
-        batch.addCached(WorkerForms.report(), 0.7);
+        batch.addDirectOrderReply(WorkerForms.heartbeatBody());
+        batch.addCached(WorkerForms.heartbeatBody(), 0.7);
         return batch.encode();
     }
 
@@ -107,7 +108,9 @@
         batch.heartbeats()
                 .forEach(heartbeat -> description.append("; ").append(describe(heartbeat)));
         batch.directOrderReplies()
-                .forEach(heartbeat -> description.append("; ").append(WorkerForms.read(heartbeat)));
+                .forEach(
+                        heartbeat ->
+                                description.append("; ").append(WorkerForms.describe(heartbeat)));
         batch.cachedHeartbeats()
                 .forEach(
                         cached ->
@@ -115,13 +118,13 @@
                                         .append("; of ")
                                         .append(cached.ageS())
                                         .append(" s before ")
-                                        .append(WorkerForms.read(cached.heartbeat())));
+                                        .append(WorkerForms.describe(cached.heartbeat())));
         return description.toString();
     }
 
     private static String describe(ForwardedHeartbeat heartbeat) {
         if (heartbeat instanceof ForwardedHeartbeat.Full full) {
-            return WorkerForms.read(full.heartbeat());
+            return WorkerForms.describe(full.heartbeat());
         }
         ForwardedHeartbeat.Repeated repeated = (ForwardedHeartbeat.Repeated) heartbeat;
         return repeated.machine()
@@ -153,7 +156,7 @@
     }
 
     private void send(byte[] batch) {
-        sender.answer(200, "{\"contactAgoMs\":6000,\"epoch\":41}");
+        sender.respondWith(200, "{\"contactAgoMs\":6000,\"epoch\":41}");
         loop.run(10);
         peers.tick(10, 5, TOKEN);
         loop.run(10);
@@ -166,7 +169,12 @@
                 new PartitionOrderRouter(new HttpWorkerClient(loop, sender, 1), peers, SETTINGS);
         for (String controller : List.of("node-1", "node-2", "")) {
             orders.sendOrders(
-                    controller, "10.1.0.14:9000", TOKEN, 3, WorkerForms.orders(), result -> {});
+                    controller,
+                    "10.1.0.14:9000",
+                    TOKEN,
+                    3,
+                    WorkerForms.sampleOrders(),
+                    result -> {});
         }
         orders.flush();
         HeartbeatForwarder forwarder =
@@ -182,7 +190,7 @@
                                                 + withoutIncarnation(request.body())),
                         SETTINGS);
         forwarder.setLeader("node-1");
-        byte[] encoded = WorkerForms.report();
+        byte[] encoded = WorkerForms.heartbeatBody();
         forwarder.submit(
                 WorkerProtocol.parseHeartbeat(Json.read(encoded)).orElseThrow(),
                 encoded,
@@ -200,8 +208,8 @@
         receive("POST", "/peer/contact", new byte[0]);
         receive("POST", "/peer/relay", batch);
         receive("POST", "/peer/relay", "{}".getBytes(StandardCharsets.UTF_8));
-        receive("POST", "/peer/orders", FormFile.input("peer-orders.json"));
-        receive("POST", "/peer/cancelled", FormFile.input("peer-cancelled.json"));
+        receive("POST", "/peer/orders", GoldenFile.readInput("peer-orders.json"));
+        receive("POST", "/peer/cancelled", GoldenFile.readInput("peer-cancelled.json"));
         receive("POST", "/peer/unknown", new byte[0]);
         receive("GET", "/peer/relay", new byte[0]);
         peers.addEndpoint("/peer/path", (call, reply) -> reply.accept(HttpReply.empty(200)));
--- a/src/test/java/io/pepperfield/recovery/ArchiveForms.java
+++ b/src/test/java/io/pepperfield/recovery/ArchiveForms.java
@@ -1,7 +1,7 @@
 package io.pepperfield.recovery;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.pepperfield.forms.FormFile;
+import io.pepperfield.forms.GoldenFile;
 import io.pepperfield.http.Json;
 import io.pepperfield.store.KeyValueStore.KeyValue;
 import java.nio.charset.StandardCharsets;
@@ -13,7 +13,7 @@
     private ArchiveForms() {}
 
     /** Adds the entries to the file. */
-    public static void write(FormFile file) {
+    public static void write(GoldenFile file) {
         byte[] page =
                 ArchiveItemsCodec.encode(
                         List.of(
@@ -23,8 +23,9 @@
         file.add("name of a page", ArchiveWriter.pageName(12));
         file.add("name of the changes", ArchiveWriter.CHANGES_ENTRY);
         file.add("name of the manifest", ArchiveManifest.NAME);
-        file.addRewritten("page", page, ArchiveForms::rewriteItems);
-        file.addRead("key", Json.read(page).path(0), json -> rewriteItems(Json.array().add(json)));
+        file.addRoundTrip("page", page, ArchiveForms::rewriteItems);
+        file.addWithFieldMutations(
+                "key", Json.read(page).path(0), json -> rewriteItems(Json.array().add(json)));
         ArchiveManifest manifest =
                 new ArchiveManifest(
                         42,
@@ -34,7 +35,7 @@
                                         ArchiveWriter.pageName(1),
                                         page.length,
                                         ArchiveWriter.sha256(page))));
-        file.addRewrittenByField(
+        file.addRoundTripWithFieldMutations(
                 "manifest",
                 manifest.encode(),
                 json -> text(ArchiveManifest.decode(Json.write(json)).encode()));
--- a/src/test/java/io/pepperfield/rollout/RolloutCommandForms.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutCommandForms.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.pepperfield.config.Settings;
 import io.pepperfield.fencing.FencingToken;
-import io.pepperfield.forms.FormFile;
+import io.pepperfield.forms.GoldenFile;
 import io.pepperfield.http.HttpReply;
 import io.pepperfield.http.InboundRequest;
 import io.pepperfield.http.Json;
@@ -38,9 +38,10 @@
     }
 
     /** Adds the requests and replies to the file. */
-    public static void write(FormFile file) {
-        JsonNode activate = FormFile.json("rollout-activate.json");
-        file.addRead("activate", activate, body -> new RolloutCommandForms().activate(body));
+    public static void write(GoldenFile file) {
+        JsonNode activate = GoldenFile.readJsonInput("rollout-activate.json");
+        file.addWithFieldMutations(
+                "activate", activate, body -> new RolloutCommandForms().activate(body));
         ObjectNode unknown = ((ObjectNode) activate.deepCopy()).put("to", 3);
         file.add(
                 "activate a version of a later release",
--- a/src/test/java/io/pepperfield/rollout/RolloutForms.java
+++ b/src/test/java/io/pepperfield/rollout/RolloutForms.java
@@ -1,7 +1,7 @@
 package io.pepperfield.rollout;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.pepperfield.forms.FormFile;
+import io.pepperfield.forms.GoldenFile;
 import io.pepperfield.http.Json;
 import io.pepperfield.jobs.TaskState;
 import io.pepperfield.jobs.TaskState.Phase;
@@ -23,7 +23,7 @@
     private RolloutForms() {}
 
     /** Adds the records to the file. */
-    public static void write(FormFile file) {
+    public static void write(GoldenFile file) {
         file.add("path", Rollout.PATH);
         file.add("this release", new MemberRelease(Release.CURRENT, "a-process", 9).toJson());
         for (ClusterVersion version :
@@ -34,11 +34,11 @@
                         ACTIVE.rollingBack(),
                         ACTIVE.rolledBack())) {
             file.add("phase", version.phase().name());
-            file.addRewritten("version", version.toJson(), RolloutForms::rewriteVersion);
+            file.addRoundTrip("version", version.toJson(), RolloutForms::rewriteVersion);
         }
-        file.addRead("version", ACTIVE.toJson(), RolloutForms::rewriteVersion);
+        file.addWithFieldMutations("version", ACTIVE.toJson(), RolloutForms::rewriteVersion);
         MemberRelease member = new MemberRelease(new Release("9.1.0", 1, 3, 2), "a-process", 9);
-        file.addRewrittenByField("member", member.toJson(), RolloutForms::rewriteMember);
+        file.addRoundTripWithFieldMutations("member", member.toJson(), RolloutForms::rewriteMember);
         file.add("fence", VersionedKeyValueStore.fenceValue());
         String key = Keys.runRecord("run-000412", 3);
         file.add("key of a compact run record", VersionedKeyValueStore.compactKey(key));
@@ -47,11 +47,11 @@
                 VersionedKeyValueStore.versionOneKey(VersionedKeyValueStore.compactKey(key)));
         JsonNode versionOneRecord = TaskState.encode(taskStates());
         file.add("run record", versionOneRecord);
-        file.addRewritten(
+        file.addRoundTrip(
                 "compact run record",
                 CompactRunRecordCodec.encode(versionOneRecord),
                 json -> text(CompactRunRecordCodec.encode(CompactRunRecordCodec.decode(json))));
-        file.addRead(
+        file.addWithFieldMutations(
                 "compact run record decoded",
                 CompactRunRecordCodec.encode(versionOneRecord),
                 json -> text(CompactRunRecordCodec.decode(json)));
@@ -84,7 +84,7 @@
     }
 
     /** Adds the transactions that reach the state service in each version. */
-    private static void writeTransactions(FormFile file) {
+    private static void writeTransactions(GoldenFile file) {
         KeyValueStore store = new RecordingKeyValueStore(file);
         for (ClusterVersion version : List.of(ClusterVersion.INITIAL, ACTIVE)) {
             VersionGate gate = new VersionGate(Release.CURRENT);
@@ -112,7 +112,7 @@
     }
 
     /** Adds each transaction that it receives to the file. */
-    private record RecordingKeyValueStore(FormFile file) implements NoOpKeyValueStore {
+    private record RecordingKeyValueStore(GoldenFile file) implements NoOpKeyValueStore {
         @Override
         public void compareAndSwap(
                 RequestPriority priority,
