--- a/src/test/java/io/pepperfield/forms/CloudForms.java
+++ b/src/test/java/io/pepperfield/forms/CloudForms.java
@@ -11,7 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** What is asked of the cloud, and what is read of its answers. */
+/** Requests to the cloud API and the decoded replies. */
 final class CloudForms {
 
     private final GoldenFile file;
@@ -28,90 +28,93 @@
     static void write(GoldenFile file) {
         CloudForms forms = new CloudForms(file);
         file.addWithFieldMutations(
-                "machine types", GoldenFile.readJsonInput("machine-types.json"), forms::types);
+                "machine types",
+                GoldenFile.readJsonInput("machine-types.json"),
+                forms::decodeMachineTypes);
         file.addWithFieldMutations(
-                "machines", GoldenFile.readJsonInput("machines.json"), forms::list);
-        forms.rent();
-        forms.release();
+                "machines", GoldenFile.readJsonInput("machines.json"), forms::decodeInstances);
+        forms.writeRentals();
+        forms.writeReleases();
     }
 
-    private String types(JsonNode answer) {
-        sender.respondWith(200, Json.write(answer));
-        StringBuilder read = new StringBuilder();
+    private String decodeMachineTypes(JsonNode reply) {
+        sender.respondWith(200, Json.write(reply));
+        StringBuilder description = new StringBuilder();
         cloud.listMachineTypes(
                 types ->
-                        read.append(
+                        description.append(
                                 types.isPresent()
                                         ? MachineTypesCodec.encode(types.get())
                                         : "refused"));
         loop.run(loop.now() + 10);
-        return read.toString();
+        return description.toString();
     }
 
-    /** The second page is empty. */
-    private String list(JsonNode answer) {
-        sender.respondWith(200, Json.write(answer));
-        StringBuilder read = new StringBuilder();
+    /** Decodes a list of instances; the second page of the list is empty. */
+    private String decodeInstances(JsonNode reply) {
+        sender.respondWith(200, Json.write(reply));
+        StringBuilder description = new StringBuilder();
         cloud.listInstances(
-                machines -> read.append(machines.map(CloudForms::told).orElse("refused")));
+                instances ->
+                        description.append(instances.map(CloudForms::describe).orElse("refused")));
         loop.run(loop.now() + 0.1);
         sender.respondWith(200, "{\"hosts\":[],\"truncated\":false}");
         loop.run(loop.now() + 10);
-        return read.toString();
+        return description.toString();
     }
 
-    private static String told(List<ListedInstance> machines) {
+    private static String describe(List<ListedInstance> instances) {
         return String.join(
                 ", ",
-                machines.stream()
+                instances.stream()
                         .map(
-                                m ->
+                                instance ->
                                         String.join(
                                                 " ",
-                                                m.name(),
-                                                m.address(),
-                                                m.type(),
-                                                m.zone(),
-                                                m.spot() ? "spot" : "ordinary",
-                                                m.status(),
-                                                String.valueOf(m.ageS())))
+                                                instance.name(),
+                                                instance.address(),
+                                                instance.type(),
+                                                instance.zone(),
+                                                instance.spot() ? "spot" : "ordinary",
+                                                instance.status(),
+                                                String.valueOf(instance.ageS())))
                         .toList());
     }
 
-    private void rent() {
-        rent(200, "{\"hosts\":[\"host-000012\",\"host-000013\"]}");
-        rent(200, "{\"names\":[]}");
-        rent(503, "{\"error\":\"no capacity\"}");
-        rent(503, "{\"error\":\"busy\"}");
+    private void writeRentals() {
+        writeRentals(200, "{\"hosts\":[\"host-000012\",\"host-000013\"]}");
+        writeRentals(200, "{\"names\":[]}");
+        writeRentals(503, "{\"error\":\"no capacity\"}");
+        writeRentals(503, "{\"error\":\"busy\"}");
     }
 
-    private void rent(int status, String answer) {
-        sender.respondWith(status, answer.getBytes(StandardCharsets.UTF_8));
+    private void writeRentals(int status, String reply) {
+        sender.respondWith(status, reply.getBytes(StandardCharsets.UTF_8));
         cloud.rentInstances(
                 "p41-1",
                 "lekker-big",
                 "west",
                 true,
                 2,
-                result -> file.add("answered " + status + " " + answer, told(result)));
+                outcome -> file.add("answered " + status + " " + reply, describe(outcome)));
         loop.run(loop.now() + 10);
     }
 
-    private static String told(RentalOutcome result) {
-        if (result instanceof RentalOutcome.Granted machines) {
-            return "rented " + machines.instanceNames();
+    private static String describe(RentalOutcome outcome) {
+        if (outcome instanceof RentalOutcome.Granted granted) {
+            return "rented " + granted.instanceNames();
         }
-        return result instanceof RentalOutcome.Failed failed
+        return outcome instanceof RentalOutcome.Failed failed
                 ? "failed: " + failed.reason()
                 : "no capacity";
     }
 
-    private void release() {
+    private void writeReleases() {
         for (int status : new int[] {200, 503}) {
             sender.respondWith(status, "{}");
             cloud.releaseInstances(
                     List.of("host-000012", "host-000013"),
-                    gone -> file.add("answered " + status, gone ? "gone" : "not known"));
+                    released -> file.add("answered " + status, released ? "gone" : "not known"));
             loop.run(loop.now() + 10);
         }
     }
--- a/src/test/java/io/pepperfield/forms/CommandLineForms.java
+++ b/src/test/java/io/pepperfield/forms/CommandLineForms.java
@@ -14,11 +14,14 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Model.OptionSpec;
 
-/** The commands with their options, parameters and exit codes; not what they print. */
+/** The commands with their options, parameters and exit codes; their output is not covered. */
 final class CommandLineForms {
 
-    /** Command lines that end without a controller; FILE stands for a file that does not exist. */
-    private static final List<String> LINES =
+    /**
+     * Command lines that terminate without a running controller. FILE stands for a file that does
+     * not exist, GOOD for valid platform settings, OPERATORS for valid operator settings.
+     */
+    private static final List<String> COMMAND_LINES =
             List.of(
                     "",
                     "--help",
@@ -61,23 +64,28 @@
     private CommandLineForms() {}
 
     static void write(GoldenFile file) throws IOException {
-        describe(file, new CommandLine(new Main()));
+        writeCommand(file, new CommandLine(new Main()));
         Path directory = Files.createTempDirectory("forms");
-        Path good = Files.write(directory.resolve("a.toml"), GoldenFile.readInput("settings.toml"));
-        Path operators =
+        Path platformSettings =
+                Files.write(directory.resolve("a.toml"), GoldenFile.readInput("settings.toml"));
+        Path operatorSettings =
                 Files.write(directory.resolve("b.xml"), GoldenFile.readInput("operators.xml"));
-        for (String line : LINES) {
+        for (String line : COMMAND_LINES) {
             String[] arguments =
                     Stream.of(line.split(" "))
                             .filter(word -> !word.isEmpty())
-                            .map(word -> word.equals("GOOD") ? good.toString() : word)
-                            .map(word -> word.equals("OPERATORS") ? operators.toString() : word)
+                            .map(word -> word.equals("GOOD") ? platformSettings.toString() : word)
+                            .map(
+                                    word ->
+                                            word.equals("OPERATORS")
+                                                    ? operatorSettings.toString()
+                                                    : word)
                             .map(word -> word.equals("FILE") ? directory + "/none" : word)
                             .toArray(String[]::new);
             file.add("exit code of pepperfield " + line, String.valueOf(run(arguments)));
         }
-        Files.delete(good);
-        Files.delete(operators);
+        Files.delete(platformSettings);
+        Files.delete(operatorSettings);
         Files.delete(directory);
     }
 
@@ -88,7 +96,7 @@
                 .execute(arguments);
     }
 
-    private static void describe(GoldenFile file, CommandLine command) {
+    private static void writeCommand(GoldenFile file, CommandLine command) {
         CommandSpec spec = command.getCommandSpec();
         String name = spec.qualifiedName();
         file.add(
@@ -107,13 +115,18 @@
                         option ->
                                 file.add(
                                         name + " option",
-                                        String.join(", ", option.names()) + described(option)));
+                                        String.join(", ", option.names())
+                                                + describeArgument(option)));
         spec.positionalParameters()
-                .forEach(one -> file.add(name + " parameter", one.index() + described(one)));
-        command.getSubcommands().values().forEach(sub -> describe(file, sub));
+                .forEach(
+                        parameter ->
+                                file.add(
+                                        name + " parameter",
+                                        parameter.index() + describeArgument(parameter)));
+        command.getSubcommands().values().forEach(subcommand -> writeCommand(file, subcommand));
     }
 
-    private static String described(ArgSpec argument) {
+    private static String describeArgument(ArgSpec argument) {
         return ", arity "
                 + argument.arity()
                 + (argument.required() ? ", required" : "")
@@ -125,12 +138,15 @@
                 + (argument.arity().max() == 0 ? "" : ", " + argument.paramLabel());
     }
 
-    /** With the name of the environment's variable, whatever the environment of the test. */
+    /**
+     * Returns the default as declared. Environment variables are not expanded, so the result does
+     * not depend on the environment of the test.
+     */
     private static String declaredDefault(ArgSpec argument) {
         CommandLine command = argument.command().commandLine();
         command.setInterpolateVariables(false);
-        String declared = argument.defaultValue();
+        String declaredValue = argument.defaultValue();
         command.setInterpolateVariables(true);
-        return declared;
+        return declaredValue;
     }
 }
--- a/src/test/java/io/pepperfield/forms/GoldenFile.java
+++ b/src/test/java/io/pepperfield/forms/GoldenFile.java
@@ -12,18 +12,21 @@
 import java.util.Iterator;
 import java.util.List;
 
-/** The content of one golden file: forms with their names, one a line, in the order of adding. */
+/**
+ * The content of one golden file: encoded forms with their names, one per line, in the order in
+ * which they were added.
+ */
 public final class GoldenFile {
 
-    /** Reads a form and says what was read, or writes it again; may fail. */
+    /** Decodes a form and returns a description of the result, or encodes it again; may fail. */
     public interface Decoder {
-        /** What is read, null where the form is refused. */
+        /** Returns the description or the encoded form, or null if the form is rejected. */
         String decode(JsonNode form) throws Exception;
     }
 
     private final StringBuilder text = new StringBuilder();
 
-    /** An input of the tests, which no run writes. */
+    /** Reads an input file of the tests, which is never rewritten with the golden files. */
     public static byte[] readInput(String name) {
         try (InputStream in = GoldenFile.class.getResourceAsStream("/golden/input/" + name)) {
             return in.readAllBytes();
@@ -32,12 +35,12 @@
         }
     }
 
-    /** An input that is JSON. */
+    /** Reads a JSON input file of the tests. */
     public static JsonNode readJsonInput(String name) {
         return Json.read(readInput(name));
     }
 
-    /** Adds a form. */
+    /** Adds a form as text. */
     public void add(String name, String form) {
         text.append(name).append(": ").append(form.strip()).append('\n');
     }
@@ -52,70 +55,79 @@
         add(name, Json.write(form));
     }
 
-    /** Adds an answer with its status, and the seconds until a retry where it names them. */
+    /** Adds a reply with its status, its body and, if present, the retry delay in seconds. */
     public void add(String name, HttpReply reply) {
-        String later = reply.retryAfterS() > 0 ? " after " + reply.retryAfterS() + " s" : "";
-        add(name, reply.status() + later + " " + new String(reply.body(), StandardCharsets.UTF_8));
+        String retryDelay = reply.retryAfterS() > 0 ? " after " + reply.retryAfterS() + " s" : "";
+        add(
+                name,
+                reply.status()
+                        + retryDelay
+                        + " "
+                        + new String(reply.body(), StandardCharsets.UTF_8));
     }
 
     /**
-     * Adds a form and what is read of it; then, for each of its fields, what is read where it is
-     * missing and where it has a value of another type. A reader that looks for another name reads
-     * the whole form as if that field were missing.
+     * Adds a form and its decoded result; then, for each field, the result of decoding the form
+     * without the field and with a value of another type. This detects a decoder that looks for
+     * another field name: it decodes the complete form as if the field were missing.
      */
-    public void addWithFieldMutations(String name, JsonNode form, Decoder reader) {
+    public void addWithFieldMutations(String name, JsonNode form, Decoder decoder) {
         add(name, form);
-        String whole = result(reader, form);
-        add(name + " read", whole);
-        for (List<String> path : fields(form, List.of())) {
+        String unmodified = decodeOrError(decoder, form);
+        add(name + " read", unmodified);
+        for (List<String> path : fieldPaths(form, List.of())) {
             String field = String.join(".", path);
             ObjectNode missing = form.deepCopy();
             ((ObjectNode) parent(missing, path)).remove(path.get(path.size() - 1));
-            addOther(name + " without " + field, result(reader, missing), whole);
+            addMutated(name + " without " + field, decodeOrError(decoder, missing), unmodified);
             ObjectNode mistyped = form.deepCopy();
             ((ObjectNode) parent(mistyped, path)).putObject(path.get(path.size() - 1));
-            addOther(name + " with another type of " + field, result(reader, mistyped), whole);
+            addMutated(
+                    name + " with another type of " + field,
+                    decodeOrError(decoder, mistyped),
+                    unmodified);
         }
     }
 
-    private void addOther(String name, String read, String whole) {
-        add(name, read.equals(whole) ? "read alike" : read);
+    private void addMutated(String name, String decoded, String unmodified) {
+        add(name, decoded.equals(unmodified) ? "read alike" : decoded);
     }
 
-    /** Adds a form, which must come back byte for byte from reading and writing it again. */
-    public void addRoundTrip(String name, byte[] form, Decoder rewrite) {
+    /** Adds a form and checks that decoding and encoding it again yields the same bytes. */
+    public void addRoundTrip(String name, byte[] form, Decoder reencoder) {
         add(name, form);
-        checkRewritten(name, form, rewrite);
+        checkRoundTrip(name, form, reencoder);
     }
 
-    private static void checkRewritten(String name, byte[] form, Decoder rewrite) {
-        String written = new String(form, StandardCharsets.UTF_8);
-        String again = result(rewrite, Json.read(form));
-        if (!again.equals(written)) {
-            throw new AssertionError(name + " was " + written + " and is rewritten as " + again);
+    private static void checkRoundTrip(String name, byte[] form, Decoder reencoder) {
+        String original = new String(form, StandardCharsets.UTF_8);
+        String reencoded = decodeOrError(reencoder, Json.read(form));
+        if (!reencoded.equals(original)) {
+            throw new AssertionError(
+                    name + ": decoding and re-encoding " + original + " yields " + reencoded);
         }
     }
 
-    /** As {@link #addRoundTrip(String, byte[], Decoder)}. */
-    public void addRoundTrip(String name, JsonNode form, Decoder rewrite) {
-        addRoundTrip(name, Json.write(form), rewrite);
+    /** Like {@link #addRoundTrip(String, byte[], Decoder)}, for a JSON node. */
+    public void addRoundTrip(String name, JsonNode form, Decoder reencoder) {
+        addRoundTrip(name, Json.write(form), reencoder);
     }
 
-    /** As {@link #addRoundTrip} and {@link #addWithFieldMutations}. */
-    public void addRoundTripWithFieldMutations(String name, byte[] form, Decoder rewrite) {
-        checkRewritten(name, form, rewrite);
-        addWithFieldMutations(name, Json.read(form), rewrite);
+    /** Combines {@link #addRoundTrip} and {@link #addWithFieldMutations}. */
+    public void addRoundTripWithFieldMutations(String name, byte[] form, Decoder reencoder) {
+        checkRoundTrip(name, form, reencoder);
+        addWithFieldMutations(name, Json.read(form), reencoder);
     }
 
-    /** As {@link #addRoundTripWithFieldMutations(String, byte[], Decoder)}. */
-    public void addRoundTripWithFieldMutations(String name, JsonNode form, Decoder rewrite) {
-        addRoundTripWithFieldMutations(name, Json.write(form), rewrite);
+    /** Like {@link #addRoundTripWithFieldMutations(String, byte[], Decoder)}, for a JSON node. */
+    public void addRoundTripWithFieldMutations(String name, JsonNode form, Decoder reencoder) {
+        addRoundTripWithFieldMutations(name, Json.write(form), reencoder);
     }
 
-    private static String result(Decoder reader, JsonNode form) {
+    private static String decodeOrError(Decoder decoder, JsonNode form) {
         try {
-            String read = reader.decode(form);
-            return read == null ? "refused" : read;
+            String decoded = decoder.decode(form);
+            return decoded == null ? "refused" : decoded;
         } catch (RuntimeException e) {
             return "fails";
         } catch (Exception e) {
@@ -131,29 +143,29 @@
         return parent;
     }
 
-    /** The paths of the fields, and of those of objects and arrays in them. */
-    private static List<List<String>> fields(JsonNode node, List<String> prefix) {
+    /** Returns the paths of all fields, with those of nested objects and array elements. */
+    private static List<List<String>> fieldPaths(JsonNode node, List<String> prefix) {
         List<List<String>> paths = new ArrayList<>();
         for (Iterator<String> names = node.fieldNames(); names.hasNext(); ) {
             String name = names.next();
-            paths.add(with(prefix, name));
+            paths.add(append(prefix, name));
             if (prefix.isEmpty()) {
-                paths.addAll(fields(node.path(name), with(prefix, name)));
+                paths.addAll(fieldPaths(node.path(name), append(prefix, name)));
             }
         }
         for (int i = 0; prefix.size() == 1 && node.isArray() && i < node.size(); i++) {
-            paths.addAll(fields(node.path(i), with(prefix, String.valueOf(i))));
+            paths.addAll(fieldPaths(node.path(i), append(prefix, String.valueOf(i))));
         }
         return paths;
     }
 
-    private static List<String> with(List<String> prefix, String name) {
+    private static List<String> append(List<String> prefix, String name) {
         List<String> path = new ArrayList<>(prefix);
         path.add(name);
         return path;
     }
 
-    /** The lines. */
+    /** Returns the lines added so far. */
     String content() {
         return text.toString();
     }
--- a/src/test/java/io/pepperfield/forms/GoldenFormsTest.java
+++ b/src/test/java/io/pepperfield/forms/GoldenFormsTest.java
@@ -24,22 +24,22 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * All forms that others see or that outlast a process (messages, stored values, keys, settings,
- * deployment files, the command line) are byte for byte those of the golden files. With {@code
- * -Dpepperfield.golden.write=true} the files are written anew, and the test fails.
+ * Guards against unintended changes of external and persistent formats: messages, stored values,
+ * keys, settings, deployment files and the command line must match the golden files byte for byte.
+ * With {@code -Dpepperfield.golden.write=true} the golden files are rewritten, and the test fails.
  */
 class GoldenFormsTest {
 
     private static final Path GOLDEN = Path.of("src", "test", "resources", "golden");
     private static final Path DEPLOY = Path.of("deploy");
-    private static final String WRITE = "pepperfield.golden.write";
+    private static final String WRITE_PROPERTY = "pepperfield.golden.write";
 
-    /** Adds the forms of one kind. */
-    private interface Forms {
+    /** Adds the forms of one golden file. */
+    private interface FormsWriter {
         void write(GoldenFile file) throws Exception;
     }
 
-    private static final Map<String, Forms> KINDS =
+    private static final Map<String, FormsWriter> WRITERS_BY_FILE =
             new TreeMap<>(
                     Map.ofEntries(
                             Map.entry("keys.txt", StoredForms::writeKeys),
@@ -61,14 +61,14 @@
                             Map.entry("command-line.txt", CommandLineForms::write)));
 
     static Stream<String> kinds() {
-        return KINDS.keySet().stream();
+        return WRITERS_BY_FILE.keySet().stream();
     }
 
     @ParameterizedTest
     @MethodSource("kinds")
     void generatedFormsMatchGoldenFile(String name) throws Exception {
         GoldenFile file = new GoldenFile();
-        KINDS.get(name).write(file);
+        WRITERS_BY_FILE.get(name).write(file);
         compare(GOLDEN.resolve(name), file.content().getBytes(StandardCharsets.UTF_8));
     }
 
@@ -84,7 +84,7 @@
 
     @Test
     void everyGoldenFileIsCompared() throws IOException {
-        TreeSet<String> expected = new TreeSet<>(KINDS.keySet());
+        TreeSet<String> expected = new TreeSet<>(WRITERS_BY_FILE.keySet());
         expected.addAll(List.of("deploy", "input"));
         assertEquals(List.copyOf(expected), names(GOLDEN));
     }
@@ -95,26 +95,29 @@
         }
     }
 
-    private static void compare(Path golden, byte[] now) throws IOException {
-        if (Boolean.getBoolean(WRITE)) {
+    private static void compare(Path golden, byte[] actual) throws IOException {
+        if (Boolean.getBoolean(WRITE_PROPERTY)) {
             Files.createDirectories(golden.getParent());
-            Files.write(golden, now);
+            Files.write(golden, actual);
             return;
         }
-        byte[] then = Files.readAllBytes(golden);
-        List<String> before = text(then).lines().toList();
-        List<String> after = text(now).lines().toList();
-        for (int i = 0; i < Math.min(before.size(), after.size()); i++) {
-            // First line by line, so that a failure shows the form; the bytes decide.
-            assertEquals(before.get(i), after.get(i), golden + " line " + (i + 1));
+        byte[] expected = Files.readAllBytes(golden);
+        List<String> expectedLines = text(expected).lines().toList();
+        List<String> actualLines = text(actual).lines().toList();
+        for (int i = 0; i < Math.min(expectedLines.size(), actualLines.size()); i++) {
+            // Lines are compared first so that a failure shows the form; the byte comparison is
+            // exact.
+            assertEquals(expectedLines.get(i), actualLines.get(i), golden + " line " + (i + 1));
         }
-        assertArrayEquals(then, now, golden.toString());
+        assertArrayEquals(expected, actual, golden.toString());
     }
 
     @AfterEach
     void failAfterWritingGoldenFiles() {
-        if (Boolean.getBoolean(WRITE)) {
-            fail("golden files were written, and nothing compared: run again without -D" + WRITE);
+        if (Boolean.getBoolean(WRITE_PROPERTY)) {
+            fail(
+                    "golden files were rewritten without a comparison; run again without -D"
+                            + WRITE_PROPERTY);
         }
     }
 
--- a/src/test/java/io/pepperfield/forms/HttpForms.java
+++ b/src/test/java/io/pepperfield/forms/HttpForms.java
@@ -26,12 +26,12 @@
 import java.util.TreeMap;
 import picocli.CommandLine;
 
-/** Requests and answers with their headers, and what the console's commands ask a controller. */
+/** HTTP requests and replies with their headers, and the requests of the commands. */
 final class HttpForms {
 
     private static final String HOST = "127.0.0.1";
     private static final byte[] BODY = "{\"a\":1}".getBytes(StandardCharsets.UTF_8);
-    private static final List<String> COMMANDS =
+    private static final List<String> COMMAND_LINES =
             List.of(
                     "submit FILE",
                     "status run-000412",
@@ -44,9 +44,9 @@
                     "rollout rollback");
 
     private final GoldenFile file;
-    private final EventLoopGroup network =
+    private final EventLoopGroup eventLoops =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private volatile HttpReply answer;
+    private volatile HttpReply nextReply;
 
     private HttpForms(GoldenFile file) {
         this.file = file;
@@ -55,17 +55,18 @@
     static void write(GoldenFile file) throws Exception {
         HttpForms forms = new HttpForms(file);
         try {
-            forms.answers();
-            forms.requests();
-            forms.commands();
-            forms.exports();
+            forms.writeReplies();
+            forms.writeRequests();
+            forms.writeCommands();
+            forms.writeExports();
         } finally {
-            forms.network.shutdownGracefully();
+            forms.eventLoops.shutdownGracefully();
         }
     }
 
-    private void answers() throws Exception {
-        HttpServer server = new HttpServer(network, 8, (call, told) -> told.accept(answer));
+    private void writeReplies() throws Exception {
+        HttpServer server =
+                new HttpServer(eventLoops, 8, (request, onReply) -> onReply.accept(nextReply));
         int port = server.start(HOST, 0);
         for (HttpReply reply :
                 List.of(
@@ -74,27 +75,33 @@
                         HttpReply.error(404, "no such path"),
                         HttpReply.unavailable("not now", 7),
                         HttpReply.unavailable("not now").withConnectionClose())) {
-            answer = reply;
+            nextReply = reply;
             for (String connection : List.of("close", "keep-alive")) {
-                file.add("answer to " + connection, ask(port, connection));
+                file.add("answer to " + connection, exchange(port, connection));
             }
         }
         server.close();
     }
 
-    /** The header of the answer, and its body where the connection ends with it. */
-    private static String ask(int port, String connection) throws IOException {
+    /**
+     * Sends a request and returns the header of the reply, with the body if the connection is
+     * closed after it.
+     */
+    private static String exchange(int port, String connection) throws IOException {
         String request = "GET /a HTTP/1.1\r\nHost: a\r\nConnection: " + connection + "\r\n\r\n";
         try (Socket socket = new Socket(HOST, port)) {
             socket.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
-            return read(socket, connection.equals("close") ? "" : "\r\n\r\n");
+            return readUntil(socket, connection.equals("close") ? "" : "\r\n\r\n");
         }
     }
 
-    /** Reads up to that end, or all where it is empty; without the ports, which differ. */
-    private static String read(Socket socket, String end) throws IOException {
+    /**
+     * Reads up to the terminator, or to the end of the stream if it is empty. Ports are removed
+     * because they differ between runs.
+     */
+    private static String readUntil(Socket socket, String terminator) throws IOException {
         StringBuilder text = new StringBuilder();
-        while (end.isEmpty() || !text.toString().endsWith(end)) {
+        while (terminator.isEmpty() || !text.toString().endsWith(terminator)) {
             int next = socket.getInputStream().read();
             if (next < 0) {
                 break;
@@ -104,11 +111,11 @@
         return text.toString().replace("\r\n", " | ").replaceAll(HOST + ":[0-9]+", HOST);
     }
 
-    private void requests() throws IOException {
+    private void writeRequests() throws IOException {
         try (ServerSocket server = new ServerSocket(0, 8, InetAddress.getByName(HOST))) {
             for (String method : List.of("GET", "POST", "DELETE")) {
                 byte[] body = method.equals("POST") ? BODY : null;
-                new HttpClient(network, 1 << 16)
+                new HttpClient(eventLoops, 1 << 16)
                         .send(
                                 new OutboundRequest(
                                         HOST,
@@ -120,41 +127,43 @@
                                         5000),
                                 outcome -> {});
                 try (Socket socket = server.accept()) {
-                    file.add("request", read(socket, body == null ? "\r\n\r\n" : "}"));
+                    file.add("request", readUntil(socket, body == null ? "\r\n\r\n" : "}"));
                 }
             }
         }
     }
 
-    /** Adds what it is asked, and gives the answer of the moment. */
+    /** Creates a server that adds each request to the file and sends {@link #nextReply}. */
     private HttpServer recordingServer() {
         return new HttpServer(
-                network,
+                eventLoops,
                 8,
-                (call, told) -> {
-                    String query = call.query().isEmpty() ? "" : new TreeMap<>(call.query()) + " ";
-                    String body = new String(call.body(), StandardCharsets.UTF_8);
-                    file.add("asks", call.method() + " " + call.path() + " " + query + body);
-                    told.accept(answer);
+                (request, onReply) -> {
+                    String query =
+                            request.query().isEmpty() ? "" : new TreeMap<>(request.query()) + " ";
+                    String body = new String(request.body(), StandardCharsets.UTF_8);
+                    file.add("asks", request.method() + " " + request.path() + " " + query + body);
+                    onReply.accept(nextReply);
                 });
     }
 
-    /** What the export of all keys asks the state service. */
-    private void exports() throws Exception {
+    /** Adds the requests that an export of all keys sends to the state service. */
+    private void writeExports() throws Exception {
         HttpServer server = recordingServer();
         int port = server.start(HOST, 0);
         BlockingHttpClient client = new BlockingHttpClient(1 << 16);
         SnapshotSource source =
                 new HttpSnapshotSource(client, new Settings.Address(HOST, port), 1000);
-        answer = HttpReply.json(200, GoldenFile.readJsonInput("state-range.json"));
+        nextReply = HttpReply.json(200, GoldenFile.readJsonInput("state-range.json"));
         for (String after : List.of("", "pepperfield/job/run-000001")) {
             add(source.readPage(after));
         }
-        answer = HttpReply.json(200, GoldenFile.readJsonInput("state-follow.json"));
+        nextReply = HttpReply.json(200, GoldenFile.readJsonInput("state-follow.json"));
         add(source.changesSince(16));
-        answer = HttpReply.empty(410);
-        String why = assertThrows(IOException.class, () -> source.changesSince(16)).getMessage();
-        file.add("refused", why);
+        nextReply = HttpReply.empty(410);
+        String message =
+                assertThrows(IOException.class, () -> source.changesSince(16)).getMessage();
+        file.add("refused", message);
         client.close();
         server.close();
     }
@@ -168,22 +177,26 @@
                         + (page.hasMore() ? ", more" : ""));
     }
 
-    private void commands() throws Exception {
+    private void writeCommands() throws Exception {
         HttpServer server = recordingServer();
         int port = server.start(HOST, 0);
-        Path job = Files.write(Files.createTempFile("forms", ".json"), BODY);
-        for (String command : COMMANDS) {
+        Path jobFile = Files.write(Files.createTempFile("forms", ".json"), BODY);
+        for (String commandLine : COMMAND_LINES) {
             for (HttpReply reply :
                     List.of(HttpReply.json(200, Json.object()), HttpReply.error(409, "no"))) {
-                answer = reply;
+                nextReply = reply;
                 String[] arguments =
-                        (command.replace("FILE", job.toString()) + " --server " + HOST + ":" + port)
+                        (commandLine.replace("FILE", jobFile.toString())
+                                        + " --server "
+                                        + HOST
+                                        + ":"
+                                        + port)
                                 .split(" ");
-                int code = new CommandLine(new Main()).execute(arguments);
-                file.add(command + " answered " + reply.status(), "exit code " + code);
+                int exitCode = new CommandLine(new Main()).execute(arguments);
+                file.add(commandLine + " answered " + reply.status(), "exit code " + exitCode);
             }
         }
-        Files.delete(job);
+        Files.delete(jobFile);
         server.close();
     }
 }
--- a/src/test/java/io/pepperfield/forms/ListenerForms.java
+++ b/src/test/java/io/pepperfield/forms/ListenerForms.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import java.util.TreeSet;
 
-/** What a controller's listener for users, workers and operators answers, by method and path. */
+/** Replies of a controller's listener for users, workers and operators, by method and path. */
 final class ListenerForms {
 
     private static final List<String> REQUESTS =
@@ -46,79 +46,90 @@
         region.jobMix.submitWide(1, 400, 8);
         region.world.run(40);
         int leader = region.leaderIndex();
-        int other = leader == 0 ? 1 : 0;
+        int follower = leader == 0 ? 1 : 0;
         for (String request : REQUESTS) {
             String[] words = request.split(" ");
             file.add(
                     "leader, " + request, region.directRequests.answer(leader, words[0], words[1]));
-            file.add("other, " + request, region.directRequests.answer(other, words[0], words[1]));
+            file.add(
+                    "other, " + request,
+                    region.directRequests.answer(follower, words[0], words[1]));
         }
-        writeReports(file, region, leader, other);
-        addShape(
+        writeHeartbeats(file, region, leader, follower);
+        addFieldTypes(
                 file,
                 "leader's overview",
                 region.directRequests.answer(leader, "GET", "/api/nodes"));
-        addShape(
-                file, "other's overview", region.directRequests.answer(other, "GET", "/api/nodes"));
-        addShape(file, "rollout", region.directRequests.answer(other, "GET", "/api/rollout"));
-        SimulatedRegion admitting = SimulatedRegion.admitting(1, 3, 0);
-        admitting.world.run(20);
-        admitting.jobMix.submitWide(1, 40, 8);
-        admitting.jobMix.submitFailing(2, 1000);
-        admitting.world.run(22);
-        admitting.pipelines.submitArray(3, "standard", 4, 2, 1, 2);
-        admitting.world.run(40);
+        addFieldTypes(
+                file,
+                "other's overview",
+                region.directRequests.answer(follower, "GET", "/api/nodes"));
+        addFieldTypes(
+                file, "rollout", region.directRequests.answer(follower, "GET", "/api/rollout"));
+        SimulatedRegion admissionRegion = SimulatedRegion.admitting(1, 3, 0);
+        admissionRegion.world.run(20);
+        admissionRegion.jobMix.submitWide(1, 40, 8);
+        admissionRegion.jobMix.submitFailing(2, 1000);
+        admissionRegion.world.run(22);
+        admissionRegion.pipelines.submitArray(3, "standard", 4, 2, 1, 2);
+        admissionRegion.world.run(40);
         HttpReply overview =
-                admitting.directRequests.answer(admitting.leaderIndex(), "GET", "/api/nodes");
-        addShape(file, "overview with admission", overview);
-        file.add("rollout switched off", admitting.directRequests.answer(0, "GET", "/api/rollout"));
+                admissionRegion.directRequests.answer(
+                        admissionRegion.leaderIndex(), "GET", "/api/nodes");
+        addFieldTypes(file, "overview with admission", overview);
+        file.add(
+                "rollout switched off",
+                admissionRegion.directRequests.answer(0, "GET", "/api/rollout"));
     }
 
-    /** Of a machine that belongs to one of the controllers; also cut off from the leader. */
-    private static void writeReports(
-            GoldenFile file, SimulatedRegion region, int leader, int other) {
+    /**
+     * Adds replies to heartbeats of a machine that is assigned to one of the controllers, also
+     * while the follower is partitioned from the leader and from all other processes.
+     */
+    private static void writeHeartbeats(
+            GoldenFile file, SimulatedRegion region, int leader, int follower) {
         for (int i = 0; i < 2; i++) {
             file.add("leader, report", region.directRequests.sendHeartbeat(leader, "east"));
-            file.add("other, report", region.directRequests.sendHeartbeat(other, "east"));
+            file.add("other, report", region.directRequests.sendHeartbeat(follower, "east"));
             region.world.run(region.world.now() + 2 * SimulatedRegion.HEARTBEAT_INTERVAL_S);
         }
         double now = region.world.now();
         region.world.cut(
-                "node-" + other,
+                "node-" + follower,
                 "10.0.0." + (leader + 1),
                 now + 3 * SimulatedRegion.HEARTBEAT_INTERVAL_S);
         region.world.run(now + 2 * SimulatedRegion.HEARTBEAT_INTERVAL_S);
         file.add(
                 "other, cut off from the leader, report",
-                region.directRequests.sendHeartbeat(other, "east"));
-        region.world.cut("node-" + other, "10.", now + 2 * SimulatedRegion.LEASE_S);
+                region.directRequests.sendHeartbeat(follower, "east"));
+        region.world.cut("node-" + follower, "10.", now + 2 * SimulatedRegion.LEASE_S);
         region.world.run(now + SimulatedRegion.LEASE_S);
         file.add(
                 "other, cut off from all, report",
-                region.directRequests.sendHeartbeat(other, "east"));
+                region.directRequests.sendHeartbeat(follower, "east"));
         file.add(
                 "other, cut off from all, health",
-                region.directRequests.answer(other, "GET", "/up"));
+                region.directRequests.answer(follower, "GET", "/up"));
         region.world.run(now + 4 * SimulatedRegion.LEASE_S);
     }
 
-    /** All fields with their types: the values depend on the moment. */
-    private static void addShape(GoldenFile file, String name, HttpReply reply) {
+    /** Adds all fields with their types; values are left out because they vary with time. */
+    private static void addFieldTypes(GoldenFile file, String name, HttpReply reply) {
         TreeSet<String> fields = new TreeSet<>();
-        collect(Json.read(reply.body()), "", fields);
+        collectFieldTypes(Json.read(reply.body()), "", fields);
         fields.forEach(field -> file.add(name, field));
     }
 
-    private static void collect(JsonNode node, String path, TreeSet<String> fields) {
+    private static void collectFieldTypes(JsonNode node, String path, TreeSet<String> fields) {
         if (!node.isContainerNode()) {
             fields.add(path + " " + node.getNodeType().name().toLowerCase(Locale.ROOT));
         }
         for (Iterator<String> names = node.fieldNames(); names.hasNext(); ) {
             String name = names.next();
-            collect(node.path(name), path + "." + name, fields);
+            collectFieldTypes(node.path(name), path + "." + name, fields);
         }
         for (int i = 0; node.isArray() && i < node.size(); i++) {
-            collect(node.path(i), path + "[]", fields);
+            collectFieldTypes(node.path(i), path + "[]", fields);
         }
     }
 }
--- a/src/test/java/io/pepperfield/forms/RecordingSender.java
+++ b/src/test/java/io/pepperfield/forms/RecordingSender.java
@@ -6,24 +6,24 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 
-/** Adds each request to a golden file, and answers it with what the test has set. */
+/** Adds each request to a golden file and completes it with the configured outcome. */
 public final class RecordingSender implements HttpSender {
 
     private final GoldenFile file;
-    private HttpOutcome answer = new HttpOutcome.NoAnswer("");
+    private HttpOutcome outcome = new HttpOutcome.NoAnswer("");
 
-    /** Creates a sender that answers nothing yet. */
+    /** Creates a sender whose requests fail without a reply until one is set. */
     public RecordingSender(GoldenFile file) {
         this.file = file;
     }
 
-    /** Sets the answer to all requests from now on. */
+    /** Sets the reply to all subsequent requests. */
     public RecordingSender respondWith(int status, byte[] body) {
-        answer = new HttpOutcome.Answered(status, body);
+        outcome = new HttpOutcome.Answered(status, body);
         return this;
     }
 
-    /** Sets an answer with this text as its body. */
+    /** Sets the reply to all subsequent requests, with a text as its body. */
     public RecordingSender respondWith(int status, String body) {
         return respondWith(status, body.getBytes(StandardCharsets.UTF_8));
     }
@@ -46,6 +46,6 @@
                         + request.deadlineMs()
                         + " ms, connections "
                         + request.maxConnections());
-        onOutcome.accept(answer);
+        onOutcome.accept(outcome);
     }
 }
--- a/src/test/java/io/pepperfield/forms/StateServiceForms.java
+++ b/src/test/java/io/pepperfield/forms/StateServiceForms.java
@@ -13,43 +13,44 @@
 import io.pepperfield.store.KeyValueStore.RequestPriority;
 import java.util.List;
 
-/** What is asked of the state service, and what is read of its answers. */
+/** Requests to the state service and the decoded replies. */
 final class StateServiceForms {
 
     private final GoldenFile file;
     private final SimulatedLoop loop = new SimulatedLoop();
     private final RecordingSender sender;
-    private final HttpKeyValueStore state;
+    private final HttpKeyValueStore store;
 
     private StateServiceForms(GoldenFile file) {
         this.file = file;
         sender = new RecordingSender(file);
-        state = new HttpKeyValueStore(loop, sender, new Address("10.2.0.1", 2379));
-        state.setRates(50, 20, 20);
+        store = new HttpKeyValueStore(loop, sender, new Address("10.2.0.1", 2379));
+        store.setRates(50, 20, 20);
         loop.run(1);
     }
 
     static void write(GoldenFile file) {
         StateServiceForms forms = new StateServiceForms(file);
         for (int status : new int[] {200, 400, 409, 410, 429, 500, 503}) {
-            forms.write(status, "{\"generation\":17,\"failed\":[\"pepperfield/leader\"]}");
+            forms.writeTransaction(
+                    status, "{\"generation\":17,\"failed\":[\"pepperfield/leader\"]}");
         }
-        forms.write(200, "{}");
+        forms.writeTransaction(200, "{}");
         file.addWithFieldMutations(
-                "range", GoldenFile.readJsonInput("state-range.json"), forms::range);
+                "range", GoldenFile.readJsonInput("state-range.json"), forms::decodePage);
         file.addWithFieldMutations(
-                "follow", GoldenFile.readJsonInput("state-follow.json"), forms::follow);
-        forms.unread();
-        forms.grants();
+                "follow", GoldenFile.readJsonInput("state-follow.json"), forms::decodeWatch);
+        forms.writeFailedReads();
+        forms.writeGrants();
     }
 
-    private void pass() {
+    private void runLoop() {
         loop.run(loop.now() + 20);
     }
 
-    private void write(int status, String answer) {
-        sender.respondWith(status, answer);
-        state.compareAndSwap(
+    private void writeTransaction(int status, String reply) {
+        sender.respondWith(status, reply);
+        store.compareAndSwap(
                 RequestPriority.LEADER_WRITE,
                 List.of(
                         new Precondition("pepperfield/leader", 41),
@@ -58,74 +59,76 @@
                         Mutation.set("pepperfield/types", Json.array()),
                         new Mutation("pepperfield/leader", Json.object().put("node", "a"), 7),
                         Mutation.delete("pepperfield/end/run-000001")),
-                result -> file.add("answered " + status + " " + answer, told(result)));
-        pass();
+                outcome -> file.add("answered " + status + " " + reply, describe(outcome)));
+        runLoop();
     }
 
-    private static String told(CompareAndSwapOutcome result) {
-        if (result instanceof CompareAndSwapOutcome.Committed committed) {
+    private static String describe(CompareAndSwapOutcome outcome) {
+        if (outcome instanceof CompareAndSwapOutcome.Committed committed) {
             return "committed at " + committed.revision();
-        } else if (result instanceof CompareAndSwapOutcome.Conflict conflict) {
+        } else if (outcome instanceof CompareAndSwapOutcome.Conflict conflict) {
             return "conflict of " + conflict.failedKeys();
         }
-        return result instanceof CompareAndSwapOutcome.Refused refused
+        return outcome instanceof CompareAndSwapOutcome.Refused refused
                 ? "refused with " + refused.status()
                 : "unknown";
     }
 
-    private String range(JsonNode answer) {
-        sender.respondWith(200, Json.write(answer));
-        StringBuilder read = new StringBuilder();
-        state.readPage("pepperfield/job/run-000001", result -> read.append(told(result)));
-        pass();
-        return read.toString();
+    private String decodePage(JsonNode reply) {
+        sender.respondWith(200, Json.write(reply));
+        StringBuilder description = new StringBuilder();
+        store.readPage(
+                "pepperfield/job/run-000001", outcome -> description.append(describe(outcome)));
+        runLoop();
+        return description.toString();
     }
 
-    private String follow(JsonNode answer) {
-        sender.respondWith(200, Json.write(answer));
-        StringBuilder read = new StringBuilder();
-        state.watch(16, 2.5, result -> read.append(told(result)));
-        pass();
-        return read.toString();
+    private String decodeWatch(JsonNode reply) {
+        sender.respondWith(200, Json.write(reply));
+        StringBuilder description = new StringBuilder();
+        store.watch(16, 2.5, outcome -> description.append(describe(outcome)));
+        runLoop();
+        return description.toString();
     }
 
-    private static String told(ReadResult result) {
-        if (result instanceof ReadResult.Read read) {
-            StringBuilder items = new StringBuilder("read up to " + read.revision());
-            read.entries()
+    private static String describe(ReadResult outcome) {
+        if (outcome instanceof ReadResult.Read page) {
+            StringBuilder entries = new StringBuilder("read up to " + page.revision());
+            page.entries()
                     .forEach(
-                            item ->
-                                    items.append(", ")
-                                            .append(item.key())
+                            entry ->
+                                    entries.append(", ")
+                                            .append(entry.key())
                                             .append(" = ")
-                                            .append(item.value())
+                                            .append(entry.value())
                                             .append(" at ")
-                                            .append(item.modRevision()));
-            return items + (read.hasMore() ? ", and there is more" : "");
+                                            .append(entry.modRevision()));
+            return entries + (page.hasMore() ? ", and there is more" : "");
         }
-        return result instanceof ReadResult.RevisionTooOld ? "too old" : "failed";
+        return outcome instanceof ReadResult.RevisionTooOld ? "too old" : "failed";
     }
 
-    private void unread() {
+    private void writeFailedReads() {
         for (int status : new int[] {410, 503}) {
             sender.respondWith(status, "{}");
-            state.readPage("", result -> file.add("range answered " + status, told(result)));
-            state.watch(16, 0, result -> file.add("follow answered " + status, told(result)));
-            pass();
+            store.readPage("", outcome -> file.add("range answered " + status, describe(outcome)));
+            store.watch(16, 0, outcome -> file.add("follow answered " + status, describe(outcome)));
+            runLoop();
         }
     }
 
-    private void grants() {
+    private void writeGrants() {
         for (int status : new int[] {200, 404, 503}) {
             sender.respondWith(status, "{\"claim\":7}");
-            state.createGrant(6.5, result -> file.add("grant answered " + status, told(result)));
-            state.renewGrant(7, result -> file.add("touch answered " + status, told(result)));
-            state.revokeGrant(7);
-            pass();
+            store.createGrant(
+                    6.5, outcome -> file.add("grant answered " + status, describe(outcome)));
+            store.renewGrant(7, outcome -> file.add("touch answered " + status, describe(outcome)));
+            store.revokeGrant(7);
+            runLoop();
         }
     }
 
-    private static String told(GrantOutcome outcome) {
+    private static String describe(GrantOutcome outcome) {
         if (outcome instanceof GrantOutcome.Granted granted) {
             return String.valueOf(granted.id());
         }
--- a/src/test/java/io/pepperfield/forms/StoredForms.java
+++ b/src/test/java/io/pepperfield/forms/StoredForms.java
@@ -36,22 +36,22 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 
-/** The keys of the state service, and the values of the first stored-state version. */
+/** The keys in the state service, and the values of the first stored-state version. */
 final class StoredForms {
 
     private static final String JOB_ID = "run-000412";
     private static final long DONE_MS = 1_790_000_000_123L;
-    private static final TaskState LIVE = new TaskState(0, 1, Phase.LIVE, "host-000012", 3);
-    private static final List<TaskState> LINES =
+    private static final TaskState LIVE_TASK = new TaskState(0, 1, Phase.LIVE, "host-000012", 3);
+    private static final List<TaskState> TASK_STATES =
             List.of(
-                    LIVE,
+                    LIVE_TASK,
                     new TaskState(1, 2, Phase.DONE, "", 0),
                     new TaskState(2, 1, Phase.GONE, "", 0),
                     new TaskState(3, 4, Phase.FAILED, "", 0));
 
     private StoredForms() {}
 
-    /** The constants by their values alone, since their names may change. */
+    /** Adds the keys; constants are listed by value only because their names may change. */
     static void writeKeys(GoldenFile file) throws IllegalAccessException {
         TreeSet<String> names = new TreeSet<>();
         for (Field field : Keys.class.getFields()) {
@@ -66,49 +66,56 @@
         file.add(
                 "shared run records",
                 new SharedRunRecords(new FencingToken(41), 64)
-                        .recordKeyFor(small(), false)
+                        .recordKeyFor(smallJob(), false)
                         .orElseThrow());
     }
 
-    private static Job small() {
+    private static Job smallJob() {
         return new Job(new JobSpecBuilder().id(JOB_ID).chunk(64).build(), 0);
     }
 
     static void write(GoldenFile file) {
         file.addRoundTripWithFieldMutations(
-                "job", JobCodec.encodeSpec(fullJob()), StoredForms::rewriteJob);
+                "job", JobCodec.encodeSpec(fullJob()), StoredForms::reencodeJob);
         file.addRoundTrip(
                 "job of defaults",
                 JobCodec.encodeSpec(new JobSpecBuilder().id(JOB_ID).build()),
-                StoredForms::rewriteJob);
+                StoredForms::reencodeJob);
         for (JobSpec.Shape shape : JobSpec.Shape.values()) {
             JobSpec job = new JobSpecBuilder().id(JOB_ID).shape(shape).build();
-            file.addRoundTrip("shape", JobCodec.encodeSpec(job), StoredForms::rewriteJob);
+            file.addRoundTrip("shape", JobCodec.encodeSpec(job), StoredForms::reencodeJob);
         }
-        for (JobSpec.Priority rank : JobSpec.Priority.values()) {
-            JobSpec job = new JobSpecBuilder().id(JOB_ID).rank(rank).build();
-            file.addRoundTrip("rank", JobCodec.encodeSpec(job), StoredForms::rewriteJob);
+        for (JobSpec.Priority priority : JobSpec.Priority.values()) {
+            JobSpec job = new JobSpecBuilder().id(JOB_ID).rank(priority).build();
+            file.addRoundTrip("rank", JobCodec.encodeSpec(job), StoredForms::reencodeJob);
         }
-        file.addRoundTrip("run record", TaskState.encode(LINES), StoredForms::rewriteRunRecord);
+        file.addRoundTrip(
+                "run record", TaskState.encode(TASK_STATES), StoredForms::reencodeRunRecord);
         writeSharedRecords(file);
-        for (Status end : List.of(Status.DONE, Status.CANCELLED)) {
-            file.addRoundTrip("end", JobCodec.encodeFinalStatus(end), StoredForms::rewriteEnd);
+        for (Status status : List.of(Status.DONE, Status.CANCELLED)) {
+            file.addRoundTrip(
+                    "end", JobCodec.encodeFinalStatus(status), StoredForms::reencodeFinalStatus);
         }
         file.addRoundTripWithFieldMutations(
-                "end", JobCodec.encodeDone(DONE_MS), StoredForms::rewriteEnd);
+                "end", JobCodec.encodeDone(DONE_MS), StoredForms::reencodeFinalStatus);
         file.addRoundTrip(
-                "types", MachineTypesCodec.encode(machineTypes()), StoredForms::rewriteTypes);
+                "types",
+                MachineTypesCodec.encode(machineTypes()),
+                StoredForms::reencodeMachineTypes);
         JsonNode type = MachineTypesCodec.encode(machineTypes()).path(0);
-        file.addWithFieldMutations("type", type, form -> rewriteTypes(Json.array().add(form)));
         file.addWithFieldMutations(
-                "leader", GoldenFile.readJsonInput("leader.json"), StoredForms::leaderOf);
+                "type", type, form -> reencodeMachineTypes(Json.array().add(form)));
+        file.addWithFieldMutations(
+                "leader", GoldenFile.readJsonInput("leader.json"), StoredForms::describeLeader);
         writeRentals(file);
         file.addWithFieldMutations(
-                "rental", GoldenFile.readJsonInput("rental.json"), form -> restored(file, form));
+                "rental",
+                GoldenFile.readJsonInput("rental.json"),
+                form -> describeRestored(file, form));
         file.addWithFieldMutations(
                 "asked",
                 GoldenFile.readJsonInput("rental-asked.json"),
-                form -> restored(file, form));
+                form -> describeRestored(file, form));
     }
 
     static List<MachineType> machineTypes() {
@@ -149,19 +156,19 @@
         return new String(Json.write(form), StandardCharsets.UTF_8);
     }
 
-    private static String rewriteJob(JsonNode form) {
+    private static String reencodeJob(JsonNode form) {
         return text(JobCodec.encodeSpec(JobCodec.decodeSpec(JOB_ID, form)));
     }
 
-    private static String rewriteRunRecord(JsonNode form) {
+    private static String reencodeRunRecord(JsonNode form) {
         return text(TaskState.encode(TaskState.decode(form)));
     }
 
-    private static String rewriteTypes(JsonNode form) {
+    private static String reencodeMachineTypes(JsonNode form) {
         return text(MachineTypesCodec.encode(MachineTypesCodec.decode(form)));
     }
 
-    private static String rewriteEnd(JsonNode form) {
+    private static String reencodeFinalStatus(JsonNode form) {
         OptionalLong doneMs = JobCodec.decodeDoneMs(form);
         return text(
                 doneMs.isPresent()
@@ -169,10 +176,13 @@
                         : JobCodec.encodeFinalStatus(JobCodec.decodeFinalStatus(form)));
     }
 
-    /** Who leads under the key, and what a newcomer writes once the key is gone. */
-    private static String leaderOf(JsonNode form) {
-        StringBuilder told = new StringBuilder();
-        NoOpKeyValueStore state =
+    /**
+     * Describes the leader that the leader key names, and the writes of a new candidate after the
+     * key has been deleted.
+     */
+    private static String describeLeader(JsonNode form) {
+        StringBuilder description = new StringBuilder();
+        NoOpKeyValueStore store =
                 new NoOpKeyValueStore() {
                     @Override
                     public void createGrant(double ttlS, Consumer<GrantOutcome> done) {
@@ -181,49 +191,53 @@
 
                     @Override
                     public void compareAndSwap(
-                            RequestPriority urgency,
-                            List<Precondition> guards,
-                            List<Mutation> changes,
+                            RequestPriority priority,
+                            List<Precondition> preconditions,
+                            List<Mutation> mutations,
                             Consumer<CompareAndSwapOutcome> done) {
-                        changes.forEach(
-                                change ->
-                                        told.append(", then ")
-                                                .append(change.key())
+                        mutations.forEach(
+                                mutation ->
+                                        description
+                                                .append(", then ")
+                                                .append(mutation.key())
                                                 .append(" = ")
-                                                .append(change.value())
+                                                .append(mutation.value())
                                                 .append(" under ")
-                                                .append(change.grant()));
+                                                .append(mutation.grant()));
                     }
                 };
-        Leadership leadership = new Leadership(new SimulatedLoop(), state, "worker-2", 1, null);
+        Leadership leadership = new Leadership(new SimulatedLoop(), store, "worker-2", 1, null);
         leadership.leaderKeyChanged(form, 41);
-        told.append("led by ").append(leadership.leaderNode());
-        told.append(" with ").append(leadership.highestFencingToken());
+        description.append("led by ").append(leadership.leaderNode());
+        description.append(" with ").append(leadership.highestFencingToken());
         leadership.leaderKeyChanged(null, 42);
-        return told.toString();
+        return description.toString();
     }
 
-    /** Read by the index of jobs, see the tests of the production version's values. */
+    /**
+     * Adds shared run records before and after the removal of a job. The job index decodes them,
+     * which the tests of the values of the production version cover.
+     */
     private static void writeSharedRecords(GoldenFile file) {
         SharedRunRecords records = new SharedRunRecords(new FencingToken(41), 64);
-        String key = records.recordKeyFor(small(), false).orElseThrow();
-        records.encodeRecord(key, job -> LINES).forEach(file::add);
+        String key = records.recordKeyFor(smallJob(), false).orElseThrow();
+        records.encodeRecord(key, job -> TASK_STATES).forEach(file::add);
         records.remove(JOB_ID);
-        records.encodeRecord(key, job -> LINES).forEach(file::add);
+        records.encodeRecord(key, job -> TASK_STATES).forEach(file::add);
     }
 
-    /** A rental before and after the cloud's answer, and what the next leader asks for. */
+    /** Adds the stored records of a rental before and after the reply of the cloud. */
     private static void writeRentals(GoldenFile file) {
         SimulatedLoop loop = new SimulatedLoop();
-        NoOpKeyValueStore state =
+        NoOpKeyValueStore store =
                 new NoOpKeyValueStore() {
                     @Override
                     public void compareAndSwap(
-                            RequestPriority urgency,
-                            List<Precondition> guards,
-                            List<Mutation> changes,
+                            RequestPriority priority,
+                            List<Precondition> preconditions,
+                            List<Mutation> mutations,
                             Consumer<CompareAndSwapOutcome> done) {
-                        changes.forEach(change -> file.add(change.key(), change.value()));
+                        mutations.forEach(mutation -> file.add(mutation.key(), mutation.value()));
                         done.accept(new CompareAndSwapOutcome.Committed(42));
                     }
                 };
@@ -231,7 +245,7 @@
                 new NoOpCloud() {
                     @Override
                     public void rentInstances(
-                            String request,
+                            String requestId,
                             String type,
                             String zone,
                             boolean spot,
@@ -241,18 +255,18 @@
                                 new RentalOutcome.Granted(List.of("host-000012", "host-000013")));
                     }
                 };
-        Replica replica = new Replica((key, data, stamp) -> {});
+        Replica replica = new Replica((key, value, modRevision) -> {});
         FencedWriter writer =
                 new FencedWriter(
                         loop,
-                        state,
+                        store,
                         replica,
-                        new ReplicaSynchronizer(loop, state, replica, 1, 1),
-                        new SureLead(),
+                        new ReplicaSynchronizer(loop, store, replica, 1, 1),
+                        new ValidFence(),
                         TransactionLimits.serviceMaximum(8),
                         1,
                         2);
-        InstanceLifecycle renting =
+        InstanceLifecycle lifecycle =
                 new InstanceLifecycle(
                         loop,
                         cloud,
@@ -262,13 +276,17 @@
                         1,
                         1,
                         () -> true);
-        renting.rent(new InstancePool("lekker-big", true), "west", 2);
+        lifecycle.rent(new InstancePool("lekker-big", true), "west", 2);
         writer.flush();
         loop.run(10);
         writer.flush();
     }
 
-    private static String restored(GoldenFile file, JsonNode form) {
+    /**
+     * Describes the instances that a new leader expects after restoring a rental; the requests that
+     * it sends to the cloud are added to the file.
+     */
+    private static String describeRestored(GoldenFile file, JsonNode form) {
         SimulatedLoop loop = new SimulatedLoop();
         RecordingSender sender = new RecordingSender(file);
         HttpCloudProvider cloud =
@@ -276,11 +294,12 @@
         Fleet fleet = new Fleet(null, new FencingToken(42), 1);
         new InstanceLifecycle(loop, cloud, null, fleet, new FencingToken(42), 1, 1, () -> true)
                 .restore("p41-1", form);
-        StringBuilder expected = new StringBuilder("expects");
+        StringBuilder description = new StringBuilder("expects");
         fleet.machines()
                 .forEach(
                         machine ->
-                                expected.append(" ")
+                                description
+                                        .append(" ")
                                         .append(machine.name)
                                         .append(" of ")
                                         .append(machine.pool())
@@ -288,11 +307,11 @@
                                         .append(machine.zone())
                                         .append(" since ")
                                         .append(machine.rentedAt()));
-        return expected.toString();
+        return description.toString();
     }
 
-    /** A leader whose writes nothing hinders. */
-    private static final class SureLead implements FencedWriter.Fence {
+    /** The fence of a leader with a permanently valid lease. */
+    private static final class ValidFence implements FencedWriter.Fence {
         @Override
         public boolean holdsValidLease() {
             return true;
--- a/src/test/java/io/pepperfield/forms/WorkerForms.java
+++ b/src/test/java/io/pepperfield/forms/WorkerForms.java
@@ -13,24 +13,24 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** What workers and controllers say to each other. */
+/** Messages between workers and controllers. */
 public final class WorkerForms {
 
     private static final String ADDRESS = "10.1.0.14:9000";
     private static final FencingToken TOKEN = new FencingToken(41);
-    private static final long TENURE = 3;
+    private static final long INCARNATION = 3;
 
     private WorkerForms() {}
 
     static void write(GoldenFile file) {
-        JsonNode report = GoldenFile.readJsonInput("report.json");
-        file.addWithFieldMutations("report", report, WorkerForms::describe);
+        JsonNode heartbeat = GoldenFile.readJsonInput("report.json");
+        file.addWithFieldMutations("report", heartbeat, WorkerForms::describe);
         for (String status : List.of("pulling", "running", "saving", "ended", "waiting")) {
-            file.add("status " + status, describe(withTask(report, "status", status)));
+            file.add("status " + status, describe(withTask(heartbeat, "status", status)));
         }
         for (String cause :
                 List.of("done", "stopped", "error", "no_room", "busy", "no_such", "unheard-of")) {
-            file.add("cause " + cause, describe(withTask(report, "cause", cause)));
+            file.add("cause " + cause, describe(withTask(heartbeat, "cause", cause)));
         }
         file.add("answer", WorkerProtocol.heartbeatReply(TOKEN, sampleOrders()));
         file.add("answer without orders", WorkerProtocol.heartbeatReply(TOKEN, List.of()));
@@ -38,42 +38,50 @@
             JsonNode alone = WorkerProtocol.encodeOrders(List.of(order));
             file.add("a stop among " + alone, String.valueOf(WorkerProtocol.containsStop(alone)));
         }
-        file.add("message", WorkerProtocol.directMessage(TOKEN, TENURE, sampleOrders()));
+        file.add("message", WorkerProtocol.directMessage(TOKEN, INCARNATION, sampleOrders()));
         writeRequests(file);
     }
 
-    /** One order of each kind. */
+    /** Returns one order of each kind. */
     public static List<Order> sampleOrders() {
         TaskRef task = new TaskRef("run-000412", 3);
         return List.of(
                 new Order.Run(task, 1), new Order.Stop(task, 2, 4.5), new Order.Clear(task, 3));
     }
 
-    /** What is read of a report; names of enum constants may change, their order may not. */
-    public static String describe(Heartbeat report) {
-        if (report == null) {
+    /**
+     * Describes a decoded heartbeat; null stands for a rejected one. Enum constants are given by
+     * ordinal: their names may change, but not their order.
+     */
+    public static String describe(Heartbeat heartbeat) {
+        if (heartbeat == null) {
             return "refused";
         }
         StringBuilder tasks = new StringBuilder();
-        for (Heartbeat.AttemptStatus line : report.attempts()) {
+        for (Heartbeat.AttemptStatus attempt : heartbeat.attempts()) {
             tasks.append(", task ")
-                    .append(line.taskRef())
+                    .append(attempt.taskRef())
                     .append(" attempt ")
-                    .append(line.attemptNumber())
+                    .append(attempt.attemptNumber())
                     .append(" state ")
-                    .append(line.state().ordinal())
+                    .append(attempt.state().ordinal())
                     .append(" cause ")
-                    .append(line.cause().ordinal());
+                    .append(attempt.cause().ordinal());
         }
-        return String.join(" ", report.machine(), report.address(), report.type(), report.zone())
-                + (report.spot() ? " spot " : " ordinary ")
-                + report.incarnation()
+        return String.join(
+                        " ",
+                        heartbeat.machine(),
+                        heartbeat.address(),
+                        heartbeat.type(),
+                        heartbeat.zone())
+                + (heartbeat.spot() ? " spot " : " ordinary ")
+                + heartbeat.incarnation()
                 + " "
-                + report.sequence()
+                + heartbeat.sequence()
                 + " "
-                + report.fencingToken()
+                + heartbeat.fencingToken()
                 + " notice "
-                + report.reclaimNoticeS()
+                + heartbeat.reclaimNoticeS()
                 + tasks;
     }
 
@@ -81,8 +89,8 @@
         return describe(WorkerProtocol.parseHeartbeat(message).orElse(null));
     }
 
-    private static JsonNode withTask(JsonNode report, String field, String value) {
-        JsonNode changed = report.deepCopy();
+    private static JsonNode withTask(JsonNode heartbeat, String field, String value) {
+        JsonNode changed = heartbeat.deepCopy();
         ((ObjectNode) changed.path("shards").path(0)).put(field, value);
         return changed;
     }
@@ -91,37 +99,38 @@
         SimulatedLoop loop = new SimulatedLoop();
         RecordingSender sender = new RecordingSender(file);
         HttpWorkerClient workers = new HttpWorkerClient(loop, sender, 2.5);
-        byte[] report = GoldenFile.readInput("report.json");
+        byte[] body = GoldenFile.readInput("report.json");
         for (int status : new int[] {200, 409, 400}) {
-            sender.respondWith(status, report);
+            sender.respondWith(status, body);
             workers.sendOrders(
                     ADDRESS,
                     TOKEN,
-                    TENURE,
+                    INCARNATION,
                     sampleOrders(),
-                    result -> file.add("orders answered " + status, told(result)));
+                    result -> file.add("orders answered " + status, describeResult(result)));
             workers.forwardOrders(
                     ADDRESS,
                     TOKEN,
-                    TENURE,
+                    INCARNATION,
                     WorkerProtocol.encodeOrders(sampleOrders()),
-                    heard -> file.add("forwarded orders answered " + status, heard));
+                    response -> file.add("forwarded orders answered " + status, response));
             workers.probe(
                     ADDRESS,
-                    answer -> file.add("probe answered " + status, describe(answer.orElse(null))));
+                    heartbeat ->
+                            file.add("probe answered " + status, describe(heartbeat.orElse(null))));
             loop.run(loop.now() + 1);
         }
     }
 
-    private static String told(WorkerClient.Result result) {
-        if (result instanceof WorkerClient.Result.Responded heard) {
-            return (heard.executed() ? "executed, " : "not executed, ")
-                    + describe(heard.heartbeat());
+    private static String describeResult(WorkerClient.Result result) {
+        if (result instanceof WorkerClient.Result.Responded response) {
+            return (response.executed() ? "executed, " : "not executed, ")
+                    + describe(response.heartbeat());
         }
         return result instanceof WorkerClient.Result.NotSent ? "not sent" : "no answer";
     }
 
-    /** A report as a worker sends it. */
+    /** Returns the body of a heartbeat as a worker sends it. */
     public static byte[] heartbeatBody() {
         String text = new String(GoldenFile.readInput("report.json"), StandardCharsets.UTF_8);
         return text.strip().getBytes(StandardCharsets.UTF_8);
