--- a/src/test/java/io/pepperfield/controller/ConcurrentFailuresTest.java
+++ b/src/test/java/io/pepperfield/controller/ConcurrentFailuresTest.java
@@ -10,8 +10,9 @@
 import io.pepperfield.standin.Fault.ControllerSelector;
 import io.pepperfield.standin.Fault.DelayedOrders;
 import io.pepperfield.standin.Fault.DelayedWrites;
+import io.pepperfield.standin.Fault.FastBoots;
 import io.pepperfield.standin.Fault.InvalidRequests;
-import io.pepperfield.standin.Fault.LeaderChanges;
+import io.pepperfield.standin.Fault.LeaderCrashes;
 import io.pepperfield.standin.Fault.MachineHang;
 import io.pepperfield.standin.Fault.MachineLoss;
 import io.pepperfield.standin.Fault.MachinePartition;
@@ -22,7 +23,6 @@
 import io.pepperfield.standin.Fault.NetworkLatency;
 import io.pepperfield.standin.Fault.Pipelines;
 import io.pepperfield.standin.Fault.QueryFlood;
-import io.pepperfield.standin.Fault.QuickBoots;
 import io.pepperfield.standin.Fault.ReadAfterWriteChecks;
 import io.pepperfield.standin.Fault.ReplayedHeartbeats;
 import io.pepperfield.standin.Fault.Side;
@@ -113,7 +113,7 @@
     @ValueSource(longs = {1, 2, 3})
     void jobsFinishAcrossTenLeaderChangesAndAStoreOutage(long seed) {
         runAllSeeds(
-                Scenario.jobs(40, 3).at(30, new LeaderChanges(10, 120)).at(70, new StoreOutage(15)),
+                Scenario.jobs(40, 3).at(30, new LeaderCrashes(10, 120)).at(70, new StoreOutage(15)),
                 seed);
     }
 
@@ -165,7 +165,7 @@
     void jobsFinishWhenMachinesBootFastWritesAreDelayedAndTheLeaderCrashes(long seed) {
         runAllSeeds(
                 Scenario.jobs(30, 1)
-                        .at(9, new QuickBoots(60), new DelayedWrites(0.3, 40, false))
+                        .at(9, new FastBoots(60), new DelayedWrites(0.3, 40, false))
                         .at(14, new ControllerCrash(ControllerSelector.LEADER, 3))
                         .at(30, new ControllerCrash(ControllerSelector.LEADER, 0.2)),
                 seed);
@@ -243,7 +243,7 @@
     void jobsFinishAfterLeaderChangesAndACrashOfAllWithOneBackWithinASecond(long seed) {
         runAllSeeds(
                 Scenario.jobs(30, 2)
-                        .at(25, new LeaderChanges(4, 16))
+                        .at(25, new LeaderCrashes(4, 16))
                         .at(
                                 45,
                                 new ControllerCrash(ControllerSelector.node(0), 0.3),
@@ -295,7 +295,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void smallJobsFinishWhenTheirTasksEndUnderDifferentLeaders(long seed) {
-        runAllSeeds(Scenario.jobs(36, 2).at(25, new LeaderChanges(6, 60)), seed);
+        runAllSeeds(Scenario.jobs(36, 2).at(25, new LeaderCrashes(6, 60)), seed);
     }
 
     @ParameterizedTest
@@ -490,7 +490,7 @@
         runAllSeeds(
                 Scenario.jobs(12, 4)
                         .at(10, new Pipelines(15, 60), new DelayedWrites(0.15, 60, false))
-                        .at(30, new LeaderChanges(5, 40))
+                        .at(30, new LeaderCrashes(5, 40))
                         .at(45, new StoreOutage(12))
                         .at(50, new CancelNow(4, 0)),
                 seed);
--- a/src/test/java/io/pepperfield/controller/PipelineSimulationTest.java
+++ b/src/test/java/io/pepperfield/controller/PipelineSimulationTest.java
@@ -9,7 +9,7 @@
 import io.pepperfield.standin.Fault.ControllerSelector;
 import io.pepperfield.standin.Fault.DelayedWrites;
 import io.pepperfield.standin.Fault.InvalidRequests;
-import io.pepperfield.standin.Fault.LeaderChanges;
+import io.pepperfield.standin.Fault.LeaderCrashes;
 import io.pepperfield.standin.Fault.ReadAfterWriteChecks;
 import io.pepperfield.standin.Fault.ReplayedHeartbeats;
 import io.pepperfield.standin.Fault.StoreLatency;
@@ -73,10 +73,10 @@
         String context = "seed " + seed + ", " + shape + " in " + scenario;
         assertEquals(List.of(), region.violations, context);
         assertEquals(List.of(), region.unfinishedJobs(), context);
-        assertEquals(List.of(), region.pipelines.wronglyEnded(), context);
+        assertEquals(List.of(), region.pipelines.unexpectedFinalStates(), context);
         assertEquals(List.of(), region.unansweredQueries(), context);
         assertEquals(List.of(), region.leftoverJobs(), context);
-        assertTrue(region.pipelines.cancelled() >= shape.jobs(), context);
+        assertTrue(region.pipelines.cancelledCount() >= shape.jobs(), context);
     }
 
     @ParameterizedTest
@@ -98,7 +98,7 @@
                                 12,
                                 new DelayedWrites(0.2, 50, false),
                                 new ReplayedHeartbeats(0.2, 50, false))
-                        .at(15, new LeaderChanges(6, 50)),
+                        .at(15, new LeaderCrashes(6, 50)),
                 shape,
                 2);
     }
@@ -165,7 +165,7 @@
             region.world.run(330);
             assertEquals(List.of(), region.violations, "seed " + seed);
             assertEquals(List.of(), region.unfinishedJobs(), "seed " + seed);
-            assertEquals(List.of(), region.pipelines.wronglyEnded(), "seed " + seed);
+            assertEquals(List.of(), region.pipelines.unexpectedFinalStates(), "seed " + seed);
             assertEquals(List.of(), region.unansweredQueries(), "seed " + seed);
         }
     }
--- a/src/test/java/io/pepperfield/standin/FaultInjector.java
+++ b/src/test/java/io/pepperfield/standin/FaultInjector.java
@@ -4,15 +4,15 @@
 import io.pepperfield.standin.Fault.Way;
 import java.util.function.Consumer;
 
-/** Makes the faults of a scenario happen in a region. */
+/** Injects the faults of a scenario into a simulated region. */
 final class FaultInjector {
 
     private final SimulatedRegion region;
     private final SimWorld world;
     private final SimMachines machines;
     private final SimUsers users;
-    private int submissionFloods;
-    private int largeArrays;
+    private int submissionFloodCount;
+    private int largeArraysSubmitted;
 
     FaultInjector(SimulatedRegion region, SimMachines machines, SimUsers users) {
         this.region = region;
@@ -22,20 +22,20 @@
     }
 
     void inject(Fault fault) {
-        double until = world.now() + fault.forS();
-        boolean begun =
+        double until = world.now() + fault.durationS();
+        boolean handled =
                 injectIntoServices(fault, until)
                         || injectIntoMachines(fault, until)
                         || injectIntoControllers(fault, until)
                         || injectIntoUsers(fault, until);
-        if (!begun) {
+        if (!handled) {
             throw new IllegalArgumentException(fault.toString());
         }
     }
 
     /**
-     * The state service, the cloud, and the network between all. False where the fault is of
-     * another kind.
+     * Injects faults of the state service, the cloud provider and the network. Returns false if the
+     * fault is of another kind.
      */
     private boolean injectIntoServices(Fault fault, double until) {
         if (fault instanceof Fault.StoreOutage) {
@@ -43,15 +43,17 @@
         } else if (fault instanceof Fault.CloudOutage) {
             region.faults.cloudOutage(until);
         } else if (fault instanceof Fault.StorePartition cut) {
-            each(cut.who(), node -> cut(node, Side.STATE, cut.way(), until));
-        } else if (fault instanceof Fault.StoreLatency slow) {
-            region.storeLink.delayResponses(slow.byS(), until);
-        } else if (fault instanceof Fault.DelayedWrites late) {
-            region.storeLink.dropTransactionResponses(late.share(), until, late.atOnce());
-        } else if (fault instanceof Fault.ReplayedHeartbeats late) {
-            region.heartbeatReplays.replayHeartbeats(late.share(), until, late.forNext());
-        } else if (fault instanceof Fault.NetworkLatency slow) {
-            world.delayMessages(slow.byS(), until);
+            forEach(cut.controllers(), node -> cut(node, Side.STATE, cut.mode(), until));
+        } else if (fault instanceof Fault.StoreLatency latency) {
+            region.storeLink.delayResponses(latency.addedS(), until);
+        } else if (fault instanceof Fault.DelayedWrites delayed) {
+            region.storeLink.dropTransactionResponses(
+                    delayed.share(), until, delayed.appliedAtOnce());
+        } else if (fault instanceof Fault.ReplayedHeartbeats replayed) {
+            region.heartbeatReplays.replayHeartbeats(
+                    replayed.share(), until, replayed.heldForNextLeader());
+        } else if (fault instanceof Fault.NetworkLatency latency) {
+            world.delayMessages(latency.addedS(), until);
         } else if (fault instanceof Fault.StoreLimitsReduction) {
             region.faults.reduceStoreLimits();
         } else if (fault instanceof Fault.GrantsRefused) {
@@ -62,28 +64,32 @@
         return true;
     }
 
-    /** Machines and their workers. False where the fault is of another kind. */
+    /**
+     * Injects faults of machines and their workers. Returns false if the fault is of another kind.
+     */
     private boolean injectIntoMachines(Fault fault, double until) {
         if (fault instanceof Fault.MachineReceiveFailure failure) {
-            each(failure.which(), worker -> worker.failReceiving(until));
+            forEach(failure.machines(), worker -> worker.failReceiving(until));
         } else if (fault instanceof Fault.MachineSendFailure failure) {
-            each(failure.which(), worker -> machines.failSending(worker, until));
+            forEach(failure.machines(), worker -> machines.failSending(worker, until));
         } else if (fault instanceof Fault.MachineHang hang) {
-            each(hang.which(), worker -> worker.hang(until));
+            forEach(hang.machines(), worker -> worker.hang(until));
         } else if (fault instanceof Fault.MachinePartition cut) {
-            each(
-                    cut.which(),
+            forEach(
+                    cut.machines(),
                     worker -> {
                         world.partition(worker.name, "10.", until);
                         world.partition("node-", worker.address, until);
                     });
         } else if (fault instanceof Fault.MachineLoss loss) {
-            each(loss.which(), WorkerStandIn::losePower);
+            forEach(loss.machines(), WorkerStandIn::losePower);
         } else if (fault instanceof Fault.MachineReboot reboot) {
-            each(reboot.which(), machines::reboot);
-        } else if (fault instanceof Fault.DelayedOrders held) {
-            each(held.which(), worker -> machines.delayOrders(worker, held.heldS(), until));
-        } else if (fault instanceof Fault.QuickBoots) {
+            forEach(reboot.machines(), machines::reboot);
+        } else if (fault instanceof Fault.DelayedOrders delayed) {
+            forEach(
+                    delayed.machines(),
+                    worker -> machines.delayOrders(worker, delayed.delayS(), until));
+        } else if (fault instanceof Fault.FastBoots) {
             machines.slowBoots(0.3, 0, until);
         } else {
             return false;
@@ -91,70 +97,74 @@
         return true;
     }
 
-    /** Controllers. False where the fault is of another kind. */
+    /** Injects faults of controllers. Returns false if the fault is of another kind. */
     private boolean injectIntoControllers(Fault fault, double until) {
         if (fault instanceof Fault.ZonePartition cut) {
-            each(
-                    cut.inside(),
+            forEach(
+                    cut.controllers(),
                     node -> region.networkPartitions.isolateZone(cut.zone(), node, until));
         } else if (fault instanceof Fault.ControllerPartition cut) {
-            each(cut.who(), node -> cut.from().forEach(side -> cut(node, side, cut.way(), until)));
+            forEach(
+                    cut.controllers(),
+                    node -> cut.sides().forEach(side -> cut(node, side, cut.mode(), until)));
         } else if (fault instanceof Fault.ControllerCrash crash) {
-            each(crash.who(), node -> region.faults.crash(node, crash.forS()));
-        } else if (fault instanceof Fault.LeaderChanges changes) {
-            for (int i = 0; i < changes.times(); i++) {
+            forEach(crash.controllers(), node -> region.faults.crash(node, crash.durationS()));
+        } else if (fault instanceof Fault.LeaderCrashes crashes) {
+            for (int i = 0; i < crashes.times(); i++) {
                 world.after(
-                        i * changes.forS() / changes.times(),
-                        () -> region.faults.crash(region.lastLeaderIndex(), downS()));
+                        i * crashes.durationS() / crashes.times(),
+                        () -> region.faults.crash(region.lastLeaderIndex(), randomDowntimeS()));
             }
         } else if (fault instanceof Fault.ControllerPause pause) {
-            each(pause.who(), node -> region.faults.pause(node, until));
+            forEach(pause.controllers(), node -> region.faults.pause(node, until));
         } else if (fault instanceof Fault.Upgrade upgrade) {
-            new RollingUpgrade(region, region.nodeCount(), upgrade.by()).begin(upgrade);
-        } else if (fault instanceof Fault.OperatorCommand asks) {
-            region.operator.repeat(asks.command(), until);
-        } else if (fault instanceof Fault.Replace replace) {
-            each(
-                    replace.who(),
-                    node -> region.faults.restartAs(node, replace.by(), replace.forS()));
+            new RollingUpgrade(region, region.nodeCount(), upgrade.toVersion()).begin(upgrade);
+        } else if (fault instanceof Fault.OperatorCommand request) {
+            region.operator.repeatUntilConfirmed(request.command(), until);
+        } else if (fault instanceof Fault.ControllerReplacement replace) {
+            forEach(
+                    replace.controllers(),
+                    node ->
+                            region.faults.restartAs(
+                                    node, replace.toVersion(), replace.durationS()));
         } else {
             return false;
         }
         return true;
     }
 
-    /** Users and what they ask for. False where the fault is of another kind. */
+    /** Starts unusual user load. Returns false if the fault is of another kind. */
     private boolean injectIntoUsers(Fault fault, double until) {
         if (fault instanceof Fault.CancelNow cancel) {
-            users.cancelRunning(cancel.count(), Fault.CancelNow.WITHIN_S).stream()
-                    .limit(cancel.hangS() > 0 ? Fault.CancelNow.MOST_HUNG : 0)
+            users.cancelRunning(cancel.count(), Fault.CancelNow.CANCEL_WINDOW_S).stream()
+                    .limit(cancel.hangS() > 0 ? Fault.CancelNow.MAX_HUNG_MACHINES : 0)
                     .forEach(worker -> worker.hang(world.now() + cancel.hangS()));
         } else if (fault instanceof Fault.CancelAtEnd cancel) {
             users.cancelAtEnd(cancel.share(), until);
         } else if (fault instanceof Fault.ReadAfterWriteChecks) {
             users.checkReadsAfterWrites(until);
         } else if (fault instanceof Fault.InvalidRequests invalid) {
-            for (int i = 0; i < invalid.forS() * 4; i++) {
+            for (int i = 0; i < invalid.durationS() * 4; i++) {
                 world.after(i / 4.0, users.invalidRequests::sendOne);
             }
         } else if (fault instanceof Fault.SubmissionFlood flood) {
-            int first = 100_000 * ++submissionFloods;
-            for (int i = 0; i < flood.perS() * flood.forS(); i++) {
+            int first = 100_000 * ++submissionFloodCount;
+            for (int i = 0; i < flood.jobsPerS() * flood.durationS(); i++) {
                 int number = first + i;
-                world.after(i / flood.perS(), () -> region.jobMix.submitSingle(number));
+                world.after(i / flood.jobsPerS(), () -> region.jobMix.submitSingle(number));
             }
         } else if (fault instanceof Fault.Pipelines pipelines) {
             for (int i = 0; i < pipelines.count(); i++) {
                 int number = 700_000 + 10 * i;
                 world.after(
-                        i * pipelines.forS() / pipelines.count(),
-                        () -> region.pipelines.submitAny(number));
+                        i * pipelines.durationS() / pipelines.count(),
+                        () -> region.pipelines.submitRandom(number));
             }
         } else if (fault instanceof Fault.QueryFlood) {
             users.queryMoreOften(until);
         } else if (fault instanceof Fault.LargeArrays arrays) {
             for (int i = 0; i < arrays.count(); i++) {
-                int number = 800_000 + largeArrays++;
+                int number = 800_000 + largeArraysSubmitted++;
                 world.after(
                         i, () -> region.jobMix.submitGuests(number, arrays.tasks(), arrays.runS()));
             }
@@ -164,20 +174,20 @@
         return true;
     }
 
-    private double downS() {
-        return Fault.LeaderChanges.LEAST_DOWN_S
+    private double randomDowntimeS() {
+        return Fault.LeaderCrashes.MIN_DOWN_S
                 + world.random.nextDouble()
-                        * (Fault.LeaderChanges.MOST_DOWN_S - Fault.LeaderChanges.LEAST_DOWN_S);
+                        * (Fault.LeaderCrashes.MAX_DOWN_S - Fault.LeaderCrashes.MIN_DOWN_S);
     }
 
-    private void each(Fault.ControllerSelector who, Consumer<Integer> then) {
-        for (int node : who.of(region.lastLeaderIndex(), region.nodeCount())) {
-            then.accept(node);
+    private void forEach(Fault.ControllerSelector selector, Consumer<Integer> action) {
+        for (int node : selector.resolve(region.lastLeaderIndex(), region.nodeCount())) {
+            action.accept(node);
         }
     }
 
-    private void each(Fault.MachineSelector which, Consumer<WorkerStandIn> then) {
-        machines.select(which).forEach(then);
+    private void forEach(Fault.MachineSelector selector, Consumer<WorkerStandIn> action) {
+        machines.select(selector).forEach(action);
     }
 
     private void cut(int node, Side side, Way way, double until) {
--- a/src/test/java/io/pepperfield/standin/SimMachines.java
+++ b/src/test/java/io/pepperfield/standin/SimMachines.java
@@ -220,7 +220,7 @@
     // ---- tasks
 
     private SimJob jobOf(String task) {
-        return jobs.get(SimJob.idOf(task));
+        return jobs.get(SimJob.jobIdOf(task));
     }
 
     @Override
@@ -253,7 +253,7 @@
         SimJob job = jobOf(task);
         JobPlan plan = job.plan;
         taskStarts++;
-        rules.taskStarted(job, task);
+        rules.checkTaskStart(job, task);
         WorkerStandIn other = job.workersByTask.put(SimJob.taskNumber(task), worker);
         if (other != null && other.isAlive()) {
             addViolation("ran_twice: " + task + " on " + other.name + " and " + worker.name);
@@ -298,7 +298,7 @@
     public void taskEnded(WorkerStandIn worker, String task, boolean done) {
         SimJob job = jobOf(task);
         job.workersByTask.remove(SimJob.taskNumber(task), worker);
-        lostTasks += done || job.cancelAsked ? 0 : 1;
+        lostTasks += done || job.cancelRequested ? 0 : 1;
         if (done && job.completedTasks.add(SimJob.taskNumber(task)) && job.isComplete()) {
             onJobCompleted.accept(job);
         }
@@ -315,7 +315,7 @@
      */
     void checkCancelledTasks() {
         for (SimJob job : jobs.values()) {
-            if (!job.ranCancelledReported
+            if (!job.runAfterCancelReported
                     && !job.workersByTask.isEmpty()
                     && world.now()
                             > rules.cancelledAt(job) + SimulatedRegion.CANCELLATION_DEADLINE_S) {
@@ -326,7 +326,7 @@
                                 + job.workersByTask.keySet()
                                 + ", cancelled at "
                                 + rules.cancelledAt(job));
-                job.ranCancelledReported = true;
+                job.runAfterCancelReported = true;
             }
         }
     }
--- a/src/test/java/io/pepperfield/standin/SimNode.java
+++ b/src/test/java/io/pepperfield/standin/SimNode.java
@@ -67,7 +67,8 @@
         lastConfirmedSendAt = world.now();
         Settings settings = settingsOf.apply(version);
         HttpSender sender = checkedSender(settings);
-        HttpSender toStore = version == Version.RECORDED ? RecordedVersion.around(sender) : sender;
+        HttpSender toStore =
+                version == Version.RECORDED ? RecordedVersion.filterStoreResponses(sender) : sender;
         HttpKeyValueStore store = new HttpKeyValueStore(loop, toStore, settings.storeAddress());
         peers = new Peers(loop, settings, sender);
         Optional<Rollout> rollout =
@@ -242,7 +243,8 @@
                         reply -> {
                             checkFormat(
                                     reply.status() != 200
-                                            || RecordedForms.answer(path, Json.read(reply.body())),
+                                            || RecordedForms.isReadableAnswer(
+                                                    path, Json.read(reply.body())),
                                     request);
                             answer.accept(reply);
                         });
@@ -261,7 +263,7 @@
      */
     private static boolean isKnownFormat(InboundRequest request) {
         return request.path().equals(Admission.PATH)
-                || RecordedForms.request(
+                || RecordedForms.isReadableRequest(
                         request.method(), request.path(), Json.read(request.body()));
     }
 
--- a/src/test/java/io/pepperfield/standin/SimulatedRegion.java
+++ b/src/test/java/io/pepperfield/standin/SimulatedRegion.java
@@ -240,15 +240,15 @@
         for (int i = 0; i < scenario.jobs(); i++) {
             int jobNumber = i + 1;
             world.at(
-                    Scenario.FIRST_JOB_S + i * scenario.everyS(),
-                    () -> jobMix.submitOneOfAll(jobNumber));
+                    Scenario.FIRST_JOB_S + i * scenario.intervalS(),
+                    () -> jobMix.submitScenarioJob(jobNumber));
         }
         scenario.faults()
                 .forEach(
                         planned ->
                                 world.at(
                                         planned.at(), () -> faultInjector.inject(planned.fault())));
-        users.calmAt = scenario.calmAt();
+        users.faultsOverAt = scenario.faultsOverAt();
     }
 
     // ---- users
--- a/src/test/java/io/pepperfield/standin/StoreLink.java
+++ b/src/test/java/io/pepperfield/standin/StoreLink.java
@@ -42,10 +42,10 @@
             double delayS =
                     applyImmediately
                             ? 0
-                            : Fault.DelayedWrites.LEAST_S
+                            : Fault.DelayedWrites.MIN_DELAY_S
                                     + world.random.nextDouble()
-                                            * (Fault.DelayedWrites.MOST_S
-                                                    - Fault.DelayedWrites.LEAST_S);
+                                            * (Fault.DelayedWrites.MAX_DELAY_S
+                                                    - Fault.DelayedWrites.MIN_DELAY_S);
             world.after(delayS, () -> store.handle(from, request, droppedReply -> {}));
         } else if (world.now() < extraDelayUntil) {
             double responseDelayS = extraDelayS;
