--- a/src/main/java/io/pepperfield/http/Exchange.java
+++ b/src/main/java/io/pepperfield/http/Exchange.java
@@ -56,7 +56,7 @@
      * response cannot be matched to the next request.
      */
     void expire() {
-        fail("deadline exceeded");
+        fail("deadline");
         if (connection != null) {
             connection.close();
         }
